--- a/crates/router/src/budget.rs
+++ b/crates/router/src/budget.rs
@@ -3,7 +3,7 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-use quillpoint_accounts::{Ledger, Purpose, Refused, Share};
+use quillpoint_memory_budget::{Ledger, Purpose, Refused, Share};
 
 /// The parts of the memory that may be held of messages that are coming in from clients, and of statements and
 /// answers under way, of which copies are sent on.
--- a/crates/router/src/client.rs
+++ b/crates/router/src/client.rs
@@ -16,7 +16,7 @@
 use futures_lite::{FutureExt, future};
 
 use quillpoint::host::{MethodId, Outcome};
-use quillpoint_accounts::{Pace, Progress, Purpose, Relief};
+use quillpoint_memory_budget::{Pace, Progress, Purpose, Relief};
 
 use crate::budget::{Accounts, Exhausted};
 use crate::deployment::Deployment;
--- a/crates/router/src/client/listener.rs
+++ b/crates/router/src/client/listener.rs
@@ -7,7 +7,7 @@
 
 use async_io::{Async, Timer};
 use futures_lite::future;
-use quillpoint_accounts::Purpose;
+use quillpoint_memory_budget::Purpose;
 
 use super::{Clients, OPENING, Session};
 use crate::descriptors::{Side, Slot};
--- a/crates/router/src/pool.rs
+++ b/crates/router/src/pool.rs
@@ -14,7 +14,7 @@
 use async_io::{Async, Timer};
 use futures_lite::{FutureExt, future};
 use quillpoint::host::{NodeId, Outcome, Report, Role};
-use quillpoint_accounts::Purpose;
+use quillpoint_memory_budget::Purpose;
 
 use crate::budget::{Accounts, Exhausted, Held};
 use crate::deployment::Deployment;
--- a/crates/router/src/report.rs
+++ b/crates/router/src/report.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use async_io::Timer;
-use quillpoint_accounts::Purpose;
+use quillpoint_memory_budget::Purpose;
 
 use crate::budget::Accounts;
 
--- a/crates/router/tests/lending.rs
+++ b/crates/router/tests/lending.rs
@@ -10,7 +10,7 @@
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
 use quillpoint::host::Extent;
-use quillpoint_accounts::Purpose;
+use quillpoint_memory_budget::Purpose;
 use quillpoint_router::budget::Accounts;
 use quillpoint_router::config::Launch;
 use quillpoint_router::descriptors::Descriptors;
--- a/crates/router/tests/messages.rs
+++ b/crates/router/tests/messages.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use quickcheck::{Arbitrary, Gen, QuickCheck, TestResult, Testable};
-use quillpoint_accounts::Purpose::{Answers, Coming, Statements};
+use quillpoint_memory_budget::Purpose::{Answers, Coming, Statements};
 use quillpoint_router::budget::{Accounts, Held};
 use quillpoint_router::config::Launch;
 use quillpoint_router::http;
