--- a/crates/watch/tests/told.rs
+++ b/crates/discovery-watch/tests/told.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use quillpoint_watch::{ANSWERED, Failed, ListWatch, Part, TOLD};
+use quillpoint_discovery_watch::{ANSWERED, Failed, ListWatch, Part, TOLD};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
--- a/crates/watch/tests/versions.rs
+++ b/crates/discovery-watch/tests/versions.rs
@@ -1,7 +1,7 @@
 //! Answers that come in any order, to calls that were made at any time: what is known is never older than what the
 //! newest answer told, and nothing that could be told is passed over.
 
-use quillpoint_watch::{Basis, Use, Versions};
+use quillpoint_discovery_watch::{Basis, Use, Versions};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
--- a/crates/router/src/discovery.rs
+++ b/crates/router/src/discovery.rs
@@ -1,4 +1,4 @@
-//! The client of discovery: it makes the calls that `quillpoint_watch` times, and hands the module what they tell.
+//! The client of discovery: it makes the calls that `quillpoint_discovery_watch` times, and hands the module what they tell.
 //!
 //! Each call is a task of its own, which tells here how far it has come. A call whose time is over, or that was made to
 //! where discovery was before, stays open for a while beside the one that takes its place: an answer that discovery has
@@ -14,7 +14,7 @@
 use async_io::Timer;
 use futures_lite::{FutureExt, future};
 use quillpoint::host::{Condition, Extent, Listed};
-use quillpoint_watch::{ANSWER_TAKEN, Basis, Failed, ListWatch, MOST_LATE_CALLS, Part, Use, Versions};
+use quillpoint_discovery_watch::{ANSWER_TAKEN, Basis, Failed, ListWatch, MOST_LATE_CALLS, Part, Use, Versions};
 
 use crate::deployment::Deployment;
 use crate::descriptors::{Descriptors, Slot};
--- a/crates/router/src/list_call.rs
+++ b/crates/router/src/list_call.rs
@@ -6,7 +6,7 @@
 
 use async_io::Async;
 use futures_lite::future;
-use quillpoint_watch::Part;
+use quillpoint_discovery_watch::Part;
 
 use crate::http::{self, BadResponse};
 use crate::list::Page;
