--- a/crates/control/src/around.rs
+++ b/crates/control/src/around.rs
@@ -13,7 +13,7 @@
     /// What another router has found out: hearsay.
     fn hear(&self, evidence: quillpoint_fleet::Evidence);
     /// What a control instance tells by name: hearsay.
-    fn learnt(&self, word: quillpoint_feed::Word);
+    fn learnt(&self, word: quillpoint_observation_feed::Word);
     /// A probe in turn, whose end is told by `found`, once this call is over. False if one is out there already.
     fn probe(&self, node: SocketAddr) -> bool;
     /// Whether only an own probe tells this router anything of the node.
--- a/crates/control/src/feed.rs
+++ b/crates/control/src/feed.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use quillpoint_datagram::keys::Keyring;
-use quillpoint_feed::{Event, Host, Message, Word};
+use quillpoint_observation_feed::{Event, Host, Message, Word};
 use quillpoint_fleet::{Incarnation, PeerName};
 
 use crate::alarm::Alarm;
@@ -24,7 +24,7 @@
     pub name: PeerName,
     pub listen: SocketAddr,
     pub keys: Keyring,
-    pub plan: quillpoint_feed::publisher::Plan,
+    pub plan: quillpoint_observation_feed::publisher::Plan,
     /// Datagrams looked at a second.
     pub letters: u64,
 }
@@ -35,8 +35,8 @@
     pub name: PeerName,
     pub listen: SocketAddr,
     pub keys: Keyring,
-    pub plan: quillpoint_feed::subscriber::Plan,
-    pub control: Vec<quillpoint_feed::Control>,
+    pub plan: quillpoint_observation_feed::subscriber::Plan,
+    pub control: Vec<quillpoint_observation_feed::Control>,
     /// Datagrams looked at a second.
     pub letters: u64,
 }
--- a/crates/control/src/publisher.rs
+++ b/crates/control/src/publisher.rs
@@ -1,5 +1,5 @@
 //! A control instance's end of the feed on a socket: its one owner, its datagrams and its clock. Decides nothing:
-//! `quillpoint_feed::Publisher` does.
+//! `quillpoint_observation_feed::Publisher` does.
 
 use std::cell::RefCell;
 use std::io;
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use quillpoint_datagram::Opener;
-use quillpoint_feed::{Envelope, Publisher};
+use quillpoint_observation_feed::{Envelope, Publisher};
 use quillpoint_fleet::{Evidence, Incarnation, PeerName};
 
 use crate::around::Around;
--- a/crates/control/src/subscriber.rs
+++ b/crates/control/src/subscriber.rs
@@ -1,5 +1,5 @@
 //! A router's end of the feed on a socket: its one owner, its datagrams and its clock. Decides nothing:
-//! `quillpoint_feed::Subscriber` does.
+//! `quillpoint_observation_feed::Subscriber` does.
 //!
 //! What is known of all databases may be newer with each digest, ten times a second and more. The process around asks
 //! for it where it has use for it: `news_of` has something to say once a digest and database at most.
@@ -12,7 +12,7 @@
 use std::time::{Duration, Instant};
 
 use quillpoint_datagram::Opener;
-use quillpoint_feed::{Envelope, Host, Message, Subscriber, Word};
+use quillpoint_observation_feed::{Envelope, Host, Message, Subscriber, Word};
 use quillpoint_fleet::{Incarnation, PeerName};
 
 use crate::around::Around;
--- a/crates/datagram/src/lib.rs
+++ b/crates/datagram/src/lib.rs
@@ -34,7 +34,7 @@
 pub const LONGEST: usize = 1200;
 const MAGIC: u8 = b'Q';
 /// All that may stand in the place of the kind.
-const KINDS: [u8; 2] = [Letter::KIND, quillpoint_feed::Envelope::KIND];
+const KINDS: [u8; 2] = [Letter::KIND, quillpoint_observation_feed::Envelope::KIND];
 const VERSION: u8 = 1;
 const HEAD: usize = 2 + 1 + 4 + 8 + 8;
 const HASH: usize = blake3::OUT_LEN;
--- a/crates/datagram/src/payload.rs
+++ b/crates/datagram/src/payload.rs
@@ -1,6 +1,6 @@
 //! What a datagram can carry, and what must be known of it to take it or not.
 
-use quillpoint_feed::{Envelope, Message};
+use quillpoint_observation_feed::{Envelope, Message};
 use quillpoint_fleet::{Body, Incarnation, Letter, PeerName};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
--- a/crates/datagram/tests/envelopes.rs
+++ b/crates/datagram/tests/envelopes.rs
@@ -6,10 +6,10 @@
 use quickcheck::{Gen, QuickCheck};
 use quillpoint_datagram::keys::Keyring;
 use quillpoint_datagram::{LONGEST, Opener, Refusal, Sealer};
-use quillpoint_feed::message::{
+use quillpoint_observation_feed::message::{
     CHANGES_ALONG, CLASSES, Chunk, DigestNo, ENTRIES_ALONG, LagClass, PARTS, PartId, Revision,
 };
-use quillpoint_feed::{Change, Digest, Entry, Envelope, Message, Standing, size};
+use quillpoint_observation_feed::{Change, Digest, Entry, Envelope, Message, Standing, size};
 use quillpoint_fleet::ids::LONGEST_NAME;
 use quillpoint_fleet::{Body, Card, Incarnation, Letter, Life, PeerName, State};
 
--- a/crates/lab/src/feed_world.rs
+++ b/crates/lab/src/feed_world.rs
@@ -9,7 +9,7 @@
 
 use quillpoint_datagram::Sealer;
 use quillpoint_datagram::keys::Keyring;
-use quillpoint_feed::{Control, Envelope, Message, Publisher, Subscriber, Word, publisher, subscriber};
+use quillpoint_observation_feed::{Control, Envelope, Message, Publisher, Subscriber, Word, publisher, subscriber};
 use quillpoint_fleet::ids::{DutyId, Subject};
 use quillpoint_fleet::{
     Body, Card, Event, Evidence, Fleet, Host, Incarnation, Letter, Life, News, PeerName, Plans, State,
@@ -79,7 +79,7 @@
     }
 }
 
-impl quillpoint_feed::Host for Desk {
+impl quillpoint_observation_feed::Host for Desk {
     fn send(&mut self, to: SocketAddr, session: Option<Incarnation>, message: Message) {
         self.0.borrow_mut().said.push((to, session, message));
     }
@@ -87,7 +87,7 @@
         self.0.borrow_mut().feed_wake = Some(after);
     }
     fn learnt(&mut self, _: Word) {}
-    fn tell(&mut self, _: quillpoint_feed::Event) {}
+    fn tell(&mut self, _: quillpoint_observation_feed::Event) {}
 }
 
 /// What a process has cost.
@@ -362,11 +362,11 @@
         process.subscriber.known(self.now, node_address(node))
     }
 
-    pub fn subscriber(&self, router: usize) -> Option<&Subscriber<impl quillpoint_feed::Host + use<>>> {
+    pub fn subscriber(&self, router: usize) -> Option<&Subscriber<impl quillpoint_observation_feed::Host + use<>>> {
         self.routers[router].process.as_ref().map(|process| &process.subscriber)
     }
 
-    pub fn publisher(&self, place: usize) -> Option<&Publisher<impl quillpoint_feed::Host + use<>>> {
+    pub fn publisher(&self, place: usize) -> Option<&Publisher<impl quillpoint_observation_feed::Host + use<>>> {
         self.control[place].process.as_ref().map(|process| &process.publisher)
     }
 
--- a/crates/feed/tests/handover.rs
+++ b/crates/observation-feed/tests/handover.rs
@@ -7,10 +7,10 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use quillpoint_feed::copy::Cover;
-use quillpoint_feed::message::{CLASSES, Chunk, DigestNo, LagClass, PARTS, PartId, Revision};
-use quillpoint_feed::told::{Start, Told};
-use quillpoint_feed::{Change, Entry, Standing, Word};
+use quillpoint_observation_feed::copy::Cover;
+use quillpoint_observation_feed::message::{CLASSES, Chunk, DigestNo, LagClass, PARTS, PartId, Revision};
+use quillpoint_observation_feed::told::{Start, Told};
+use quillpoint_observation_feed::{Change, Entry, Standing, Word};
 use quillpoint_fleet::Incarnation;
 use stateright::{Checker, Model, Property};
 
--- a/crates/feed/tests/parts.rs
+++ b/crates/observation-feed/tests/parts.rs
@@ -7,14 +7,14 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use quillpoint_feed::book::Book;
-use quillpoint_feed::clock::Shortest;
-use quillpoint_feed::copy::{Copy, Cover};
-use quillpoint_feed::line::line;
-use quillpoint_feed::message::{CLASSES, Chunk, Digest, DigestNo, LagClass, PARTS, PartId, Revision};
-use quillpoint_feed::pace::Bucket;
-use quillpoint_feed::share::{Basis, Share};
-use quillpoint_feed::{
+use quillpoint_observation_feed::book::Book;
+use quillpoint_observation_feed::clock::Shortest;
+use quillpoint_observation_feed::copy::{Copy, Cover};
+use quillpoint_observation_feed::line::line;
+use quillpoint_observation_feed::message::{CLASSES, Chunk, Digest, DigestNo, LagClass, PARTS, PartId, Revision};
+use quillpoint_observation_feed::pace::Bucket;
+use quillpoint_observation_feed::share::{Basis, Share};
+use quillpoint_observation_feed::{
     Change, Control, Entry, Envelope, Event, Host, Message, Publisher, Standing, Subscriber, Word, publisher,
     size, subscriber,
 };
@@ -91,7 +91,7 @@
         // One that goes leaves the order of the others as it was.
         let others: Vec<Control> = line.iter().filter(|one| one.name != name("c3")).cloned().collect();
         let all = control(8, 2).into_iter().filter(|one| one.name != name("c3")).collect();
-        assert_eq!(quillpoint_feed::line::line(&me, Some("region-1"), all), others);
+        assert_eq!(quillpoint_observation_feed::line::line(&me, Some("region-1"), all), others);
     }
     assert!(
         followers.len() == 4 && followers.values().all(|count| (900..1100).contains(count)),
--- a/crates/feed/tests/pulls.rs
+++ b/crates/observation-feed/tests/pulls.rs
@@ -7,8 +7,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use quillpoint_feed::message::{CLASSES, DigestNo, PARTS, PartId, Revision};
-use quillpoint_feed::{Control, Digest, Event, Host, Message, Subscriber, Word, subscriber};
+use quillpoint_observation_feed::message::{CLASSES, DigestNo, PARTS, PartId, Revision};
+use quillpoint_observation_feed::{Control, Digest, Event, Host, Message, Subscriber, Word, subscriber};
 use quillpoint_fleet::{Incarnation, PeerName};
 
 #[derive(Clone, Default)]
--- a/crates/feed/tests/shelf.rs
+++ b/crates/observation-feed/tests/shelf.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use quickcheck::{Gen, QuickCheck};
-use quillpoint_feed::shelf::Shelf;
+use quillpoint_observation_feed::shelf::Shelf;
 
 #[test]
 fn a_shelf_does_as_a_tree_map_does() {
--- a/crates/rig/src/capacity/asks.rs
+++ b/crates/rig/src/capacity/asks.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use quillpoint_feed::share::{CROWD, TIMES};
+use quillpoint_observation_feed::share::{CROWD, TIMES};
 use quillpoint_fleet::letter::CARDS_WHOLE;
 use quillpoint_fleet::membership::MOST_PEERS;
 
@@ -652,7 +652,7 @@
                 "probes a second, no control instance left, the mean over all databases",
                 feed,
                 Budget::None,
-                computed(&[TIMES, PROBES_S], 1.0, "crates/feed/src/share.rs"),
+                computed(&[TIMES, PROBES_S], 1.0, "crates/observation-feed/src/share.rs"),
                 "feed: paced share",
             ),
             ask(
@@ -660,7 +660,7 @@
                 "probes a second, no control instance left, at one that all use, over time no more than",
                 feed,
                 Budget::None,
-                computed(&[CROWD, PROBES_S], 1.0, "crates/feed/src/share.rs"),
+                computed(&[CROWD, PROBES_S], 1.0, "crates/observation-feed/src/share.rs"),
                 "feed: paced share",
             ),
             // Each probes it once before its floor has passed, and nothing but chance keeps them from the same second.
@@ -669,7 +669,7 @@
                 "probes in one second, no control instance left, the most that one that all use may get",
                 feed,
                 Budget::None,
-                computed(&[ROUTERS, 1.0], 1.0, "crates/feed/src/share.rs"),
+                computed(&[ROUTERS, 1.0], 1.0, "crates/observation-feed/src/share.rs"),
                 "feed: paced share",
             ),
             ask(discovery, "calls a second, a region alone", any, Budget::None, Source::Nothing, "watch"),
--- a/crates/rig/src/scale/books.rs
+++ b/crates/rig/src/scale/books.rs
@@ -8,7 +8,7 @@
 
 use async_channel::Sender;
 use quillpoint_control::{Around, Subscription};
-use quillpoint_feed::Word;
+use quillpoint_observation_feed::Word;
 use quillpoint_fleet::Evidence;
 
 use crate::now;
--- a/crates/router/src/instance.rs
+++ b/crates/router/src/instance.rs
@@ -9,7 +9,7 @@
 use async_io::Timer;
 use quillpoint::host::{NodeId, PeerWord};
 use quillpoint_control::{Around, Peers, Publication};
-use quillpoint_feed::Word;
+use quillpoint_observation_feed::Word;
 use quillpoint_fleet::{Evidence, News};
 
 use crate::engine::{Engine, Finding, Sharing};
--- a/crates/router/src/part.rs
+++ b/crates/router/src/part.rs
@@ -8,7 +8,7 @@
 use quillpoint_conf::Conf;
 use quillpoint_control::{Part, PublisherPart, SubscriberPart};
 use quillpoint_datagram::keys::{BadKeys, Keyring};
-use quillpoint_feed::{Control, publisher, subscriber};
+use quillpoint_observation_feed::{Control, publisher, subscriber};
 use quillpoint_fleet::PeerName;
 use quillpoint_fleet::Plans;
 use quillpoint_fleet::duties::Plan;
--- a/crates/router/tests/feed.rs
+++ b/crates/router/tests/feed.rs
@@ -16,8 +16,8 @@
 
 use quillpoint_datagram::keys::Keyring;
 use quillpoint_datagram::{Opener, Sealer};
-use quillpoint_feed::message::{CLASSES, DigestNo, PARTS, Revision};
-use quillpoint_feed::{Digest, Envelope, Message};
+use quillpoint_observation_feed::message::{CLASSES, DigestNo, PARTS, Revision};
+use quillpoint_observation_feed::{Digest, Envelope, Message};
 use quillpoint_fleet::{Incarnation, PeerName};
 use quillpoint_rig::listing::{Entry, Listing, targets};
 use quillpoint_rig::load::{Load, Tally};
--- a/crates/router/tests/instance.rs
+++ b/crates/router/tests/instance.rs
@@ -12,7 +12,7 @@
 use quillpoint_control::{Around, Part, Peers, Publication, PublisherPart};
 use quillpoint_datagram::Sealer;
 use quillpoint_datagram::keys::Keyring;
-use quillpoint_feed::publisher;
+use quillpoint_observation_feed::publisher;
 use quillpoint_fleet::duties::Plan;
 use quillpoint_fleet::ids::KindId;
 use quillpoint_fleet::scheduler::Priority;
--- a/crates/router/tests/told.rs
+++ b/crates/router/tests/told.rs
@@ -8,7 +8,7 @@
 
 use quillpoint::host::{Condition, Extent, GroupId, Listed, MethodId, NodeId, PeerWord, ZoneId};
 use quillpoint_control::Around;
-use quillpoint_feed::Word;
+use quillpoint_observation_feed::Word;
 use quillpoint_router::deployment::Deployment;
 use quillpoint_router::engine::{Clock, Engine, Finding, Order, Owed, Sharing, Work};
 use quillpoint_router::statement::Statement;
