--- a/crates/control/src/feed.rs
+++ b/crates/control/src/feed.rs
@@ -8,7 +8,7 @@
 
 use quillpoint_datagram::keys::Keyring;
 use quillpoint_observation_feed::{Event, Host, Message, Word};
-use quillpoint_fleet::{Incarnation, PeerName};
+use quillpoint_membership::{Incarnation, PeerName};
 
 use crate::alarm::Alarm;
 use crate::post::Names;
--- a/crates/control/src/part.rs
+++ b/crates/control/src/part.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use quillpoint_datagram::keys::Keyring;
-use quillpoint_fleet::{PeerName, Plans};
+use quillpoint_membership::{PeerName, Plans};
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct Part {
--- a/crates/control/src/peers.rs
+++ b/crates/control/src/peers.rs
@@ -1,4 +1,4 @@
-//! The fleet on sockets: its one owner, its datagrams and its clock. Decides nothing: `quillpoint-fleet` does.
+//! The fleet on sockets: its one owner, its datagrams and its clock. Decides nothing: `quillpoint-membership` does.
 //!
 //! The fleet acts by calling its host, [`Desk`], which only notes what is to be done; it is done when the call is
 //! over. So nothing calls the fleet from inside one of its own calls.
@@ -12,8 +12,8 @@
 
 use async_io::Timer;
 use quillpoint_datagram::{Opener, Refusal};
-use quillpoint_fleet::ids::{DutyId, Subject};
-use quillpoint_fleet::{Card, Event, Evidence, Fleet, Host, Incarnation, Letter, Life, News, State};
+use quillpoint_membership::ids::{DutyId, Subject};
+use quillpoint_membership::{Card, Event, Evidence, Fleet, Host, Incarnation, Letter, Life, News, State};
 
 use crate::around::Around;
 use crate::part::Part;
@@ -151,7 +151,7 @@
     pub async fn keep_time(self: Rc<Self>) {
         let mut counted = Instant::now();
         loop {
-            let after = self.desk.wake.take().unwrap_or(quillpoint_fleet::fleet::TICK);
+            let after = self.desk.wake.take().unwrap_or(quillpoint_membership::fleet::TICK);
             Timer::after(after).await;
             self.call(|fleet, now| fleet.timer_fired(now));
             if counted.elapsed() >= COUNTS_EVERY {
--- a/crates/control/src/post.rs
+++ b/crates/control/src/post.rs
@@ -7,7 +7,7 @@
 
 use quillpoint_datagram::keys::Keyring;
 use quillpoint_datagram::{LONGEST, Opener, Payload, Refusal, Sealer};
-use quillpoint_fleet::Incarnation;
+use quillpoint_membership::Incarnation;
 
 use crate::seldom::Seldom;
 use crate::wire::{Arrival, Traffic, Wire};
--- a/crates/control/src/publisher.rs
+++ b/crates/control/src/publisher.rs
@@ -9,7 +9,7 @@
 
 use quillpoint_datagram::Opener;
 use quillpoint_observation_feed::{Envelope, Publisher};
-use quillpoint_fleet::{Evidence, Incarnation, PeerName};
+use quillpoint_membership::{Evidence, Incarnation, PeerName};
 
 use crate::around::Around;
 use crate::feed::{COUNTS_EVERY, Desk, Hand, NAMES, PublisherPart, Wish, tell};
--- a/crates/control/src/subscriber.rs
+++ b/crates/control/src/subscriber.rs
@@ -13,7 +13,7 @@
 
 use quillpoint_datagram::Opener;
 use quillpoint_observation_feed::{Envelope, Host, Message, Subscriber, Word};
-use quillpoint_fleet::{Incarnation, PeerName};
+use quillpoint_membership::{Incarnation, PeerName};
 
 use crate::around::Around;
 use crate::feed::{COUNTS_EVERY, Desk, Hand, NAMES, SubscriberPart, Wish, tell};
--- a/crates/control/tests/queue.rs
+++ b/crates/control/tests/queue.rs
@@ -13,10 +13,10 @@
 use quillpoint_datagram::{Opener, Sealer};
 use quillpoint_observation_feed::message::{CLASSES, Chunk, Digest, DigestNo, LagClass, PARTS, PartId, Revision};
 use quillpoint_observation_feed::{Control, Entry, Envelope, Message, Standing, Word, subscriber};
-use quillpoint_fleet::duties::Plan;
-use quillpoint_fleet::ids::KindId;
-use quillpoint_fleet::scheduler::Priority;
-use quillpoint_fleet::{Body, Card, Evidence, Incarnation, Letter, Life, News, PeerName, Plans, State};
+use quillpoint_membership::duties::Plan;
+use quillpoint_membership::ids::KindId;
+use quillpoint_membership::scheduler::Priority;
+use quillpoint_membership::{Body, Card, Evidence, Incarnation, Letter, Life, News, PeerName, Plans, State};
 
 const STALL: Duration = Duration::from_millis(400);
 /// Between the sending and the queue, and for clocks that are read one after the other.
--- a/crates/datagram/tests/datagrams.rs
+++ b/crates/datagram/tests/datagrams.rs
@@ -3,9 +3,9 @@
 use quickcheck::{Gen, QuickCheck};
 use quillpoint_datagram::keys::{BadKeys, Keyring};
 use quillpoint_datagram::{LONGEST, Opener, Refusal, Sealer};
-use quillpoint_fleet::ids::{LONGEST_NAME, PingNo};
-use quillpoint_fleet::letter::{CARDS_ALONG, CARDS_WHOLE, NEWS_ALONG};
-use quillpoint_fleet::{Body, Card, Incarnation, Letter, Life, News, PeerName, State};
+use quillpoint_membership::ids::{LONGEST_NAME, PingNo};
+use quillpoint_membership::letter::{CARDS_ALONG, CARDS_WHOLE, NEWS_ALONG};
+use quillpoint_membership::{Body, Card, Incarnation, Letter, Life, News, PeerName, State};
 use std::time::Duration;
 
 const OWN: Incarnation = Incarnation(77);
--- a/crates/datagram/tests/envelopes.rs
+++ b/crates/datagram/tests/envelopes.rs
@@ -10,8 +10,8 @@
     CHANGES_ALONG, CLASSES, Chunk, DigestNo, ENTRIES_ALONG, LagClass, PARTS, PartId, Revision,
 };
 use quillpoint_observation_feed::{Change, Digest, Entry, Envelope, Message, Standing, size};
-use quillpoint_fleet::ids::LONGEST_NAME;
-use quillpoint_fleet::{Body, Card, Incarnation, Letter, Life, PeerName, State};
+use quillpoint_membership::ids::LONGEST_NAME;
+use quillpoint_membership::{Body, Card, Incarnation, Letter, Life, PeerName, State};
 
 const OWN: Incarnation = Incarnation(77);
 const LONG_AGO: Option<Duration> = Some(Duration::new(1 << 34, 999_999_999));
--- a/crates/datagram/tests/letters.rs
+++ b/crates/datagram/tests/letters.rs
@@ -5,10 +5,10 @@
 
 use quillpoint_datagram::keys::Keyring;
 use quillpoint_datagram::{LONGEST, Sealer};
-use quillpoint_fleet::book::Book;
-use quillpoint_fleet::ids::LONGEST_NAME;
-use quillpoint_fleet::letter::{CARDS_ALONG, NEWS_ALONG, NEWS_ROOM};
-use quillpoint_fleet::{Body, Card, Incarnation, Letter, Life, News, PeerName, State};
+use quillpoint_membership::book::Book;
+use quillpoint_membership::ids::LONGEST_NAME;
+use quillpoint_membership::letter::{CARDS_ALONG, NEWS_ALONG, NEWS_ROOM};
+use quillpoint_membership::{Body, Card, Incarnation, Letter, Life, News, PeerName, State};
 
 const LONG_AGO: Option<Duration> = Some(Duration::new(1 << 34, 999_999_999));
 
--- a/crates/lab/src/detectors.rs
+++ b/crates/lab/src/detectors.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use quillpoint_fleet::{Event, State};
+use quillpoint_membership::{Event, State};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use serde::Serialize;
--- a/crates/lab/src/feed_world.rs
+++ b/crates/lab/src/feed_world.rs
@@ -10,8 +10,8 @@
 use quillpoint_datagram::Sealer;
 use quillpoint_datagram::keys::Keyring;
 use quillpoint_observation_feed::{Control, Envelope, Message, Publisher, Subscriber, Word, publisher, subscriber};
-use quillpoint_fleet::ids::{DutyId, Subject};
-use quillpoint_fleet::{
+use quillpoint_membership::ids::{DutyId, Subject};
+use quillpoint_membership::{
     Body, Card, Event, Evidence, Fleet, Host, Incarnation, Letter, Life, News, PeerName, Plans, State,
 };
 use rand::SeedableRng;
--- a/crates/lab/src/world.rs
+++ b/crates/lab/src/world.rs
@@ -9,10 +9,10 @@
 
 use quillpoint_datagram::Sealer;
 use quillpoint_datagram::keys::Keyring;
-use quillpoint_fleet::duties::Plan;
-use quillpoint_fleet::ids::{DutyId, KindId, Subject};
-use quillpoint_fleet::scheduler::Priority;
-use quillpoint_fleet::{
+use quillpoint_membership::duties::Plan;
+use quillpoint_membership::ids::{DutyId, KindId, Subject};
+use quillpoint_membership::scheduler::Priority;
+use quillpoint_membership::{
     Body, Card, Event, Evidence, Fleet, Host, Incarnation, Letter, Life, News, PeerName, Plans, State,
 };
 use rand::SeedableRng;
--- a/crates/lab/tests/fleet.rs
+++ b/crates/lab/tests/fleet.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use quickcheck::{Gen, QuickCheck};
-use quillpoint_fleet::{Body, Event, News};
+use quillpoint_membership::{Body, Event, News};
 use quillpoint_lab::network::{Place, Quality};
 use quillpoint_lab::world::{Shape, World, node_address, plans};
 use rand::{RngExt, SeedableRng};
@@ -339,19 +339,19 @@
     let mut world = settled(2, 2, 17);
     for number in 0..2000 {
         // A holder of the key who makes up names.
-        let mut card = quillpoint_fleet::Card {
-            name: quillpoint_fleet::PeerName::new(&format!("x{number}")).unwrap(),
-            life: quillpoint_fleet::Life { incarnation: quillpoint_fleet::Incarnation(number), version: 0 },
+        let mut card = quillpoint_membership::Card {
+            name: quillpoint_membership::PeerName::new(&format!("x{number}")).unwrap(),
+            life: quillpoint_membership::Life { incarnation: quillpoint_membership::Incarnation(number), version: 0 },
             address: node_address(0),
             zone: 0,
             weight: 1,
-            state: quillpoint_fleet::State::Up,
+            state: quillpoint_membership::State::Up,
         };
         card.zone = 1;
         world.forge_cards(0, 1, vec![card]);
     }
     run(&mut world, ms(100));
-    assert!(world.fleet_size(1).unwrap() <= quillpoint_fleet::membership::MOST_PEERS);
+    assert!(world.fleet_size(1).unwrap() <= quillpoint_membership::membership::MOST_PEERS);
 }
 
 /// Any schedule of faults; then the network is whole, all run, and the fleet must settle within a bound.
--- a/crates/fleet/tests/budgets.rs
+++ b/crates/membership/tests/budgets.rs
@@ -6,11 +6,11 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use quillpoint_fleet::duties::Plan;
-use quillpoint_fleet::fleet::TICK;
-use quillpoint_fleet::ids::{DutyId, KindId, Subject};
-use quillpoint_fleet::scheduler::Priority;
-use quillpoint_fleet::{
+use quillpoint_membership::duties::Plan;
+use quillpoint_membership::fleet::TICK;
+use quillpoint_membership::ids::{DutyId, KindId, Subject};
+use quillpoint_membership::scheduler::Priority;
+use quillpoint_membership::{
     Body, Card, Event, Evidence, Fleet, Host, Incarnation, Letter, Life, News, PeerName, Plans, State,
 };
 
--- a/crates/fleet/tests/handover.rs
+++ b/crates/membership/tests/handover.rs
@@ -6,11 +6,11 @@
 
 use std::time::Duration;
 
-use quillpoint_fleet::PeerName;
-use quillpoint_fleet::duties::{Plan, due};
-use quillpoint_fleet::ids::{DutyId, KindId, Subject};
-use quillpoint_fleet::rendezvous::{Candidate, place};
-use quillpoint_fleet::scheduler::Priority;
+use quillpoint_membership::PeerName;
+use quillpoint_membership::duties::{Plan, due};
+use quillpoint_membership::ids::{DutyId, KindId, Subject};
+use quillpoint_membership::rendezvous::{Candidate, place};
+use quillpoint_membership::scheduler::Priority;
 use stateright::{Checker, Model, Property};
 
 const ROUTERS: usize = 3;
--- a/crates/fleet/tests/parts.rs
+++ b/crates/membership/tests/parts.rs
@@ -4,12 +4,12 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use quillpoint_fleet::book::{Book, OLDEST, Verdict};
-use quillpoint_fleet::duties::{Duties, Plan};
-use quillpoint_fleet::ids::{DutyId, KindId, Subject};
-use quillpoint_fleet::rendezvous::{Candidate, phase, place};
-use quillpoint_fleet::scheduler::{Priority, Scheduler};
-use quillpoint_fleet::{News, PeerName};
+use quillpoint_membership::book::{Book, OLDEST, Verdict};
+use quillpoint_membership::duties::{Duties, Plan};
+use quillpoint_membership::ids::{DutyId, KindId, Subject};
+use quillpoint_membership::rendezvous::{Candidate, phase, place};
+use quillpoint_membership::scheduler::{Priority, Scheduler};
+use quillpoint_membership::{News, PeerName};
 
 fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
--- a/crates/observation-feed/src/book.rs
+++ b/crates/observation-feed/src/book.rs
@@ -10,7 +10,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use quillpoint_fleet::Evidence;
+use quillpoint_membership::Evidence;
 
 use crate::message::{
     CHANGES_ALONG, CLASSES, Change, Chunk, Digest, ENTRIES_ALONG, Entry, LagClass, PARTS, PartId, Revision,
--- a/crates/observation-feed/src/host.rs
+++ b/crates/observation-feed/src/host.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use quillpoint_fleet::{Incarnation, PeerName};
+use quillpoint_membership::{Incarnation, PeerName};
 
 use crate::message::Message;
 
--- a/crates/observation-feed/src/lib.rs
+++ b/crates/observation-feed/src/lib.rs
@@ -1,6 +1,6 @@
 //! What control instances know of the databases, on its way to the routers.
 //!
-//! A few control instances divide the probing among themselves (`quillpoint-fleet`). Each is a publisher: ten times a
+//! A few control instances divide the probing among themselves (`quillpoint-membership`). Each is a publisher: ten times a
 //! second it sends every subscriber one digest, which says that of each part of the databases all were seen at a log
 //! position no lower than a watermark, but for those that a copy of that part names. Only changes of the copy travel
 //! by name. A router is a subscriber of two of them and no member of their fleet, so that what it receives follows the
--- a/crates/observation-feed/src/line.rs
+++ b/crates/observation-feed/src/line.rs
@@ -3,7 +3,7 @@
 
 use std::net::SocketAddr;
 
-use quillpoint_fleet::PeerName;
+use quillpoint_membership::PeerName;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 /// More control instances than this are not kept.
--- a/crates/observation-feed/src/message.rs
+++ b/crates/observation-feed/src/message.rs
@@ -3,7 +3,7 @@
 use std::net::{IpAddr, SocketAddr};
 use std::time::Duration;
 
-use quillpoint_fleet::{Incarnation, PeerName};
+use quillpoint_membership::{Incarnation, PeerName};
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
 
--- a/crates/observation-feed/src/publisher.rs
+++ b/crates/observation-feed/src/publisher.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use quillpoint_fleet::{Evidence, Incarnation, PeerName};
+use quillpoint_membership::{Evidence, Incarnation, PeerName};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
--- a/crates/observation-feed/src/shelf.rs
+++ b/crates/observation-feed/src/shelf.rs
@@ -3,7 +3,7 @@
 
 use std::hash::Hash;
 
-use quillpoint_fleet::quick::QuickMap;
+use quillpoint_membership::quick::QuickMap;
 
 pub struct Shelf<K, V> {
     keys: Vec<K>,
--- a/crates/observation-feed/src/subscriber.rs
+++ b/crates/observation-feed/src/subscriber.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use quillpoint_fleet::{Incarnation, PeerName};
+use quillpoint_membership::{Incarnation, PeerName};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
--- a/crates/observation-feed/src/told.rs
+++ b/crates/observation-feed/src/told.rs
@@ -1,6 +1,6 @@
 //! What one control instance has told a router: of its latest start alone, and each digest once and in order.
 
-use quillpoint_fleet::Incarnation;
+use quillpoint_membership::Incarnation;
 
 use crate::copy::Copy;
 use crate::message::DigestNo;
--- a/crates/observation-feed/tests/handover.rs
+++ b/crates/observation-feed/tests/handover.rs
@@ -11,7 +11,7 @@
 use quillpoint_observation_feed::message::{CLASSES, Chunk, DigestNo, LagClass, PARTS, PartId, Revision};
 use quillpoint_observation_feed::told::{Start, Told};
 use quillpoint_observation_feed::{Change, Entry, Standing, Word};
-use quillpoint_fleet::Incarnation;
+use quillpoint_membership::Incarnation;
 use stateright::{Checker, Model, Property};
 
 const NODES: usize = 2;
--- a/crates/observation-feed/tests/parts.rs
+++ b/crates/observation-feed/tests/parts.rs
@@ -18,7 +18,7 @@
     Change, Control, Entry, Envelope, Event, Host, Message, Publisher, Standing, Subscriber, Word, publisher,
     size, subscriber,
 };
-use quillpoint_fleet::{Evidence, Incarnation, PeerName};
+use quillpoint_membership::{Evidence, Incarnation, PeerName};
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
--- a/crates/observation-feed/tests/pulls.rs
+++ b/crates/observation-feed/tests/pulls.rs
@@ -9,7 +9,7 @@
 
 use quillpoint_observation_feed::message::{CLASSES, DigestNo, PARTS, PartId, Revision};
 use quillpoint_observation_feed::{Control, Digest, Event, Host, Message, Subscriber, Word, subscriber};
-use quillpoint_fleet::{Incarnation, PeerName};
+use quillpoint_membership::{Incarnation, PeerName};
 
 #[derive(Clone, Default)]
 struct Desk(Rc<RefCell<Vec<Message>>>);
--- a/crates/observation-feed/tests/replays.rs
+++ b/crates/observation-feed/tests/replays.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use quillpoint_observation_feed::{Control, Event, Host, Message, Publisher, Subscriber, Word, publisher, subscriber};
-use quillpoint_fleet::{Evidence, Incarnation, PeerName};
+use quillpoint_membership::{Evidence, Incarnation, PeerName};
 
 type Sent = (SocketAddr, Option<Incarnation>, Message);
 
--- a/crates/observation-feed/tests/world/mod.rs
+++ b/crates/observation-feed/tests/world/mod.rs
@@ -11,7 +11,7 @@
 use quillpoint_observation_feed::publisher::{self, Publisher};
 use quillpoint_observation_feed::subscriber::{self, Subscriber};
 use quillpoint_observation_feed::{Control, Envelope, Event, Host, Message, Word};
-use quillpoint_fleet::{Evidence, Incarnation, PeerName};
+use quillpoint_membership::{Evidence, Incarnation, PeerName};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
--- a/crates/rig/src/capacity/asks.rs
+++ b/crates/rig/src/capacity/asks.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use quillpoint_observation_feed::share::{CROWD, TIMES};
-use quillpoint_fleet::letter::CARDS_WHOLE;
-use quillpoint_fleet::membership::MOST_PEERS;
+use quillpoint_membership::letter::CARDS_WHOLE;
+use quillpoint_membership::membership::MOST_PEERS;
 
 use crate::listing;
 use crate::record::{Axis, Mode};
@@ -232,7 +232,7 @@
                     "others that it never knows",
                     shared,
                     Budget::None,
-                    computed(&[ROUTERS - MOST_PEERS as f64], 1.0, "crates/fleet/src/membership.rs"),
+                    computed(&[ROUTERS - MOST_PEERS as f64], 1.0, "crates/membership/src/membership.rs"),
                     "none: fleet keeps 256 peers",
                 ),
                 ask(
@@ -240,7 +240,7 @@
                     "probes a second, if views of 256 divide the routers",
                     shared,
                     Budget::Most(PROBES_S),
-                    computed(&[ROUTERS, PROBES_S], MOST_PEERS as f64, "crates/fleet/src/membership.rs"),
+                    computed(&[ROUTERS, PROBES_S], MOST_PEERS as f64, "crates/membership/src/membership.rs"),
                     "none: fleet keeps 256 peers",
                 ),
                 ask(
@@ -248,7 +248,7 @@
                     "scores at a change of the view, if all were known",
                     shared,
                     Budget::None,
-                    computed(&[ROUTERS, DATABASES], 1.0, "crates/fleet/src/rendezvous.rs"),
+                    computed(&[ROUTERS, DATABASES], 1.0, "crates/membership/src/rendezvous.rs"),
                     "fleet",
                 ),
             ];
@@ -453,7 +453,7 @@
                         LETTER,
                     ],
                     1.0,
-                    "crates/fleet/src/membership.rs, letter.rs",
+                    "crates/membership/src/membership.rs, letter.rs",
                 ),
                 "none: fleet greets all that it knows",
             ),
@@ -465,7 +465,7 @@
                 computed(
                     &[ROUTERS - 1.0, ((ROUTERS - 1.0) / CARDS_WHOLE as f64).ceil()],
                     1.0,
-                    "crates/fleet/src/membership.rs, letter.rs",
+                    "crates/membership/src/membership.rs, letter.rs",
                 ),
                 "none: fleet greets all that it knows",
             ),
--- a/crates/rig/src/scale/books.rs
+++ b/crates/rig/src/scale/books.rs
@@ -9,7 +9,7 @@
 use async_channel::Sender;
 use quillpoint_control::{Around, Subscription};
 use quillpoint_observation_feed::Word;
-use quillpoint_fleet::Evidence;
+use quillpoint_membership::Evidence;
 
 use crate::now;
 use crate::scale::hollow::side;
--- a/crates/rig/src/scale/hollow.rs
+++ b/crates/rig/src/scale/hollow.rs
@@ -13,7 +13,7 @@
 use async_executor::{LocalExecutor, Task};
 use async_io::Timer;
 use quillpoint_control::{Around, Part, Peers, SubscriberPart, Subscription, Traffic};
-use quillpoint_fleet::{News, PeerName};
+use quillpoint_membership::{News, PeerName};
 
 use crate::scale::books::{Asks, Books};
 use crate::scale::orders::Place;
--- a/crates/rig/src/scale/roles.rs
+++ b/crates/rig/src/scale/roles.rs
@@ -2,9 +2,9 @@
 
 use std::net::SocketAddr;
 
-use quillpoint_fleet::PeerName;
-use quillpoint_fleet::ids::{DutyId, KindId, Subject};
-use quillpoint_fleet::rendezvous::{self, Candidate};
+use quillpoint_membership::PeerName;
+use quillpoint_membership::ids::{DutyId, KindId, Subject};
+use quillpoint_membership::rendezvous::{self, Candidate};
 
 use crate::record::{Mode, Sizes};
 use crate::scale::sizes;
--- a/crates/router/src/instance.rs
+++ b/crates/router/src/instance.rs
@@ -10,7 +10,7 @@
 use quillpoint::host::{NodeId, PeerWord};
 use quillpoint_control::{Around, Peers, Publication};
 use quillpoint_observation_feed::Word;
-use quillpoint_fleet::{Evidence, News};
+use quillpoint_membership::{Evidence, News};
 
 use crate::engine::{Engine, Finding, Sharing};
 use crate::peers;
--- a/crates/router/src/part.rs
+++ b/crates/router/src/part.rs
@@ -9,11 +9,11 @@
 use quillpoint_control::{Part, PublisherPart, SubscriberPart};
 use quillpoint_datagram::keys::{BadKeys, Keyring};
 use quillpoint_observation_feed::{Control, publisher, subscriber};
-use quillpoint_fleet::PeerName;
-use quillpoint_fleet::Plans;
-use quillpoint_fleet::duties::Plan;
-use quillpoint_fleet::ids::{BadName, KindId};
-use quillpoint_fleet::scheduler::Priority;
+use quillpoint_membership::PeerName;
+use quillpoint_membership::Plans;
+use quillpoint_membership::duties::Plan;
+use quillpoint_membership::ids::{BadName, KindId};
+use quillpoint_membership::scheduler::Priority;
 
 use crate::config::Launch;
 
--- a/crates/router/src/peers.rs
+++ b/crates/router/src/peers.rs
@@ -7,7 +7,7 @@
 use quillpoint::host::{NodeId, PeerWord};
 use quillpoint_control::{Around, Peers, Subscription};
 use quillpoint_observation_feed::Word;
-use quillpoint_fleet::{Evidence, News};
+use quillpoint_membership::{Evidence, News};
 
 use crate::engine::{Engine, Finding, Sharing};
 
--- a/crates/router/tests/feed.rs
+++ b/crates/router/tests/feed.rs
@@ -18,7 +18,7 @@
 use quillpoint_datagram::{Opener, Sealer};
 use quillpoint_observation_feed::message::{CLASSES, DigestNo, PARTS, Revision};
 use quillpoint_observation_feed::{Digest, Envelope, Message};
-use quillpoint_fleet::{Incarnation, PeerName};
+use quillpoint_membership::{Incarnation, PeerName};
 use quillpoint_rig::listing::{Entry, Listing, targets};
 use quillpoint_rig::load::{Load, Tally};
 use quillpoint_rig::now;
