--- a/crates/control/tests/queue.rs
+++ b/crates/control-plane/tests/queue.rs
@@ -8,7 +8,7 @@
 
 use async_io::Timer;
 use futures_lite::future;
-use quillpoint_control::{Around, Part, Peers, SubscriberPart, Subscription};
+use quillpoint_control_plane::{Around, Part, Peers, SubscriberPart, Subscription};
 use quillpoint_datagram::keys::Keyring;
 use quillpoint_datagram::{Opener, Sealer};
 use quillpoint_observation_feed::message::{CLASSES, Chunk, Digest, DigestNo, LagClass, PARTS, PartId, Revision};
--- a/crates/rig/src/scale/books.rs
+++ b/crates/rig/src/scale/books.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use async_channel::Sender;
-use quillpoint_control::{Around, Subscription};
+use quillpoint_control_plane::{Around, Subscription};
 use quillpoint_observation_feed::Word;
 use quillpoint_membership::Evidence;
 
--- a/crates/rig/src/scale/hollow.rs
+++ b/crates/rig/src/scale/hollow.rs
@@ -12,7 +12,7 @@
 use async_channel::Receiver;
 use async_executor::{LocalExecutor, Task};
 use async_io::Timer;
-use quillpoint_control::{Around, Part, Peers, SubscriberPart, Subscription, Traffic};
+use quillpoint_control_plane::{Around, Part, Peers, SubscriberPart, Subscription, Traffic};
 use quillpoint_membership::{News, PeerName};
 
 use crate::scale::books::{Asks, Books};
--- a/crates/router/src/instance.rs
+++ b/crates/router/src/instance.rs
@@ -8,7 +8,7 @@
 
 use async_io::Timer;
 use quillpoint::host::{NodeId, PeerWord};
-use quillpoint_control::{Around, Peers, Publication};
+use quillpoint_control_plane::{Around, Peers, Publication};
 use quillpoint_observation_feed::Word;
 use quillpoint_membership::{Evidence, News};
 
--- a/crates/router/src/part.rs
+++ b/crates/router/src/part.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use quillpoint_conf::Conf;
-use quillpoint_control::{Part, PublisherPart, SubscriberPart};
+use quillpoint_control_plane::{Part, PublisherPart, SubscriberPart};
 use quillpoint_datagram::keys::{BadKeys, Keyring};
 use quillpoint_observation_feed::{Control, publisher, subscriber};
 use quillpoint_membership::PeerName;
--- a/crates/router/src/peers.rs
+++ b/crates/router/src/peers.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use quillpoint::host::{NodeId, PeerWord};
-use quillpoint_control::{Around, Peers, Subscription};
+use quillpoint_control_plane::{Around, Peers, Subscription};
 use quillpoint_observation_feed::Word;
 use quillpoint_membership::{Evidence, News};
 
--- a/crates/router/src/ties.rs
+++ b/crates/router/src/ties.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 
 use async_executor::LocalExecutor;
-use quillpoint_control::{Around, Peers, Publication, Subscription};
+use quillpoint_control_plane::{Around, Peers, Publication, Subscription};
 
 use crate::descriptors::{Descriptors, Slot};
 use crate::engine::{Engine, Sharing};
--- a/crates/router/tests/instance.rs
+++ b/crates/router/tests/instance.rs
@@ -9,7 +9,7 @@
 use async_io::Timer;
 use futures_lite::future;
 use quillpoint::host::{Condition, Extent, GroupId, Listed, MethodId, NodeId, ZoneId};
-use quillpoint_control::{Around, Part, Peers, Publication, PublisherPart};
+use quillpoint_control_plane::{Around, Part, Peers, Publication, PublisherPart};
 use quillpoint_datagram::Sealer;
 use quillpoint_datagram::keys::Keyring;
 use quillpoint_observation_feed::publisher;
--- a/crates/router/tests/told.rs
+++ b/crates/router/tests/told.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use quillpoint::host::{Condition, Extent, GroupId, Listed, MethodId, NodeId, PeerWord, ZoneId};
-use quillpoint_control::Around;
+use quillpoint_control_plane::Around;
 use quillpoint_observation_feed::Word;
 use quillpoint_router::deployment::Deployment;
 use quillpoint_router::engine::{Clock, Engine, Finding, Order, Owed, Sharing, Work};
