--- a/crates/rig/src/bin/fit.rs
+++ b/crates/rig/src/bin/fit.rs
@@ -18,7 +18,7 @@
   --figure NAME  as records name it, or several with + between them
   --axis AXIS    routers, databases, connections, statements or changes
 
-Records are those of measure/scale, and those of quillpoint-lab, whose runs are then entered as simulated.
+Records are those of measure/scale, and those of quillpoint-simulator, whose runs are then entered as simulated.
 ";
 
 struct Wanted {
--- a/crates/rig/src/chart.rs
+++ b/crates/rig/src/chart.rs
@@ -3,7 +3,7 @@
 use std::error::Error;
 use std::path::Path;
 
-use quillpoint_lab::plot::{self, Axes};
+use quillpoint_simulator::plot::{self, Axes};
 
 use crate::fit::{self, MOST_ERROR};
 use crate::record::{Axis, Fit, Form, Line, Mode};
--- a/crates/rig/src/simulated.rs
+++ b/crates/rig/src/simulated.rs
@@ -1,4 +1,4 @@
-//! Runs of `quillpoint-lab` as lines of a record: simulated, which a record shows by runs without any process.
+//! Runs of `quillpoint-simulator` as lines of a record: simulated, which a record shows by runs without any process.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -13,7 +13,7 @@
 pub fn is_record(path: &Path) -> io::Result<bool> {
     let text = std::fs::read_to_string(path)?;
     let first =
-        text.lines().next().and_then(|line| serde_json::from_str::<quillpoint_lab::record::Run>(line).ok());
+        text.lines().next().and_then(|line| serde_json::from_str::<quillpoint_simulator::record::Run>(line).ok());
     Ok(first.is_some())
 }
 
@@ -23,8 +23,8 @@
 /// # Errors
 /// The file cannot be read, or a line is no run; it is named.
 pub fn read(path: &Path) -> io::Result<Vec<Line>> {
-    let runs = quillpoint_lab::record::read(path)?;
-    let line = |run: quillpoint_lab::record::Run| Line::Run {
+    let runs = quillpoint_simulator::record::read(path)?;
+    let line = |run: quillpoint_simulator::record::Run| Line::Run {
         axis: None,
         fault: None,
         program: None,
--- a/crates/lab/src/command.rs
+++ b/crates/simulator/src/command.rs
@@ -13,16 +13,16 @@
 use crate::{detectors, feed_run, plot, record};
 
 const HELP: &str = "\
-quillpoint-lab: fleets of routers in virtual time
+quillpoint-simulator: fleets of routers in virtual time
 
-Usage: quillpoint-lab run FILE [--record FILE]
-       quillpoint-lab check FILE
-       quillpoint-lab plot RECORD --x FIGURE --y FIGURE --to FILE [--title TEXT]
-       quillpoint-lab detectors [--record FILE]
-       quillpoint-lab feed [--routers N] [--nodes N] [--control N] [--regions N] [--period-ms N]
+Usage: quillpoint-simulator run FILE [--record FILE]
+       quillpoint-simulator check FILE
+       quillpoint-simulator plot RECORD --x FIGURE --y FIGURE --to FILE [--title TEXT]
+       quillpoint-simulator detectors [--record FILE]
+       quillpoint-simulator feed [--routers N] [--nodes N] [--control N] [--regions N] [--period-ms N]
                            [--copy-rate BYTES] [--seconds N] [--seed N] [--memory-mb N]
                            [--fault restart|stop|cut|control|control-all] [--record FILE]
-       quillpoint-lab schema
+       quillpoint-simulator schema
 
   run        plays an experiment; with --record each run is added to that file as a line of JSON
   check      says what is wrong with an experiment's file
@@ -55,14 +55,14 @@
             return ExitCode::SUCCESS;
         }
         Err(error) => {
-            eprintln!("quillpoint-lab: {error}; see quillpoint-lab --help");
+            eprintln!("quillpoint-simulator: {error}; see quillpoint-simulator --help");
             return ExitCode::from(MISUSED);
         }
     };
     match obey(&words) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            eprintln!("quillpoint-lab: {error}");
+            eprintln!("quillpoint-simulator: {error}");
             ExitCode::from(MISUSED)
         }
     }
--- a/crates/lab/tests/experiments.rs
+++ b/crates/simulator/tests/experiments.rs
@@ -2,8 +2,8 @@
 
 use std::path::Path;
 
-use quillpoint_lab::experiment::Experiment;
-use quillpoint_lab::record::{self, Run};
+use quillpoint_simulator::experiment::Experiment;
+use quillpoint_simulator::record::{self, Run};
 
 const SMALL: &str = r#"{"name": "small", "routers": [2, 3], "nodes": [4], "shared": [true, false], "seeds": [7, 8],
     "network": {"loss": 0.1, "doubled": 0.1, "most_ms": 20.0}, "period_ms": 150, "grace_ms": 150, "floor_ms": 150,
--- a/crates/lab/tests/feed.rs
+++ b/crates/simulator/tests/feed.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use quillpoint_lab::feed_run::{Fault, Outcome, Sizes};
+use quillpoint_simulator::feed_run::{Fault, Outcome, Sizes};
 
 fn sizes(routers: usize, nodes: usize, fault: Option<Fault>) -> Sizes {
     Sizes { routers, nodes, control: 4, seconds: 2.0, fault, ..Sizes::default() }
--- a/crates/lab/tests/fleet.rs
+++ b/crates/simulator/tests/fleet.rs
@@ -6,8 +6,8 @@
 
 use quickcheck::{Gen, QuickCheck};
 use quillpoint_membership::{Body, Event, News};
-use quillpoint_lab::network::{Place, Quality};
-use quillpoint_lab::world::{Shape, World, node_address, plans};
+use quillpoint_simulator::network::{Place, Quality};
+use quillpoint_simulator::world::{Shape, World, node_address, plans};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
