--- a/crates/router/tests/feed.rs
+++ b/crates/router/tests/feed.rs
@@ -19,11 +19,11 @@
 use quillpoint_observation_feed::message::{CLASSES, DigestNo, PARTS, Revision};
 use quillpoint_observation_feed::{Digest, Envelope, Message};
 use quillpoint_membership::{Incarnation, PeerName};
-use quillpoint_rig::listing::{Entry, Listing, targets};
-use quillpoint_rig::load::{Load, Tally};
-use quillpoint_rig::now;
-use quillpoint_rig::routers::{Bond, Routers, Setting};
-use quillpoint_rig::store::{Store, next};
+use quillpoint_testbed::listing::{Entry, Listing, targets};
+use quillpoint_testbed::load::{Load, Tally};
+use quillpoint_testbed::now;
+use quillpoint_testbed::routers::{Bond, Routers, Setting};
+use quillpoint_testbed::store::{Store, next};
 use quillpoint_router::pg::{self, Told};
 use serde_json::Value as Json;
 
@@ -281,7 +281,7 @@
         assert!(five.routers.await_line(place, "\"feed_alone\"", NEVER));
     }
     let (from, oks_before) = (now(), oks(&load));
-    let at = |node: &quillpoint_rig::store::Node| node.probes(from);
+    let at = |node: &quillpoint_testbed::store::Node| node.probes(from);
     until("probes of their own", || five.store.nodes.iter().map(at).sum::<usize>() >= 6);
     sleep(period * 3);
     for node in &five.store.nodes {
--- a/crates/router/tests/fleet.rs
+++ b/crates/router/tests/fleet.rs
@@ -7,10 +7,10 @@
 use std::process::{Command, Output};
 use std::time::Duration;
 
-use quillpoint_rig::listing::{Entry, Listing, targets};
-use quillpoint_rig::load::Load;
-use quillpoint_rig::routers::{Bond, Routers, Setting};
-use quillpoint_rig::store::Store;
+use quillpoint_testbed::listing::{Entry, Listing, targets};
+use quillpoint_testbed::load::Load;
+use quillpoint_testbed::routers::{Bond, Routers, Setting};
+use quillpoint_testbed::store::Store;
 use serde_json::Value as Json;
 
 const NEVER: Duration = Duration::from_secs(30);
--- a/crates/router/tests/soak/servers.rs
+++ b/crates/router/tests/soak/servers.rs
@@ -6,7 +6,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use quillpoint_rig::store::{parameter, row};
+use quillpoint_testbed::store::{parameter, row};
 use quillpoint_router::pg::{self, Asked, Opening};
 
 use crate::plan::{Plan, Serving};
--- a/crates/router/tests/standin/mod.rs
+++ b/crates/router/tests/standin/mod.rs
@@ -11,7 +11,7 @@
 use std::thread;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use quillpoint_rig::store::{next, parameter, row as answer};
+use quillpoint_testbed::store::{next, parameter, row as answer};
 use quillpoint_router::pg::{self, Asked, Opening, Told};
 
 /// Far longer than anything here takes: what is awaited for so long never comes.
--- a/crates/router/tests/told.rs
+++ b/crates/router/tests/told.rs
@@ -158,6 +158,6 @@
 }
 
 fn heard(position: Option<Duration>) -> quillpoint_router::engine::Heard {
-    let answer = quillpoint_rig::store::row(b"v");
+    let answer = quillpoint_testbed::store::row(b"v");
     quillpoint_router::engine::Heard { answer: Some(answer), role: None, position, report: None }
 }
--- a/crates/rig/src/bin/capacity.rs
+++ b/crates/testbed/src/bin/capacity.rs
@@ -6,7 +6,7 @@
 use std::process::ExitCode;
 
 use lexopt::prelude::Long;
-use quillpoint_rig::capacity;
+use quillpoint_testbed::capacity;
 
 const HELP: &str = "\
 Usage: measure/capacity [--page FILE] [--records FOLDER] [--check]
--- a/crates/rig/src/bin/databases.rs
+++ b/crates/testbed/src/bin/databases.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 
 use async_executor::LocalExecutor;
-use quillpoint_rig::scale::{databases, orders};
+use quillpoint_testbed::scale::{databases, orders};
 
 fn main() -> ExitCode {
     let executor = Rc::new(LocalExecutor::new());
--- a/crates/rig/src/bin/fit.rs
+++ b/crates/testbed/src/bin/fit.rs
@@ -5,9 +5,9 @@
 use std::process::ExitCode;
 
 use lexopt::prelude::{Long, Value, ValueExt};
-use quillpoint_rig::fit::{self, FEWEST_SIZES};
-use quillpoint_rig::record::{self, Axis, Fit, Line};
-use quillpoint_rig::{chart, simulated};
+use quillpoint_testbed::fit::{self, FEWEST_SIZES};
+use quillpoint_testbed::record::{self, Axis, Fit, Line};
+use quillpoint_testbed::{chart, simulated};
 
 const HELP: &str = "\
 Usage: measure/fit RECORD... [--to FILE]
--- a/crates/rig/src/bin/hollow.rs
+++ b/crates/testbed/src/bin/hollow.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 
 use async_executor::LocalExecutor;
-use quillpoint_rig::scale::{crowd, orders};
+use quillpoint_testbed::scale::{crowd, orders};
 
 fn main() -> ExitCode {
     let executor = Rc::new(LocalExecutor::new());
--- a/crates/rig/src/bin/scale.rs
+++ b/crates/testbed/src/bin/scale.rs
@@ -5,9 +5,9 @@
 use std::process::ExitCode;
 
 use lexopt::prelude::{Long, ValueExt};
-use quillpoint_rig::record::Mode;
-use quillpoint_rig::scale::play::{Play, Programs};
-use quillpoint_rig::scale::{forms, report, sizes};
+use quillpoint_testbed::record::Mode;
+use quillpoint_testbed::scale::play::{Play, Programs};
+use quillpoint_testbed::scale::{forms, report, sizes};
 
 const HELP: &str = "\
 Usage: measure/scale [options]
--- a/crates/rig/src/capacity/asks.rs
+++ b/crates/testbed/src/capacity/asks.rs
@@ -336,7 +336,7 @@
                 "state: the list, bytes",
                 any,
                 Budget::None,
-                computed(&[entry, DATABASES], 1.0, "crates/rig/src/listing.rs"),
+                computed(&[entry, DATABASES], 1.0, "crates/testbed/src/listing.rs"),
                 "watch",
             ));
             rows.push(ask(
@@ -344,7 +344,7 @@
                 "statements a second of one",
                 any,
                 Budget::None,
-                computed(&[STATEMENTS], CONNECTIONS, "crates/rig/src/capacity/asks.rs"),
+                computed(&[STATEMENTS], CONNECTIONS, "crates/testbed/src/capacity/asks.rs"),
                 "router",
             ));
             rows
@@ -355,7 +355,7 @@
                 "bytes of the list at one start",
                 any,
                 Budget::None,
-                computed(&[entry, DATABASES], 1.0, "crates/rig/src/listing.rs"),
+                computed(&[entry, DATABASES], 1.0, "crates/testbed/src/listing.rs"),
                 "watch: whole lists",
             ),
             ask(
@@ -363,7 +363,7 @@
                 "bytes a second, one start in 13.5 s",
                 any,
                 Budget::None,
-                computed(&[entry, DATABASES], RESTART_EVERY_S, "crates/rig/src/listing.rs"),
+                computed(&[entry, DATABASES], RESTART_EVERY_S, "crates/testbed/src/listing.rs"),
                 "watch: whole lists",
             ),
             ask(
@@ -474,7 +474,7 @@
                 "bytes of lists to all that come back",
                 any,
                 Budget::Most(ALL_BYTES_S * FOLLOW_S),
-                computed(&[entry, DATABASES, ZONE_ROUTERS], 1.0, "crates/rig/src/listing.rs"),
+                computed(&[entry, DATABASES, ZONE_ROUTERS], 1.0, "crates/testbed/src/listing.rs"),
                 "none: watch asks for whole lists at once",
             ),
             ask(
--- a/crates/rig/tests/border.rs
+++ b/crates/testbed/tests/border.rs
@@ -3,10 +3,10 @@
 use std::net::{Ipv4Addr, SocketAddr, UdpSocket};
 use std::time::Duration;
 
-use quillpoint_rig::scale::border::Border;
-use quillpoint_rig::scale::faults::{shares_with_all_after, was_cut};
-use quillpoint_rig::scale::hollow::side;
-use quillpoint_rig::scale::member::Address;
+use quillpoint_testbed::scale::border::Border;
+use quillpoint_testbed::scale::faults::{shares_with_all_after, was_cut};
+use quillpoint_testbed::scale::hollow::side;
+use quillpoint_testbed::scale::member::Address;
 
 /// Nothing on loopback takes so long, and what is lost is awaited for no longer.
 const SOON: Duration = Duration::from_secs(5);
--- a/crates/rig/tests/bounds.rs
+++ b/crates/testbed/tests/bounds.rs
@@ -2,9 +2,9 @@
 
 use std::collections::BTreeMap;
 
-use quillpoint_rig::record::{Bound, Mode, Sizes};
-use quillpoint_rig::scale::bounds::{of, twice};
-use quillpoint_rig::scale::faults::{ALL, Fault};
+use quillpoint_testbed::record::{Bound, Mode, Sizes};
+use quillpoint_testbed::scale::bounds::{of, twice};
+use quillpoint_testbed::scale::faults::{ALL, Fault};
 
 fn sizes() -> Sizes {
     Sizes {
--- a/crates/rig/tests/calibration.rs
+++ b/crates/testbed/tests/calibration.rs
@@ -3,12 +3,12 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use quillpoint_rig::fit::figure;
-use quillpoint_rig::record::{Bound, Mode, Sizes};
-use quillpoint_rig::scale::calibration::{ALLOWED, CPU_ERROR, bounds};
-use quillpoint_rig::scale::counters::mean;
-use quillpoint_rig::scale::roles::roles;
-use quillpoint_rig::scale::sizes::{usual, with_real};
+use quillpoint_testbed::fit::figure;
+use quillpoint_testbed::record::{Bound, Mode, Sizes};
+use quillpoint_testbed::scale::calibration::{ALLOWED, CPU_ERROR, bounds};
+use quillpoint_testbed::scale::counters::mean;
+use quillpoint_testbed::scale::roles::roles;
+use quillpoint_testbed::scale::sizes::{usual, with_real};
 
 fn figures(all: &[(&str, f64)]) -> BTreeMap<String, f64> {
     all.iter().map(|(name, value)| (name.to_string(), *value)).collect()
--- a/crates/rig/tests/capacity.rs
+++ b/crates/testbed/tests/capacity.rs
@@ -6,13 +6,13 @@
 use std::path::{Path, PathBuf};
 
 use pulldown_cmark::{Event, Options, Parser, Tag, TagEnd};
-use quillpoint_rig::capacity::asks::{
+use quillpoint_testbed::capacity::asks::{
     CONNECTIONS, DATABASES, PLAYED, ROUTERS, SECTIONS, SIMULATED, Source, asks,
 };
-use quillpoint_rig::capacity::fill;
-use quillpoint_rig::capacity::numbers::{show, up};
-use quillpoint_rig::fit::{MOST_ERROR, fit, fit_all, points};
-use quillpoint_rig::record::{Axis, Bound, Fit, Form, Line, Mode, Sizes, read, write};
+use quillpoint_testbed::capacity::fill;
+use quillpoint_testbed::capacity::numbers::{show, up};
+use quillpoint_testbed::fit::{MOST_ERROR, fit, fit_all, points};
+use quillpoint_testbed::record::{Axis, Bound, Fit, Form, Line, Mode, Sizes, read, write};
 
 fn repository() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
@@ -421,7 +421,7 @@
     if (error.starts_with("under") || error.contains("; both at ")) && by > Some(MOST_ERROR) {
         return Err("it rests on a crossing that is wrong".to_string());
     }
-    let told = |error: quillpoint_rig::fit::Unfit| error.to_string();
+    let told = |error: quillpoint_testbed::fit::Unfit| error.to_string();
     let routers = fit(lines, Axis::Routers, mode, name).map_err(told)?;
     let databases = fit(lines, Axis::Databases, mode, name).map_err(told)?;
     let at = |fit: &Fit, size: f64| fit.offset + fit.slope * form(fit.form, size);
@@ -1005,7 +1005,7 @@
 #[test]
 fn what_the_page_links_to_is_drawn() {
     let (folder, page) = made("drawn", made_up());
-    let drawn = quillpoint_rig::capacity::draw(&folder.0).expect("drawn");
+    let drawn = quillpoint_testbed::capacity::draw(&folder.0).expect("drawn");
     assert!(drawn.contains(&"scale-router-bytes-databases.svg".to_string()), "{drawn:?}");
     for file in &drawn {
         assert!(page.contains(&format!("](measurements/{file})")), "{file}");
--- a/crates/rig/tests/faults.rs
+++ b/crates/testbed/tests/faults.rs
@@ -3,10 +3,10 @@
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 
-use quillpoint_rig::listing::Listing;
-use quillpoint_rig::record::Mode;
-use quillpoint_rig::scale::counters::Sums;
-use quillpoint_rig::scale::faults::{ONE_IN, calm_after, follows, is_struck};
+use quillpoint_testbed::listing::Listing;
+use quillpoint_testbed::record::Mode;
+use quillpoint_testbed::scale::counters::Sums;
+use quillpoint_testbed::scale::faults::{ONE_IN, calm_after, follows, is_struck};
 use serde_json::json;
 
 #[test]
--- a/crates/rig/tests/fit.rs
+++ b/crates/testbed/tests/fit.rs
@@ -2,8 +2,8 @@
 
 use std::collections::BTreeMap;
 
-use quillpoint_rig::fit::{Unfit, fit, fit_all, fit_of, points, points_of, programs};
-use quillpoint_rig::record::{Axis, Bound, Fit, Form, Line, Mode, Sizes, read, write};
+use quillpoint_testbed::fit::{Unfit, fit, fit_all, fit_of, points, points_of, programs};
+use quillpoint_testbed::record::{Axis, Bound, Fit, Form, Line, Mode, Sizes, read, write};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
--- a/crates/rig/tests/process.rs
+++ b/crates/testbed/tests/process.rs
@@ -6,7 +6,7 @@
 use std::thread;
 use std::time::Duration;
 
-use quillpoint_rig::process::processor_time;
+use quillpoint_testbed::process::processor_time;
 
 /// Works until the system has counted so much for this thread.
 fn work(span: Duration) {
--- a/crates/rig/tests/report.rs
+++ b/crates/testbed/tests/report.rs
@@ -2,8 +2,8 @@
 
 use std::collections::BTreeMap;
 
-use quillpoint_rig::record::{Bound, Line, Mode, Sizes, read};
-use quillpoint_rig::scale::report::Played;
+use quillpoint_testbed::record::{Bound, Line, Mode, Sizes, read};
+use quillpoint_testbed::scale::report::Played;
 
 fn run(databases: usize, bytes: f64) -> Line {
     let figures = [("router_bytes_in_s", bytes), ("router_bytes_out_s", 100.0)];
--- a/crates/rig/tests/scale.rs
+++ b/crates/testbed/tests/scale.rs
@@ -4,10 +4,10 @@
 use std::path::{Path, PathBuf};
 use std::process::Command;
 
-use quillpoint_rig::record::{Line, Mode, Sizes};
-use quillpoint_rig::scale::faults::Fault;
-use quillpoint_rig::scale::play::{Play, Programs, play};
-use quillpoint_rig::scale::sizes::{usual, with_real};
+use quillpoint_testbed::record::{Line, Mode, Sizes};
+use quillpoint_testbed::scale::faults::Fault;
+use quillpoint_testbed::scale::play::{Play, Programs, play};
+use quillpoint_testbed::scale::sizes::{usual, with_real};
 
 /// What is held here of the bounds of a run.
 const HELD: [&str; 7] = [
--- a/crates/rig/tests/sizes.rs
+++ b/crates/testbed/tests/sizes.rs
@@ -1,9 +1,9 @@
 //! Sizes that do not fit are turned away before anything is started, with what was asked, what there is, and the largest
 //! that fits.
 
-use quillpoint_rig::record::{Mode, Sizes};
-use quillpoint_rig::scale::forms;
-use quillpoint_rig::scale::sizes::{
+use quillpoint_testbed::record::{Mode, Sizes};
+use quillpoint_testbed::scale::forms;
+use quillpoint_testbed::scale::sizes::{
     BadSize, Machine, alone, check, hollow_processes, takes, usual, with_real,
 };
 
