--- a/crates/control-plane/src/around.rs
+++ b/crates/control-plane/src/around.rs
@@ -11,7 +11,7 @@
     /// The databases on the list, with the places of their zones.
     fn nodes(&self) -> BTreeMap<SocketAddr, u16>;
     /// What another router has found out: hearsay.
-    fn hear(&self, evidence: quillpoint_membership::Evidence);
+    fn observation_received(&self, evidence: quillpoint_membership::DatedObservation);
     /// What a control instance tells by name: hearsay.
     fn learnt(&self, word: quillpoint_observation_feed::Word);
     /// A probe in turn, whose end is told by `found`, once this call is over. False if one is out there already.
--- a/crates/control-plane/src/part.rs
+++ b/crates/control-plane/src/part.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use quillpoint_datagram::keys::Keyring;
-use quillpoint_membership::{PeerName, Plans};
+use quillpoint_membership::{PeerName, FleetParams};
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct Part {
@@ -14,7 +14,7 @@
     pub weight: u8,
     pub keys: Keyring,
     pub seeds: Vec<SocketAddr>,
-    pub plans: Plans,
+    pub plans: FleetParams,
     /// Datagrams looked at a second.
     pub letters: u64,
 }
--- a/crates/control-plane/src/peers.rs
+++ b/crates/control-plane/src/peers.rs
@@ -12,8 +12,8 @@
 
 use async_io::Timer;
 use quillpoint_datagram::{Opener, Refusal};
-use quillpoint_membership::ids::{DutyId, Subject};
-use quillpoint_membership::{Card, Event, Evidence, Fleet, Host, Incarnation, Letter, Life, News, State};
+use quillpoint_membership::ids::{TaskId, Subject};
+use quillpoint_membership::{MemberRecord, Event, DatedObservation, Fleet, Host, Incarnation, GossipMessage, MemberVersion, Observation, MemberState};
 
 use crate::around::Around;
 use crate::part::Part;
@@ -26,9 +26,9 @@
 
 /// What the fleet has asked for during a call.
 enum Wish {
-    Send { to: SocketAddr, session: Option<Incarnation>, letter: Letter },
-    Perform(DutyId),
-    Hear(Evidence),
+    Send { to: SocketAddr, session: Option<Incarnation>, letter: GossipMessage },
+    Perform(TaskId),
+    Hear(DatedObservation),
     Tell(Event),
 }
 
@@ -41,16 +41,16 @@
 struct Hand(Rc<Desk>);
 
 impl Host for Hand {
-    fn send(&mut self, to: SocketAddr, session: Option<Incarnation>, letter: Letter) {
+    fn send(&mut self, to: SocketAddr, session: Option<Incarnation>, letter: GossipMessage) {
         self.0.wishes.borrow_mut().push(Wish::Send { to, session, letter });
     }
     fn wake(&mut self, after: Duration) {
         self.0.wake.set(Some(after));
     }
-    fn perform(&mut self, duty: DutyId) {
+    fn run_task(&mut self, duty: TaskId) {
         self.0.wishes.borrow_mut().push(Wish::Perform(duty));
     }
-    fn hear(&mut self, evidence: Evidence) {
+    fn observation_received(&mut self, evidence: DatedObservation) {
         self.0.wishes.borrow_mut().push(Wish::Hear(evidence));
     }
     fn tell(&mut self, event: Event) {
@@ -74,7 +74,7 @@
     around: Rc<dyn Around>,
     fleet: RefCell<Fleet<Hand>>,
     desk: Rc<Desk>,
-    post: Post<Letter>,
+    post: Post<GossipMessage>,
     probes: Cell<u64>,
     spared: Cell<u64>,
 }
@@ -88,11 +88,11 @@
         let wire = Wire::bind(part.listen, Rc::clone(&around), part.letters)?;
         let (now, desk) = (around.now(), Rc::new(Desk::default()));
         let start = Incarnation(now.as_micros() as u64);
-        let life = Life { incarnation: start, version: 0 };
+        let life = MemberVersion { incarnation: start, version: 0 };
         let Part { name, advertise: address, zone, weight, .. } = part;
-        let me = Card { name, life, address, zone, weight, state: State::Joining };
+        let me = MemberRecord { name, life, address, zone, weight, state: MemberState::Joining };
         // A port that the system chooses is known only now.
-        let me = if address.port() == 0 { Card { address: wire.local_addr()?, ..me } } else { me };
+        let me = if address.port() == 0 { MemberRecord { address: wire.local_addr()?, ..me } } else { me };
         let post = Post::new(wire, part.keys, Opener::default(), NAMES);
         let fleet = Fleet::new(Hand(Rc::clone(&desk)), me, part.seeds, part.plans, seed, now);
         Ok(Rc::new(Self {
@@ -120,13 +120,13 @@
     fn fulfil(&self, wish: Wish) {
         match wish {
             Wish::Send { to, session, letter } => self.post.send(to, session, &letter),
-            Wish::Perform(duty) => self.perform(duty),
-            Wish::Hear(evidence) => self.around.hear(evidence),
+            Wish::Perform(duty) => self.run_task(duty),
+            Wish::Hear(evidence) => self.around.observation_received(evidence),
             Wish::Tell(event) => tell(&event),
         }
     }
 
-    fn perform(&self, duty: DutyId) {
+    fn run_task(&self, duty: TaskId) {
         self.probes.set(self.probes.get() + 1);
         let goes = match duty.subject {
             Subject::Node(node) => self.around.probe(node),
@@ -134,15 +134,15 @@
         };
         if !goes {
             // One is out there by now, whose end serves as well.
-            self.fleet.borrow_mut().duty_ended(self.around.now(), duty);
+            self.fleet.borrow_mut().task_ended(self.around.now(), duty);
         }
     }
 
     /// Takes letters as long as the process runs.
     pub async fn listen(self: Rc<Self>) {
         let own = || self.fleet.borrow().members().me().life.incarnation;
-        let take = |_: SocketAddr, waited: Duration, letter: Letter| {
-            self.call(|fleet, now| fleet.letter_arrived(now, letter.waited(waited)));
+        let take = |_: SocketAddr, waited: Duration, letter: GossipMessage| {
+            self.call(|fleet, now| fleet.message_arrived(now, letter.waited(waited)));
         };
         self.post.listen(own, take).await;
     }
@@ -187,11 +187,11 @@
     }
 
     /// This router has found out something about a node, by an attempt or a probe that it sent at `asked`.
-    pub fn found(&self, asked: Duration, by_probe: bool, news: News) {
+    pub fn found(&self, asked: Duration, by_probe: bool, news: Observation) {
         self.call(|fleet, now| {
             if by_probe {
-                let duty = fleet.probe_of(news.node);
-                fleet.duty_ended(now, duty);
+                let duty = fleet.health_check_task(news.node);
+                fleet.task_ended(now, duty);
             }
             fleet.found(now, asked, news);
         });
@@ -206,15 +206,15 @@
     /// Whether a probe out of turn is to be made here, or left to another router.
     pub fn may_probe(&self, node: SocketAddr) -> bool {
         let alone = self.around.is_shut(node);
-        let may = self.call(|fleet, now| fleet.claim_probe(now, node, alone));
+        let may = self.call(|fleet, now| fleet.claim_health_check(now, node, alone));
         let count = if may { &self.probes } else { &self.spared };
         count.set(count.get() + 1);
         may
     }
 
     /// What peers have told of a node last, where that is of use yet.
-    pub fn told_of(&self, node: SocketAddr) -> Option<Evidence> {
-        self.fleet.borrow().told_of(self.around.now(), node)
+    pub fn latest_observation(&self, node: SocketAddr) -> Option<DatedObservation> {
+        self.fleet.borrow().latest_observation(self.around.now(), node)
     }
 
     pub fn traffic(&self) -> Traffic {
@@ -264,7 +264,7 @@
                 "node {node} itself contradicts what {peer} told: {peer} is not believed for a minute"
             );
         }
-        Event::Duties { owned, all, routers } => {
+        Event::TasksAssigned { owned, all, routers } => {
             log::info!(event = "fleet_duties", owned, all, routers; "owns {owned} of {all} duties, among {routers}");
         }
     }
--- a/crates/control-plane/src/publisher.rs
+++ b/crates/control-plane/src/publisher.rs
@@ -9,7 +9,7 @@
 
 use quillpoint_datagram::Opener;
 use quillpoint_observation_feed::{Envelope, Publisher};
-use quillpoint_membership::{Evidence, Incarnation, PeerName};
+use quillpoint_membership::{DatedObservation, Incarnation, PeerName};
 
 use crate::around::Around;
 use crate::feed::{COUNTS_EVERY, Desk, Hand, NAMES, PublisherPart, Wish, tell};
@@ -99,7 +99,7 @@
     }
 
     /// This control instance has seen this, or another of its fleet, as far as that may be believed.
-    pub fn seen(&self, evidence: Evidence) {
+    pub fn seen(&self, evidence: DatedObservation) {
         self.call(|publisher, now| publisher.seen(now, evidence));
     }
 
--- a/crates/control-plane/src/subscriber.rs
+++ b/crates/control-plane/src/subscriber.rs
@@ -153,7 +153,7 @@
     /// Whether a probe that this router has use for is to be made, or left to the control instances.
     pub fn may_probe(&self, node: SocketAddr) -> bool {
         let alone = self.around.is_shut(node);
-        let may = self.call(|subscriber, now| subscriber.claim_probe(now, node, alone));
+        let may = self.call(|subscriber, now| subscriber.claim_health_check(now, node, alone));
         let count = if may { &self.probes } else { &self.spared };
         count.set(count.get() + 1);
         may
--- a/crates/control-plane/tests/queue.rs
+++ b/crates/control-plane/tests/queue.rs
@@ -13,10 +13,10 @@
 use quillpoint_datagram::{Opener, Sealer};
 use quillpoint_observation_feed::message::{CLASSES, Chunk, Digest, DigestNo, LagClass, PARTS, PartId, Revision};
 use quillpoint_observation_feed::{Control, Entry, Envelope, Message, Standing, Word, subscriber};
-use quillpoint_membership::duties::Plan;
-use quillpoint_membership::ids::KindId;
+use quillpoint_membership::sharded_tasks::Plan;
+use quillpoint_membership::ids::TaskKind;
 use quillpoint_membership::scheduler::Priority;
-use quillpoint_membership::{Body, Card, Evidence, Incarnation, Letter, Life, News, PeerName, Plans, State};
+use quillpoint_membership::{GossipBody, MemberRecord, DatedObservation, Incarnation, GossipMessage, MemberVersion, Observation, PeerName, FleetParams, MemberState};
 
 const STALL: Duration = Duration::from_millis(400);
 /// Between the sending and the queue, and for clocks that are read one after the other.
@@ -27,7 +27,7 @@
 struct Books {
     unix: Duration,
     since: Instant,
-    heard: RefCell<Vec<Evidence>>,
+    heard: RefCell<Vec<DatedObservation>>,
 }
 
 impl Books {
@@ -44,7 +44,7 @@
     fn nodes(&self) -> BTreeMap<SocketAddr, u16> {
         BTreeMap::from([(node(), 0)])
     }
-    fn hear(&self, evidence: Evidence) {
+    fn observation_received(&self, evidence: DatedObservation) {
         self.heard.borrow_mut().push(evidence);
     }
     fn learnt(&self, _: Word) {}
@@ -76,7 +76,7 @@
 fn news_that_waited_for_a_process_that_stood_still_is_as_much_older() {
     let books = Books::new();
     let probe = Plan {
-        kind: KindId(0),
+        kind: TaskKind(0),
         period: Duration::from_secs(60),
         grace: Duration::from_secs(60),
         floor: Duration::from_secs(60),
@@ -84,7 +84,7 @@
         priority: Priority(0),
         cost: 1.0,
     };
-    let plans = Plans { probe, work_rate: 100.0, work_burst: 100.0, news_rate: 1e6, grows: false };
+    let plans = FleetParams { probe, work_rate: 100.0, work_burst: 100.0, news_rate: 1e6, grows: false };
     let port = UdpSocket::bind(local()).unwrap();
     let listen = port.local_addr().unwrap();
     drop(port);
@@ -105,10 +105,10 @@
     let other = UdpSocket::bind(local()).unwrap();
     let (mut sealer, keys) = (Sealer::default(), keys());
     let mut tell = |position: u64| {
-        let life = Life { incarnation: Incarnation(5), version: 0 };
+        let life = MemberVersion { incarnation: Incarnation(5), version: 0 };
         let address = other.local_addr().unwrap();
-        let from = Card { name: name("r2"), life, address, zone: 0, weight: 1, state: State::Up };
-        let news = News {
+        let from = MemberRecord { name: name("r2"), life, address, zone: 0, weight: 1, state: MemberState::Up };
+        let news = Observation {
             node: node(),
             age: Duration::from_millis(10),
             position: Some(Duration::from_secs(position)),
@@ -117,7 +117,7 @@
             started: None,
             failed: false,
         };
-        let letter = Letter { from, body: Body::News(vec![news]), cards: Vec::new() };
+        let letter = GossipMessage { from, body: GossipBody::Observations(vec![news]), cards: Vec::new() };
         let bytes = sealer.seal(&keys, Some(start), &letter).unwrap();
         other.send_to(&bytes, listen).unwrap();
     };
--- a/crates/datagram/src/lib.rs
+++ b/crates/datagram/src/lib.rs
@@ -24,7 +24,7 @@
 use std::collections::BTreeMap;
 use std::marker::PhantomData;
 
-use quillpoint_membership::{Incarnation, Letter, PeerName};
+use quillpoint_membership::{Incarnation, GossipMessage, PeerName};
 
 use crate::keys::{KeyId, Keyring};
 pub use crate::payload::Payload;
@@ -34,7 +34,7 @@
 pub const LONGEST: usize = 1200;
 const MAGIC: u8 = b'Q';
 /// All that may stand in the place of the kind.
-const KINDS: [u8; 2] = [Letter::KIND, quillpoint_observation_feed::Envelope::KIND];
+const KINDS: [u8; 2] = [GossipMessage::KIND, quillpoint_observation_feed::Envelope::KIND];
 const VERSION: u8 = 1;
 const HEAD: usize = 2 + 1 + 4 + 8 + 8;
 const HASH: usize = blake3::OUT_LEN;
@@ -100,7 +100,7 @@
 }
 
 /// Opens what arrives of one kind, and takes nothing twice.
-pub struct Opener<P = Letter> {
+pub struct Opener<P = GossipMessage> {
     /// By sender and start; when each was last of use, as a count of what was taken.
     windows: BTreeMap<(PeerName, Incarnation), (Window, u64)>,
     most: usize,
@@ -108,7 +108,7 @@
     kind: PhantomData<P>,
 }
 
-impl Default for Opener<Letter> {
+impl Default for Opener<GossipMessage> {
     fn default() -> Self {
         Self::of(MOST_PEERS)
     }
--- a/crates/datagram/src/payload.rs
+++ b/crates/datagram/src/payload.rs
@@ -1,7 +1,7 @@
 //! What a datagram can carry, and what must be known of it to take it or not.
 
 use quillpoint_observation_feed::{Envelope, Message};
-use quillpoint_membership::{Body, Incarnation, Letter, PeerName};
+use quillpoint_membership::{GossipBody, Incarnation, GossipMessage, PeerName};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
@@ -18,14 +18,14 @@
 }
 
 /// Between members of a fleet.
-impl Payload for Letter {
+impl Payload for GossipMessage {
     const KIND: u8 = b'P';
     const LATEST_START_ONLY: bool = true;
     fn sender(&self) -> (&PeerName, Incarnation) {
         (&self.from.name, self.from.life.incarnation)
     }
     fn only_asks(&self) -> bool {
-        self.body == Body::Hello
+        self.body == GossipBody::JoinRequest
     }
 }
 
--- a/crates/datagram/tests/datagrams.rs
+++ b/crates/datagram/tests/datagrams.rs
@@ -3,9 +3,9 @@
 use quickcheck::{Gen, QuickCheck};
 use quillpoint_datagram::keys::{BadKeys, Keyring};
 use quillpoint_datagram::{LONGEST, Opener, Refusal, Sealer};
-use quillpoint_membership::ids::{LONGEST_NAME, PingNo};
-use quillpoint_membership::letter::{CARDS_ALONG, CARDS_WHOLE, NEWS_ALONG};
-use quillpoint_membership::{Body, Card, Incarnation, Letter, Life, News, PeerName, State};
+use quillpoint_membership::ids::{LONGEST_NAME, PingNumber};
+use quillpoint_membership::message::{CARDS_ALONG, CARDS_WHOLE, NEWS_ALONG};
+use quillpoint_membership::{GossipBody, MemberRecord, Incarnation, GossipMessage, MemberVersion, Observation, PeerName, MemberState};
 use std::time::Duration;
 
 const OWN: Incarnation = Incarnation(77);
@@ -15,23 +15,23 @@
     Keyring::parse(&lines.join("\n")).unwrap()
 }
 
-fn card(name: &str, incarnation: u64) -> Card {
-    Card {
+fn card(name: &str, incarnation: u64) -> MemberRecord {
+    MemberRecord {
         name: PeerName::new(name).unwrap(),
-        life: Life { incarnation: Incarnation(incarnation), version: u32::MAX },
+        life: MemberVersion { incarnation: Incarnation(incarnation), version: u32::MAX },
         address: "[2001:db8:ffff:ffff:ffff:ffff:ffff:ffff]:65535".parse().unwrap(),
         zone: u16::MAX,
         weight: u8::MAX,
-        state: State::Suspect,
+        state: MemberState::Suspect,
     }
 }
 
-fn letter(body: Body) -> Letter {
-    Letter { from: card("n1", 5), body, cards: Vec::new() }
+fn letter(body: GossipBody) -> GossipMessage {
+    GossipMessage { from: card("n1", 5), body, cards: Vec::new() }
 }
 
-fn ping() -> Letter {
-    letter(Body::Ping(PingNo(7)))
+fn ping() -> GossipMessage {
+    letter(GossipBody::Ping(PingNumber(7)))
 }
 
 #[test]
@@ -46,7 +46,7 @@
 fn the_largest_letters_fit_a_datagram() {
     let name = "n".repeat(LONGEST_NAME);
     let card = card(&name, u64::MAX);
-    let news = News {
+    let news = Observation {
         node: card.address,
         age: Duration::new(10, 999_999_999),
         position: Some(Duration::new(1 << 34, 999_999_999)),
@@ -55,12 +55,12 @@
         started: Some(Duration::new(1 << 34, 999_999_999)),
         failed: true,
     };
-    let along = Letter {
+    let along = GossipMessage {
         from: card.clone(),
-        body: Body::News(vec![news; NEWS_ALONG]),
+        body: GossipBody::Observations(vec![news; NEWS_ALONG]),
         cards: vec![card.clone(); CARDS_ALONG + 1],
     };
-    let whole = Letter { from: card.clone(), body: Body::Welcome, cards: vec![card; CARDS_WHOLE + 1] };
+    let whole = GossipMessage { from: card.clone(), body: GossipBody::JoinReply, cards: vec![card; CARDS_WHOLE + 1] };
     for letter in [along, whole] {
         assert!(Sealer::default().seal(&keys("a"), Some(OWN), &letter).unwrap().len() <= LONGEST);
     }
@@ -86,7 +86,7 @@
     let other = sealer.seal(&ours, Some(Incarnation(78)), &ping()).unwrap();
     assert_eq!(open(&other), Refusal::OtherSession);
     // Even a hello, which may leave the start open, may not name another.
-    let other = sealer.seal(&ours, Some(Incarnation(78)), &letter(Body::Hello)).unwrap();
+    let other = sealer.seal(&ours, Some(Incarnation(78)), &letter(GossipBody::JoinRequest)).unwrap();
     assert_eq!(open(&other), Refusal::OtherSession);
     let unknown = sealer.seal(&ours, None, &ping()).unwrap();
     assert_eq!(open(&unknown), Refusal::OtherSession, "only a hello may leave it open");
@@ -154,7 +154,7 @@
     assert_eq!(Opener::default().open(&keys, Incarnation(78), &old), Err(Refusal::OtherSession));
     // An earlier start of the sender turns no window back.
     let mut opener = Opener::default();
-    let new = Letter { from: card("n1", 6), ..ping() };
+    let new = GossipMessage { from: card("n1", 6), ..ping() };
     assert!(opener.open(&keys, OWN, &Sealer::default().seal(&keys, Some(OWN), &new).unwrap()).is_ok());
     assert_eq!(
         opener.open(&keys, OWN, &sealer.seal(&keys, Some(OWN), &ping()).unwrap()),
@@ -183,7 +183,7 @@
 #[test]
 fn windows_of_ever_new_senders_are_bounded() {
     let (keys, mut sealer, mut opener) = (keys("a"), Sealer::default(), Opener::default());
-    let hello = |place: u64| Letter { from: card(&format!("n{place}"), 5), ..letter(Body::Hello) };
+    let hello = |place: u64| GossipMessage { from: card(&format!("n{place}"), 5), ..letter(GossipBody::JoinRequest) };
     let first = sealer.seal(&keys, None, &hello(0)).unwrap();
     assert!(opener.open(&keys, OWN, &first).is_ok());
     for place in 1..600 {
--- a/crates/datagram/tests/envelopes.rs
+++ b/crates/datagram/tests/envelopes.rs
@@ -11,7 +11,7 @@
 };
 use quillpoint_observation_feed::{Change, Digest, Entry, Envelope, Message, Standing, size};
 use quillpoint_membership::ids::LONGEST_NAME;
-use quillpoint_membership::{Body, Card, Incarnation, Letter, Life, PeerName, State};
+use quillpoint_membership::{GossipBody, MemberRecord, Incarnation, GossipMessage, MemberVersion, PeerName, MemberState};
 
 const OWN: Incarnation = Incarnation(77);
 const LONG_AGO: Option<Duration> = Some(Duration::new(1 << 34, 999_999_999));
@@ -122,24 +122,24 @@
 
 #[test]
 fn neither_kind_passes_for_the_other() {
-    let card = Card {
+    let card = MemberRecord {
         name: PeerName::new("c1").unwrap(),
-        life: Life { incarnation: Incarnation(5), version: 0 },
+        life: MemberVersion { incarnation: Incarnation(5), version: 0 },
         address: "127.0.0.1:1".parse().unwrap(),
         zone: 0,
         weight: 1,
-        state: State::Up,
+        state: MemberState::Up,
     };
-    let letter = Letter { from: card, body: Body::Hello, cards: Vec::new() };
+    let letter = GossipMessage { from: card, body: GossipBody::JoinRequest, cards: Vec::new() };
     let (mut sealer, keys) = (Sealer::default(), keys("a"));
     let mut letter = sealer.seal(&keys, None, &letter).unwrap();
     let mut asking = sealer.seal(&keys, None, &envelope("r1", 5, Message::Subscribe)).unwrap();
     assert_eq!(Opener::<Envelope>::of(4).open(&keys, OWN, &letter), Err(Refusal::OtherKind));
-    assert_eq!(Opener::<Letter>::default().open(&keys, OWN, &asking), Err(Refusal::OtherKind));
+    assert_eq!(Opener::<GossipMessage>::default().open(&keys, OWN, &asking), Err(Refusal::OtherKind));
     // Nor by another word in its head.
     (letter[1], asking[1]) = (asking[1], letter[1]);
     assert_eq!(Opener::<Envelope>::of(4).open(&keys, OWN, &letter), Err(Refusal::Forged));
-    assert_eq!(Opener::<Letter>::default().open(&keys, OWN, &asking), Err(Refusal::Forged));
+    assert_eq!(Opener::<GossipMessage>::default().open(&keys, OWN, &asking), Err(Refusal::Forged));
 }
 
 #[test]
--- a/crates/datagram/tests/letters.rs
+++ b/crates/datagram/tests/letters.rs
@@ -5,29 +5,29 @@
 
 use quillpoint_datagram::keys::Keyring;
 use quillpoint_datagram::{LONGEST, Sealer};
-use quillpoint_membership::book::Book;
+use quillpoint_membership::observation_store::ObservationStore;
 use quillpoint_membership::ids::LONGEST_NAME;
-use quillpoint_membership::letter::{CARDS_ALONG, NEWS_ALONG, NEWS_ROOM};
-use quillpoint_membership::{Body, Card, Incarnation, Letter, Life, News, PeerName, State};
+use quillpoint_membership::message::{CARDS_ALONG, NEWS_ALONG, NEWS_ROOM};
+use quillpoint_membership::{GossipBody, MemberRecord, Incarnation, GossipMessage, MemberVersion, Observation, PeerName, MemberState};
 
 const LONG_AGO: Option<Duration> = Some(Duration::new(1 << 34, 999_999_999));
 
 /// Of the longest and of the shortest that is said.
-fn news(node: SocketAddr, long: bool) -> News {
+fn news(node: SocketAddr, long: bool) -> Observation {
     let (position, started) = if long { (LONG_AGO, LONG_AGO) } else { (None, None) };
     let waiting = long.then_some(u32::MAX);
     let age = Duration::new(10, 999_999_999);
-    News { node, age, position, primary: long.then_some(true), waiting, started, failed: false }
+    Observation { node, age, position, primary: long.then_some(true), waiting, started, failed: false }
 }
 
-fn card(address: SocketAddr) -> Card {
-    Card {
+fn card(address: SocketAddr) -> MemberRecord {
+    MemberRecord {
         name: PeerName::new(&"n".repeat(LONGEST_NAME)).unwrap(),
-        life: Life { incarnation: Incarnation(u64::MAX), version: u32::MAX },
+        life: MemberVersion { incarnation: Incarnation(u64::MAX), version: u32::MAX },
         address,
         zone: u16::MAX,
         weight: u8::MAX,
-        state: State::Dead,
+        state: MemberState::Dead,
     }
 }
 
@@ -35,10 +35,10 @@
     Keyring::parse(&"a".repeat(64)).unwrap()
 }
 
-fn sealed(news: Vec<News>) -> usize {
+fn sealed(news: Vec<Observation>) -> usize {
     let card = card("[2001:db8:ffff:ffff:ffff:ffff:ffff:ffff]:65535".parse().unwrap());
     let cards = vec![card.clone(); CARDS_ALONG + 1];
-    let letter = Letter { from: card, body: Body::News(news), cards };
+    let letter = GossipMessage { from: card, body: GossipBody::Observations(news), cards };
     Sealer::default().seal(&keys(), Some(Incarnation(1)), &letter).map_or(usize::MAX, |bytes| bytes.len())
 }
 
@@ -63,13 +63,13 @@
                 false => SocketAddr::from(([0xffff; 8], 50_000 + port)),
             };
             let now = LONG_AGO.unwrap();
-            let mut book = Book::new(PeerName::new("r1").unwrap(), 1e9, now);
+            let mut book = ObservationStore::new(PeerName::new("r1").unwrap(), 1e9, now);
             book.nodes_changed(&(0..200).map(node).collect());
             (0..200).for_each(|port| _ = book.found(now, now, news(node(port), long)));
             let letters = book.outgoing(now, 3);
             assert_eq!(letters.concat().len(), 200, "all of them, each once");
             for letter in &letters {
-                assert!(letter.iter().map(News::bytes).sum::<usize>() <= NEWS_ROOM);
+                assert!(letter.iter().map(Observation::bytes).sum::<usize>() <= NEWS_ROOM);
                 assert!(sealed(letter.clone()) <= LONGEST);
             }
             // All but the last are full, so that there are fewer of them than of ten each.
--- a/crates/membership/src/quick.rs
+++ b/crates/membership/src/fast_hash_map.rs
@@ -3,4 +3,4 @@
 
 use std::collections::HashMap;
 
-pub type QuickMap<K, V> = HashMap<K, V, foldhash::fast::RandomState>;
+pub type FastHashMap<K, V> = HashMap<K, V, foldhash::fast::RandomState>;
--- a/crates/membership/src/fleet.rs
+++ b/crates/membership/src/fleet.rs
@@ -4,11 +4,11 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use crate::book::{Book, NEWS_BYTES, Verdict};
-use crate::duties::{Duties, Plan};
-use crate::host::{Event, Evidence, Host};
-use crate::ids::{DutyId, PeerName, Subject};
-use crate::letter::{Body, Card, Letter, News, State};
+use crate::observation_store::{ObservationStore, NEWS_BYTES, Verdict};
+use crate::sharded_tasks::{ShardedTasks, TaskParams};
+use crate::host::{Event, DatedObservation, Host};
+use crate::ids::{TaskId, PeerName, Subject};
+use crate::message::{GossipBody, MemberRecord, GossipMessage, Observation, MemberState};
 use crate::membership::Membership;
 use crate::rendezvous::Candidate;
 
@@ -23,9 +23,9 @@
 
 /// What a fleet is told at its start.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Plans {
+pub struct FleetParams {
     /// The probing of nodes.
-    pub probe: Plan,
+    pub probe: TaskParams,
     /// The budget of background work, in cost units a second, and the most that is saved of it.
     pub work_rate: f64,
     pub work_burst: f64,
@@ -39,7 +39,7 @@
 /// So many times what probing all nodes takes, and telling the others of it: the rest of the fleet may be gone.
 const HEADROOM: f64 = 2.0;
 
-impl Plans {
+impl FleetParams {
     /// With the budgets that so many nodes take, where those are larger and may grow.
     fn for_nodes(&self, nodes: usize) -> Self {
         let probes = if self.grows { nodes as f64 / self.probe.period.as_secs_f64() } else { 0.0 };
@@ -53,11 +53,11 @@
 pub struct Fleet<H: Host> {
     host: H,
     members: Membership,
-    duties: Duties,
-    book: Book,
-    plans: Plans,
+    duties: ShardedTasks,
+    book: ObservationStore,
+    plans: FleetParams,
     /// What is left to be sent of the record, by who asked.
-    records: BTreeMap<PeerName, Vec<Vec<News>>>,
+    records: BTreeMap<PeerName, Vec<Vec<Observation>>>,
     next_flush: Duration,
     told: (usize, usize, usize),
     /// The nodes have changed since the duties were last counted.
@@ -66,13 +66,13 @@
 
 impl<H: Host> Fleet<H> {
     /// `me` names this router, its start and its address; `seeds` are where others may be found.
-    pub fn new(host: H, me: Card, seeds: Vec<SocketAddr>, plans: Plans, seed: u64, now: Duration) -> Self {
+    pub fn new(host: H, me: MemberRecord, seeds: Vec<SocketAddr>, plans: FleetParams, seed: u64, now: Duration) -> Self {
         let name = me.name.clone();
         let mut fleet = Self {
             host,
             members: Membership::new(me, seeds, seed, now),
-            duties: Duties::new(name.clone(), plans.work_rate, plans.work_burst, now),
-            book: Book::new(name, plans.news_rate, now),
+            duties: ShardedTasks::new(name.clone(), plans.work_rate, plans.work_burst, now),
+            book: ObservationStore::new(name, plans.news_rate, now),
             plans,
             records: BTreeMap::new(),
             next_flush: now,
@@ -84,25 +84,25 @@
     }
 
     /// A letter that is authentic and not one that came before.
-    pub fn letter_arrived(&mut self, now: Duration, letter: Letter) {
+    pub fn message_arrived(&mut self, now: Duration, letter: GossipMessage) {
         self.members.ran(now, &mut self.host);
-        let Letter { from, body, cards } = letter;
-        if self.members.letter_arrived(now, &from, &body, &cards, &mut self.host) {
+        let GossipMessage { from, body, cards } = letter;
+        if self.members.message_arrived(now, &from, &body, &cards, &mut self.host) {
             self.records.insert(from.name.clone(), self.book.record(now));
         }
-        if let Body::News(news) = body
+        if let GossipBody::Observations(news) = body
             && self.members.is_current(&from)
         {
-            news.into_iter().for_each(|news| self.hear(now, &from.name, news));
+            news.into_iter().for_each(|news| self.observation_received(now, &from.name, news));
         }
     }
 
-    fn hear(&mut self, now: Duration, by: &PeerName, news: News) {
-        let (id, at) = (self.probe_of(news.node), now.saturating_sub(news.age));
+    fn observation_received(&mut self, now: Duration, by: &PeerName, news: Observation) {
+        let (id, at) = (self.health_check_task(news.node), now.saturating_sub(news.age));
         match self.book.told(now, by, news) {
             Verdict::Believed(evidence) => {
                 self.duties.done(id, at);
-                self.host.hear(evidence);
+                self.host.observation_received(evidence);
             }
             Verdict::Doubt => {
                 self.duties.done(id, at);
@@ -119,7 +119,7 @@
         self.members.tick(now, &mut self.host);
         self.look_around(now);
         while let Some(duty) = self.duties.next(now) {
-            self.host.perform(duty);
+            self.host.run_task(duty);
         }
         if now >= self.next_flush {
             self.flush(now);
@@ -134,7 +134,7 @@
         self.book.nodes_changed(&all);
         let subjects = nodes.iter().map(|(node, zone)| (Subject::Node(*node), *zone)).collect();
         self.duties.subjects_changed(now, self.plans.probe, &subjects);
-        let Plans { work_rate, work_burst, news_rate, .. } = self.plans.for_nodes(nodes.len());
+        let FleetParams { work_rate, work_burst, news_rate, .. } = self.plans.for_nodes(nodes.len());
         self.duties.budget_changed(work_rate, work_burst);
         self.book.budget_changed(news_rate);
         self.recount = true;
@@ -145,8 +145,8 @@
     }
 
     /// This router has found out something about a node, by a probe or an attempt that it sent at `asked`.
-    pub fn found(&mut self, now: Duration, asked: Duration, news: News) {
-        let (node, id, failed) = (news.node, self.probe_of(news.node), news.failed);
+    pub fn found(&mut self, now: Duration, asked: Duration, news: Observation) {
+        let (node, id, failed) = (news.node, self.health_check_task(news.node), news.failed);
         if let Some(peer) = self.book.found(now, asked, news) {
             self.host.tell(Event::Liar { peer, node });
         }
@@ -157,23 +157,23 @@
     }
 
     /// Whether this router may probe a node now, out of turn: `alone` where no other's probe is of use to it.
-    pub fn claim_probe(&mut self, now: Duration, node: SocketAddr, alone: bool) -> bool {
-        let id = self.probe_of(node);
+    pub fn claim_health_check(&mut self, now: Duration, node: SocketAddr, alone: bool) -> bool {
+        let id = self.health_check_task(node);
         self.duties.claim(now, id, alone)
     }
 
     /// What peers have told of a node last, where that is of use yet: for who does not take it as it comes.
-    pub fn told_of(&self, now: Duration, node: SocketAddr) -> Option<Evidence> {
-        self.book.told_of(now, node)
+    pub fn latest_observation(&self, now: Duration, node: SocketAddr) -> Option<DatedObservation> {
+        self.book.latest_observation(now, node)
     }
 
-    pub fn duty_ended(&mut self, now: Duration, duty: DutyId) {
+    pub fn task_ended(&mut self, now: Duration, duty: TaskId) {
         self.duties.ended(now, duty);
     }
 
     /// Hands over and says goodbye. Nothing is performed from then on.
     pub fn leave(&mut self, now: Duration) {
-        if self.members.me().state == State::Left {
+        if self.members.me().state == MemberState::Left {
             return;
         }
         self.flush(now);
@@ -185,7 +185,7 @@
         &self.members
     }
 
-    pub fn duties(&self) -> &Duties {
+    pub fn duties(&self) -> &ShardedTasks {
         &self.duties
     }
 
@@ -195,15 +195,15 @@
         self.members.state_bytes() + self.duties.state_bytes() + self.book.state_bytes()
     }
 
-    pub fn probe_of(&self, node: SocketAddr) -> DutyId {
-        DutyId { kind: self.plans.probe.kind, subject: Subject::Node(node) }
+    pub fn health_check_task(&self, node: SocketAddr) -> TaskId {
+        TaskId { kind: self.plans.probe.kind, subject: Subject::Node(node) }
     }
 
     /// Who may own duties by now.
     fn look_around(&mut self, now: Duration) {
-        let owns = |card: &Card| matches!(card.state, State::Up | State::Suspect);
+        let owns = |card: &MemberRecord| matches!(card.state, MemberState::Up | MemberState::Suspect);
         let candidate =
-            |card: &Card| Candidate { name: card.name.clone(), zone: card.zone, weight: card.weight };
+            |card: &MemberRecord| Candidate { name: card.name.clone(), zone: card.zone, weight: card.weight };
         let mut view: Vec<Candidate> =
             self.members.peers().filter(|card| owns(card)).map(candidate).collect();
         if self.members.takes_part() {
@@ -219,7 +219,7 @@
         let (owned, all) = self.duties.owned();
         if self.told != (owned, all, routers) {
             self.told = (owned, all, routers);
-            self.host.tell(Event::Duties { owned, all, routers });
+            self.host.tell(Event::TasksAssigned { owned, all, routers });
         }
     }
 
@@ -228,7 +228,7 @@
         self.next_flush = now + FLUSH.max(FLUSH_PER_PEER * peers.len() as u32);
         for letter in self.book.outgoing(now, peers.len()) {
             for peer in &peers {
-                self.members.send_to(peer, Body::News(letter.clone()), &mut self.host);
+                self.members.send_to(peer, GossipBody::Observations(letter.clone()), &mut self.host);
             }
         }
     }
@@ -238,7 +238,7 @@
         records.retain(|peer, letters| {
             for _ in 0..RECORD_A_TICK {
                 let Some(news) = letters.pop() else { break };
-                members.send_to(peer, Body::News(news), host);
+                members.send_to(peer, GossipBody::Observations(news), host);
             }
             !letters.is_empty()
         });
--- a/crates/membership/src/host.rs
+++ b/crates/membership/src/host.rs
@@ -3,26 +3,26 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use crate::ids::{DutyId, Incarnation, Life, PeerName};
-use crate::letter::{Letter, State};
+use crate::ids::{TaskId, Incarnation, MemberVersion, PeerName};
+use crate::message::{GossipMessage, MemberState};
 
 /// What a fleet may do. Everything takes effect at once, in the order of the calls.
 pub trait Host {
     /// Sends a datagram that may be lost. `session` is the receiver's start, where it is known: a receiver
     /// takes nothing but a hello that does not name its own.
-    fn send(&mut self, to: SocketAddr, session: Option<Incarnation>, letter: Letter);
+    fn send(&mut self, to: SocketAddr, session: Option<Incarnation>, letter: GossipMessage);
     /// Asks for one call of `timer_fired` after this span.
     fn wake(&mut self, after: Duration);
-    /// Does the duty once; its end is told by `duty_ended`.
-    fn perform(&mut self, duty: DutyId);
+    /// Does the duty once; its end is told by `task_ended`.
+    fn run_task(&mut self, duty: TaskId);
     /// What peers found out about a node.
-    fn hear(&mut self, evidence: Evidence);
+    fn observation_received(&mut self, evidence: DatedObservation);
     fn tell(&mut self, event: Event);
 }
 
 /// News that may be believed, dated on this router's clock.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Evidence {
+pub struct DatedObservation {
     pub node: SocketAddr,
     /// When it was found out, at the latest: the flight is not counted.
     pub at: Duration,
@@ -45,12 +45,12 @@
     Stopped(Duration),
     PeerChanged {
         peer: PeerName,
-        life: Life,
-        was: Option<State>,
-        state: State,
+        life: MemberVersion,
+        was: Option<MemberState>,
+        state: MemberState,
     },
     /// Others said this of us, which is contradicted.
-    Contradicted(State),
+    Contradicted(MemberState),
     /// A later process of our name runs at that address: this one takes no duties.
     Displaced(SocketAddr),
     /// The other one is gone.
@@ -63,7 +63,7 @@
         node: SocketAddr,
     },
     /// So many duties are owned here now, of so many, among so many routers.
-    Duties {
+    ShardedTasks {
         owned: usize,
         all: usize,
         routers: usize,
--- a/crates/membership/src/ids.rs
+++ b/crates/membership/src/ids.rs
@@ -10,7 +10,7 @@
 
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 #[error("a name has 1 to {LONGEST_NAME} letters, digits, dots, dashes and underscores")]
-pub struct BadName;
+pub struct InvalidPeerName;
 
 /// The name of a router, the same after a restart. Held in place: names are compared at each piece of news, and a look
 /// elsewhere in memory would cost more than all else that is done with one. In the order of their letters.
@@ -23,10 +23,10 @@
 }
 
 impl PeerName {
-    pub fn new(name: &str) -> Result<Self, BadName> {
+    pub fn new(name: &str) -> Result<Self, InvalidPeerName> {
         let fits = |byte: u8| byte.is_ascii_alphanumeric() || b".-_".contains(&byte);
         if !(1..=LONGEST_NAME).contains(&name.len()) || !name.bytes().all(fits) {
-            return Err(BadName);
+            return Err(InvalidPeerName);
         }
         let mut letters = [0; LONGEST_NAME];
         letters[..name.len()].copy_from_slice(name.as_bytes());
@@ -39,8 +39,8 @@
 }
 
 impl TryFrom<String> for PeerName {
-    type Error = BadName;
-    fn try_from(name: String) -> Result<Self, BadName> {
+    type Error = InvalidPeerName;
+    fn try_from(name: String) -> Result<Self, InvalidPeerName> {
         Self::new(&name)
     }
 }
@@ -69,7 +69,7 @@
 
 /// Orders what is said of a router: a later start wins, and within one the later word of the router itself.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Life {
+pub struct MemberVersion {
     pub incarnation: Incarnation,
     /// Grows each time the router contradicts what others say of it.
     pub version: u32,
@@ -77,11 +77,11 @@
 
 /// Number of a ping, of the router that sent it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct PingNo(pub u32);
+pub struct PingNumber(pub u32);
 
 /// Place of a kind of duty in the plans.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct KindId(pub u8);
+pub struct TaskKind(pub u8);
 
 /// What a duty is about.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -92,7 +92,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct DutyId {
-    pub kind: KindId,
+pub struct TaskId {
+    pub kind: TaskKind,
     pub subject: Subject,
 }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -4,18 +4,18 @@
 //! [`Host`]. Time is handed in as a span on a clock of the router's own that only goes forward; chance comes from
 //! the given seed. Start reading at `fleet.rs`; docs/duties.md says why things are as they are.
 
-pub mod book;
-pub mod duties;
+pub mod observation_store;
+pub mod sharded_tasks;
 pub mod fleet;
 pub mod host;
 pub mod ids;
-pub mod letter;
+pub mod message;
 pub mod membership;
-pub mod quick;
+pub mod fast_hash_map;
 pub mod rendezvous;
 pub mod scheduler;
 
-pub use fleet::{Fleet, Plans};
-pub use host::{Event, Evidence, Host};
-pub use ids::{Incarnation, Life, PeerName};
-pub use letter::{Body, Card, Letter, News, State};
+pub use fleet::{Fleet, FleetParams};
+pub use host::{Event, DatedObservation, Host};
+pub use ids::{Incarnation, MemberVersion, PeerName};
+pub use message::{GossipBody, MemberRecord, GossipMessage, Observation, MemberState};
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -13,8 +13,8 @@
 use rand_chacha::ChaCha8Rng;
 
 use crate::host::{Event, Host};
-use crate::ids::{Incarnation, Life, PeerName, PingNo};
-use crate::letter::{Body, CARDS_ALONG, CARDS_WHOLE, Card, Letter, State};
+use crate::ids::{Incarnation, MemberVersion, PeerName, PingNumber};
+use crate::message::{GossipBody, CARDS_ALONG, CARDS_WHOLE, MemberRecord, GossipMessage, MemberState};
 
 /// Peers are pinged in turn, one a period.
 pub const PERIOD: Duration = Duration::from_millis(250);
@@ -44,7 +44,7 @@
 const TELLS: u32 = 4;
 
 struct Peer {
-    card: Card,
+    card: MemberRecord,
     /// When its card last changed.
     since: Duration,
     /// When it last spoke itself.
@@ -65,21 +65,21 @@
 /// A ping made for another: whose it is, and under which number it awaits the ack.
 struct Errand {
     for_whom: PeerName,
-    number: PingNo,
+    number: PingNumber,
     until: Duration,
 }
 
 pub struct Membership {
-    me: Card,
+    me: MemberRecord,
     seeds: Vec<SocketAddr>,
     peers: BTreeMap<PeerName, Peer>,
     chance: ChaCha8Rng,
     /// Whom to ping next, last first; shuffled anew when all have had their turn.
     turn: Vec<PeerName>,
     next_ping: Duration,
-    pings: BTreeMap<PingNo, Ping>,
-    errands: BTreeMap<PingNo, Errand>,
-    last_number: PingNo,
+    pings: BTreeMap<PingNumber, Ping>,
+    errands: BTreeMap<PingNumber, Errand>,
+    last_number: PingNumber,
     next_hello: Duration,
     next_greeting: Duration,
     started: Duration,
@@ -87,15 +87,15 @@
     /// The own card travels with so many more letters.
     tells: u32,
     /// A later process of this name, and where it runs.
-    displaced: Option<Card>,
+    displaced: Option<MemberRecord>,
     too_many_told: bool,
 }
 
 impl Membership {
     /// `me` is this router's card; its state is not heeded.
-    pub fn new(me: Card, seeds: Vec<SocketAddr>, seed: u64, now: Duration) -> Self {
+    pub fn new(me: MemberRecord, seeds: Vec<SocketAddr>, seed: u64, now: Duration) -> Self {
         Self {
-            me: Card { state: State::Joining, ..me },
+            me: MemberRecord { state: MemberState::Joining, ..me },
             seeds,
             peers: BTreeMap::new(),
             chance: ChaCha8Rng::seed_from_u64(seed),
@@ -103,7 +103,7 @@
             next_ping: now,
             pings: BTreeMap::new(),
             errands: BTreeMap::new(),
-            last_number: PingNo(0),
+            last_number: PingNumber(0),
             next_hello: now,
             next_greeting: now + GREET_EVERY,
             started: now,
@@ -114,13 +114,13 @@
         }
     }
 
-    pub fn me(&self) -> &Card {
+    pub fn me(&self) -> &MemberRecord {
         &self.me
     }
 
     /// Whether this router owns duties.
     pub fn takes_part(&self) -> bool {
-        self.me.state == State::Up && self.displaced.is_none()
+        self.me.state == MemberState::Up && self.displaced.is_none()
     }
 
     /// In bytes, without what an allocator adds.
@@ -129,22 +129,22 @@
         names
             + self.peers.len() * size_of::<(PeerName, Peer)>()
             + self.turn.len() * size_of::<PeerName>()
-            + self.pings.len() * size_of::<(PingNo, Ping)>()
-            + self.errands.len() * size_of::<(PingNo, Errand)>()
+            + self.pings.len() * size_of::<(PingNumber, Ping)>()
+            + self.errands.len() * size_of::<(PingNumber, Errand)>()
     }
 
     /// All peers, whatever their state.
-    pub fn peers(&self) -> impl Iterator<Item = &Card> {
+    pub fn peers(&self) -> impl Iterator<Item = &MemberRecord> {
         self.peers.values().map(|peer| &peer.card)
     }
 
     /// Those that are there.
-    pub fn there(&self) -> impl Iterator<Item = &Card> {
+    pub fn there(&self) -> impl Iterator<Item = &MemberRecord> {
         self.peers().filter(|card| card.state.is_there())
     }
 
     /// Whether what this sender says counts: it is known, and no later start of it is.
-    pub fn is_current(&self, card: &Card) -> bool {
+    pub fn is_current(&self, card: &MemberRecord) -> bool {
         self.peers.get(&card.name).is_some_and(|peer| {
             peer.card.life.incarnation == card.life.incarnation && peer.card.state.is_there()
         })
@@ -154,11 +154,11 @@
     pub fn ran(&mut self, now: Duration, host: &mut impl Host) -> bool {
         let still = now.saturating_sub(self.ran);
         self.ran = now.max(self.ran);
-        if still < STOPPED || self.me.state == State::Left {
+        if still < STOPPED || self.me.state == MemberState::Left {
             return false;
         }
         host.tell(Event::Stopped(still));
-        self.me.state = State::Joining;
+        self.me.state = MemberState::Joining;
         self.bump();
         (self.started, self.next_hello, self.next_ping) = (now, now, now + PERIOD);
         self.pings.clear();
@@ -176,21 +176,21 @@
 
     /// Says goodbye to all: its duties are others' from then on.
     pub fn leave(&mut self, host: &mut impl Host) {
-        self.me.state = State::Left;
+        self.me.state = MemberState::Left;
         self.bump();
         for name in self.names_there() {
             // Twice, as a goodbye that is lost costs the others a detection.
-            (0..2).for_each(|_| self.send_to(&name, Body::Hello, host));
+            (0..2).for_each(|_| self.send_to(&name, GossipBody::JoinRequest, host));
         }
     }
 
     /// A letter, whose sender is who it says it is. True if the sender is to be told the record.
-    pub fn letter_arrived(
+    pub fn message_arrived(
         &mut self,
         now: Duration,
-        from: &Card,
-        body: &Body,
-        cards: &[Card],
+        from: &MemberRecord,
+        body: &GossipBody,
+        cards: &[MemberRecord],
         host: &mut impl Host,
     ) -> bool {
         if from.name == self.me.name {
@@ -201,9 +201,9 @@
         if was.is_some_and(|(known, _)| known > from.life.incarnation) {
             // Under way while its sender started anew; or its clock has gone back, or another process has its
             // name. The last two say hello, and must know.
-            if *body == Body::Hello && self.may_welcome(now, &from.name) {
+            if *body == GossipBody::JoinRequest && self.may_welcome(now, &from.name) {
                 let known = vec![self.peers[&from.name].card.clone()];
-                self.send(from.address, Some(from.life.incarnation), Body::Welcome, known, host);
+                self.send(from.address, Some(from.life.incarnation), GossipBody::JoinReply, known, host);
             }
             return false;
         }
@@ -216,7 +216,7 @@
         }
         let Some(peer) = self.peers.get_mut(&from.name) else { return false };
         peer.heard = now;
-        if peer.card.state == State::Suspect {
+        if peer.card.state == MemberState::Suspect {
             // It speaks, so it has time to contradict.
             peer.since = now;
         }
@@ -229,25 +229,25 @@
                     self.welcome(&from.name, host);
                 }
             }
-            Body::Hello => {
+            GossipBody::JoinRequest => {
                 if self.may_welcome(now, &from.name) {
                     self.welcome(&from.name, host);
                     return true;
                 }
             }
-            Body::Welcome => self.joined(false, host),
-            Body::Ping(number) => self.send_to(&from.name, Body::Ack(*number), host),
-            Body::Ack(number) => self.ack_arrived(now, *number, host),
-            Body::PingFor(number, about) => self.run_errand(now, &from.name, *number, about, host),
-            Body::News(_) => {}
+            GossipBody::JoinReply => self.joined(false, host),
+            GossipBody::Ping(number) => self.send_to(&from.name, GossipBody::Ack(*number), host),
+            GossipBody::Ack(number) => self.ack_arrived(now, *number, host),
+            GossipBody::IndirectPing(number, about) => self.run_errand(now, &from.name, *number, about, host),
+            GossipBody::Observations(_) => {}
         }
         is_there && !was.is_some_and(|(known, state)| known == from.life.incarnation && state.is_there())
     }
 
     /// An ack to this router's own ping comes from the pinged one, or from one who was asked to ping it.
-    fn ack_arrived(&mut self, now: Duration, number: PingNo, host: &mut impl Host) {
+    fn ack_arrived(&mut self, now: Duration, number: PingNumber, host: &mut impl Host) {
         if let Some(errand) = self.errands.remove(&number) {
-            self.send_to(&errand.for_whom, Body::Ack(errand.number), host);
+            self.send_to(&errand.for_whom, GossipBody::Ack(errand.number), host);
         }
         if let Some(ping) = self.pings.remove(&number)
             && let Some(peer) = self.peers.get_mut(&ping.peer)
@@ -263,14 +263,14 @@
 
     /// Periodic work, all of which may be late.
     pub fn tick(&mut self, now: Duration, host: &mut impl Host) {
-        if self.me.state == State::Left {
+        if self.me.state == MemberState::Left {
             return;
         }
-        if self.me.state == State::Joining && now >= self.next_hello {
+        if self.me.state == MemberState::Joining && now >= self.next_hello {
             self.next_hello = now + HELLO_EVERY;
             self.say_hello(host);
         }
-        if self.me.state == State::Joining && now >= self.started + ALONE_AFTER {
+        if self.me.state == MemberState::Joining && now >= self.started + ALONE_AFTER {
             self.joined(true, host);
         }
         self.errands.retain(|_, errand| errand.until > now);
@@ -291,36 +291,36 @@
         let known: Vec<SocketAddr> = self.there().map(|card| card.address).collect();
         let seeds: Vec<SocketAddr> =
             self.seeds.iter().copied().filter(|seed| !known.contains(seed)).collect();
-        seeds.into_iter().for_each(|seed| self.send(seed, None, Body::Hello, Vec::new(), host));
+        seeds.into_iter().for_each(|seed| self.send(seed, None, GossipBody::JoinRequest, Vec::new(), host));
         for name in self.names_there() {
-            self.send_to(&name, Body::Hello, host);
+            self.send_to(&name, GossipBody::JoinRequest, host);
         }
     }
 
     fn joined(&mut self, alone: bool, host: &mut impl Host) {
-        if self.me.state == State::Joining {
-            self.me.state = State::Up;
+        if self.me.state == MemberState::Joining {
+            self.me.state = MemberState::Up;
             self.tells = self.most_tells();
             host.tell(Event::Joined { alone });
         }
     }
 
     fn welcome(&mut self, name: &PeerName, host: &mut impl Host) {
-        let cards: Vec<Card> = self.peers().filter(|card| card.name != *name).cloned().collect();
+        let cards: Vec<MemberRecord> = self.peers().filter(|card| card.name != *name).cloned().collect();
         let Some(peer) = self.peers.get(name) else { return };
         let (to, session) = (peer.card.address, Some(peer.card.life.incarnation));
         // What is said of it comes first, so that it can contradict.
         let own = [peer.card.clone()];
-        let mut parts: Vec<Vec<Card>> = cards.chunks(CARDS_WHOLE).map(<[Card]>::to_vec).collect();
+        let mut parts: Vec<Vec<MemberRecord>> = cards.chunks(CARDS_WHOLE).map(<[MemberRecord]>::to_vec).collect();
         parts.is_empty().then(|| parts.push(Vec::new()));
         parts[0].extend(own);
-        parts.into_iter().for_each(|part| self.send(to, session, Body::Welcome, part, host));
+        parts.into_iter().for_each(|part| self.send(to, session, GossipBody::JoinReply, part, host));
     }
 
     /// A peer that has not answered directly is asked for through others, and then suspect.
     fn follow_pings(&mut self, now: Duration, host: &mut impl Host) {
         let late = |ping: &Ping| !ping.asked_others && now >= ping.sent + INDIRECT_AFTER;
-        let due: Vec<PingNo> = self.pings.iter().filter(|(_, ping)| late(ping)).map(|(no, _)| *no).collect();
+        let due: Vec<PingNumber> = self.pings.iter().filter(|(_, ping)| late(ping)).map(|(no, _)| *no).collect();
         for number in due {
             let Some(ping) = self.pings.get_mut(&number) else { continue };
             ping.asked_others = true;
@@ -328,15 +328,15 @@
             let others: Vec<PeerName> =
                 self.names_there().into_iter().filter(|name| *name != about).collect();
             let asked: Vec<PeerName> = others.sample(&mut self.chance, INDIRECT).cloned().collect();
-            asked.iter().for_each(|name| self.send_to(name, Body::PingFor(number, about.clone()), host));
+            asked.iter().for_each(|name| self.send_to(name, GossipBody::IndirectPing(number, about.clone()), host));
         }
-        let over: Vec<PingNo> =
+        let over: Vec<PingNumber> =
             self.pings.iter().filter(|(_, ping)| now >= ping.sent + PERIOD).map(|(no, _)| *no).collect();
         for number in over {
             let Some(ping) = self.pings.remove(&number) else { continue };
             let Some(peer) = self.peers.get(&ping.peer) else { continue };
-            if peer.heard < ping.sent && peer.card.state < State::Suspect {
-                self.change(now, &ping.peer, peer.card.life, State::Suspect, host);
+            if peer.heard < ping.sent && peer.card.state < MemberState::Suspect {
+                self.change(now, &ping.peer, peer.card.life, MemberState::Suspect, host);
             }
         }
     }
@@ -360,14 +360,14 @@
         };
         let number = self.number();
         self.pings.insert(number, Ping { peer: next.clone(), sent: now, asked_others: false });
-        self.send_to(&next, Body::Ping(number), host);
+        self.send_to(&next, GossipBody::Ping(number), host);
     }
 
     fn run_errand(
         &mut self,
         now: Duration,
         for_whom: &PeerName,
-        number: PingNo,
+        number: PingNumber,
         about: &PeerName,
         host: &mut impl Host,
     ) {
@@ -377,13 +377,13 @@
         let own = self.number();
         let errand = Errand { for_whom: for_whom.clone(), number, until: now + PERIOD };
         self.errands.insert(own, errand);
-        self.send_to(about, Body::Ping(own), host);
+        self.send_to(about, GossipBody::Ping(own), host);
     }
 
     /// Suspects are pinged, each with the word that it has to contradict.
     fn question(&mut self, now: Duration, host: &mut impl Host) {
         let routers = self.there().count() as f64;
-        let due = |peer: &Peer| peer.card.state == State::Suspect && now >= peer.looked + SUSPECT_PINGED;
+        let due = |peer: &Peer| peer.card.state == MemberState::Suspect && now >= peer.looked + SUSPECT_PINGED;
         let suspects: Vec<PeerName> =
             self.peers.iter().filter(|(_, peer)| due(peer)).map(|(name, _)| name.clone()).collect();
         for name in suspects {
@@ -393,7 +393,7 @@
             if self.chance.random_bool((SUSPECT_PINGERS / routers).min(1.0)) {
                 let number = self.number();
                 self.pings.insert(number, Ping { peer: name.clone(), sent: now, asked_others: true });
-                self.send_to(&name, Body::Ping(number), host);
+                self.send_to(&name, GossipBody::Ping(number), host);
             }
         }
     }
@@ -402,12 +402,12 @@
     fn bury(&mut self, now: Duration, host: &mut impl Host) {
         let routers = self.there().count() as u32 + 1;
         let patience = SUSPECT_FOR * routers.max(2).ilog2().max(1);
-        let over = |peer: &Peer| peer.card.state == State::Suspect && now >= peer.since + patience;
+        let over = |peer: &Peer| peer.card.state == MemberState::Suspect && now >= peer.since + patience;
         let dead: Vec<PeerName> =
             self.peers.iter().filter(|(_, peer)| over(peer)).map(|(name, _)| name.clone()).collect();
         for name in dead {
             let life = self.peers[&name].card.life;
-            self.change(now, &name, life, State::Dead, host);
+            self.change(now, &name, life, MemberState::Dead, host);
         }
         self.peers.retain(|_, peer| peer.card.state.is_there() || now < peer.since + FORGET);
     }
@@ -419,16 +419,16 @@
             None => self.there().map(|card| card.address).collect(),
             Some(_) => Vec::new(),
         };
-        let lost = self.peers().filter(|card| card.state == State::Dead).map(|card| card.address);
+        let lost = self.peers().filter(|card| card.state == MemberState::Dead).map(|card| card.address);
         let mut far: Vec<SocketAddr> = self.seeds.iter().copied().chain(lost).collect();
         far.retain(|address| !there.contains(address) && *address != self.me.address);
         if let Some(address) = far.choose(&mut self.chance) {
-            self.send(*address, None, Body::Hello, Vec::new(), host);
+            self.send(*address, None, GossipBody::JoinRequest, Vec::new(), host);
         }
     }
 
     /// The one place where a word about a peer is taken over, if it is newer or worse.
-    fn merge(&mut self, now: Duration, card: &Card, host: &mut impl Host) {
+    fn merge(&mut self, now: Duration, card: &MemberRecord, host: &mut impl Host) {
         match self.peers.get(&card.name) {
             None => {
                 // Of one long gone nothing need be known; and no flood of names may crowd out the others.
@@ -464,14 +464,14 @@
         let Some(peer) = self.peers.get_mut(name) else { return };
         if peer.heard + PERIOD * 2 > now {
             peer.tells = tells;
-        } else if peer.card.state < State::Suspect && self.turn.last() != Some(name) {
+        } else if peer.card.state < MemberState::Suspect && self.turn.last() != Some(name) {
             // Moved to the end, which is next: it stands there once.
             self.turn.retain(|other| other != name);
             self.turn.push(name.clone());
         }
     }
 
-    fn change(&mut self, now: Duration, name: &PeerName, life: Life, state: State, host: &mut impl Host) {
+    fn change(&mut self, now: Duration, name: &PeerName, life: MemberVersion, state: MemberState, host: &mut impl Host) {
         let Some(peer) = self.peers.get_mut(name) else { return };
         let was = peer.card.state;
         (peer.card.life, peer.card.state) = (life, state);
@@ -479,7 +479,7 @@
     }
 
     /// What has changed about a peer travels from here on.
-    fn announce(&mut self, now: Duration, name: &PeerName, was: Option<State>, host: &mut impl Host) {
+    fn announce(&mut self, now: Duration, name: &PeerName, was: Option<MemberState>, host: &mut impl Host) {
         let tells = self.most_tells();
         let Some(peer) = self.peers.get_mut(name) else { return };
         peer.tells = tells;
@@ -509,34 +509,34 @@
     }
 
     /// A letter under the own name: from a later process elsewhere, or one that runs on after this started.
-    fn meet_namesake(&mut self, other: &Card, host: &mut impl Host) {
+    fn meet_namesake(&mut self, other: &MemberRecord, host: &mut impl Host) {
         if other.life.incarnation > self.me.life.incarnation && other.address != self.me.address {
             self.give_way(other, host);
         }
     }
 
     /// What others say of this router.
-    fn hear_of_me(&mut self, card: &Card, host: &mut impl Host) {
+    fn hear_of_me(&mut self, card: &MemberRecord, host: &mut impl Host) {
         let mine = self.me.life;
         if card.life.incarnation > mine.incarnation {
             if card.address == self.me.address {
                 // An earlier process here, by a clock that has gone back since: nothing else runs at this
                 // address, so that is over.
-                self.me.life = Life { incarnation: Incarnation(card.life.incarnation.0 + 1), version: 0 };
+                self.me.life = MemberVersion { incarnation: Incarnation(card.life.incarnation.0 + 1), version: 0 };
                 self.tells = self.most_tells();
                 host.tell(Event::Contradicted(card.state));
             } else if card.state.is_there() {
                 self.give_way(card, host);
             } else if self.displaced.as_ref().is_some_and(|other| other.life <= card.life) {
                 self.displaced = None;
-                self.me.life = Life { incarnation: Incarnation(card.life.incarnation.0 + 1), version: 0 };
+                self.me.life = MemberVersion { incarnation: Incarnation(card.life.incarnation.0 + 1), version: 0 };
                 self.tells = self.most_tells();
                 host.tell(Event::Restored);
             }
         } else if card.life.incarnation == mine.incarnation
             && card.state > self.me.state
             && card.life.version >= mine.version
-            && card.state >= State::Suspect
+            && card.state >= MemberState::Suspect
         {
             self.me.life.version = card.life.version;
             self.bump();
@@ -544,7 +544,7 @@
         }
     }
 
-    fn give_way(&mut self, other: &Card, host: &mut impl Host) {
+    fn give_way(&mut self, other: &MemberRecord, host: &mut impl Host) {
         let told = self.displaced.replace(other.clone());
         if told.is_none_or(|told| told.life.incarnation != other.life.incarnation) {
             host.tell(Event::Displaced(other.address));
@@ -565,17 +565,17 @@
         self.there().map(|card| card.name.clone()).collect()
     }
 
-    fn number(&mut self) -> PingNo {
-        self.last_number = PingNo(self.last_number.0.wrapping_add(1));
+    fn number(&mut self) -> PingNumber {
+        self.last_number = PingNumber(self.last_number.0.wrapping_add(1));
         self.last_number
     }
 
     /// To a peer, with the cards that it should see most.
-    pub fn send_to(&mut self, name: &PeerName, body: Body, host: &mut impl Host) {
+    pub fn send_to(&mut self, name: &PeerName, body: GossipBody, host: &mut impl Host) {
         let Some(peer) = self.peers.get(name) else { return };
         let (to, session) = (peer.card.address, Some(peer.card.life.incarnation));
-        let mut cards: Vec<Card> = Vec::new();
-        if peer.card.state >= State::Suspect {
+        let mut cards: Vec<MemberRecord> = Vec::new();
+        if peer.card.state >= MemberState::Suspect {
             cards.push(peer.card.clone());
         }
         let mut news: Vec<(u32, &PeerName)> = self
@@ -605,14 +605,14 @@
         &mut self,
         to: SocketAddr,
         session: Option<Incarnation>,
-        body: Body,
-        cards: Vec<Card>,
+        body: GossipBody,
+        cards: Vec<MemberRecord>,
         host: &mut impl Host,
     ) {
-        if to == self.me.address || (self.displaced.is_some() && body != Body::Hello) {
+        if to == self.me.address || (self.displaced.is_some() && body != GossipBody::JoinRequest) {
             // One that has given way only asks: its words would pass for the other's.
             return;
         }
-        host.send(to, session, Letter { from: self.me.clone(), body, cards });
+        host.send(to, session, GossipMessage { from: self.me.clone(), body, cards });
     }
 }
--- a/crates/membership/src/letter.rs
+++ b/crates/membership/src/message.rs
@@ -5,7 +5,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::ids::{Life, PeerName, PingNo};
+use crate::ids::{MemberVersion, PeerName, PingNumber};
 
 /// So many cards travel with any letter, and so many in one that tells the whole view.
 pub const CARDS_ALONG: usize = 4;
@@ -17,7 +17,7 @@
 
 /// How a router stands, worst last: of two words about the same life the worse one holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum State {
+pub enum MemberState {
     /// Has started, and still asks for the record.
     Joining,
     Up,
@@ -28,7 +28,7 @@
     Dead,
 }
 
-impl State {
+impl MemberState {
     /// Whether it may act, so that letters and duties go to it.
     pub fn is_there(self) -> bool {
         self <= Self::Suspect
@@ -37,22 +37,22 @@
 
 /// What is known of a router.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Card {
+pub struct MemberRecord {
     pub name: PeerName,
-    pub life: Life,
+    pub life: MemberVersion,
     /// Where the others reach it.
     pub address: SocketAddr,
     /// Place of its zone in the deployment's settings.
     pub zone: u16,
     /// Its share of duties beside that of others.
     pub weight: u8,
-    pub state: State,
+    pub state: MemberState,
 }
 
 /// What a router found out about a node. Times are spans back from the sending, so that clocks need not agree;
 /// log positions are the node's own, on the deployment's clock.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct News {
+pub struct Observation {
     pub node: SocketAddr,
     pub age: Duration,
     pub position: Option<Duration>,
@@ -67,36 +67,36 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Body {
+pub enum GossipBody {
     /// Asks for a welcome, and for the record.
-    Hello,
+    JoinRequest,
     /// A part of the view, to one who has said hello.
-    Welcome,
-    Ping(PingNo),
-    Ack(PingNo),
+    JoinReply,
+    Ping(PingNumber),
+    Ack(PingNumber),
     /// Asks the receiver to ping this peer and to pass on its ack.
-    PingFor(PingNo, PeerName),
-    News(Vec<News>),
+    IndirectPing(PingNumber, PeerName),
+    Observations(Vec<Observation>),
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Letter {
-    pub from: Card,
-    pub body: Body,
-    pub cards: Vec<Card>,
+pub struct GossipMessage {
+    pub from: MemberRecord,
+    pub body: GossipBody,
+    pub cards: Vec<MemberRecord>,
 }
 
-impl Letter {
+impl GossipMessage {
     /// It has waited for so long in the receiver's own socket: what it tells is as much older.
     pub fn waited(mut self, span: Duration) -> Self {
-        if let Body::News(news) = &mut self.body {
+        if let GossipBody::Observations(news) = &mut self.body {
             news.iter_mut().for_each(|news| news.age = news.age.saturating_add(span));
         }
         self
     }
 }
 
-impl News {
+impl Observation {
     /// How many bytes it takes at the most, in postcard's format: a number takes a byte for each seven bits.
     pub fn bytes(&self) -> usize {
         let number = |value: u64| (64 - (value | 1).leading_zeros() as usize).div_ceil(7);
--- a/crates/membership/src/book.rs
+++ b/crates/membership/src/observation_store.rs
@@ -9,10 +9,10 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use crate::host::Evidence;
+use crate::host::DatedObservation;
 use crate::ids::PeerName;
-use crate::letter::{NEWS_ALONG, NEWS_ROOM, News};
-use crate::quick::QuickMap;
+use crate::message::{NEWS_ALONG, NEWS_ROOM, Observation};
+use crate::fast_hash_map::FastHashMap;
 
 /// Older news than this is of no use to anybody.
 pub const OLDEST: Duration = Duration::from_secs(10);
@@ -34,7 +34,7 @@
 #[derive(Clone, Debug, PartialEq)]
 struct Found {
     at: Duration,
-    news: News,
+    news: Observation,
 }
 
 #[derive(Default)]
@@ -53,17 +53,17 @@
 #[derive(Debug, PartialEq)]
 pub enum Verdict {
     /// It is of use, for the record.
-    Believed(Evidence),
+    Believed(DatedObservation),
     /// A reason to look for oneself.
     Doubt,
     /// Old, of an unknown node, or from one who is not believed.
     Dropped,
 }
 
-pub struct Book {
+pub struct ObservationStore {
     me: PeerName,
     /// By hash, as each piece of news looks one up; the record goes by address.
-    nodes: QuickMap<SocketAddr, Known>,
+    nodes: FastHashMap<SocketAddr, Known>,
     /// Own findings that have not been sent.
     fresh: BTreeSet<SocketAddr>,
     distrusted: BTreeMap<PeerName, Duration>,
@@ -74,19 +74,19 @@
 }
 
 /// What an answer that a peer tells of shows; what lies ahead of this router's clock shows nothing.
-fn evidence(now: Duration, at: Duration, news: &News) -> Evidence {
-    let &News { node, position, primary, waiting, started, .. } = news;
+fn evidence(now: Duration, at: Duration, news: &Observation) -> DatedObservation {
+    let &Observation { node, position, primary, waiting, started, .. } = news;
     let past = |time: &Duration| *time <= now;
     let (position, started) = (position.filter(past), started.filter(past));
-    Evidence { node, at, position, primary, waiting, started, failed: false }
+    DatedObservation { node, at, position, primary, waiting, started, failed: false }
 }
 
-impl Book {
+impl ObservationStore {
     /// `rate` is in bytes a second, to all peers together.
     pub fn new(me: PeerName, rate: f64, now: Duration) -> Self {
         Self {
             me,
-            nodes: QuickMap::default(),
+            nodes: FastHashMap::default(),
             fresh: BTreeSet::new(),
             distrusted: BTreeMap::new(),
             rate,
@@ -111,7 +111,7 @@
 
     /// This router found this out itself, by what it asked at `asked`. Names the peer whose word it contradicts,
     /// if it does.
-    pub fn found(&mut self, now: Duration, asked: Duration, news: News) -> Option<PeerName> {
+    pub fn found(&mut self, now: Duration, asked: Duration, news: Observation) -> Option<PeerName> {
         let known = self.nodes.get_mut(&news.node)?;
         if news.failed {
             known.failures.insert(self.me.clone(), now);
@@ -134,7 +134,7 @@
     }
 
     /// A peer says this.
-    pub fn told(&mut self, now: Duration, by: &PeerName, news: News) -> Verdict {
+    pub fn told(&mut self, now: Duration, by: &PeerName, news: Observation) -> Verdict {
         if self.distrusted.get(by).is_some_and(|until| *until > now) || news.age > OLDEST {
             return Verdict::Dropped;
         }
@@ -169,14 +169,14 @@
     }
 
     /// What peers have told of a node last, where that is of use yet.
-    pub fn told_of(&self, now: Duration, node: SocketAddr) -> Option<Evidence> {
+    pub fn latest_observation(&self, now: Duration, node: SocketAddr) -> Option<DatedObservation> {
         let Found { at, news } = self.nodes.get(&node)?.told.as_ref()?;
         (now.saturating_sub(*at) <= OLDEST).then(|| evidence(now, *at, news))
     }
 
     /// Own findings that are due to be sent to so many peers, newest first, in letters; what the budget does not
     /// allow now waits, and what is too old by then is never sent.
-    pub fn outgoing(&mut self, now: Duration, peers: usize) -> Vec<Vec<News>> {
+    pub fn outgoing(&mut self, now: Duration, peers: usize) -> Vec<Vec<Observation>> {
         let passed = now.saturating_sub(self.counted).as_secs_f64();
         (self.saved, self.counted) = ((self.saved + self.rate * passed).min(self.rate * SAVED), now);
         if peers == 0 {
@@ -190,7 +190,7 @@
             due.extend(self.nodes[node].own.as_ref().map(|found| (found.at, *node)));
         }
         due.sort_by(|one, other| other.cmp(one));
-        let (mut letters, mut room): (Vec<Vec<News>>, usize) = (Vec::new(), 0);
+        let (mut letters, mut room): (Vec<Vec<Observation>>, usize) = (Vec::new(), 0);
         for part in due.chunks(NEWS_ALONG) {
             let bytes = (LETTER_BYTES + NEWS_BYTES * part.len() as f64) * peers as f64;
             // A budget too small for one letter would send none ever.
@@ -217,20 +217,20 @@
 
     /// All that is known and not too old, for one who starts or comes back, in letters. Failures are not told:
     /// only who has failed itself may say so.
-    pub fn record(&self, now: Duration) -> Vec<Vec<News>> {
+    pub fn record(&self, now: Duration) -> Vec<Vec<Observation>> {
         let mut nodes: Vec<SocketAddr> = self.nodes.keys().copied().collect();
         nodes.sort_unstable();
         let letters = nodes.chunks(NEWS_ALONG).map(|part| self.letter(now, part.iter().copied(), true));
         letters.filter(|letter| !letter.is_empty()).collect()
     }
 
-    fn letter(&self, now: Duration, nodes: impl Iterator<Item = SocketAddr>, whole: bool) -> Vec<News> {
-        let pick = |known: &Known| -> Option<News> {
+    fn letter(&self, now: Duration, nodes: impl Iterator<Item = SocketAddr>, whole: bool) -> Vec<Observation> {
+        let pick = |known: &Known| -> Option<Observation> {
             let told = known.told.as_ref().filter(|_| whole);
             let all = known.own.iter().chain(told).filter(|found| !whole || !found.news.failed);
             let Found { at, news } = all.max_by_key(|found| found.at)?;
             let age = now.saturating_sub(*at);
-            (age <= OLDEST).then(|| News { age, ..news.clone() })
+            (age <= OLDEST).then(|| Observation { age, ..news.clone() })
         };
         nodes.filter_map(|node| pick(&self.nodes[&node])).collect()
     }
--- a/crates/membership/src/scheduler.rs
+++ b/crates/membership/src/scheduler.rs
@@ -12,7 +12,7 @@
 use std::hash::Hash;
 use std::time::Duration;
 
-use crate::quick::QuickMap;
+use crate::fast_hash_map::FastHashMap;
 
 /// Lower numbers go first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -35,7 +35,7 @@
 
 pub struct Scheduler<J> {
     /// Looked up, never gone through: nothing hangs on its order.
-    jobs: QuickMap<J, Job>,
+    jobs: FastHashMap<J, Job>,
     /// All jobs that are not ready, by a time before which they are not due.
     due: BTreeSet<(Duration, J)>,
     /// Those whose time has come.
@@ -50,7 +50,7 @@
 impl<J: Copy + Ord + Hash> Scheduler<J> {
     /// A budget of `rate` cost units a second, of which `burst` may be saved up.
     pub fn new(rate: f64, burst: f64, now: Duration) -> Self {
-        let (jobs, due, ready) = (QuickMap::default(), BTreeSet::new(), BTreeSet::new());
+        let (jobs, due, ready) = (FastHashMap::default(), BTreeSet::new(), BTreeSet::new());
         Self { jobs, due, ready, rate, burst, saved: burst, counted: now }
     }
 
--- a/crates/membership/src/duties.rs
+++ b/crates/membership/src/sharded_tasks.rs
@@ -10,15 +10,15 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use crate::ids::{DutyId, KindId, PeerName, Subject};
-use crate::quick::QuickMap;
+use crate::ids::{TaskId, TaskKind, PeerName, Subject};
+use crate::fast_hash_map::FastHashMap;
 use crate::rendezvous::{self, Candidate};
 use crate::scheduler::{Priority, Scheduler};
 
 /// What holds for all duties of a kind.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Plan {
-    pub kind: KindId,
+pub struct TaskParams {
+    pub kind: TaskKind,
     /// How often it is to be done, by all routers together.
     pub period: Duration,
     /// How much later each further one in line picks it up.
@@ -32,8 +32,8 @@
     pub cost: f64,
 }
 
-struct Duty {
-    plan: Plan,
+struct ShardedTask {
+    plan: TaskParams,
     zone: u16,
     /// When anybody last did it, as far as is known.
     done: Option<Duration>,
@@ -50,12 +50,12 @@
 
 /// The rule of hand-over, all of it: when the router that so many stand before would do a duty, by what it knows of
 /// when anybody last did it (or since when it is owed), and from when on its own last beginning lets it.
-pub fn due(plan: &Plan, done: Option<Duration>, since: Duration, rested: Duration, place: u32) -> Duration {
+pub fn due(plan: &TaskParams, done: Option<Duration>, since: Duration, rested: Duration, place: u32) -> Duration {
     let owed = done.map_or(since, |done| done + plan.period);
     (owed + plan.grace * place).max(rested)
 }
 
-impl Duty {
+impl ShardedTask {
     /// When this router would do it; never while it owns no duties.
     fn due(&self) -> Option<Duration> {
         let rested = self.begun.map_or(Duration::ZERO, |begun| {
@@ -70,19 +70,19 @@
     }
 }
 
-pub struct Duties {
+pub struct ShardedTasks {
     me: PeerName,
     /// By hash, as each piece of news looks one up; whoever goes through all of them does the same to each.
-    duties: QuickMap<DutyId, Duty>,
+    duties: FastHashMap<TaskId, ShardedTask>,
     candidates: Vec<Candidate>,
-    scheduler: Scheduler<DutyId>,
+    scheduler: Scheduler<TaskId>,
 }
 
-impl Duties {
+impl ShardedTasks {
     /// With a budget in cost units a second and the most that may be saved of it.
     pub fn new(me: PeerName, rate: f64, burst: f64, now: Duration) -> Self {
         let scheduler = Scheduler::new(rate, burst, now);
-        Self { me, duties: QuickMap::default(), candidates: Vec::new(), scheduler }
+        Self { me, duties: FastHashMap::default(), candidates: Vec::new(), scheduler }
     }
 
     /// The routers that own duties by now. This one owns none while it is not among them. Whether they are others
@@ -105,17 +105,17 @@
     }
 
     /// The subjects of a kind, with their zones: those that are not named are forgotten.
-    pub fn subjects_changed(&mut self, now: Duration, plan: Plan, subjects: &BTreeMap<Subject, u16>) {
-        let gone = |id: &DutyId| id.kind == plan.kind && !subjects.contains_key(&id.subject);
+    pub fn subjects_changed(&mut self, now: Duration, plan: TaskParams, subjects: &BTreeMap<Subject, u16>) {
+        let gone = |id: &TaskId| id.kind == plan.kind && !subjects.contains_key(&id.subject);
         for id in self.duties.keys().copied().filter(gone).collect::<Vec<_>>() {
             self.duties.remove(&id);
             self.scheduler.remove(id);
         }
         for (subject, zone) in subjects {
-            let id = DutyId { kind: plan.kind, subject: *subject };
+            let id = TaskId { kind: plan.kind, subject: *subject };
             let since = now + plan.period.mul_f64(rendezvous::phase(id, &self.me));
             let place = rendezvous::place(id, *zone, &self.me, &self.candidates);
-            let duty = self.duties.entry(id).or_insert(Duty {
+            let duty = self.duties.entry(id).or_insert(ShardedTask {
                 plan,
                 zone: *zone,
                 done: None,
@@ -136,7 +136,7 @@
     }
 
     /// Somebody did it then, or something else made it needless.
-    pub fn done(&mut self, id: DutyId, at: Duration) {
+    pub fn done(&mut self, id: TaskId, at: Duration) {
         if let Some(duty) = self.duties.get_mut(&id)
             && duty.done < Some(at)
         {
@@ -151,7 +151,7 @@
     }
 
     /// This router's own doing has ended; how long it takes does not matter to the next.
-    pub fn ended(&mut self, now: Duration, id: DutyId) {
+    pub fn ended(&mut self, now: Duration, id: TaskId) {
         if let Some(duty) = self.duties.get_mut(&id) {
             duty.running = false;
             duty.done = duty.done.max(Some(duty.begun.unwrap_or(now)));
@@ -160,7 +160,7 @@
     }
 
     /// There is reason to do it sooner: to the next two in line it is owed at once.
-    pub fn doubted(&mut self, now: Duration, id: DutyId) {
+    pub fn doubted(&mut self, now: Duration, id: TaskId) {
         if let Some(duty) = self.duties.get_mut(&id)
             && duty.place.is_some_and(|place| place <= 1)
             && let Some(due) = duty.due()
@@ -174,7 +174,7 @@
 
     /// Whether it may be done here out of turn, for one who needs it now; it then counts as begun. Only what is
     /// overdue is, or what nobody else's doing could stand in for (`alone`), and never below the floor.
-    pub fn claim(&mut self, now: Duration, id: DutyId, alone: bool) -> bool {
+    pub fn claim(&mut self, now: Duration, id: TaskId, alone: bool) -> bool {
         let Some(duty) = self.duties.get_mut(&id) else { return false };
         let overdue = duty.done.is_none_or(|done| done + duty.plan.period + duty.plan.grace <= now);
         let rested = duty.begun.is_none_or(|begun| begun + duty.plan.floor <= now);
@@ -186,8 +186,8 @@
     }
 
     /// What is to be done now, one at a time until nothing is.
-    pub fn next(&mut self, now: Duration) -> Option<DutyId> {
-        let put_off = |id| self.duties.get(&id).and_then(Duty::wanted);
+    pub fn next(&mut self, now: Duration) -> Option<TaskId> {
+        let put_off = |id| self.duties.get(&id).and_then(ShardedTask::wanted);
         let id = self.scheduler.take_but(now, put_off)?;
         let duty = self.duties.get_mut(&id)?;
         begin(&mut self.scheduler, now, id, duty);
@@ -201,23 +201,23 @@
 
     /// In bytes, without what an allocator adds.
     pub fn state_bytes(&self) -> usize {
-        self.duties.len() * size_of::<(DutyId, Duty)>()
+        self.duties.len() * size_of::<(TaskId, ShardedTask)>()
             + self.candidates.len() * size_of::<Candidate>()
             + self.scheduler.state_bytes()
     }
 
-    pub fn is_known(&self, id: DutyId) -> bool {
+    pub fn is_known(&self, id: TaskId) -> bool {
         self.duties.contains_key(&id)
     }
 }
 
 /// The one place where a duty is begun, so that its floor holds on every way.
-fn begin(scheduler: &mut Scheduler<DutyId>, now: Duration, id: DutyId, duty: &mut Duty) {
+fn begin(scheduler: &mut Scheduler<TaskId>, now: Duration, id: TaskId, duty: &mut ShardedTask) {
     (duty.begun, duty.running) = (Some(now), true);
     schedule(scheduler, id, duty);
 }
 
-fn schedule(scheduler: &mut Scheduler<DutyId>, id: DutyId, duty: &mut Duty) {
+fn schedule(scheduler: &mut Scheduler<TaskId>, id: TaskId, duty: &mut ShardedTask) {
     duty.hurried = None;
     match duty.due() {
         Some(due) => scheduler.set(id, due, duty.plan.priority, duty.plan.cost),
--- a/crates/membership/tests/budgets.rs
+++ b/crates/membership/tests/budgets.rs
@@ -6,12 +6,12 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use quillpoint_membership::duties::Plan;
+use quillpoint_membership::sharded_tasks::TaskParams;
 use quillpoint_membership::fleet::TICK;
-use quillpoint_membership::ids::{DutyId, KindId, Subject};
+use quillpoint_membership::ids::{TaskId, TaskKind, Subject};
 use quillpoint_membership::scheduler::Priority;
 use quillpoint_membership::{
-    Body, Card, Event, Evidence, Fleet, Host, Incarnation, Letter, Life, News, PeerName, Plans, State,
+    GossipBody, MemberRecord, Event, DatedObservation, Fleet, Host, Incarnation, GossipMessage, MemberVersion, Observation, PeerName, FleetParams, MemberState,
 };
 
 const NODES: u16 = 3000;
@@ -28,38 +28,38 @@
     SocketAddr::from(([10, 2, 0, 1], number))
 }
 
-fn card(name: &str, state: State) -> Card {
-    let life = Life { incarnation: Incarnation(1), version: 0 };
+fn card(name: &str, state: MemberState) -> MemberRecord {
+    let life = MemberVersion { incarnation: Incarnation(1), version: 0 };
     let address = SocketAddr::from(([10, 1, 0, name.as_bytes()[1]], 7400));
-    Card { name: PeerName::new(name).unwrap(), life, address, zone: 0, weight: 1, state }
+    MemberRecord { name: PeerName::new(name).unwrap(), life, address, zone: 0, weight: 1, state }
 }
 
 /// What the member asked for since it was last looked at.
 #[derive(Default)]
 struct Asked {
-    sent: Vec<Letter>,
-    performed: Vec<DutyId>,
+    sent: Vec<GossipMessage>,
+    performed: Vec<TaskId>,
 }
 
 struct Hand(Rc<RefCell<Asked>>);
 
 impl Host for Hand {
-    fn send(&mut self, _: SocketAddr, _: Option<Incarnation>, letter: Letter) {
+    fn send(&mut self, _: SocketAddr, _: Option<Incarnation>, letter: GossipMessage) {
         self.0.borrow_mut().sent.push(letter);
     }
     fn wake(&mut self, _: Duration) {}
-    fn perform(&mut self, duty: DutyId) {
+    fn run_task(&mut self, duty: TaskId) {
         self.0.borrow_mut().performed.push(duty);
     }
-    fn hear(&mut self, _: Evidence) {}
+    fn observation_received(&mut self, _: DatedObservation) {}
     fn tell(&mut self, _: Event) {}
 }
 
 /// How often each node was probed, and how many findings were told, in two seconds of a member whose one peer answers
 /// its pings and does nothing else.
 fn two_seconds(grows: bool) -> (BTreeMap<SocketAddr, usize>, usize) {
-    let probe = Plan {
-        kind: KindId(0),
+    let probe = TaskParams {
+        kind: TaskKind(0),
         period: PERIOD,
         grace: PERIOD,
         floor: PERIOD,
@@ -67,12 +67,12 @@
         priority: Priority(0),
         cost: 1.0,
     };
-    let plans = Plans { probe, work_rate: WORK, work_burst: WORK / 10.0, news_rate: NEWS, grows };
+    let plans = FleetParams { probe, work_rate: WORK, work_burst: WORK / 10.0, news_rate: NEWS, grows };
     let asked = Rc::new(RefCell::new(Asked::default()));
     let mut fleet =
-        Fleet::new(Hand(Rc::clone(&asked)), card("r1", State::Joining), Vec::new(), plans, 1, ms(0));
+        Fleet::new(Hand(Rc::clone(&asked)), card("r1", MemberState::Joining), Vec::new(), plans, 1, ms(0));
     fleet.nodes_changed(ms(0), &(0..NODES).map(|number| (node(number), 0)).collect());
-    let peer = card("r2", State::Up);
+    let peer = card("r2", MemberState::Up);
     let (mut probes, mut told) = (BTreeMap::new(), 0);
     let mut now = ms(0);
     let counted = ms(8000);
@@ -80,13 +80,13 @@
         now += TICK;
         fleet.timer_fired(now);
         if now == TICK {
-            let hello = Letter { from: peer.clone(), body: Body::Hello, cards: Vec::new() };
-            fleet.letter_arrived(now, hello);
+            let hello = GossipMessage { from: peer.clone(), body: GossipBody::JoinRequest, cards: Vec::new() };
+            fleet.message_arrived(now, hello);
         }
         let Asked { sent, performed } = std::mem::take(&mut *asked.borrow_mut());
         for duty in performed {
             let Subject::Node(node) = duty.subject else { continue };
-            let news = News {
+            let news = Observation {
                 node,
                 age: ms(0),
                 position: Some(now),
@@ -95,7 +95,7 @@
                 started: None,
                 failed: false,
             };
-            fleet.duty_ended(now, duty);
+            fleet.task_ended(now, duty);
             fleet.found(now, now, news);
             if now > counted {
                 *probes.entry(node).or_default() += 1;
@@ -103,11 +103,11 @@
         }
         for letter in sent {
             match letter.body {
-                Body::Ping(number) => {
-                    let ack = Letter { from: peer.clone(), body: Body::Ack(number), cards: Vec::new() };
-                    fleet.letter_arrived(now, ack);
+                GossipBody::Ping(number) => {
+                    let ack = GossipMessage { from: peer.clone(), body: GossipBody::Ack(number), cards: Vec::new() };
+                    fleet.message_arrived(now, ack);
                 }
-                Body::News(news) if now > counted => told += news.len(),
+                GossipBody::Observations(news) if now > counted => told += news.len(),
                 _ => {}
             }
         }
--- a/crates/membership/tests/handover.rs
+++ b/crates/membership/tests/handover.rs
@@ -1,4 +1,4 @@
-//! The hand-over of one duty among three routers, model-checked: the rule itself ([`duties::due`]) and the lines of
+//! The hand-over of one duty among three routers, model-checked: the rule itself ([`sharded_tasks::due`]) and the lines of
 //! rendezvous hashing as they are, in every order in which letters come or are lost, routers die and come back, and
 //! views change. Time goes in ticks.
 //!
@@ -7,8 +7,8 @@
 use std::time::Duration;
 
 use quillpoint_membership::PeerName;
-use quillpoint_membership::duties::{Plan, due};
-use quillpoint_membership::ids::{DutyId, KindId, Subject};
+use quillpoint_membership::sharded_tasks::{TaskParams, due};
+use quillpoint_membership::ids::{TaskId, TaskKind, Subject};
 use quillpoint_membership::rendezvous::{Candidate, place};
 use quillpoint_membership::scheduler::Priority;
 use stateright::{Checker, Model, Property};
@@ -72,9 +72,9 @@
     Duration::from_secs(count)
 }
 
-fn plan() -> Plan {
-    Plan {
-        kind: KindId(0),
+fn plan() -> TaskParams {
+    TaskParams {
+        kind: TaskKind(0),
         period: ticks(PERIOD),
         grace: ticks(GRACE),
         floor: ticks(FLOOR),
@@ -98,7 +98,7 @@
         let there = (0..ROUTERS).filter(|other| own.view & (1 << other) != 0);
         let candidates: Vec<Candidate> =
             there.map(|other| Candidate { name: name(other), zone: 0, weight: 1 }).collect();
-        let duty = DutyId { kind: KindId(0), subject: Subject::Installation };
+        let duty = TaskId { kind: TaskKind(0), subject: Subject::Installation };
         let place = if self.broken { 0 } else { place(duty, 0, &name(router), &candidates)? };
         let rested = own.begun.map_or(Duration::ZERO, |begun| ticks(begun + FLOOR));
         Some(due(&plan(), own.done.map(ticks), ticks(own.since), rested, place).as_secs())
@@ -110,7 +110,7 @@
 }
 
 impl Model for Faults {
-    type State = World;
+    type MemberState = World;
     type Action = Step;
 
     fn init_states(&self) -> Vec<World> {
--- a/crates/membership/tests/parts.rs
+++ b/crates/membership/tests/parts.rs
@@ -4,12 +4,12 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use quillpoint_membership::book::{Book, OLDEST, Verdict};
-use quillpoint_membership::duties::{Duties, Plan};
-use quillpoint_membership::ids::{DutyId, KindId, Subject};
+use quillpoint_membership::observation_store::{ObservationStore, OLDEST, Verdict};
+use quillpoint_membership::sharded_tasks::{ShardedTasks, TaskParams};
+use quillpoint_membership::ids::{TaskId, TaskKind, Subject};
 use quillpoint_membership::rendezvous::{Candidate, phase, place};
 use quillpoint_membership::scheduler::{Priority, Scheduler};
-use quillpoint_membership::{News, PeerName};
+use quillpoint_membership::{Observation, PeerName};
 
 fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
@@ -23,8 +23,8 @@
     SocketAddr::from(([10, 2, 0, 1], number))
 }
 
-fn duty(number: u16) -> DutyId {
-    DutyId { kind: KindId(0), subject: Subject::Node(node(number)) }
+fn duty(number: u16) -> TaskId {
+    TaskId { kind: TaskKind(0), subject: Subject::Node(node(number)) }
 }
 
 fn candidates(count: usize) -> Vec<Candidate> {
@@ -150,9 +150,9 @@
     assert_eq!(count(&mut scheduler, 9000), 2);
 }
 
-fn plan() -> Plan {
-    Plan {
-        kind: KindId(0),
+fn plan() -> TaskParams {
+    TaskParams {
+        kind: TaskKind(0),
         period: ms(100),
         grace: ms(50),
         floor: ms(100),
@@ -163,8 +163,8 @@
 }
 
 /// The duties of router 0, of which it heads none that are named.
-fn duties(routers: usize) -> Duties {
-    let mut duties = Duties::new(name(0), 1e6, 1e6, ms(0));
+fn duties(routers: usize) -> ShardedTasks {
+    let mut duties = ShardedTasks::new(name(0), 1e6, 1e6, ms(0));
     let subjects: BTreeMap<Subject, u16> = (0..50).map(|number| (Subject::Node(node(number)), 0)).collect();
     duties.subjects_changed(ms(0), plan(), &subjects);
     duties.view_changed(ms(0), candidates(routers));
@@ -193,8 +193,8 @@
     let all = candidates(3);
     let at = |stands| (0..50).find(|number| place(duty(*number), 0, &name(0), &all) == Some(stands)).unwrap();
     let (own, next) = (duty(at(0)), duty(at(1)));
-    let done = |duties: &mut Duties, now: u64| -> Vec<DutyId> {
-        let all: Vec<DutyId> = std::iter::from_fn(|| duties.next(ms(now))).collect();
+    let done = |duties: &mut ShardedTasks, now: u64| -> Vec<TaskId> {
+        let all: Vec<TaskId> = std::iter::from_fn(|| duties.next(ms(now))).collect();
         all.iter().for_each(|id| duties.ended(ms(now), *id));
         all
     };
@@ -208,7 +208,7 @@
         assert!(!doing.contains(&own) && !doing.contains(&next), "at {now}");
     }
     // Nobody does any more: the own one after a period, the other's a grace later.
-    let first = |duties: &mut Duties, id: DutyId, from: u64| {
+    let first = |duties: &mut ShardedTasks, id: TaskId, from: u64| {
         (from..from + 1000).step_by(10).find(|now| done(duties, *now).contains(&id))
     };
     assert_eq!(first(&mut duties, own, 2000), Some(2090));
@@ -226,16 +226,16 @@
 
 #[test]
 fn what_was_last_done_long_ago_is_owed_as_soon_as_that_is_heard() {
-    let mut duties = Duties::new(name(0), 1e6, 1e6, ms(10_000));
+    let mut duties = ShardedTasks::new(name(0), 1e6, 1e6, ms(10_000));
     let subjects: BTreeMap<Subject, u16> = (0..50).map(|number| (Subject::Node(node(number)), 0)).collect();
     duties.view_changed(ms(10_000), candidates(1));
     // What nobody is known to have done is spread over a period.
     duties.subjects_changed(ms(10_000), plan(), &subjects);
     let late = (0..50).map(duty).filter(|id| phase(*id, &name(0)) > 0.5);
-    let late: Vec<DutyId> = late.take(2).collect();
+    let late: Vec<TaskId> = late.take(2).collect();
     duties.done(late[0], ms(5000));
     duties.done(late[1], ms(9990));
-    let now: Vec<DutyId> = std::iter::from_fn(|| duties.next(ms(10_010))).collect();
+    let now: Vec<TaskId> = std::iter::from_fn(|| duties.next(ms(10_010))).collect();
     assert!(now.contains(&late[0]) && !now.contains(&late[1]), "{now:?}");
 }
 
@@ -257,9 +257,9 @@
     assert_eq!(std::iter::from_fn(|| duties.next(ms(500))).collect::<Vec<_>>(), [duty(7)]);
 }
 
-fn news(number: u16, position: u64) -> News {
+fn news(number: u16, position: u64) -> Observation {
     let position = Some(ms(position));
-    News {
+    Observation {
         node: node(number),
         age: ms(0),
         position,
@@ -270,12 +270,12 @@
     }
 }
 
-fn failure(number: u16) -> News {
-    News { position: None, failed: true, ..news(number, 0) }
+fn failure(number: u16) -> Observation {
+    Observation { position: None, failed: true, ..news(number, 0) }
 }
 
-fn book(nodes: u16, rate: f64) -> Book {
-    let mut book = Book::new(name(0), rate, ms(0));
+fn book(nodes: u16, rate: f64) -> ObservationStore {
+    let mut book = ObservationStore::new(name(0), rate, ms(0));
     book.nodes_changed(&(0..nodes).map(node).collect());
     book
 }
@@ -323,21 +323,21 @@
 #[test]
 fn what_was_told_last_is_known_to_who_asks_as_long_as_it_is_of_use() {
     let mut book = book(2, 1e6);
-    assert_eq!(book.told_of(ms(900), node(0)), None);
+    assert_eq!(book.latest_observation(ms(900), node(0)), None);
     let Verdict::Believed(first) = book.told(ms(1000), &name(1), news(0, 900)) else { panic!("an answer") };
-    assert_eq!(book.told_of(ms(1000), node(0)), Some(first));
+    assert_eq!(book.latest_observation(ms(1000), node(0)), Some(first));
     // Older words, failures and own findings are no later word of others.
-    book.told(ms(1000), &name(2), News { age: ms(500), ..news(0, 400) });
+    book.told(ms(1000), &name(2), Observation { age: ms(500), ..news(0, 400) });
     book.told(ms(1100), &name(2), failure(0));
     book.found(ms(1200), ms(1190), news(0, 1150));
-    assert_eq!(book.told_of(ms(1200), node(0)), Some(first));
+    assert_eq!(book.latest_observation(ms(1200), node(0)), Some(first));
     let Verdict::Believed(later) = book.told(ms(1300), &name(2), news(0, 1290)) else { panic!("an answer") };
-    assert_eq!(book.told_of(ms(1300) + OLDEST, node(0)), Some(later));
-    assert_eq!(book.told_of(ms(1301) + OLDEST, node(0)), None, "too old");
-    assert_eq!((book.told_of(ms(1300), node(1)), book.told_of(ms(1300), node(9))), (None, None));
+    assert_eq!(book.latest_observation(ms(1300) + OLDEST, node(0)), Some(later));
+    assert_eq!(book.latest_observation(ms(1301) + OLDEST, node(0)), None, "too old");
+    assert_eq!((book.latest_observation(ms(1300), node(1)), book.latest_observation(ms(1300), node(9))), (None, None));
     // The node itself contradicts it.
     assert_eq!(book.found(ms(1400), ms(1350), news(0, 1000)), Some(name(2)));
-    assert_eq!(book.told_of(ms(1400), node(0)), None);
+    assert_eq!(book.latest_observation(ms(1400), node(0)), None);
 }
 
 #[test]
@@ -350,7 +350,7 @@
     assert!(evidence.failed);
     // Its own answer outweighs failures that were found before.
     book.found(ms(9000), ms(8990), news(0, 8900));
-    assert_eq!(book.told(ms(9000), &name(1), News { age: ms(100), ..failure(0) }), Verdict::Dropped);
+    assert_eq!(book.told(ms(9000), &name(1), Observation { age: ms(100), ..failure(0) }), Verdict::Dropped);
     assert_eq!(book.told(ms(9100), &name(1), failure(0)), Verdict::Doubt, "counted anew");
 }
 
@@ -369,7 +369,7 @@
 #[test]
 fn what_is_old_or_of_no_listed_node_or_of_the_future_counts_for_nothing() {
     let mut book = book(1, 1e6);
-    let old = News { age: OLDEST + ms(1), ..news(0, 900) };
+    let old = Observation { age: OLDEST + ms(1), ..news(0, 900) };
     assert_eq!(book.told(ms(20_000), &name(1), old), Verdict::Dropped);
     assert_eq!(book.told(ms(20_000), &name(1), news(9, 900)), Verdict::Dropped);
     let Verdict::Believed(evidence) = book.told(ms(20_000), &name(1), news(0, 20_001)) else {
--- a/crates/observation-feed/src/lib.rs
+++ b/crates/observation-feed/src/lib.rs
@@ -10,7 +10,7 @@
 //! act by calling their [`Host`]. Time is handed in as a span on a clock of the process's own that only goes forward;
 //! chance comes from the given seed. docs/feed.md says why things are as they are.
 
-pub mod book;
+pub mod observation_store;
 pub mod clock;
 pub mod copy;
 pub mod host;
--- a/crates/observation-feed/src/book.rs
+++ b/crates/observation-feed/src/observation_store.rs
@@ -10,7 +10,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use quillpoint_membership::Evidence;
+use quillpoint_membership::DatedObservation;
 
 use crate::message::{
     CHANGES_ALONG, CLASSES, Change, Chunk, Digest, ENTRIES_ALONG, Entry, LagClass, PARTS, PartId, Revision,
@@ -82,7 +82,7 @@
     Better,
 }
 
-pub struct Book {
+pub struct ObservationStore {
     period: Duration,
     parts: Vec<Part>,
     log: VecDeque<Logged>,
@@ -90,7 +90,7 @@
     turn: usize,
 }
 
-impl Book {
+impl ObservationStore {
     /// `period`: how often each database is probed by all together.
     pub fn new(period: Duration, turn: usize) -> Self {
         let parts = (0..PARTS).map(|_| Part::default()).collect();
@@ -121,7 +121,7 @@
     }
 
     /// A word that is older than what is known changes nothing.
-    pub fn seen(&mut self, now: Duration, evidence: Evidence) {
+    pub fn seen(&mut self, now: Duration, evidence: DatedObservation) {
         let part = &mut self.parts[PartId::of(evidence.node).0 as usize];
         let Some(known) = part.nodes.get_mut(&evidence.node) else { return };
         let at = evidence.at.min(now);
--- a/crates/observation-feed/src/publisher.rs
+++ b/crates/observation-feed/src/publisher.rs
@@ -4,11 +4,11 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use quillpoint_membership::{Evidence, Incarnation, PeerName};
+use quillpoint_membership::{DatedObservation, Incarnation, PeerName};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use crate::book::Book;
+use crate::observation_store::ObservationStore;
 use crate::host::{Event, Host};
 use crate::message::{CLASSES, Digest, DigestNo, Message, PARTS, PartId};
 use crate::pace::Bucket;
@@ -64,7 +64,7 @@
     host: H,
     plan: Plan,
     chance: ChaCha8Rng,
-    book: Book,
+    book: ObservationStore,
     instances: usize,
     subscribers: BTreeMap<PeerName, Subscriber>,
     /// Who waits for copies, each once.
@@ -86,7 +86,7 @@
 impl<H: Host> Publisher<H> {
     pub fn new(host: H, plan: Plan, seed: u64, now: Duration) -> Self {
         let mut chance = ChaCha8Rng::seed_from_u64(seed);
-        let book = Book::new(plan.period, chance.next_u32() as usize);
+        let book = ObservationStore::new(plan.period, chance.next_u32() as usize);
         let copies = Bucket::new(plan.copy_rate, plan.copy_rate * SAVED, now);
         let mut publisher = Self {
             host,
@@ -120,7 +120,7 @@
     }
 
     /// This control instance, or another of its fleet, has seen this.
-    pub fn seen(&mut self, now: Duration, evidence: Evidence) {
+    pub fn seen(&mut self, now: Duration, evidence: DatedObservation) {
         self.book.seen(now, evidence);
     }
 
--- a/crates/observation-feed/src/shelf.rs
+++ b/crates/observation-feed/src/shelf.rs
@@ -3,17 +3,17 @@
 
 use std::hash::Hash;
 
-use quillpoint_membership::quick::QuickMap;
+use quillpoint_membership::fast_hash_map::FastHashMap;
 
 pub struct Shelf<K, V> {
     keys: Vec<K>,
     values: Vec<V>,
-    places: QuickMap<K, usize>,
+    places: FastHashMap<K, usize>,
 }
 
 impl<K, V> Default for Shelf<K, V> {
     fn default() -> Self {
-        Self { keys: Vec::new(), values: Vec::new(), places: QuickMap::default() }
+        Self { keys: Vec::new(), values: Vec::new(), places: FastHashMap::default() }
     }
 }
 
--- a/crates/observation-feed/src/subscriber.rs
+++ b/crates/observation-feed/src/subscriber.rs
@@ -531,7 +531,7 @@
 
     /// Whether this router may probe a database now. While it is told of it: only where `alone` (nobody else's probe
     /// is of use). While no control instance speaks, or none that has seen it: within its own paced share.
-    pub fn claim_probe(&mut self, now: Duration, node: SocketAddr, alone: bool) -> bool {
+    pub fn claim_health_check(&mut self, now: Duration, node: SocketAddr, alone: bool) -> bool {
         if self.left {
             return false;
         }
--- a/crates/observation-feed/tests/parts.rs
+++ b/crates/observation-feed/tests/parts.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use quillpoint_observation_feed::book::Book;
+use quillpoint_observation_feed::observation_store::ObservationStore;
 use quillpoint_observation_feed::clock::Shortest;
 use quillpoint_observation_feed::copy::{Copy, Cover};
 use quillpoint_observation_feed::line::line;
@@ -18,7 +18,7 @@
     Change, Control, Entry, Envelope, Event, Host, Message, Publisher, Standing, Subscriber, Word, publisher,
     size, subscriber,
 };
-use quillpoint_membership::{Evidence, Incarnation, PeerName};
+use quillpoint_membership::{DatedObservation, Incarnation, PeerName};
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
@@ -36,8 +36,8 @@
     PeerName::new(name).unwrap()
 }
 
-fn evidence(number: u16, at: Duration, lag: Duration) -> Evidence {
-    Evidence {
+fn evidence(number: u16, at: Duration, lag: Duration) -> DatedObservation {
+    DatedObservation {
         node: node(number),
         at,
         position: Some(at - lag),
@@ -100,15 +100,15 @@
 }
 
 /// A book of so many databases, all seen at that time, whose first revision has been made.
-fn book(nodes: u16, now: Duration) -> Book {
-    let mut book = Book::new(PERIOD, 0);
+fn book(nodes: u16, now: Duration) -> ObservationStore {
+    let mut book = ObservationStore::new(PERIOD, 0);
     book.nodes_changed(now, &(0..nodes).map(node).collect());
     (0..nodes).for_each(|number| book.seen(now, evidence(number, now, ms(0))));
     assert!(!book.revise(now, 1000, true));
     book
 }
 
-fn digest(book: &Book, now: Duration) -> Digest {
+fn digest(book: &ObservationStore, now: Duration) -> Digest {
     let mut digest = Digest {
         number: DigestNo(1),
         sent: now,
@@ -123,7 +123,7 @@
     digest
 }
 
-fn standing(book: &Book, number: u16) -> Standing {
+fn standing(book: &ObservationStore, number: u16) -> Standing {
     let all = book.copy(PartId::of(node(number))).into_iter().flat_map(|chunk| chunk.alike);
     all.filter(|(_, nodes)| nodes.contains(&node(number))).map(|(entry, _)| entry.standing).next().unwrap()
 }
@@ -217,10 +217,10 @@
 #[test]
 fn an_older_word_changes_nothing_and_a_failure_holds_until_an_answer() {
     let mut book = book(10, ms(10_000));
-    book.seen(ms(10_050), Evidence { failed: true, position: None, ..evidence(1, ms(9000), ms(0)) });
+    book.seen(ms(10_050), DatedObservation { failed: true, position: None, ..evidence(1, ms(9000), ms(0)) });
     book.revise(ms(10_050), 1000, true);
     assert_eq!(standing(&book, 1), Standing::Seen(LagClass(0)), "it has been seen since");
-    book.seen(ms(10_080), Evidence { failed: true, position: None, ..evidence(1, ms(10_080), ms(0)) });
+    book.seen(ms(10_080), DatedObservation { failed: true, position: None, ..evidence(1, ms(10_080), ms(0)) });
     book.revise(ms(10_080), 1000, true);
     assert_eq!(standing(&book, 1), Standing::Down);
     book.seen(ms(10_090), evidence(1, ms(10_070), ms(0)));
@@ -321,13 +321,13 @@
         SocketAddr::from((address, 60_000 + (number % 5000) as u16))
     };
     let now = Duration::new(u64::MAX / 2, 999_999_999);
-    let mut book = Book::new(ms(150), 0);
+    let mut book = ObservationStore::new(ms(150), 0);
     book.nodes_changed(now, &(0..20_000).map(far).collect());
-    let say = |book: &mut Book, at: Duration, flip: bool| {
+    let say = |book: &mut ObservationStore, at: Duration, flip: bool| {
         for number in 0..20_000 {
             book.seen(
                 at,
-                Evidence {
+                DatedObservation {
                     node: far(number),
                     at,
                     position: Some(at - Duration::new(u64::from(number % 9), 999)),
@@ -621,7 +621,7 @@
     router.message_arrived(ms(4700), &name("c7"), Incarnation(1), Message::Digest(said(99, 9000, 1)));
     router.timer_fired(ms(4700));
     assert_eq!(router.known(ms(4700), three), None);
-    assert!(!router.claim_probe(ms(4700), node(9), true), "not on the list");
+    assert!(!router.claim_health_check(ms(4700), node(9), true), "not on the list");
     // Of a later start nothing earlier holds.
     router.message_arrived(ms(4750), &control, Incarnation(8), Message::Digest(said(1, 100, 1)));
     assert_eq!(router.known(ms(4750), one), None);
--- a/crates/observation-feed/tests/replays.rs
+++ b/crates/observation-feed/tests/replays.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use quillpoint_observation_feed::{Control, Event, Host, Message, Publisher, Subscriber, Word, publisher, subscriber};
-use quillpoint_membership::{Evidence, Incarnation, PeerName};
+use quillpoint_membership::{DatedObservation, Incarnation, PeerName};
 
 type Sent = (SocketAddr, Option<Incarnation>, Message);
 
@@ -79,7 +79,7 @@
         for port in 0..10 {
             let (node, at) = (SocketAddr::from(([10, 2, 0, 1], port)), ms(now));
             let (position, primary) = (Some(at), Some(port == 0));
-            let seen = Evidence { node, at, position, primary, waiting: None, started: None, failed: false };
+            let seen = DatedObservation { node, at, position, primary, waiting: None, started: None, failed: false };
             self.publisher.seen(at, seen);
         }
         self.publisher.timer_fired(ms(now));
--- a/crates/observation-feed/tests/world/mod.rs
+++ b/crates/observation-feed/tests/world/mod.rs
@@ -11,7 +11,7 @@
 use quillpoint_observation_feed::publisher::{self, Publisher};
 use quillpoint_observation_feed::subscriber::{self, Subscriber};
 use quillpoint_observation_feed::{Control, Envelope, Event, Host, Message, Word};
-use quillpoint_membership::{Evidence, Incarnation, PeerName};
+use quillpoint_membership::{DatedObservation, Incarnation, PeerName};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -123,7 +123,7 @@
     stopped: bool,
     waiting: VecDeque<Parcel>,
     /// What its fleet has sent it meanwhile, dated when it was seen.
-    unheard: Vec<Evidence>,
+    unheard: Vec<DatedObservation>,
     timer_due: bool,
 }
 
@@ -158,7 +158,7 @@
 
 enum Due {
     Probe { database: usize, by: usize },
-    Evidence { to: usize, evidence: Evidence },
+    DatedObservation { to: usize, evidence: DatedObservation },
     ToPublisher { place: usize, life: u64, parcel: Parcel },
     ToRouter { place: usize, life: u64, parcel: Parcel },
     PublisherTimer { place: usize, life: u64 },
@@ -453,7 +453,7 @@
     pub fn claim(&mut self, router: usize, database: usize, alone: bool) -> bool {
         let now = self.now + self.routers[router].ahead;
         let Some(process) = &mut self.routers[router].process else { return false };
-        let may = process.side.claim_probe(now, address(database), alone);
+        let may = process.side.claim_health_check(now, address(database), alone);
         if may {
             *self.alone_probes.entry(tenth(self.now)).or_default() += 1;
         }
@@ -479,13 +479,13 @@
     fn step(&mut self, due: Due) {
         match due {
             Due::Probe { database, by } => self.probe(database, by),
-            Due::Evidence { to, evidence } => {
+            Due::DatedObservation { to, evidence } => {
                 let now = self.now + self.publishers[to].ahead;
                 let at = evidence.at + self.publishers[to].ahead;
                 if let Some(process) = &mut self.publishers[to].process {
                     match process.stopped {
-                        false => process.side.seen(now, Evidence { at, ..evidence }),
-                        true => process.unheard.push(Evidence { at, ..evidence }),
+                        false => process.side.seen(now, DatedObservation { at, ..evidence }),
+                        true => process.unheard.push(DatedObservation { at, ..evidence }),
                     }
                 }
             }
@@ -533,7 +533,7 @@
         let position = now.saturating_sub(database.lag);
         let before = database.sightings.back().map(|sighting| sighting.position);
         let position = before.map_or(position, |before| before.max(position));
-        let evidence = Evidence {
+        let evidence = DatedObservation {
             node: address(place),
             at: now,
             position: Some(position),
@@ -552,14 +552,14 @@
         let evidence = if database.up {
             evidence
         } else {
-            Evidence { position: None, primary: None, started: None, ..evidence }
+            DatedObservation { position: None, primary: None, started: None, ..evidence }
         };
         for to in 0..self.shape.publishers {
             if to == by {
-                self.step(Due::Evidence { to, evidence });
+                self.step(Due::DatedObservation { to, evidence });
             } else if !self.chance.random_bool(self.shape.unseen) && !self.blind.contains(&(to, place)) {
                 let after = self.shape.evidence_late.mul_f64(self.chance.random_range(0.0..1.0));
-                self.enter(now + after, Due::Evidence { to, evidence });
+                self.enter(now + after, Due::DatedObservation { to, evidence });
             }
         }
     }
--- a/crates/router/src/instance.rs
+++ b/crates/router/src/instance.rs
@@ -10,7 +10,7 @@
 use quillpoint::host::{NodeId, PeerWord};
 use quillpoint_control_plane::{Around, Peers, Publication};
 use quillpoint_observation_feed::Word;
-use quillpoint_membership::{Evidence, News};
+use quillpoint_membership::{DatedObservation, Observation};
 
 use crate::engine::{Engine, Finding, Sharing};
 use crate::peers;
@@ -35,7 +35,7 @@
         _ = self.peers.set(peers);
     }
 
-    fn seen(&self, evidence: Evidence) {
+    fn seen(&self, evidence: DatedObservation) {
         self.publication.seen(evidence);
     }
 
@@ -64,10 +64,10 @@
     /// What others find is told to the module while RPCs are under way, and asked for when one comes: of thousands of
     /// databases it may come a hundred thousand times a second, and an instance may serve nobody. One that is not
     /// reached is told at once.
-    fn hear(&self, evidence: Evidence) {
+    fn observation_received(&self, evidence: DatedObservation) {
         self.seen(evidence);
         if evidence.failed || self.engine.held() > 0 {
-            self.engine.hear(evidence);
+            self.engine.observation_received(evidence);
         }
     }
 
@@ -86,12 +86,12 @@
 
 impl Sharing for Instance {
     fn found(&self, finding: Finding) {
-        let News { node, position, primary, waiting, started, failed, .. } = peers::news(&finding);
+        let Observation { node, position, primary, waiting, started, failed, .. } = peers::news(&finding);
         // A failure counts when several have failed by themselves: the fleet says so. What was asked for at a moment
         // may have been read then, and no later.
         if !failed {
             let at = finding.asked;
-            self.seen(Evidence { node, at, position, primary, waiting, started, failed });
+            self.seen(DatedObservation { node, at, position, primary, waiting, started, failed });
         }
         if let Some(peers) = self.peers.get() {
             Sharing::found(&**peers, finding);
@@ -110,6 +110,6 @@
     }
 
     fn news_of(&self, node: NodeId) -> Option<PeerWord> {
-        self.peers.get()?.told_of(node.0).map(peers::heard_word)
+        self.peers.get()?.latest_observation(node.0).map(peers::heard_word)
     }
 }
--- a/crates/router/src/part.rs
+++ b/crates/router/src/part.rs
@@ -10,9 +10,9 @@
 use quillpoint_datagram::keys::{BadKeys, Keyring};
 use quillpoint_observation_feed::{Control, publisher, subscriber};
 use quillpoint_membership::PeerName;
-use quillpoint_membership::Plans;
-use quillpoint_membership::duties::Plan;
-use quillpoint_membership::ids::{BadName, KindId};
+use quillpoint_membership::FleetParams;
+use quillpoint_membership::sharded_tasks::Plan;
+use quillpoint_membership::ids::{InvalidPeerName, TaskKind};
 use quillpoint_membership::scheduler::Priority;
 
 use crate::config::Launch;
@@ -38,9 +38,9 @@
     #[error("fleet zone: expected one of the deployment's zones ({known}), found {found}")]
     Zone { known: String, found: String },
     #[error("name: to be in a fleet, or told by control instances, {0}")]
-    Name(#[from] BadName),
+    Name(#[from] InvalidPeerName),
     #[error("control {name}: {fault}")]
-    Control { name: String, fault: BadName },
+    Control { name: String, fault: InvalidPeerName },
     #[error("publish listen: expected another address than the fleet's, found {0} at both")]
     SameAddress(SocketAddr),
     /// The tables of `quillpoint-conf` see to it that this never comes.
@@ -89,8 +89,8 @@
         weight: count("weight")? as u8,
         keys: keys(conf, "fleet")?,
         seeds: conf.titles("peer").filter_map(|peer| conf.address("peer", peer, "address")).collect(),
-        plans: Plans {
-            probe: plan(conf, "probe", KindId(0), usual(launch))?,
+        plans: FleetParams {
+            probe: plan(conf, "probe", TaskKind(0), usual(launch))?,
             work_rate: rate,
             // A tenth of a second's work may come at once.
             work_burst: (rate / 10.0).max(1.0),
@@ -159,7 +159,7 @@
 }
 
 /// `usual` is how often it is done where the configuration does not say.
-fn plan(conf: &Conf, title: &str, kind: KindId, usual: Duration) -> Result<Plan, BadPart> {
+fn plan(conf: &Conf, title: &str, kind: TaskKind, usual: Duration) -> Result<Plan, BadPart> {
     let span = |name| conf.span("duty", title, name);
     let period = span("every").unwrap_or(usual);
     let count = |name| conf.count("duty", title, name).ok_or(BadPart::Missing("duty", name));
--- a/crates/router/src/peers.rs
+++ b/crates/router/src/peers.rs
@@ -7,7 +7,7 @@
 use quillpoint::host::{NodeId, PeerWord};
 use quillpoint_control_plane::{Around, Peers, Subscription};
 use quillpoint_observation_feed::Word;
-use quillpoint_membership::{Evidence, News};
+use quillpoint_membership::{DatedObservation, Observation};
 
 use crate::engine::{Engine, Finding, Sharing};
 
@@ -18,17 +18,17 @@
 }
 
 /// The same of what members of a fleet tell.
-pub(crate) fn heard_word(evidence: Evidence) -> PeerWord {
-    let Evidence { node, at, position, primary, waiting, started, failed } = evidence;
+pub(crate) fn heard_word(evidence: DatedObservation) -> PeerWord {
+    let DatedObservation { node, at, position, primary, waiting, started, failed } = evidence;
     let (node, waiting) = (NodeId(node), waiting.map(f64::from));
     PeerWord { node, at, position, primary, waiting, started, failed }
 }
 
 /// What a router has found out, as its fleet takes it.
-pub(crate) fn news(finding: &Finding) -> News {
+pub(crate) fn news(finding: &Finding) -> Observation {
     let Finding { node: NodeId(node), failed, position, primary, waiting, started, .. } = *finding;
     let waiting = waiting.map(|waiting| waiting.clamp(0.0, f64::from(u32::MAX)) as u32);
-    News { node, age: Duration::ZERO, position, primary, waiting, started, failed }
+    Observation { node, age: Duration::ZERO, position, primary, waiting, started, failed }
 }
 
 impl Around for Engine {
@@ -40,7 +40,7 @@
         Engine::nodes(self).into_iter().map(|(node, zone)| (node.0, zone.0 as u16)).collect()
     }
 
-    fn hear(&self, evidence: Evidence) {
+    fn observation_received(&self, evidence: DatedObservation) {
         self.peer_told(heard_word(evidence));
     }
 
--- a/crates/router/tests/instance.rs
+++ b/crates/router/tests/instance.rs
@@ -13,10 +13,10 @@
 use quillpoint_datagram::Sealer;
 use quillpoint_datagram::keys::Keyring;
 use quillpoint_observation_feed::publisher;
-use quillpoint_membership::duties::Plan;
-use quillpoint_membership::ids::KindId;
+use quillpoint_membership::sharded_tasks::TaskParams;
+use quillpoint_membership::ids::TaskKind;
 use quillpoint_membership::scheduler::Priority;
-use quillpoint_membership::{Body, Card, Incarnation, Letter, Life, News, PeerName, Plans, State};
+use quillpoint_membership::{GossipBody, MemberRecord, Incarnation, GossipMessage, MemberVersion, Observation, PeerName, FleetParams, MemberState};
 use quillpoint_router::deployment::Deployment;
 use quillpoint_router::engine::{Engine, Order, Owed, Sharing, Work};
 use quillpoint_router::instance::Instance;
@@ -70,11 +70,11 @@
         };
         engine.list_changed(Extent::Whole, &[listed(0), listed(1)]);
         let period = Duration::from_secs(60);
-        let (kind, longest, priority) = (KindId(0), Duration::from_secs(1), Priority(0));
-        let probe = Plan { kind, period, grace: period, floor: period, longest, priority, cost: 1.0 };
-        let plans = Plans { probe, work_rate: 100.0, work_burst: 100.0, news_rate: 1e6, grows: true };
+        let (kind, longest, priority) = (TaskKind(0), Duration::from_secs(1), Priority(0));
+        let probe = TaskParams { kind, period, grace: period, floor: period, longest, priority, cost: 1.0 };
+        let plans = FleetParams { probe, work_rate: 100.0, work_burst: 100.0, news_rate: 1e6, grows: true };
         let name = PeerName::new("c1").unwrap();
-        let plan = publisher::Plan {
+        let plan = publisher::TaskParams {
             period,
             every: Duration::from_millis(100),
             copy_rate: 1e6,
@@ -97,7 +97,7 @@
     fn told(&self, by: &str, at: NodeId, failed: bool) {
         let card = self.peers.fleet().members().me().clone();
         let now = self.engine.clock.now();
-        let news = News {
+        let news = Observation {
             node: at.0,
             age: Duration::ZERO,
             position: (!failed).then_some(now - Duration::from_millis(10)),
@@ -106,10 +106,10 @@
             started: None,
             failed,
         };
-        let life = Life { incarnation: Incarnation(5), version: 0 };
+        let life = MemberVersion { incarnation: Incarnation(5), version: 0 };
         let (name, address) = (PeerName::new(by).unwrap(), self.other.local_addr().unwrap());
-        let from = Card { name, life, address, zone: 0, weight: 1, state: State::Up };
-        let letter = Letter { from, body: Body::News(vec![news]), cards: Vec::new() };
+        let from = MemberRecord { name, life, address, zone: 0, weight: 1, state: MemberState::Up };
+        let letter = GossipMessage { from, body: GossipBody::Observations(vec![news]), cards: Vec::new() };
         let mut sealer = self.sealer.take();
         let bytes = sealer.seal(&keys(), Some(card.life.incarnation), &letter).unwrap();
         self.sealer.set(sealer);
--- a/crates/simulator/src/detectors.rs
+++ b/crates/simulator/src/detectors.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use quillpoint_membership::{Event, State};
+use quillpoint_membership::{Event, MemberState};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use serde::Serialize;
@@ -119,7 +119,7 @@
     let name = format!("r{}", routers - 1);
     let knows = |place: usize| {
         let known = world.events(place).iter().find(|(at, event)| {
-            *at >= killed && matches!(event, Event::PeerChanged { peer, state: State::Dead, .. } if peer.as_str() == name)
+            *at >= killed && matches!(event, Event::PeerChanged { peer, state: MemberState::Dead, .. } if peer.as_str() == name)
         });
         known.map_or(20.0, |(at, _)| (*at - killed).as_secs_f64())
     };
--- a/crates/simulator/src/feed_world.rs
+++ b/crates/simulator/src/feed_world.rs
@@ -10,9 +10,9 @@
 use quillpoint_datagram::Sealer;
 use quillpoint_datagram::keys::Keyring;
 use quillpoint_observation_feed::{Control, Envelope, Message, Publisher, Subscriber, Word, publisher, subscriber};
-use quillpoint_membership::ids::{DutyId, Subject};
+use quillpoint_membership::ids::{TaskId, Subject};
 use quillpoint_membership::{
-    Body, Card, Event, Evidence, Fleet, Host, Incarnation, Letter, Life, News, PeerName, Plans, State,
+    GossipBody, MemberRecord, Event, DatedObservation, Fleet, Host, Incarnation, GossipMessage, MemberVersion, Observation, PeerName, FleetParams, MemberState,
 };
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -37,7 +37,7 @@
     pub regions: usize,
     pub quality: Quality,
     /// Of the control instances' fleet.
-    pub plans: Plans,
+    pub plans: FleetParams,
     pub copy_rate: f64,
     /// How far behind every node's log position is.
     pub lag: Duration,
@@ -47,12 +47,12 @@
 /// What a process asked for during one call.
 #[derive(Default)]
 struct Wishes {
-    letters: Vec<(SocketAddr, Option<Incarnation>, Letter)>,
+    letters: Vec<(SocketAddr, Option<Incarnation>, GossipMessage)>,
     said: Vec<(SocketAddr, Option<Incarnation>, Message)>,
     fleet_wake: Option<Duration>,
     feed_wake: Option<Duration>,
-    duties: Vec<DutyId>,
-    heard: Vec<Evidence>,
+    duties: Vec<TaskId>,
+    heard: Vec<DatedObservation>,
     instances: Option<usize>,
 }
 
@@ -60,20 +60,20 @@
 struct Desk(Rc<RefCell<Wishes>>);
 
 impl Host for Desk {
-    fn send(&mut self, to: SocketAddr, session: Option<Incarnation>, letter: Letter) {
+    fn send(&mut self, to: SocketAddr, session: Option<Incarnation>, letter: GossipMessage) {
         self.0.borrow_mut().letters.push((to, session, letter));
     }
     fn wake(&mut self, after: Duration) {
         self.0.borrow_mut().fleet_wake = Some(after);
     }
-    fn perform(&mut self, duty: DutyId) {
+    fn run_task(&mut self, duty: TaskId) {
         self.0.borrow_mut().duties.push(duty);
     }
-    fn hear(&mut self, evidence: Evidence) {
+    fn observation_received(&mut self, evidence: DatedObservation) {
         self.0.borrow_mut().heard.push(evidence);
     }
     fn tell(&mut self, event: Event) {
-        if let Event::Duties { routers, .. } = event {
+        if let Event::TasksAssigned { routers, .. } = event {
             self.0.borrow_mut().instances = Some(routers);
         }
     }
@@ -174,8 +174,8 @@
 enum Due {
     FleetTimer { place: usize, life: u64 },
     FeedTimer { place: usize, life: u64 },
-    Letter { place: usize, life: u64, letter: Letter, bytes: usize },
-    ProbeEnded { place: usize, life: u64, duty: DutyId, asked: Duration, found: Option<(Duration, bool)> },
+    GossipMessage { place: usize, life: u64, letter: GossipMessage, bytes: usize },
+    ProbeEnded { place: usize, life: u64, duty: TaskId, asked: Duration, found: Option<(Duration, bool)> },
     ToControl { place: usize, life: u64, parcel: Parcel },
     ToRouter { place: usize, life: u64, parcel: Parcel },
     RouterTimer { place: usize, life: u64 },
@@ -241,13 +241,13 @@
     pub fn start_control(&mut self, place: usize) {
         let (now, desk) = (self.now, Desk::default());
         let start = Incarnation(now.as_micros() as u64);
-        let me = Card {
+        let me = MemberRecord {
             name: control_name(place),
-            life: Life { incarnation: start, version: 0 },
+            life: MemberVersion { incarnation: start, version: 0 },
             address: control_address(place),
             zone: self.region(place) as u16,
             weight: 1,
-            state: State::Joining,
+            state: MemberState::Joining,
         };
         let seeds = (0..self.control.len().min(3)).map(control_address).collect();
         let seed = self.shape.seed ^ ((place as u64) << 40) ^ self.control[place].life;
@@ -393,10 +393,10 @@
             Due::FeedTimer { place, life } => {
                 self.call(place, life, |instance| instance.publisher.timer_fired(now));
             }
-            Due::Letter { place, life, letter, bytes } => {
+            Due::GossipMessage { place, life, letter, bytes } => {
                 self.control[place].costs.count(now, bytes, false);
                 self.control[place].costs.fleet_bytes += bytes as u64;
-                self.call(place, life, |instance| instance.fleet.letter_arrived(now, letter));
+                self.call(place, life, |instance| instance.fleet.message_arrived(now, letter));
             }
             Due::ProbeEnded { place, life, duty, asked, found } => {
                 self.call(place, life, |instance| probe_ended(instance, now, duty, asked, found));
@@ -497,7 +497,7 @@
         }
     }
 
-    fn post_letter(&mut self, place: usize, to: SocketAddr, session: Option<Incarnation>, letter: Letter) {
+    fn post_letter(&mut self, place: usize, to: SocketAddr, session: Option<Incarnation>, letter: GossipMessage) {
         let bytes = self.sealer.seal(&self.keys, session, &letter).expect("letters fit").len();
         self.control[place].costs.count(self.now, bytes, true);
         self.control[place].costs.fleet_bytes += bytes as u64;
@@ -505,14 +505,14 @@
         let Some(process) = &self.control[other].process else { return };
         let current = process.fleet.members().me().life.incarnation;
         let taken = session
-            .map_or(letter.body == Body::Hello, |session| session == process.start || session == current);
+            .map_or(letter.body == GossipBody::JoinRequest, |session| session == process.start || session == current);
         if !taken || self.apart(place, other) {
             return;
         }
         let life = self.control[other].life;
         for after in self.network.arrivals(&mut self.chance, Place(place), Place(other)) {
             let letter = letter.clone();
-            self.queue.enter(self.now + after, Due::Letter { place: other, life, letter, bytes });
+            self.queue.enter(self.now + after, Due::GossipMessage { place: other, life, letter, bytes });
         }
     }
 
@@ -562,7 +562,7 @@
         }
     }
 
-    fn probe(&mut self, place: usize, duty: DutyId) {
+    fn probe(&mut self, place: usize, duty: TaskId) {
         let Subject::Node(address) = duty.subject else { return };
         let (node, asked, life) = (place_of(address), self.now, self.control[place].life);
         let there = self.network.delay(&mut self.chance);
@@ -584,18 +584,18 @@
 fn probe_ended(
     instance: &mut Instance,
     now: Duration,
-    duty: DutyId,
+    duty: TaskId,
     asked: Duration,
     found: Option<(Duration, bool)>,
 ) {
-    instance.fleet.duty_ended(now, duty);
+    instance.fleet.task_ended(now, duty);
     let Subject::Node(node) = duty.subject else { return };
     let (position, primary) = (found.map(|(position, _)| position), found.map(|(_, primary)| primary));
     let (age, failed, waiting, started) = (Duration::ZERO, found.is_none(), None, None);
-    instance.fleet.found(now, asked, News { node, age, position, primary, waiting, started, failed });
+    instance.fleet.found(now, asked, Observation { node, age, position, primary, waiting, started, failed });
     // An own failure is one voice; the fleet tells of it when there are two.
     if !failed {
-        let evidence = Evidence { node, at: now, position, primary, waiting, started, failed };
+        let evidence = DatedObservation { node, at: now, position, primary, waiting, started, failed };
         instance.publisher.seen(now, evidence);
     }
 }
--- a/crates/simulator/src/world.rs
+++ b/crates/simulator/src/world.rs
@@ -9,11 +9,11 @@
 
 use quillpoint_datagram::Sealer;
 use quillpoint_datagram::keys::Keyring;
-use quillpoint_membership::duties::Plan;
-use quillpoint_membership::ids::{DutyId, KindId, Subject};
+use quillpoint_membership::sharded_tasks::TaskParams;
+use quillpoint_membership::ids::{TaskId, TaskKind, Subject};
 use quillpoint_membership::scheduler::Priority;
 use quillpoint_membership::{
-    Body, Card, Event, Evidence, Fleet, Host, Incarnation, Letter, Life, News, PeerName, Plans, State,
+    GossipBody, MemberRecord, Event, DatedObservation, Fleet, Host, Incarnation, GossipMessage, MemberVersion, Observation, PeerName, FleetParams, MemberState,
 };
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -35,7 +35,7 @@
     pub nodes: usize,
     pub zones: usize,
     pub quality: Quality,
-    pub plans: Plans,
+    pub plans: FleetParams,
     /// Whether routers know of each other; without it each is alone, as routers that share nothing are.
     pub shared: bool,
     /// How far behind every node's log position is.
@@ -43,9 +43,9 @@
     pub seed: u64,
 }
 
-pub fn plans(period: Duration, grace: Duration, floor: Duration) -> Plans {
-    let probe = Plan {
-        kind: KindId(0),
+pub fn plans(period: Duration, grace: Duration, floor: Duration) -> FleetParams {
+    let probe = TaskParams {
+        kind: TaskKind(0),
         period,
         grace,
         floor,
@@ -53,16 +53,16 @@
         priority: Priority(0),
         cost: 1.0,
     };
-    Plans { probe, work_rate: 20_000.0, work_burst: 2_000.0, news_rate: 4e6, grows: false }
+    FleetParams { probe, work_rate: 20_000.0, work_burst: 2_000.0, news_rate: 4e6, grows: false }
 }
 
 /// What a router asked for during one call, and the evidence it was given.
 #[derive(Default)]
 struct Wishes {
-    sent: Vec<(SocketAddr, Option<Incarnation>, Letter)>,
+    sent: Vec<(SocketAddr, Option<Incarnation>, GossipMessage)>,
     wake: Option<Duration>,
-    duties: Vec<DutyId>,
-    heard: Vec<Evidence>,
+    duties: Vec<TaskId>,
+    heard: Vec<DatedObservation>,
     events: Vec<Event>,
 }
 
@@ -70,16 +70,16 @@
 struct Desk(Rc<RefCell<Wishes>>);
 
 impl Host for Desk {
-    fn send(&mut self, to: SocketAddr, session: Option<Incarnation>, letter: Letter) {
+    fn send(&mut self, to: SocketAddr, session: Option<Incarnation>, letter: GossipMessage) {
         self.0.borrow_mut().sent.push((to, session, letter));
     }
     fn wake(&mut self, after: Duration) {
         self.0.borrow_mut().wake = Some(after);
     }
-    fn perform(&mut self, duty: DutyId) {
+    fn run_task(&mut self, duty: TaskId) {
         self.0.borrow_mut().duties.push(duty);
     }
-    fn hear(&mut self, evidence: Evidence) {
+    fn observation_received(&mut self, evidence: DatedObservation) {
         self.0.borrow_mut().heard.push(evidence);
     }
     fn tell(&mut self, event: Event) {
@@ -130,14 +130,14 @@
 }
 
 enum Happening {
-    Letter(Letter),
+    GossipMessage(GossipMessage),
     Timer,
-    ProbeEnded { duty: DutyId, asked: Duration, position: Option<Duration> },
+    ProbeEnded { duty: TaskId, asked: Duration, position: Option<Duration> },
 }
 
 enum Due {
     Router { place: usize, life: u64, what: Happening },
-    Probe { node: usize, by: usize, life: u64, duty: DutyId },
+    Probe { node: usize, by: usize, life: u64, duty: TaskId },
 }
 
 pub struct World {
@@ -230,13 +230,13 @@
         let now = self.clock(place);
         let start = Incarnation(now.as_micros() as u64);
         let zone = (place % self.shape.zones) as u16;
-        let me = Card {
+        let me = MemberRecord {
             name: PeerName::new(&format!("r{}", self.routers[place].name)).expect("a good name"),
-            life: Life { incarnation: start, version: 0 },
+            life: MemberVersion { incarnation: start, version: 0 },
             address: router_address(place),
             zone,
             weight: 1,
-            state: State::Joining,
+            state: MemberState::Joining,
         };
         // Three seeds are enough to be found by, and every router is configured alike.
         let seeds = if self.shape.shared {
@@ -335,19 +335,19 @@
     }
 
     /// A letter that one router never wrote, as from one that lies: its body, or its cards.
-    pub fn forge(&mut self, from: usize, to: usize, body: Body) {
+    pub fn forge(&mut self, from: usize, to: usize, body: GossipBody) {
         self.forge_letter(from, to, body, Vec::new());
     }
 
-    pub fn forge_cards(&mut self, from: usize, to: usize, cards: Vec<Card>) {
-        self.forge_letter(from, to, Body::News(Vec::new()), cards);
+    pub fn forge_cards(&mut self, from: usize, to: usize, cards: Vec<MemberRecord>) {
+        self.forge_letter(from, to, GossipBody::Observations(Vec::new()), cards);
     }
 
-    fn forge_letter(&mut self, from: usize, to: usize, body: Body, cards: Vec<Card>) {
+    fn forge_letter(&mut self, from: usize, to: usize, body: GossipBody, cards: Vec<MemberRecord>) {
         let Some(process) = &self.routers[from].process else { return };
-        let letter = Letter { from: process.fleet.members().me().clone(), body, cards };
+        let letter = GossipMessage { from: process.fleet.members().me().clone(), body, cards };
         let life = self.routers[to].life;
-        self.queue.enter(self.now, Due::Router { place: to, life, what: Happening::Letter(letter) });
+        self.queue.enter(self.now, Due::Router { place: to, life, what: Happening::GossipMessage(letter) });
     }
 
     /// Lets everything happen that is due until then.
@@ -373,7 +373,7 @@
         true
     }
 
-    fn probe_arrives(&mut self, node: usize, by: usize, life: u64, duty: DutyId) {
+    fn probe_arrives(&mut self, node: usize, by: usize, life: u64, duty: TaskId) {
         let (entry, now) = (&mut self.nodes[node], self.now);
         entry.probes.push((now, by));
         let (after, position) = match entry.up {
@@ -389,7 +389,7 @@
         let router = &mut self.routers[place];
         let Some(process) = &mut router.process else { return };
         if process.stopped {
-            let letters = matches!(what, Happening::Letter(_));
+            let letters = matches!(what, Happening::GossipMessage(_));
             if !letters || process.waiting.len() < BUFFER {
                 process.waiting.push_back(what);
             }
@@ -397,14 +397,14 @@
         }
         let began = Instant::now();
         match what {
-            Happening::Letter(letter) => process.fleet.letter_arrived(now, letter),
+            Happening::GossipMessage(letter) => process.fleet.message_arrived(now, letter),
             Happening::Timer => process.fleet.timer_fired(now),
             Happening::ProbeEnded { duty, asked, position } => {
-                process.fleet.duty_ended(now, duty);
+                process.fleet.task_ended(now, duty);
                 if let Subject::Node(node) = duty.subject {
                     let primary = position.map(|_| false);
                     let (age, failed) = (Duration::ZERO, position.is_none());
-                    let news = News { node, age, position, primary, waiting: None, started: None, failed };
+                    let news = Observation { node, age, position, primary, waiting: None, started: None, failed };
                     let asked = asked + router.ahead - router.behind;
                     process.fleet.found(now, asked, news);
                     router.heard.insert(place_of(node), self.now);
@@ -430,7 +430,7 @@
             *known = at.max(*known);
         }
         for event in wishes.events {
-            if let Event::PeerChanged { peer, state: State::Dead, .. } = &event
+            if let Event::PeerChanged { peer, state: MemberState::Dead, .. } = &event
                 && let Some(about) = peer.as_str().strip_prefix('r').and_then(|name| name.parse().ok())
                 && self.runs(about)
             {
@@ -454,12 +454,12 @@
                         .as_ref()
                         .is_some_and(|process| process.fleet.members().me().life.incarnation == session)
             });
-            if !taken || (session.is_none() && letter.body != Body::Hello) {
+            if !taken || (session.is_none() && letter.body != GossipBody::JoinRequest) {
                 continue;
             }
             let life = other.life;
             for after in self.network.arrivals(&mut self.chance, Place(place), Place(to)) {
-                let what = Happening::Letter(letter.clone());
+                let what = Happening::GossipMessage(letter.clone());
                 self.queue.enter(self.now + after, Due::Router { place: to, life, what });
             }
         }
--- a/crates/simulator/tests/fleet.rs
+++ b/crates/simulator/tests/fleet.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use quickcheck::{Gen, QuickCheck};
-use quillpoint_membership::{Body, Event, News};
+use quillpoint_membership::{GossipBody, Event, Observation};
 use quillpoint_simulator::network::{Place, Quality};
 use quillpoint_simulator::world::{Shape, World, node_address, plans};
 use rand::{RngExt, SeedableRng};
@@ -317,7 +317,7 @@
     });
     run(&mut world, ms(2000));
     for node in 0..24 {
-        let lie = News {
+        let lie = Observation {
             node: node_address(node),
             age: ms(0),
             position: Some(world.now),
@@ -326,7 +326,7 @@
             started: None,
             failed: false,
         };
-        (1..3).for_each(|to| world.forge(0, to, Body::News(vec![lie.clone()])));
+        (1..3).for_each(|to| world.forge(0, to, GossipBody::Observations(vec![lie.clone()])));
     }
     run(&mut world, ms(1000));
     let found =
@@ -339,13 +339,13 @@
     let mut world = settled(2, 2, 17);
     for number in 0..2000 {
         // A holder of the key who makes up names.
-        let mut card = quillpoint_membership::Card {
+        let mut card = quillpoint_membership::MemberRecord {
             name: quillpoint_membership::PeerName::new(&format!("x{number}")).unwrap(),
-            life: quillpoint_membership::Life { incarnation: quillpoint_membership::Incarnation(number), version: 0 },
+            life: quillpoint_membership::MemberVersion { incarnation: quillpoint_membership::Incarnation(number), version: 0 },
             address: node_address(0),
             zone: 0,
             weight: 1,
-            state: quillpoint_membership::State::Up,
+            state: quillpoint_membership::MemberState::Up,
         };
         card.zone = 1;
         world.forge_cards(0, 1, vec![card]);
--- a/crates/testbed/src/capacity/asks.rs
+++ b/crates/testbed/src/capacity/asks.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use quillpoint_observation_feed::share::{CROWD, TIMES};
-use quillpoint_membership::letter::CARDS_WHOLE;
+use quillpoint_membership::message::CARDS_WHOLE;
 use quillpoint_membership::membership::MOST_PEERS;
 
 use crate::listing;
--- a/crates/testbed/src/scale/books.rs
+++ b/crates/testbed/src/scale/books.rs
@@ -9,7 +9,7 @@
 use async_channel::Sender;
 use quillpoint_control_plane::{Around, Subscription};
 use quillpoint_observation_feed::Word;
-use quillpoint_membership::Evidence;
+use quillpoint_membership::DatedObservation;
 
 use crate::now;
 use crate::scale::hollow::side;
@@ -149,8 +149,8 @@
     fn nodes(&self) -> BTreeMap<SocketAddr, u16> {
         (*self.nodes).clone()
     }
-    fn hear(&self, evidence: Evidence) {
-        let Evidence { node, at, primary, failed, .. } = evidence;
+    fn observation_received(&self, evidence: DatedObservation) {
+        let DatedObservation { node, at, primary, failed, .. } = evidence;
         if !failed {
             self.note(node, at, primary);
         }
--- a/crates/testbed/src/scale/hollow.rs
+++ b/crates/testbed/src/scale/hollow.rs
@@ -13,7 +13,7 @@
 use async_executor::{LocalExecutor, Task};
 use async_io::Timer;
 use quillpoint_control_plane::{Around, Part, Peers, SubscriberPart, Subscription, Traffic};
-use quillpoint_membership::{News, PeerName};
+use quillpoint_membership::{Observation, PeerName};
 
 use crate::scale::books::{Asks, Books};
 use crate::scale::orders::Place;
@@ -289,7 +289,7 @@
             books.probe_ended(node, !failed, report.primary);
             if let Some(peers) = peers.upgrade() {
                 let (position, primary) = (report.position, report.primary);
-                let news = News {
+                let news = Observation {
                     node,
                     age: Duration::ZERO,
                     position,
