--- a/crates/control-plane/src/feed.rs
+++ b/crates/control-plane/src/feed.rs
@@ -7,12 +7,12 @@
 use std::time::Duration;
 
 use quillpoint_datagram::keys::Keyring;
-use quillpoint_observation_feed::{Event, Host, Message, Word};
+use quillpoint_observation_feed::{Event, Host, Message, FeedObservation};
 use quillpoint_membership::{Incarnation, PeerName};
 
 use crate::alarm::Alarm;
 use crate::post::Names;
-use crate::seldom::Seldom;
+use crate::log_rate_limiter::LogRateLimiter;
 
 pub(crate) const NAMES: Names = Names { refused: "feed_refused", unsent: "feed_unsent", keys: "feed_keys" };
 /// How often the counts are logged.
@@ -20,23 +20,23 @@
 
 /// A control instance's end of the feed.
 #[derive(Clone, Debug, PartialEq)]
-pub struct PublisherPart {
+pub struct PublisherConfig {
     pub name: PeerName,
     pub listen: SocketAddr,
     pub keys: Keyring,
-    pub plan: quillpoint_observation_feed::publisher::Plan,
+    pub plan: quillpoint_observation_feed::publisher::PublisherParams,
     /// Datagrams looked at a second.
     pub letters: u64,
 }
 
 /// A router's end of the feed.
 #[derive(Clone, Debug, PartialEq)]
-pub struct SubscriberPart {
+pub struct SubscriberConfig {
     pub name: PeerName,
     pub listen: SocketAddr,
     pub keys: Keyring,
-    pub plan: quillpoint_observation_feed::subscriber::Plan,
-    pub control: Vec<quillpoint_observation_feed::Control>,
+    pub plan: quillpoint_observation_feed::subscriber::SubscriberParams,
+    pub control: Vec<quillpoint_observation_feed::ControlInstance>,
     /// Datagrams looked at a second.
     pub letters: u64,
 }
@@ -44,7 +44,7 @@
 /// What an end has asked for during a call.
 pub(crate) enum Wish {
     Send { to: SocketAddr, session: Option<Incarnation>, message: Message },
-    Learnt(Word),
+    Learnt(FeedObservation),
     Tell(Event),
 }
 
@@ -69,7 +69,7 @@
     fn wake(&mut self, after: Duration) {
         self.0.alarm.ask(after);
     }
-    fn learnt(&mut self, word: Word) {
+    fn learnt(&mut self, word: FeedObservation) {
         self.0.wishes.borrow_mut().push(Wish::Learnt(word));
     }
     fn tell(&mut self, event: Event) {
@@ -78,7 +78,7 @@
 }
 
 /// The log of what an end tells; what could come with every router comes once a second at most.
-pub(crate) fn tell(event: &Event, often: &Seldom) {
+pub(crate) fn tell(event: &Event, often: &LogRateLimiter) {
     match event {
         Event::Following(control) => {
             log::info!(event = "feed_following", control:% = control; "told by {control} from now on");
--- a/crates/control-plane/src/peers.rs
+++ b/crates/control-plane/src/fleet_member.rs
@@ -15,8 +15,8 @@
 use quillpoint_membership::ids::{TaskId, Subject};
 use quillpoint_membership::{MemberRecord, Event, DatedObservation, Fleet, Host, Incarnation, GossipMessage, MemberVersion, Observation, MemberState};
 
-use crate::around::Around;
-use crate::part::Part;
+use crate::control_host::ControlHost;
+use crate::member_config::MemberConfig;
 use crate::post::{Names, Passed, Post};
 use crate::wire::{Traffic, Wire};
 
@@ -70,8 +70,8 @@
     pub refused: BTreeMap<Refusal, u64>,
 }
 
-pub struct Peers {
-    around: Rc<dyn Around>,
+pub struct FleetMember {
+    around: Rc<dyn ControlHost>,
     fleet: RefCell<Fleet<Hand>>,
     desk: Rc<Desk>,
     post: Post<GossipMessage>,
@@ -79,17 +79,17 @@
     spared: Cell<u64>,
 }
 
-impl Peers {
+impl FleetMember {
     /// Opens the socket and makes the router a member.
     ///
     /// # Errors
     /// The address cannot be had.
-    pub fn new(part: Part, around: Rc<dyn Around>, seed: u64) -> io::Result<Rc<Self>> {
+    pub fn new(part: MemberConfig, around: Rc<dyn ControlHost>, seed: u64) -> io::Result<Rc<Self>> {
         let wire = Wire::bind(part.listen, Rc::clone(&around), part.letters)?;
         let (now, desk) = (around.now(), Rc::new(Desk::default()));
         let start = Incarnation(now.as_micros() as u64);
         let life = MemberVersion { incarnation: start, version: 0 };
-        let Part { name, advertise: address, zone, weight, .. } = part;
+        let MemberConfig { name, advertise: address, zone, weight, .. } = part;
         let me = MemberRecord { name, life, address, zone, weight, state: MemberState::Joining };
         // A port that the system chooses is known only now.
         let me = if address.port() == 0 { MemberRecord { address: wire.local_addr()?, ..me } } else { me };
@@ -173,7 +173,7 @@
     }
 
     /// What holds at once of a configuration that was read anew.
-    pub fn reload(&self, part: &Part) {
+    pub fn reload(&self, part: &MemberConfig) {
         self.post.keys_changed(&part.keys);
         self.call(|fleet, now| fleet.seeds_changed(now, part.seeds.clone()));
         self.tell_counts();
--- a/crates/control-plane/src/seldom.rs
+++ b/crates/control-plane/src/log_rate_limiter.rs
@@ -7,9 +7,9 @@
 
 /// One kind of line, told once a second at most.
 #[derive(Default)]
-pub struct Seldom(Cell<Option<Instant>>);
+pub struct LogRateLimiter(Cell<Option<Instant>>);
 
-impl Seldom {
+impl LogRateLimiter {
     /// Whether the line may be told now.
     pub fn is_due(&self) -> bool {
         let due = self.0.get().is_none_or(|told| told.elapsed() >= EVERY);
--- a/crates/control-plane/src/part.rs
+++ b/crates/control-plane/src/member_config.rs
@@ -6,7 +6,7 @@
 use quillpoint_membership::{PeerName, FleetParams};
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Part {
+pub struct MemberConfig {
     pub name: PeerName,
     pub listen: SocketAddr,
     pub advertise: SocketAddr,
--- a/crates/control-plane/src/post.rs
+++ b/crates/control-plane/src/post.rs
@@ -9,7 +9,7 @@
 use quillpoint_datagram::{LONGEST, Opener, Payload, Refusal, Sealer};
 use quillpoint_membership::Incarnation;
 
-use crate::seldom::Seldom;
+use crate::log_rate_limiter::LogRateLimiter;
 use crate::wire::{Arrival, Traffic, Wire};
 
 /// What has passed since the start.
@@ -35,8 +35,8 @@
     opener: RefCell<Opener<P>>,
     passed: RefCell<Passed>,
     names: Names,
-    told_refused: Seldom,
-    told_unsent: Seldom,
+    told_refused: LogRateLimiter,
+    told_unsent: LogRateLimiter,
 }
 
 impl<P: Payload> Post<P> {
@@ -48,8 +48,8 @@
             opener: RefCell::new(opener),
             passed: RefCell::default(),
             names,
-            told_refused: Seldom::default(),
-            told_unsent: Seldom::default(),
+            told_refused: LogRateLimiter::default(),
+            told_unsent: LogRateLimiter::default(),
         }
     }
 
--- a/crates/control-plane/src/publisher.rs
+++ b/crates/control-plane/src/publisher.rs
@@ -11,40 +11,40 @@
 use quillpoint_observation_feed::{Envelope, Publisher};
 use quillpoint_membership::{DatedObservation, Incarnation, PeerName};
 
-use crate::around::Around;
-use crate::feed::{COUNTS_EVERY, Desk, Hand, NAMES, PublisherPart, Wish, tell};
+use crate::control_host::ControlHost;
+use crate::feed::{COUNTS_EVERY, Desk, Hand, NAMES, PublisherConfig, Wish, tell};
 use crate::post::{Passed, Post};
-use crate::seldom::Seldom;
+use crate::log_rate_limiter::LogRateLimiter;
 use crate::wire::{Traffic, Wire};
 
 /// Windows against what was sent before are kept of so many times as many routers as may subscribe: those that have
 /// started anew, and those that turned to another, leave theirs behind.
 const WINDOWS: usize = 2;
 
-pub struct Publication {
-    around: Rc<dyn Around>,
+pub struct PublisherService {
+    around: Rc<dyn ControlHost>,
     name: PeerName,
     start: Incarnation,
     publisher: RefCell<Publisher<Hand>>,
     desk: Rc<Desk>,
     post: Post<Envelope>,
-    often: Seldom,
+    often: LogRateLimiter,
 }
 
-impl Publication {
+impl PublisherService {
     /// Opens the socket. Routers may subscribe from then on.
     ///
     /// # Errors
     /// The address cannot be had.
-    pub fn new(part: PublisherPart, around: Rc<dyn Around>, seed: u64) -> io::Result<Rc<Self>> {
-        let PublisherPart { name, listen, keys, plan, letters } = part;
+    pub fn new(part: PublisherConfig, around: Rc<dyn ControlHost>, seed: u64) -> io::Result<Rc<Self>> {
+        let PublisherConfig { name, listen, keys, plan, letters } = part;
         let wire = Wire::bind(listen, Rc::clone(&around), letters)?;
         let opener = Opener::of(plan.most_subscribers.saturating_mul(WINDOWS));
         let post = Post::new(wire, keys, opener, NAMES);
         let (now, desk) = (around.now(), Rc::new(Desk::default()));
         let publisher = Publisher::new(Hand(Rc::clone(&desk)), plan, seed, now);
         let (publisher, start) = (RefCell::new(publisher), Incarnation(now.as_micros() as u64));
-        Ok(Rc::new(Self { around, name, start, publisher, desk, post, often: Seldom::default() }))
+        Ok(Rc::new(Self { around, name, start, publisher, desk, post, often: LogRateLimiter::default() }))
     }
 
     /// The one way to the publisher. What it asks for is done when the call is over.
@@ -115,7 +115,7 @@
     }
 
     /// What holds at once of a configuration that was read anew.
-    pub fn reload(&self, part: &PublisherPart) {
+    pub fn reload(&self, part: &PublisherConfig) {
         self.post.keys_changed(&part.keys);
         self.tell_counts();
     }
--- a/crates/control-plane/src/subscriber.rs
+++ b/crates/control-plane/src/subscriber.rs
@@ -12,13 +12,13 @@
 use std::time::{Duration, Instant};
 
 use quillpoint_datagram::Opener;
-use quillpoint_observation_feed::{Envelope, Host, Message, Subscriber, Word};
+use quillpoint_observation_feed::{Envelope, Host, Message, Subscriber, FeedObservation};
 use quillpoint_membership::{Incarnation, PeerName};
 
-use crate::around::Around;
-use crate::feed::{COUNTS_EVERY, Desk, Hand, NAMES, SubscriberPart, Wish, tell};
+use crate::control_host::ControlHost;
+use crate::feed::{COUNTS_EVERY, Desk, Hand, NAMES, SubscriberConfig, Wish, tell};
 use crate::post::{Passed, Post};
-use crate::seldom::Seldom;
+use crate::log_rate_limiter::LogRateLimiter;
 use crate::wire::{Traffic, Wire};
 
 /// Windows against what was sent before are kept of so many starts of control instances.
@@ -33,14 +33,14 @@
     pub spared: u64,
 }
 
-pub struct Subscription {
-    around: Rc<dyn Around>,
+pub struct SubscriberService {
+    around: Rc<dyn ControlHost>,
     name: PeerName,
     start: Incarnation,
     subscriber: RefCell<Subscriber<Hand>>,
     desk: Rc<Desk>,
     post: Post<Envelope>,
-    often: Seldom,
+    often: LogRateLimiter,
     /// Grows with each digest.
     round: Cell<u64>,
     /// In which round a database was last asked about, and how new the word was.
@@ -49,13 +49,13 @@
     spared: Cell<u64>,
 }
 
-impl Subscription {
+impl SubscriberService {
     /// Opens the socket, and follows control instances from then on.
     ///
     /// # Errors
     /// The address cannot be had.
-    pub fn new(part: SubscriberPart, around: Rc<dyn Around>, seed: u64) -> io::Result<Rc<Self>> {
-        let SubscriberPart { name, listen, keys, plan, control, letters } = part;
+    pub fn new(part: SubscriberConfig, around: Rc<dyn ControlHost>, seed: u64) -> io::Result<Rc<Self>> {
+        let SubscriberConfig { name, listen, keys, plan, control, letters } = part;
         let wire = Wire::bind(listen, Rc::clone(&around), letters)?;
         let post = Post::new(wire, keys, Opener::of(WINDOWS), NAMES);
         let (now, desk) = (around.now(), Rc::new(Desk::default()));
@@ -67,7 +67,7 @@
             subscriber: RefCell::new(subscriber),
             desk,
             post,
-            often: Seldom::default(),
+            often: LogRateLimiter::default(),
             round: Cell::new(0),
             told: RefCell::default(),
             probes: Cell::new(0),
@@ -132,7 +132,7 @@
     }
 
     /// What is told of a database, where that is newer than what this has said of it before.
-    pub fn news_of(&self, node: SocketAddr) -> Option<Word> {
+    pub fn news_of(&self, node: SocketAddr) -> Option<FeedObservation> {
         let round = self.round.get();
         let (asked, said) = self.told.borrow().get(&node).copied().unwrap_or_default();
         if asked == round {
@@ -160,7 +160,7 @@
     }
 
     /// What holds at once of a configuration that was read anew.
-    pub fn reload(&self, part: &SubscriberPart) {
+    pub fn reload(&self, part: &SubscriberConfig) {
         self.post.keys_changed(&part.keys);
         self.call(|subscriber, now| subscriber.control_changed(now, part.control.clone()));
         self.tell_counts();
@@ -182,7 +182,7 @@
     }
 
     /// What is told of a database by now, whether it has been said before or not.
-    pub fn known(&self, node: SocketAddr) -> Option<Word> {
+    pub fn known(&self, node: SocketAddr) -> Option<FeedObservation> {
         self.call(|subscriber, now| subscriber.known(now, node))
     }
 
--- a/crates/control-plane/src/wire.rs
+++ b/crates/control-plane/src/wire.rs
@@ -14,7 +14,7 @@
 use nix::sys::socket::{ControlMessageOwned, MsgFlags, SockaddrStorage, recvmsg, setsockopt};
 use nix::sys::time::{TimeVal, TimeValLike};
 
-use crate::around::Around;
+use crate::control_host::ControlHost;
 
 /// So many datagrams are read before others have their turn.
 const AT_ONCE: u32 = 32;
@@ -59,7 +59,7 @@
 
 pub struct Wire {
     socket: Async<UdpSocket>,
-    around: Rc<dyn Around>,
+    around: Rc<dyn ControlHost>,
     /// Datagrams looked at a second.
     a_second: u64,
     /// When the queue was last seen empty: nothing in it has waited since before then.
@@ -71,7 +71,7 @@
 impl Wire {
     /// # Errors
     /// The address cannot be had.
-    pub fn bind(listen: SocketAddr, around: Rc<dyn Around>, a_second: u64) -> io::Result<Self> {
+    pub fn bind(listen: SocketAddr, around: Rc<dyn ControlHost>, a_second: u64) -> io::Result<Self> {
         let socket = Async::<UdpSocket>::bind(listen)?;
         // The system notes when each datagram comes. By when it is read nobody could tell.
         setsockopt(socket.get_ref(), ReceiveTimestamp, &true)?;
--- a/crates/control-plane/tests/queue.rs
+++ b/crates/control-plane/tests/queue.rs
@@ -8,11 +8,11 @@
 
 use async_io::Timer;
 use futures_lite::future;
-use quillpoint_control_plane::{Around, Part, Peers, SubscriberPart, Subscription};
+use quillpoint_control_plane::{ControlHost, MemberConfig, FleetMember, SubscriberConfig, SubscriberService};
 use quillpoint_datagram::keys::Keyring;
 use quillpoint_datagram::{Opener, Sealer};
-use quillpoint_observation_feed::message::{CLASSES, Chunk, Digest, DigestNo, LagClass, PARTS, PartId, Revision};
-use quillpoint_observation_feed::{Control, Entry, Envelope, Message, Standing, Word, subscriber};
+use quillpoint_observation_feed::message::{CLASSES, Chunk, Digest, DigestNo, LagClass, PARTITIONS, PartitionId, Revision};
+use quillpoint_observation_feed::{ControlInstance, Entry, Envelope, Message, NodeStatus, FeedObservation, subscriber};
 use quillpoint_membership::sharded_tasks::Plan;
 use quillpoint_membership::ids::TaskKind;
 use quillpoint_membership::scheduler::Priority;
@@ -37,7 +37,7 @@
     }
 }
 
-impl Around for Books {
+impl ControlHost for Books {
     fn now(&self) -> Duration {
         self.unix + self.since.elapsed()
     }
@@ -47,7 +47,7 @@
     fn observation_received(&self, evidence: DatedObservation) {
         self.heard.borrow_mut().push(evidence);
     }
-    fn learnt(&self, _: Word) {}
+    fn learnt(&self, _: FeedObservation) {}
     fn probe(&self, _: SocketAddr) -> bool {
         false
     }
@@ -88,7 +88,7 @@
     let port = UdpSocket::bind(local()).unwrap();
     let listen = port.local_addr().unwrap();
     drop(port);
-    let part = Part {
+    let part = MemberConfig {
         name: name("r1"),
         listen,
         advertise: listen,
@@ -99,7 +99,7 @@
         plans,
         letters: 20_000,
     };
-    let peers = Peers::new(part, Rc::<Books>::clone(&books), 1).unwrap();
+    let peers = FleetMember::new(part, Rc::<Books>::clone(&books), 1).unwrap();
     peers.listed();
     let start = peers.fleet().members().me().life.incarnation;
     let other = UdpSocket::bind(local()).unwrap();
@@ -151,14 +151,14 @@
     let books = Books::new();
     let control = UdpSocket::bind(local()).unwrap();
     control.set_read_timeout(Some(Duration::from_secs(10))).unwrap();
-    let plan = subscriber::Plan {
+    let plan = subscriber::SubscriberParams {
         region: None,
         every: Duration::from_millis(100),
         period: Duration::from_millis(150),
         routers: 1,
     };
-    let line = vec![Control { name: name("c0"), address: control.local_addr().unwrap(), region: None }];
-    let part = SubscriberPart {
+    let line = vec![ControlInstance { name: name("c0"), address: control.local_addr().unwrap(), region: None }];
+    let part = SubscriberConfig {
         name: name("r1"),
         listen: local(),
         keys: keys(),
@@ -166,7 +166,7 @@
         control: line,
         letters: 20_000,
     };
-    let subscription = Subscription::new(part, Rc::<Books>::clone(&books), 1).unwrap();
+    let subscription = SubscriberService::new(part, Rc::<Books>::clone(&books), 1).unwrap();
     subscription.listed();
     let (mut sealer, mut opener, keys) = (Sealer::default(), Opener::<Envelope>::of(4), keys());
     let mut address = None;
@@ -175,9 +175,9 @@
         let envelope = Envelope { from: name("c0"), start: Incarnation(7), message };
         control.send_to(&sealer.seal(&keys, Some(session), &envelope).unwrap(), to).unwrap();
     };
-    let part = PartId::of(node());
+    let part = PartitionId::of(node());
     let digest = |number: u32, now: Duration| {
-        let mut revisions = vec![Revision::default(); PARTS];
+        let mut revisions = vec![Revision::default(); PARTITIONS];
         revisions[usize::from(part.0)] = Revision(1);
         Message::Digest(Digest {
             number: DigestNo(number),
@@ -197,7 +197,7 @@
         let (length, from) = control.recv_from(&mut asked).unwrap();
         let said = opener.open(&keys, Incarnation(7), &asked[..length]);
         address = Some((from, said.unwrap().start));
-        let entry = Entry { primary: Some(true), started: None, standing: Standing::Seen(LagClass(0)) };
+        let entry = Entry { primary: Some(true), started: None, standing: NodeStatus::Seen(LagClass(0)) };
         let chunk =
             Chunk { part, revision: Revision(1), place: 0, of: 1, alike: vec![(entry, vec![node()])] };
         // One, and then the process stands still whenever digests come, so that none is read as it comes.
--- a/crates/datagram/tests/envelopes.rs
+++ b/crates/datagram/tests/envelopes.rs
@@ -7,9 +7,9 @@
 use quillpoint_datagram::keys::Keyring;
 use quillpoint_datagram::{LONGEST, Opener, Refusal, Sealer};
 use quillpoint_observation_feed::message::{
-    CHANGES_ALONG, CLASSES, Chunk, DigestNo, ENTRIES_ALONG, LagClass, PARTS, PartId, Revision,
+    CHANGES_ALONG, CLASSES, Chunk, DigestNo, ENTRIES_ALONG, LagClass, PARTITIONS, PartitionId, Revision,
 };
-use quillpoint_observation_feed::{Change, Digest, Entry, Envelope, Message, Standing, size};
+use quillpoint_observation_feed::{Change, Digest, Entry, Envelope, Message, NodeStatus, size};
 use quillpoint_membership::ids::LONGEST_NAME;
 use quillpoint_membership::{GossipBody, MemberRecord, Incarnation, GossipMessage, MemberVersion, PeerName, MemberState};
 
@@ -25,7 +25,7 @@
 }
 
 fn entry(started: Option<Duration>) -> Entry {
-    Entry { primary: Some(true), started, standing: Standing::Seen(LagClass(7)) }
+    Entry { primary: Some(true), started, standing: NodeStatus::Seen(LagClass(7)) }
 }
 
 fn digest(changes: usize) -> Message {
@@ -36,7 +36,7 @@
         sent: LONG_AGO.unwrap(),
         age: Duration::new(10, 999_999_999),
         watermarks: [LONG_AGO; CLASSES],
-        revisions: vec![Revision(u32::MAX); PARTS],
+        revisions: vec![Revision(u32::MAX); PARTITIONS],
         changes: vec![change; changes],
         period: Duration::new(3600, 999_999_999),
         routers: u32::MAX,
@@ -63,7 +63,7 @@
     for node in ["[2001:db8:ffff:ffff:ffff:ffff:ffff:ffff]:65535", "255.255.255.255:65535", "1.1.1.1:1"] {
         let node: SocketAddr = node.parse().unwrap();
         for started in [None, LONG_AGO] {
-            let (part, revision, entry) = (PartId(63), Revision(u32::MAX), entry(started));
+            let (part, revision, entry) = (PartitionId(63), Revision(u32::MAX), entry(started));
             let chunk = |alike| Chunk { part, revision, place: 126, of: 127, alike };
             // One entry that holds for many, or as many entries that hold for one each.
             let fits = |chunk: &Chunk| size::chunk(chunk) <= size::ROOM;
@@ -79,7 +79,7 @@
                 digest.changes.push(change);
             }
             assert!(digest.changes.len() > 10 && many.alike[0].1.len() > 25 && single.alike.len() > 10);
-            let pull = Message::Pull((0..PARTS as u8).map(PartId).collect());
+            let pull = Message::Pull((0..PARTITIONS as u8).map(PartitionId).collect());
             for message in [Message::Digest(digest), Message::Chunk(many), Message::Chunk(single), pull] {
                 let sealed =
                     Sealer::default().seal(&keys("a"), Some(OWN), &envelope(&name, u64::MAX, message));
@@ -107,7 +107,7 @@
     }
     let asking = sealer.seal(&keys("a"), None, &envelope("r1", 5, Message::Subscribe)).unwrap();
     assert!(taken(&mut opener, &asking).is_ok());
-    for message in [Message::Pull(vec![PartId(1)]), Message::Unsubscribe, Message::Leaving, Message::Full] {
+    for message in [Message::Pull(vec![PartitionId(1)]), Message::Unsubscribe, Message::Leaving, Message::Full] {
         let bytes = sealer.seal(&keys("a"), None, &envelope("r1", 5, message)).unwrap();
         assert_eq!(taken(&mut opener, &bytes), Err(Refusal::OtherSession));
     }
--- a/crates/observation-feed/src/copy.rs
+++ b/crates/observation-feed/src/copy.rs
@@ -7,8 +7,8 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use crate::host::Word;
-use crate::message::{CLASSES, Change, Chunk, DigestNo, Entry, LagClass, PARTS, PartId, Revision, Standing};
+use crate::host::FeedObservation;
+use crate::message::{CLASSES, Change, Chunk, DigestNo, Entry, LagClass, PARTITIONS, PartitionId, Revision, NodeStatus};
 
 /// A part with more databases than this is not kept.
 const MOST_IN_PART: usize = 2048;
@@ -56,7 +56,7 @@
 
 impl Default for Copy {
     fn default() -> Self {
-        Self { parts: (0..PARTS).map(|_| Part::default()).collect() }
+        Self { parts: (0..PARTITIONS).map(|_| Part::default()).collect() }
     }
 }
 
@@ -71,19 +71,19 @@
     /// When a database had been seen last at the earliest, and the position that it had shown by then.
     fn dated(&self, kept: &Kept) -> Option<(Duration, Option<Duration>)> {
         match (kept.entry.standing, self.cover) {
-            (Standing::Seen(LagClass(class)), Some(cover)) if kept.after < Some(cover.number) => {
+            (NodeStatus::Seen(LagClass(class)), Some(cover)) if kept.after < Some(cover.number) => {
                 Some((cover.at, cover.watermarks.get(usize::from(class)).copied().flatten()))
             }
             _ => kept.before,
         }
     }
 
-    fn word(&self, node: SocketAddr, kept: &Kept) -> Option<Word> {
+    fn word(&self, node: SocketAddr, kept: &Kept) -> Option<FeedObservation> {
         let (at, position) = self.dated(kept)?;
         let Entry { primary, started, standing } = kept.entry;
-        let failed = standing == Standing::Down;
+        let failed = standing == NodeStatus::Down;
         let position = position.filter(|_| !failed);
-        Some(Word { node, at, position, primary, started, failed })
+        Some(FeedObservation { node, at, position, primary, started, failed })
     }
 }
 
@@ -94,7 +94,7 @@
         changes.sort_by_key(|change| change.revision);
         let mut named = Vec::new();
         for Change { revision, node, entry } in changes {
-            let part = &mut self.parts[PartId::of(node).0 as usize];
+            let part = &mut self.parts[PartitionId::of(node).0 as usize];
             if part.revision == Revision::default() || Revision(part.revision.0.wrapping_add(1)) != revision {
                 continue;
             }
@@ -109,11 +109,11 @@
             }
             part.set(node, entry);
             if let Some(kept) = part.nodes.get_mut(&node)
-                && entry.standing == Standing::Down
+                && entry.standing == NodeStatus::Down
             {
                 kept.before = Some((at, None));
             }
-            let down = |entry: Entry| entry.standing == Standing::Down;
+            let down = |entry: Entry| entry.standing == NodeStatus::Down;
             let same = was.is_some_and(|was| {
                 let no_start = entry.started.is_none() || entry.started == was.started;
                 was.primary == entry.primary && down(was) == down(entry) && no_start
@@ -137,7 +137,7 @@
             if std::mem::take(&mut part.fresh) {
                 for (node, kept) in &mut part.nodes {
                     let Entry { primary, started, standing } = kept.entry;
-                    let down = standing == Standing::Down;
+                    let down = standing == NodeStatus::Down;
                     if down && kept.before.is_none() {
                         kept.before = Some((cover.at, None));
                     }
@@ -155,7 +155,7 @@
     pub fn chunk(&mut self, chunk: Chunk) {
         let Chunk { part: id, revision, place, of, alike } = chunk;
         let Some(part) = self.parts.get_mut(usize::from(id.0)) else { return };
-        let own = alike.iter().flat_map(|(_, nodes)| nodes).all(|node| PartId::of(*node) == id);
+        let own = alike.iter().flat_map(|(_, nodes)| nodes).all(|node| PartitionId::of(*node) == id);
         if !own || place >= of || usize::from(of) > MOST_IN_PART || revision <= part.revision {
             return;
         }
@@ -184,12 +184,12 @@
     }
 
     /// The default before a copy has come whole.
-    pub fn revision(&self, part: PartId) -> Revision {
+    pub fn revision(&self, part: PartitionId) -> Revision {
         self.parts.get(usize::from(part.0)).map_or(Revision::default(), |part| part.revision)
     }
 
     /// Whether a digest has ever spoken for the part.
-    pub fn is_covered(&self, part: PartId) -> bool {
+    pub fn is_covered(&self, part: PartitionId) -> bool {
         self.parts.get(usize::from(part.0)).is_some_and(|part| part.cover.is_some())
     }
 
@@ -197,8 +197,8 @@
         self.parts.iter().all(|part| part.cover.is_some())
     }
 
-    pub fn word(&self, node: SocketAddr) -> Option<Word> {
-        let part = &self.parts[PartId::of(node).0 as usize];
+    pub fn word(&self, node: SocketAddr) -> Option<FeedObservation> {
+        let part = &self.parts[PartitionId::of(node).0 as usize];
         part.word(node, part.nodes.get(&node)?)
     }
 
@@ -229,7 +229,7 @@
                 continue;
             }
             self.set(node, entry);
-            if entry.standing == Standing::Down
+            if entry.standing == NodeStatus::Down
                 && let Some(kept) = self.nodes.get_mut(&node)
             {
                 // Dated by the first digest that speaks for it.
--- a/crates/observation-feed/src/share.rs
+++ b/crates/observation-feed/src/health_check_quota.rs
@@ -8,7 +8,7 @@
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 
-use crate::pace::Bucket;
+use crate::token_bucket::TokenBucket;
 
 /// All routers together probe so many times as often as the control instances do. One would leave a router that uses
 /// many databases with answers that are minutes old; a database that bears its clients bears a few probes more.
@@ -31,7 +31,7 @@
 
 /// What a router's share is reckoned from.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Basis {
+pub struct QuotaParams {
     pub period: Duration,
     pub routers: u32,
 }
@@ -41,23 +41,23 @@
     at: Option<Duration>,
 }
 
-pub struct Share {
-    basis: Basis,
+pub struct HealthCheckQuota {
+    basis: QuotaParams,
     /// To where the number of routers may have fallen, and when that was reckoned.
     least: (f64, Duration),
     nodes: BTreeSet<SocketAddr>,
     /// When the last spell alone began for it.
     begun: Duration,
-    tokens: Bucket,
+    tokens: TokenBucket,
     /// The databases that it has asked to probe.
     claims: BTreeMap<SocketAddr, Claim>,
 }
 
-impl Share {
-    pub fn new(basis: Basis, now: Duration) -> Self {
+impl HealthCheckQuota {
+    pub fn new(basis: QuotaParams, now: Duration) -> Self {
         let (nodes, claims) = (BTreeSet::new(), BTreeMap::new());
         let least = (f64::from(basis.routers), now);
-        let mut share = Self { basis, least, nodes, begun: now, tokens: Bucket::new(0.0, 1.0, now), claims };
+        let mut share = Self { basis, least, nodes, begun: now, tokens: TokenBucket::new(0.0, 1.0, now), claims };
         share.reckon(now);
         share
     }
@@ -70,12 +70,12 @@
 
     /// A digest says so. A control instance that has just started counts few routers at first: the number falls slowly,
     /// so that losing it then lets nobody think that it is one of few.
-    pub fn basis_changed(&mut self, now: Duration, basis: Basis) {
+    pub fn basis_changed(&mut self, now: Duration, basis: QuotaParams) {
         let (least, reckoned) = self.least;
         let passed = now.saturating_sub(reckoned).min(FALLS_BETWEEN).as_secs_f64();
         let least = (least * (-passed / FALLS_IN).exp()).max(f64::from(basis.routers));
         self.least = (least, now.max(reckoned));
-        let basis = Basis { routers: least.ceil() as u32, ..basis };
+        let basis = QuotaParams { routers: least.ceil() as u32, ..basis };
         if basis != self.basis {
             self.basis = basis;
             self.reckon(now);
@@ -95,7 +95,7 @@
         for claim in self.claims.values_mut().filter(|claim| claim.due <= self.begun) {
             claim.due = self.begun + soon(self.basis.routers, chance);
         }
-        self.tokens = Bucket::new(0.0, 1.0, self.begun);
+        self.tokens = TokenBucket::new(0.0, 1.0, self.begun);
         self.reckon(now);
     }
 
--- a/crates/observation-feed/src/host.rs
+++ b/crates/observation-feed/src/host.rs
@@ -15,13 +15,13 @@
     /// Asks for one call of `timer_fired` after this span.
     fn wake(&mut self, after: Duration);
     /// To a router alone: something about a database has changed by name, so that nobody should wait until it asks.
-    fn learnt(&mut self, word: Word);
+    fn learnt(&mut self, word: FeedObservation);
     fn tell(&mut self, event: Event);
 }
 
 /// What a router may believe of a database by now, dated on its own clock. Hearsay: an answer proves it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Word {
+pub struct FeedObservation {
     pub node: SocketAddr,
     /// When the database was last seen, at the earliest.
     pub at: Duration,
--- a/crates/observation-feed/src/message.rs
+++ b/crates/observation-feed/src/message.rs
@@ -8,7 +8,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 /// Into so many parts the databases are divided. A copy is asked for, sent and checked part by part.
-pub const PARTS: usize = 64;
+pub const PARTITIONS: usize = 64;
 /// Watermarks are told for so many classes of lag: each reaches twice as far behind as the one before.
 pub const CLASSES: usize = 8;
 /// No more changes travel with a digest, and no more entries in one chunk of a copy. How many fit a datagram is reckoned
@@ -18,9 +18,9 @@
 
 /// A part of the databases.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct PartId(pub u8);
+pub struct PartitionId(pub u8);
 
-impl PartId {
+impl PartitionId {
     /// Which part a database belongs to: by its address alone, so that all processes agree.
     pub fn of(node: SocketAddr) -> Self {
         let mut bytes = [0; 18];
@@ -29,7 +29,7 @@
             IpAddr::V6(ip) => ip.octets(),
         });
         bytes[16..].copy_from_slice(&node.port().to_be_bytes());
-        Self((xxh3_64(&bytes) % PARTS as u64) as u8)
+        Self((xxh3_64(&bytes) % PARTITIONS as u64) as u8)
     }
 }
 
@@ -47,7 +47,7 @@
 
 /// How a database stands. All but the first is an exception.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Standing {
+pub enum NodeStatus {
     /// It is seen as often as it should be, and was no further behind than its class of lag says. The class of a
     /// database in step is the first.
     Seen(LagClass),
@@ -64,7 +64,7 @@
     /// When it started, on the deployment's clock, as far as that matters still: a database that has long been warm
     /// needs none.
     pub started: Option<Duration>,
-    pub standing: Standing,
+    pub standing: NodeStatus,
 }
 
 /// One step of a part's copy: the entry as it stands from that revision on, or that the database is no more.
@@ -102,7 +102,7 @@
 /// A part of a part's copy. A copy is taken over when all its chunks have come.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Chunk {
-    pub part: PartId,
+    pub part: PartitionId,
     pub revision: Revision,
     /// Place among the chunks of this copy, and how many they are.
     pub place: u16,
@@ -131,7 +131,7 @@
     /// From a router: I need no more digests.
     Unsubscribe,
     /// From a router: send me copies of these parts.
-    Pull(Vec<PartId>),
+    Pull(Vec<PartitionId>),
     Digest(Digest),
     Chunk(Chunk),
     /// From a control instance: there is no room here for one more subscriber.
--- a/crates/observation-feed/src/observation_store.rs
+++ b/crates/observation-feed/src/observation_store.rs
@@ -13,11 +13,11 @@
 use quillpoint_membership::DatedObservation;
 
 use crate::message::{
-    CHANGES_ALONG, CLASSES, Change, Chunk, Digest, ENTRIES_ALONG, Entry, LagClass, PARTS, PartId, Revision,
-    Standing,
+    CHANGES_ALONG, CLASSES, Change, Chunk, Digest, ENTRIES_ALONG, Entry, LagClass, PARTITIONS, PartitionId, Revision,
+    NodeStatus,
 };
-use crate::shelf::Shelf;
-use crate::size;
+use crate::sorted_table::SortedTable;
+use crate::encoded_size;
 
 /// A database that has not been seen for so many periods is `Unseen`, come what may, so that it does not age the others.
 /// One whose prober has died is seen by the next in line within two and a half.
@@ -56,14 +56,14 @@
 
 impl Known {
     fn stands_as_seen(&self) -> bool {
-        self.told.is_some_and(|entry| matches!(entry.standing, Standing::Seen(_)))
+        self.told.is_some_and(|entry| matches!(entry.standing, NodeStatus::Seen(_)))
     }
 }
 
 #[derive(Default)]
 struct Part {
     revision: Revision,
-    nodes: Shelf<SocketAddr, Known>,
+    nodes: SortedTable<SocketAddr, Known>,
     /// Not spoken for: one that stands as seen has been silent, and it cannot be told yet.
     silent: bool,
 }
@@ -93,8 +93,8 @@
 impl ObservationStore {
     /// `period`: how often each database is probed by all together.
     pub fn new(period: Duration, turn: usize) -> Self {
-        let parts = (0..PARTS).map(|_| Part::default()).collect();
-        Self { period, parts, log: VecDeque::new(), turn: turn % PARTS }
+        let parts = (0..PARTITIONS).map(|_| Part::default()).collect();
+        Self { period, parts, log: VecDeque::new(), turn: turn % PARTITIONS }
     }
 
     pub fn nodes_changed(&mut self, now: Duration, nodes: &BTreeSet<SocketAddr>) {
@@ -102,8 +102,8 @@
             part.nodes.iter_mut().for_each(|(node, known)| known.gone = !nodes.contains(node));
             part.nodes.retain(|_, known| !known.gone || known.told.is_some());
         }
-        let mut of_parts: Vec<Vec<SocketAddr>> = vec![Vec::new(); PARTS];
-        nodes.iter().for_each(|node| of_parts[PartId::of(*node).0 as usize].push(*node));
+        let mut of_parts: Vec<Vec<SocketAddr>> = vec![Vec::new(); PARTITIONS];
+        nodes.iter().for_each(|node| of_parts[PartitionId::of(*node).0 as usize].push(*node));
         for (part, nodes) in self.parts.iter_mut().zip(of_parts) {
             part.nodes.enter(nodes, || Known {
                 listed: now,
@@ -122,7 +122,7 @@
 
     /// A word that is older than what is known changes nothing.
     pub fn seen(&mut self, now: Duration, evidence: DatedObservation) {
-        let part = &mut self.parts[PartId::of(evidence.node).0 as usize];
+        let part = &mut self.parts[PartitionId::of(evidence.node).0 as usize];
         let Some(known) = part.nodes.get_mut(&evidence.node) else { return };
         let at = evidence.at.min(now);
         if known.at.is_some_and(|known| at < known) {
@@ -147,9 +147,9 @@
         let lates = self.parts.iter().flat_map(|part| part.nodes.values()).filter(is_late).count();
         let cut = if lates <= LATE_MOST { late } else { silent };
         let mut due: Vec<(Rank, usize, SocketAddr, Option<Entry>)> = Vec::new();
-        let mut fresh = [false; PARTS];
-        for step in 0..PARTS {
-            let place = (self.turn + step) % PARTS;
+        let mut fresh = [false; PARTITIONS];
+        for step in 0..PARTITIONS {
+            let place = (self.turn + step) % PARTITIONS;
             let part = &mut self.parts[place];
             fresh[place] = part.revision == Revision::default();
             for (node, known) in part.nodes.iter_mut() {
@@ -158,16 +158,16 @@
                 }
             }
         }
-        self.turn = (self.turn + 1) % PARTS;
+        self.turn = (self.turn + 1) % PARTITIONS;
         due.sort_by_key(|(rank, step, _, _)| (*rank, *step));
         let (mut left, mut waits) = (room, false);
         let mut count = 0;
         for (_, step, node, wanted) in due {
-            let place = (self.turn + PARTS - 1 + step) % PARTS;
+            let place = (self.turn + PARTITIONS - 1 + step) % PARTITIONS;
             let free = fresh[place] || !told;
             let part = &mut self.parts[place];
             let change = Change { revision: Revision(part.revision.0 + 1), node, entry: wanted };
-            let bytes = size::change(&change);
+            let bytes = encoded_size::change(&change);
             if !free && (bytes > left || count >= CHANGES_ALONG) {
                 waits = true;
                 continue;
@@ -208,7 +208,7 @@
         picked.sort_by_key(|place| (self.log[*place].tells, *place));
         let (mut left, mut along) = (room, Vec::new());
         for place in picked {
-            let bytes = size::change(&self.log[place].change);
+            let bytes = encoded_size::change(&self.log[place].change);
             if bytes > left || along.len() >= CHANGES_ALONG {
                 break;
             }
@@ -232,7 +232,7 @@
                 continue;
             }
             for known in part.nodes.values() {
-                if let Some(Entry { standing: Standing::Seen(LagClass(class)), .. }) = known.told
+                if let Some(Entry { standing: NodeStatus::Seen(LagClass(class)), .. }) = known.told
                     && let (Some(at), Some(position)) = (known.at, known.position)
                 {
                     oldest = oldest.min(at);
@@ -255,7 +255,7 @@
     }
 
     /// The copy of a part in chunks that fit a datagram each. None before the first revision.
-    pub fn copy(&self, part: PartId) -> Vec<Chunk> {
+    pub fn copy(&self, part: PartitionId) -> Vec<Chunk> {
         let Some(Part { revision, nodes, .. }) = self.parts.get(part.0 as usize) else { return Vec::new() };
         if *revision == Revision::default() {
             return Vec::new();
@@ -265,15 +265,15 @@
             known.told.into_iter().for_each(|entry| alike.entry(entry).or_default().push(*node));
         }
         let mut chunks: Vec<Vec<(Entry, Vec<SocketAddr>)>> = vec![Vec::new()];
-        let (mut left, mut count) = (size::ROOM, 0);
+        let (mut left, mut count) = (encoded_size::ROOM, 0);
         for (entry, nodes) in alike {
             let mut begun = false;
             for node in nodes {
-                let head = size::entry(&entry) + 2;
-                let bytes = size::address(node) + if begun { 0 } else { head };
+                let head = encoded_size::entry(&entry) + 2;
+                let bytes = encoded_size::address(node) + if begun { 0 } else { head };
                 if bytes > left || count >= ENTRIES_ALONG {
                     chunks.push(Vec::new());
-                    (left, count, begun) = (size::ROOM - head, 0, false);
+                    (left, count, begun) = (encoded_size::ROOM - head, 0, false);
                 }
                 let Some(chunk) = chunks.last_mut() else { continue };
                 if !std::mem::replace(&mut begun, true) {
@@ -316,13 +316,13 @@
     }
     let started = known.started.filter(|started| *started + YOUNG > now);
     let stands = if known.failed {
-        Standing::Down
+        NodeStatus::Down
     } else {
         match (known.at, known.position) {
             (Some(at), Some(position)) if known.shows && at + cut >= now => {
-                Standing::Seen(class(at.saturating_sub(position), period))
+                NodeStatus::Seen(class(at.saturating_sub(position), period))
             }
-            _ => Standing::Unseen,
+            _ => NodeStatus::Unseen,
         }
     };
     let Some(was) = known.told else {
@@ -334,21 +334,21 @@
     let stood = was.standing;
     // Worse holds at once, better only after a while: one that goes to and fro is told once.
     let (standing, rank) = match (stood, stands) {
-        (Standing::Down, Standing::Down) | (Standing::Unseen, Standing::Unseen) => (stood, Rank::Better),
-        (Standing::Down, _) | (_, Standing::Down) => (stands, Rank::ByName),
-        (Standing::Seen(_), Standing::Unseen) => (stands, Rank::Worse),
-        (Standing::Seen(was), Standing::Seen(is)) if is > was => (stands, Rank::Worse),
-        (Standing::Seen(was), Standing::Seen(is)) if is == was => (stood, Rank::Better),
-        (_, Standing::Seen(is)) => {
+        (NodeStatus::Down, NodeStatus::Down) | (NodeStatus::Unseen, NodeStatus::Unseen) => (stood, Rank::Better),
+        (NodeStatus::Down, _) | (_, NodeStatus::Down) => (stands, Rank::ByName),
+        (NodeStatus::Seen(_), NodeStatus::Unseen) => (stands, Rank::Worse),
+        (NodeStatus::Seen(was), NodeStatus::Seen(is)) if is > was => (stands, Rank::Worse),
+        (NodeStatus::Seen(was), NodeStatus::Seen(is)) if is == was => (stood, Rank::Better),
+        (_, NodeStatus::Seen(is)) => {
             let (since, worst) = known.better.unwrap_or((now, is));
             let worst = worst.max(is);
-            let after = if stood == Standing::Unseen { 0 } else { BETTER_PERIODS };
+            let after = if stood == NodeStatus::Unseen { 0 } else { BETTER_PERIODS };
             known.better = Some((since, worst));
             let holds = since + period * after <= now;
-            (if holds { Standing::Seen(worst) } else { stood }, Rank::Better)
+            (if holds { NodeStatus::Seen(worst) } else { stood }, Rank::Better)
         }
     };
-    if matches!(stands, Standing::Unseen) || stood == stands {
+    if matches!(stands, NodeStatus::Unseen) || stood == stands {
         known.better = None;
     }
     let by_name = known.primary != was.primary || (started != was.started && started.is_some());
--- a/crates/observation-feed/src/line.rs
+++ b/crates/observation-feed/src/preference.rs
@@ -11,17 +11,17 @@
 
 /// A control instance, as a router is told of it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Control {
+pub struct ControlInstance {
     pub name: PeerName,
     pub address: SocketAddr,
     pub region: Option<String>,
 }
 
 /// In the order in which this router prefers them.
-pub fn line(me: &PeerName, region: Option<&str>, mut control: Vec<Control>) -> Vec<Control> {
+pub fn line(me: &PeerName, region: Option<&str>, mut control: Vec<ControlInstance>) -> Vec<ControlInstance> {
     let key = xxh3_64_with_seed(me.as_str().as_bytes(), 0);
-    let far = |one: &Control| region.is_some() && one.region.as_deref() != region;
-    let score = |one: &Control| xxh3_64_with_seed(one.name.as_str().as_bytes(), key);
+    let far = |one: &ControlInstance| region.is_some() && one.region.as_deref() != region;
+    let score = |one: &ControlInstance| xxh3_64_with_seed(one.name.as_str().as_bytes(), key);
     control.sort_by(|one, other| {
         (far(one), score(other), &one.name).cmp(&(far(other), score(one), &other.name))
     });
--- a/crates/observation-feed/src/publisher.rs
+++ b/crates/observation-feed/src/publisher.rs
@@ -10,9 +10,9 @@
 
 use crate::observation_store::ObservationStore;
 use crate::host::{Event, Host};
-use crate::message::{CLASSES, Digest, DigestNo, Message, PARTS, PartId};
-use crate::pace::Bucket;
-use crate::size;
+use crate::message::{CLASSES, Digest, DigestNo, Message, PARTITIONS, PartitionId};
+use crate::token_bucket::TokenBucket;
+use crate::encoded_size;
 
 /// The subscribers are served in so many lots over the time between digests, so that no burst goes out.
 const LOTS: u32 = 10;
@@ -38,7 +38,7 @@
 
 /// What a publisher is told at its start.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Plan {
+pub struct PublisherParams {
     /// How often each database is probed, by all control instances together.
     pub period: Duration,
     /// The time between two digests.
@@ -62,14 +62,14 @@
 
 pub struct Publisher<H: Host> {
     host: H,
-    plan: Plan,
+    plan: PublisherParams,
     chance: ChaCha8Rng,
     book: ObservationStore,
     instances: usize,
     subscribers: BTreeMap<PeerName, Subscriber>,
     /// Who waits for copies, each once.
     queue: VecDeque<PeerName>,
-    copies: Bucket,
+    copies: TokenBucket,
     /// When the first databases were listed.
     listed: Option<Duration>,
     /// What this round tells, how many lots it has, and which is next.
@@ -84,10 +84,10 @@
 }
 
 impl<H: Host> Publisher<H> {
-    pub fn new(host: H, plan: Plan, seed: u64, now: Duration) -> Self {
+    pub fn new(host: H, plan: PublisherParams, seed: u64, now: Duration) -> Self {
         let mut chance = ChaCha8Rng::seed_from_u64(seed);
         let book = ObservationStore::new(plan.period, chance.next_u32() as usize);
-        let copies = Bucket::new(plan.copy_rate, plan.copy_rate * SAVED, now);
+        let copies = TokenBucket::new(plan.copy_rate, plan.copy_rate * SAVED, now);
         let mut publisher = Self {
             host,
             plan,
@@ -155,7 +155,7 @@
                 };
                 (known.address, known.validated, known.until) = (from, true, now + LEASE);
                 let waits = known.wants != 0;
-                parts.iter().filter(|part| usize::from(part.0) < PARTS).for_each(|part| {
+                parts.iter().filter(|part| usize::from(part.0) < PARTITIONS).for_each(|part| {
                     known.wants |= 1 << part.0;
                 });
                 if !waits && known.wants != 0 {
@@ -247,7 +247,7 @@
         };
         // What the rest takes at the most.
         digest.revisions = self.book.highest_revisions();
-        let room = size::ROOM.saturating_sub(size::digest(&digest));
+        let room = encoded_size::ROOM.saturating_sub(encoded_size::digest(&digest));
         let waits = self.book.revise(now, room, !self.subscribers.is_empty());
         digest.revisions = self.book.revisions();
         digest.changes = self.book.changes(room);
@@ -283,8 +283,8 @@
             let turned = known.wants.rotate_right(known.lot % 64).trailing_zeros();
             let part = (turned + known.lot) % 64;
             known.wants &= !(1 << part);
-            for chunk in self.book.copy(PartId(part as u8)) {
-                let bytes = HEAD_BYTES + size::chunk(&chunk);
+            for chunk in self.book.copy(PartitionId(part as u8)) {
+                let bytes = HEAD_BYTES + encoded_size::chunk(&chunk);
                 self.copies.spend(bytes as f64);
                 sent += bytes;
                 self.host.send(known.address, Some(known.start), Message::Chunk(chunk));
--- a/crates/observation-feed/src/told.rs
+++ b/crates/observation-feed/src/publisher_replica.rs
@@ -6,7 +6,7 @@
 use crate::message::DigestNo;
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Told {
+pub struct PublisherReplica {
     start: Incarnation,
     number: DigestNo,
     /// It has been silent for so long that an earlier start is that of a clock which was set back.
@@ -23,7 +23,7 @@
     Later,
 }
 
-impl Told {
+impl PublisherReplica {
     /// Nothing, of one that was heard before: what it said by then is not taken again.
     pub fn after((start, number): (Incarnation, DigestNo)) -> Self {
         Self { start, number, ..Self::default() }
--- a/crates/observation-feed/src/shelf.rs
+++ b/crates/observation-feed/src/sorted_table.rs
@@ -5,19 +5,19 @@
 
 use quillpoint_membership::fast_hash_map::FastHashMap;
 
-pub struct Shelf<K, V> {
+pub struct SortedTable<K, V> {
     keys: Vec<K>,
     values: Vec<V>,
     places: FastHashMap<K, usize>,
 }
 
-impl<K, V> Default for Shelf<K, V> {
+impl<K, V> Default for SortedTable<K, V> {
     fn default() -> Self {
         Self { keys: Vec::new(), values: Vec::new(), places: FastHashMap::default() }
     }
 }
 
-impl<K: Ord + Copy + Hash, V> Shelf<K, V> {
+impl<K: Ord + Copy + Hash, V> SortedTable<K, V> {
     pub fn get(&self, key: &K) -> Option<&V> {
         self.places.get(key).map(|place| &self.values[*place])
     }
--- a/crates/observation-feed/src/subscriber.rs
+++ b/crates/observation-feed/src/subscriber.rs
@@ -10,11 +10,11 @@
 
 use crate::clock::Shortest;
 use crate::copy::Cover;
-use crate::host::{Event, Host, Word};
-use crate::line::{Control, line};
-use crate::message::{CHANGES_ALONG, Digest, DigestNo, Message, PARTS, PartId, Revision};
-use crate::share::{Basis, Share};
-use crate::told::{Start, Told};
+use crate::host::{Event, Host, FeedObservation};
+use crate::preference::{ControlInstance, line};
+use crate::message::{CHANGES_ALONG, Digest, DigestNo, Message, PARTITIONS, PartitionId, Revision};
+use crate::health_check_quota::{QuotaParams, HealthCheckQuota};
+use crate::publisher_replica::{Start, PublisherReplica};
 
 /// So many control instances are followed, and one more while it takes another's place.
 const FOLLOWED: usize = 2;
@@ -67,7 +67,7 @@
 
 /// What a subscriber is told at its start.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Plan {
+pub struct SubscriberParams {
     /// Control instances of this region go first.
     pub region: Option<String>,
     /// The time between two digests.
@@ -85,20 +85,20 @@
 
 /// A control instance that is followed, or has been.
 struct Followed {
-    control: Control,
+    control: ControlInstance,
     /// Since when, and when the last digest came since then.
     since: Duration,
     heard: Option<Duration>,
     /// When the last came that was taken at any time, or since when it is known.
     spoke: Duration,
     ask: Duration,
-    told: Told,
+    told: PublisherReplica,
     /// The way of its digests, how many came since then, and when the last of these was counted.
     way: Shortest,
     digests: u32,
     counted: Option<Duration>,
     /// The parts that its last digest names another revision of.
-    pulls: BTreeMap<PartId, Pull>,
+    pulls: BTreeMap<PartitionId, Pull>,
     /// From when on it may be asked for a copy although there is one of another's.
     second: Option<Duration>,
 }
@@ -113,17 +113,17 @@
 pub struct Subscriber<H: Host> {
     host: H,
     me: PeerName,
-    plan: Plan,
+    plan: SubscriberParams,
     chance: ChaCha8Rng,
     /// All control instances, in the order of preference.
-    line: Vec<Control>,
+    line: Vec<ControlInstance>,
     followed: Vec<Followed>,
     resting: Vec<Followed>,
     /// The start and the last digest of each that has been followed, and until when.
     heard: BTreeMap<PeerName, ((Incarnation, DigestNo), Duration)>,
     gone: BTreeMap<PeerName, Gone>,
     return_at: Option<Duration>,
-    share: Share,
+    share: HealthCheckQuota,
     /// When a control instance last spoke; whether none does, and whether people know.
     spoken: Duration,
     alone: bool,
@@ -155,9 +155,9 @@
 
 impl<H: Host> Subscriber<H> {
     /// `control`: name, address and region of each control instance. Two are followed.
-    pub fn new(host: H, me: PeerName, plan: Plan, control: Vec<Control>, seed: u64, now: Duration) -> Self {
+    pub fn new(host: H, me: PeerName, plan: SubscriberParams, control: Vec<ControlInstance>, seed: u64, now: Duration) -> Self {
         let line = line(&me, plan.region.as_deref(), control);
-        let basis = Basis { period: plan.period, routers: plan.routers };
+        let basis = QuotaParams { period: plan.period, routers: plan.routers };
         let mut subscriber = Self {
             host,
             me,
@@ -169,7 +169,7 @@
             heard: BTreeMap::new(),
             gone: BTreeMap::new(),
             return_at: None,
-            share: Share::new(basis, now),
+            share: HealthCheckQuota::new(basis, now),
             spoken: now,
             alone: true,
             told_alone: false,
@@ -183,7 +183,7 @@
     }
 
     /// Others stand on the list of control instances from now on.
-    pub fn control_changed(&mut self, now: Duration, control: Vec<Control>) {
+    pub fn control_changed(&mut self, now: Duration, control: Vec<ControlInstance>) {
         self.line = line(&self.me, self.plan.region.as_deref(), control);
         let line = &self.line;
         let listed = |followed: &Followed| line.contains(&followed.control);
@@ -240,7 +240,7 @@
         let grace = self.plan.every * 2;
         let followed = &mut self.followed[place];
         let name = followed.control.name.clone();
-        let whole = revisions.len() == PARTS && changes.len() <= CHANGES_ALONG;
+        let whole = revisions.len() == PARTITIONS && changes.len() <= CHANGES_ALONG;
         if !whole || !followed.told.count(number) {
             return;
         }
@@ -261,7 +261,7 @@
             self.ask(now);
         }
         self.spoken = now;
-        self.share.basis_changed(now, Basis { period: period.clamp(LEAST_PERIOD, MOST_PERIOD), routers });
+        self.share.basis_changed(now, QuotaParams { period: period.clamp(LEAST_PERIOD, MOST_PERIOD), routers });
         self.look(now);
         let followed = &mut self.followed[place];
         if followed.digests <= MEASURED || quicker > QUICKER {
@@ -272,7 +272,7 @@
         let copy = followed.told.copy_mut();
         let mut named = copy.change(changes, at);
         named.extend(copy.cover(&revisions, Cover { number, at, watermarks }));
-        for (part, revision) in (0..).map(PartId).zip(&revisions) {
+        for (part, revision) in (0..).map(PartitionId).zip(&revisions) {
             let own = copy.revision(part);
             if own >= *revision {
                 followed.pulls.remove(&part);
@@ -387,7 +387,7 @@
     /// As many are followed as should be: the next in line that are not known to be gone.
     fn follow_enough(&mut self, now: Duration) {
         while self.followed.len() < FOLLOWED {
-            let free = |control: &&Control| !self.follows(&control.name) && !self.is_gone(now, &control.name);
+            let free = |control: &&ControlInstance| !self.follows(&control.name) && !self.is_gone(now, &control.name);
             let Some(next) = self.line.iter().find(free).cloned() else { return };
             self.follow(now, next);
         }
@@ -402,10 +402,10 @@
         self.gone.get(name).is_some_and(|gone| gone.until > now)
     }
 
-    fn follow(&mut self, now: Duration, control: Control) {
+    fn follow(&mut self, now: Duration, control: ControlInstance) {
         self.heard.retain(|_, (_, at)| *at + REMEMBERED > now);
         self.resting.retain(|rested| rested.spoke + KEPT > now);
-        let told = self.heard.get(&control.name).map_or_else(Told::default, |(heard, _)| Told::after(*heard));
+        let told = self.heard.get(&control.name).map_or_else(PublisherReplica::default, |(heard, _)| PublisherReplica::after(*heard));
         let rested = self.resting.iter().position(|rested| rested.control == control);
         let followed = match rested.map(|place| self.resting.remove(place)) {
             Some(mut rested) => {
@@ -483,7 +483,7 @@
         let speaking: Vec<usize> =
             (0..self.followed.len()).filter(|place| self.followed[*place].speaks(now, silent)).collect();
         for (turn, place) in speaking.iter().enumerate() {
-            let covered = |part: PartId| {
+            let covered = |part: PartitionId| {
                 let others = speaking.iter().filter(|other| *other != place);
                 others.clone().any(|other| self.followed[*other].told.copy().is_covered(part))
             };
@@ -492,17 +492,17 @@
             // Of a part that nobody has told yet, a copy is fetched from one of them first: two would take twice as
             // long. The other's follows when the rush is over, and so does any second copy.
             let (second, waited) = (followed.second, followed.since + SECOND_COPY <= now);
-            let may = |part: PartId| {
+            let may = |part: PartitionId| {
                 let again = followed.told.copy().revision(part) != Revision::default();
                 let turn = usize::from(part.0) % speaking.len() == turn;
                 again || if covered(part) { second.is_some_and(|at| at <= now) } else { turn || waited }
             };
             let due = followed.pulls.iter().filter(|(part, pull)| pull.due <= now && may(**part));
-            let mut due: Vec<(u32, PartId)> = due.map(|(part, pull)| (pull.tries, *part)).collect();
+            let mut due: Vec<(u32, PartitionId)> = due.map(|(part, pull)| (pull.tries, *part)).collect();
             // What has been asked for in vain does not keep the others waiting.
             due.sort_unstable();
             let room = IN_FLIGHT.saturating_sub(asked);
-            let parts: Vec<PartId> = due.into_iter().take(room).map(|(_, part)| part).collect();
+            let parts: Vec<PartitionId> = due.into_iter().take(room).map(|(_, part)| part).collect();
             let later = SECOND_COPY.mul_f64(self.chance.random_range(1.0..2.0));
             let followed = &mut self.followed[*place];
             if whole {
@@ -521,7 +521,7 @@
     }
 
     /// What may be believed of a database by now: the best of what is followed, and of what was.
-    pub fn known(&self, _now: Duration, node: SocketAddr) -> Option<Word> {
+    pub fn known(&self, _now: Duration, node: SocketAddr) -> Option<FeedObservation> {
         if !self.share.is_listed(node) {
             return None;
         }
@@ -565,9 +565,9 @@
         let of = |one: &Followed| {
             size_of::<Followed>()
                 + one.told.copy().state_bytes()
-                + one.pulls.len() * size_of::<(PartId, Pull)>()
+                + one.pulls.len() * size_of::<(PartitionId, Pull)>()
         };
-        let control = self.line.len() * (size_of::<Control>() + 2 * size_of::<PeerName>());
+        let control = self.line.len() * (size_of::<ControlInstance>() + 2 * size_of::<PeerName>());
         size_of::<Self>() + control + all.map(of).sum::<usize>() + self.share.state_bytes()
     }
 
@@ -580,7 +580,7 @@
     /// Whether all there is to know has been told by those who speak, by one or another.
     pub fn is_whole(&self) -> bool {
         let speaking = || self.followed.iter().filter(|followed| followed.heard.is_some());
-        (0..PARTS as u8).all(|part| speaking().any(|one| one.told.copy().is_covered(PartId(part))))
+        (0..PARTITIONS as u8).all(|part| speaking().any(|one| one.told.copy().is_covered(PartitionId(part))))
     }
 
     pub fn follows_by(&self) -> impl Iterator<Item = &PeerName> {
--- a/crates/observation-feed/src/pace.rs
+++ b/crates/observation-feed/src/token_bucket.rs
@@ -4,14 +4,14 @@
 
 /// Units that come at a rate and are saved up to a bound. What is taken beyond them is owed, and paid first.
 #[derive(Clone, Debug)]
-pub struct Bucket {
+pub struct TokenBucket {
     rate: f64,
     most: f64,
     saved: f64,
     counted: Duration,
 }
 
-impl Bucket {
+impl TokenBucket {
     /// So many units a second, of which `most` may be saved up; empty at the start.
     pub fn new(rate: f64, most: f64, now: Duration) -> Self {
         Self { rate, most, saved: 0.0, counted: now }
--- a/crates/observation-feed/tests/feed.rs
+++ b/crates/observation-feed/tests/feed.rs
@@ -163,7 +163,7 @@
             let word = world.known(router, new).unwrap();
             assert_eq!(word.primary, Some(true), "{turn}, {router}");
             let node = world::address(new);
-            let told = |(at, to, word): &&(Duration, usize, quillpoint_observation_feed::Word)| {
+            let told = |(at, to, word): &&(Duration, usize, quillpoint_observation_feed::FeedObservation)| {
                 *at >= from && *to == router && word.node == node && word.primary == Some(true)
             };
             assert!(world.learnt.iter().any(|told_then| told(&told_then)), "told at once, unasked");
--- a/crates/observation-feed/tests/handover.rs
+++ b/crates/observation-feed/tests/handover.rs
@@ -1,5 +1,5 @@
 //! The hand-over of one part's copy from a publisher to a router, and from one start of the publisher to the next,
-//! model-checked: the router's side as it is ([`Told`]), in every order in which messages come, come again or are lost.
+//! model-checked: the router's side as it is ([`PublisherReplica`]), in every order in which messages come, come again or are lost.
 //! Nothing that was ever sent leaves the network, so that each may come at any time, twice, late or never. Time goes in
 //! ticks.
 
@@ -8,9 +8,9 @@
 use std::time::Duration;
 
 use quillpoint_observation_feed::copy::Cover;
-use quillpoint_observation_feed::message::{CLASSES, Chunk, DigestNo, LagClass, PARTS, PartId, Revision};
-use quillpoint_observation_feed::told::{Start, Told};
-use quillpoint_observation_feed::{Change, Entry, Standing, Word};
+use quillpoint_observation_feed::message::{CLASSES, Chunk, DigestNo, LagClass, PARTITIONS, PartitionId, Revision};
+use quillpoint_observation_feed::publisher_replica::{Start, PublisherReplica};
+use quillpoint_observation_feed::{Change, Entry, NodeStatus, FeedObservation};
 use quillpoint_membership::Incarnation;
 use stateright::{Checker, Model, Property};
 
@@ -52,7 +52,7 @@
     change: Option<(u32, usize, bool)>,
     steps: u8,
     sent: BTreeSet<(u64, Said)>,
-    router: Told,
+    router: PublisherReplica,
     /// A message has made something that was known older, though it was of the same start.
     older: bool,
 }
@@ -71,7 +71,7 @@
 /// Two databases of one part.
 fn nodes() -> [SocketAddr; NODES] {
     let all = (0..).map(|port| SocketAddr::from(([10, 0, 0, 1], port)));
-    let mut of = all.filter(|node| PartId::of(*node) == PartId(0));
+    let mut of = all.filter(|node| PartitionId::of(*node) == PartitionId(0));
     [of.next().unwrap(), of.next().unwrap()]
 }
 
@@ -80,15 +80,15 @@
 }
 
 fn entry(seen: bool) -> Entry {
-    let standing = if seen { Standing::Seen(LagClass(0)) } else { Standing::Unseen };
+    let standing = if seen { NodeStatus::Seen(LagClass(0)) } else { NodeStatus::Unseen };
     Entry { primary: None, started: None, standing }
 }
 
-fn word(world: &World, node: usize) -> Option<Word> {
+fn word(world: &World, node: usize) -> Option<FeedObservation> {
     world.router.copy().word(nodes()[node])
 }
 
-fn take(router: &mut Told, start: u64, said: &Said) {
+fn take(router: &mut PublisherReplica, start: u64, said: &Said) {
     if router.came(Incarnation(start)) == Start::Earlier {
         return;
     }
@@ -106,12 +106,12 @@
             router.copy_mut().change(change.into_iter().collect(), at);
             let mut watermarks = [None; CLASSES];
             watermarks[0] = mark.map(ticks);
-            let mut revisions = vec![Revision::default(); PARTS];
+            let mut revisions = vec![Revision::default(); PARTITIONS];
             revisions[0] = Revision(*revision);
             router.copy_mut().cover(&revisions, Cover { number: DigestNo(*number), at, watermarks });
         }
         Said::Chunk { revision, place, seen } => router.copy_mut().chunk(Chunk {
-            part: PartId(0),
+            part: PartitionId(0),
             revision: Revision(*revision),
             place: *place,
             of: NODES as u16,
@@ -135,7 +135,7 @@
             change: None,
             steps: 0,
             sent: BTreeSet::new(),
-            router: Told::default(),
+            router: PublisherReplica::default(),
             older: false,
         }]
     }
@@ -193,7 +193,7 @@
                 }
                 let same = world.router.heard().map(|(start, _)| start)
                     == before.router.heard().map(|(start, _)| start);
-                let at = |told: &Told, node| told.copy().word(node).map(|word| word.at);
+                let at = |told: &PublisherReplica, node| told.copy().word(node).map(|word| word.at);
                 let older = nodes().iter().any(|node| at(&world.router, *node) < at(&before.router, *node));
                 world.older |= same && older;
             }
@@ -213,7 +213,7 @@
             }),
             Property::always("no message makes older what is known", |_, world: &World| !world.older),
             Property::sometimes("a change of a copy is covered", |_, world: &World| {
-                world.router.copy().revision(PartId(0)) == Revision(2)
+                world.router.copy().revision(PartitionId(0)) == Revision(2)
                     && (0..NODES).all(|node| word(world, node).is_some())
             }),
         ]
--- a/crates/observation-feed/tests/parts.rs
+++ b/crates/observation-feed/tests/parts.rs
@@ -10,12 +10,12 @@
 use quillpoint_observation_feed::observation_store::ObservationStore;
 use quillpoint_observation_feed::clock::Shortest;
 use quillpoint_observation_feed::copy::{Copy, Cover};
-use quillpoint_observation_feed::line::line;
-use quillpoint_observation_feed::message::{CLASSES, Chunk, Digest, DigestNo, LagClass, PARTS, PartId, Revision};
-use quillpoint_observation_feed::pace::Bucket;
-use quillpoint_observation_feed::share::{Basis, Share};
+use quillpoint_observation_feed::preference::line;
+use quillpoint_observation_feed::message::{CLASSES, Chunk, Digest, DigestNo, LagClass, PARTITIONS, PartitionId, Revision};
+use quillpoint_observation_feed::token_bucket::TokenBucket;
+use quillpoint_observation_feed::health_check_quota::{QuotaParams, HealthCheckQuota};
 use quillpoint_observation_feed::{
-    Change, Control, Entry, Envelope, Event, Host, Message, Publisher, Standing, Subscriber, Word, publisher,
+    Change, ControlInstance, Entry, Envelope, Event, Host, Message, Publisher, NodeStatus, Subscriber, FeedObservation, publisher,
     size, subscriber,
 };
 use quillpoint_membership::{DatedObservation, Incarnation, PeerName};
@@ -50,7 +50,7 @@
 
 #[test]
 fn a_bucket_saves_no_more_than_its_bound_and_what_is_owed_is_paid_first() {
-    let mut bucket = Bucket::new(100.0, 10.0, ms(0));
+    let mut bucket = TokenBucket::new(100.0, 10.0, ms(0));
     assert!(!bucket.has(ms(0), 1.0), "empty at the start");
     assert!(bucket.has(ms(60_000), 10.0) && !bucket.has(ms(60_000), 10.1));
     bucket.spend(30.0);
@@ -71,8 +71,8 @@
     assert!(way.late(ms(563_800), ms(63_300)) > ms(450));
 }
 
-fn control(count: usize, regions: usize) -> Vec<Control> {
-    let one = |place: usize| Control {
+fn control(count: usize, regions: usize) -> Vec<ControlInstance> {
+    let one = |place: usize| ControlInstance {
         name: name(&format!("c{place}")),
         address: node(place as u16),
         region: Some(format!("region-{}", place % regions)),
@@ -89,9 +89,9 @@
         assert!(line[..4].iter().all(|one| one.region.as_deref() == Some("region-1")));
         line[..2].iter().for_each(|one| *followers.entry(one.name.clone()).or_default() += 1);
         // One that goes leaves the order of the others as it was.
-        let others: Vec<Control> = line.iter().filter(|one| one.name != name("c3")).cloned().collect();
+        let others: Vec<ControlInstance> = line.iter().filter(|one| one.name != name("c3")).cloned().collect();
         let all = control(8, 2).into_iter().filter(|one| one.name != name("c3")).collect();
-        assert_eq!(quillpoint_observation_feed::line::line(&me, Some("region-1"), all), others);
+        assert_eq!(quillpoint_observation_feed::preference::line(&me, Some("region-1"), all), others);
     }
     assert!(
         followers.len() == 4 && followers.values().all(|count| (900..1100).contains(count)),
@@ -123,8 +123,8 @@
     digest
 }
 
-fn standing(book: &ObservationStore, number: u16) -> Standing {
-    let all = book.copy(PartId::of(node(number))).into_iter().flat_map(|chunk| chunk.alike);
+fn standing(book: &ObservationStore, number: u16) -> NodeStatus {
+    let all = book.copy(PartitionId::of(node(number))).into_iter().flat_map(|chunk| chunk.alike);
     all.filter(|(_, nodes)| nodes.contains(&node(number))).map(|(entry, _)| entry.standing).next().unwrap()
 }
 
@@ -143,7 +143,7 @@
         let shown = now - PERIOD * (step % 2) * 3;
         assert!(digest.watermarks.iter().flatten().all(|mark| *mark <= shown && *mark + PERIOD * 4 >= shown));
         if step > 1 {
-            assert_eq!(standing(&book, 4), Standing::Seen(LagClass(2)));
+            assert_eq!(standing(&book, 4), NodeStatus::Seen(LagClass(2)));
         }
     }
     assert!(changes <= 30, "each told once, three times over: {changes}");
@@ -153,7 +153,7 @@
         (0..10).for_each(|number| book.seen(now, evidence(number, now, ms(0))));
         book.revise(now, 1000, true);
     }
-    assert_eq!(standing(&book, 4), Standing::Seen(LagClass(0)));
+    assert_eq!(standing(&book, 4), NodeStatus::Seen(LagClass(0)));
 }
 
 #[test]
@@ -168,7 +168,7 @@
             book.seen(now, evidence(0, now, ms(0)));
         }
         book.revise(now, 1000, true);
-        told.push(standing(&book, 0) != Standing::Unseen);
+        told.push(standing(&book, 0) != NodeStatus::Unseen);
     }
     assert_eq!(told, [true, false, false, true].repeat(4));
 }
@@ -185,7 +185,7 @@
         if silent <= PERIOD {
             assert_eq!(digest.age, silent + ms(30), "not late yet: it ages all");
         } else {
-            assert_eq!((digest.age, standing(&book, 0)), (ms(30), Standing::Unseen), "{step}");
+            assert_eq!((digest.age, standing(&book, 0)), (ms(30), NodeStatus::Unseen), "{step}");
         }
     }
 }
@@ -203,14 +203,14 @@
         let digest = digest(&book, now);
         assert!(digest.age <= PERIOD * 4, "{:?}", digest.age);
         let changes = book.changes(300);
-        assert!(changes.iter().map(size::change).sum::<usize>() <= 300);
+        assert!(changes.iter().map(encoded_size::change).sum::<usize>() <= 300);
         rounds += 1;
         if !waits && rounds > 5 {
             break;
         }
     }
     assert!((40..120).contains(&rounds), "{rounds}");
-    assert!((0..1000).all(|number| (standing(&book, number) == Standing::Unseen) == (number != 7)));
+    assert!((0..1000).all(|number| (standing(&book, number) == NodeStatus::Unseen) == (number != 7)));
     assert!(digest(&book, now).revisions.iter().all(|revision| *revision != Revision::default()));
 }
 
@@ -219,16 +219,16 @@
     let mut book = book(10, ms(10_000));
     book.seen(ms(10_050), DatedObservation { failed: true, position: None, ..evidence(1, ms(9000), ms(0)) });
     book.revise(ms(10_050), 1000, true);
-    assert_eq!(standing(&book, 1), Standing::Seen(LagClass(0)), "it has been seen since");
+    assert_eq!(standing(&book, 1), NodeStatus::Seen(LagClass(0)), "it has been seen since");
     book.seen(ms(10_080), DatedObservation { failed: true, position: None, ..evidence(1, ms(10_080), ms(0)) });
     book.revise(ms(10_080), 1000, true);
-    assert_eq!(standing(&book, 1), Standing::Down);
+    assert_eq!(standing(&book, 1), NodeStatus::Down);
     book.seen(ms(10_090), evidence(1, ms(10_070), ms(0)));
     book.revise(ms(10_090), 1000, true);
     // Answered before the failure, heard after it: it had been seen later than was known, and that is all.
     book.seen(ms(10_095), evidence(1, ms(10_095), ms(0)));
     book.revise(ms(10_095), 1000, true);
-    assert_eq!(standing(&book, 1), Standing::Seen(LagClass(0)));
+    assert_eq!(standing(&book, 1), NodeStatus::Seen(LagClass(0)));
     // One that is not listed is nobody's.
     book.seen(ms(10_100), evidence(77, ms(10_100), ms(0)));
     assert_eq!(book.len(), 10);
@@ -236,20 +236,20 @@
 
 /// Three databases of one part.
 fn of_one_part() -> [SocketAddr; 3] {
-    let mut all = (0..u16::MAX).map(node).filter(|node| PartId::of(*node) == PartId(5));
+    let mut all = (0..u16::MAX).map(node).filter(|node| PartitionId::of(*node) == PartitionId(5));
     [all.next().unwrap(), all.next().unwrap(), all.next().unwrap()]
 }
 
 fn seen(class: u8) -> Entry {
-    Entry { primary: Some(false), started: None, standing: Standing::Seen(LagClass(class)) }
+    Entry { primary: Some(false), started: None, standing: NodeStatus::Seen(LagClass(class)) }
 }
 
 fn chunk(revision: u32, place: u16, of: u16, nodes: &[SocketAddr]) -> Chunk {
-    Chunk { part: PartId(5), revision: Revision(revision), place, of, alike: vec![(seen(0), nodes.to_vec())] }
+    Chunk { part: PartitionId(5), revision: Revision(revision), place, of, alike: vec![(seen(0), nodes.to_vec())] }
 }
 
 fn cover(copy: &mut Copy, number: u32, revision: u32, at: u64) {
-    let mut revisions = vec![Revision::default(); PARTS];
+    let mut revisions = vec![Revision::default(); PARTITIONS];
     revisions[5] = Revision(revision);
     let mut watermarks = [None; CLASSES];
     (watermarks[0], watermarks[1]) = (Some(ms(at - 10)), Some(ms(at - 200)));
@@ -263,17 +263,17 @@
     copy.chunk(chunk(3, 0, 3, &[one]));
     copy.chunk(chunk(3, 0, 3, &[one]));
     copy.chunk(chunk(3, 2, 3, &[three]));
-    assert_eq!((copy.revision(PartId(5)), copy.len()), (Revision(0), (0, 2)));
+    assert_eq!((copy.revision(PartitionId(5)), copy.len()), (Revision(0), (0, 2)));
     // Another revision begins anew, and an earlier one does not disturb it.
     copy.chunk(chunk(4, 1, 2, &[two]));
     copy.chunk(chunk(3, 1, 3, &[two]));
-    assert_eq!((copy.revision(PartId(5)), copy.len()), (Revision(0), (0, 1)));
+    assert_eq!((copy.revision(PartitionId(5)), copy.len()), (Revision(0), (0, 1)));
     copy.chunk(chunk(4, 0, 2, &[one]));
-    assert_eq!((copy.revision(PartId(5)), copy.len()), (Revision(4), (2, 0)));
+    assert_eq!((copy.revision(PartitionId(5)), copy.len()), (Revision(4), (2, 0)));
     // One for another part, or with databases of another, or out of its bounds, changes nothing.
     let before = copy.clone();
-    copy.chunk(Chunk { part: PartId(6), ..chunk(9, 0, 1, &[one]) });
-    copy.chunk(Chunk { part: PartId(200), ..chunk(9, 0, 1, &[one]) });
+    copy.chunk(Chunk { part: PartitionId(6), ..chunk(9, 0, 1, &[one]) });
+    copy.chunk(Chunk { part: PartitionId(200), ..chunk(9, 0, 1, &[one]) });
     copy.chunk(chunk(9, 1, 1, &[one]));
     copy.chunk(chunk(9, 0, u16::MAX, &[one]));
     copy.chunk(chunk(4, 0, 1, &[three]));
@@ -295,16 +295,16 @@
     // A change that does not follow is not taken; one that does is, and what it is about keeps its date.
     let change = |revision, entry| Change { revision: Revision(revision), node: one, entry };
     assert!(copy.change(vec![change(3, None)], ms(2000)).is_empty());
-    assert_eq!(copy.revision(PartId(5)), Revision(1));
-    let unseen = Entry { standing: Standing::Unseen, ..seen(0) };
+    assert_eq!(copy.revision(PartitionId(5)), Revision(1));
+    let unseen = Entry { standing: NodeStatus::Unseen, ..seen(0) };
     copy.change(vec![change(3, Some(seen(1))), change(2, Some(unseen))], ms(2000));
-    assert_eq!(copy.revision(PartId(5)), Revision(3));
+    assert_eq!(copy.revision(PartitionId(5)), Revision(3));
     assert_eq!((copy.word(one).unwrap().at, copy.word(two).unwrap().at), (ms(1000), ms(1000)));
     cover(&mut copy, 4, 3, 3000);
     assert_eq!((copy.word(one).unwrap().at, copy.word(one).unwrap().position), (ms(3000), Some(ms(2800))));
     assert_eq!(copy.word(two).unwrap().position, Some(ms(2990)));
     // A failure is dated when it was told, and stays so.
-    let down = Entry { standing: Standing::Down, ..seen(0) };
+    let down = Entry { standing: NodeStatus::Down, ..seen(0) };
     assert_eq!(copy.change(vec![change(4, Some(down))], ms(4000)), [one]);
     cover(&mut copy, 5, 4, 5000);
     let word = copy.word(one).unwrap();
@@ -346,7 +346,7 @@
     };
     say(&mut book, now, false);
     book.revise(now, 0, true);
-    for part in (0..PARTS as u8).map(PartId) {
+    for part in (0..PARTITIONS as u8).map(PartitionId) {
         for chunk in book.copy(part) {
             assert!(longest(Message::Chunk(chunk)) <= 1200);
         }
@@ -365,14 +365,14 @@
             period: now,
             routers: u32::MAX,
         };
-        let room = size::ROOM - size::digest(&digest);
+        let room = encoded_size::ROOM - encoded_size::digest(&digest);
         assert!(book.revise(now, room, true), "more has changed than can be told");
         (digest.revisions, digest.changes) = (book.revisions(), book.changes(room));
         assert!(!digest.changes.is_empty());
         most = most.max(longest(Message::Digest(digest)));
     }
     assert!((1000..=1200).contains(&most), "{most}");
-    let parts = (0..PARTS as u8).map(PartId).collect();
+    let parts = (0..PARTITIONS as u8).map(PartitionId).collect();
     assert!(longest(Message::Pull(parts)) <= 1200);
 }
 
@@ -380,7 +380,7 @@
 struct Wishes {
     sent: Vec<(SocketAddr, Message)>,
     wake: Duration,
-    learnt: Vec<Word>,
+    learnt: Vec<FeedObservation>,
     events: Vec<Event>,
 }
 
@@ -394,7 +394,7 @@
     fn wake(&mut self, after: Duration) {
         self.0.borrow_mut().wake = after;
     }
-    fn learnt(&mut self, word: Word) {
+    fn learnt(&mut self, word: FeedObservation) {
         self.0.borrow_mut().learnt.push(word);
     }
     fn tell(&mut self, event: Event) {
@@ -403,7 +403,7 @@
 }
 
 fn publisher(desk: &Desk, most_subscribers: usize, copy_rate: f64) -> Publisher<Desk> {
-    let plan = publisher::Plan { period: PERIOD, every: ms(100), copy_rate, most_subscribers };
+    let plan = publisher::PublisherParams { period: PERIOD, every: ms(100), copy_rate, most_subscribers };
     let mut publisher = Publisher::new(desk.clone(), plan, 1, ms(1000));
     publisher.nodes_changed(ms(1000), &(0..200).map(node).collect());
     (0..200).for_each(|number| publisher.seen(ms(1400), evidence(number, ms(1400), ms(0))));
@@ -423,7 +423,7 @@
 fn only_who_subscribes_is_told_and_by_its_latest_start() {
     let desk = Desk::default();
     let mut publisher = publisher(&desk, 2, 1e6);
-    let all = || Message::Pull((0..=255).map(PartId).collect());
+    let all = || Message::Pull((0..=255).map(PartitionId).collect());
     publisher.message_arrived(ms(1000), node(9000), &name("stranger"), Incarnation(5), all());
     publisher.message_arrived(ms(1000), node(9001), &name("r1"), Incarnation(5), Message::Subscribe);
     // An earlier start of it, and what only a control instance says, change nothing.
@@ -463,7 +463,7 @@
     let desk = Desk::default();
     let mut publisher = publisher(&desk, 10, 1e5);
     turn(&mut publisher, 1000, 1400);
-    let parts = || Message::Pull((0..PARTS as u8).map(PartId).collect());
+    let parts = || Message::Pull((0..PARTITIONS as u8).map(PartitionId).collect());
     for router in 0..4 {
         let who = name(&format!("r{router}"));
         let at = node(9000 + router);
@@ -486,7 +486,7 @@
     let desk = Desk::default();
     let mut publisher = publisher(&desk, 10, 1e5);
     turn(&mut publisher, 1000, 1400);
-    let parts = || Message::Pull((0..PARTS as u8).map(PartId).collect());
+    let parts = || Message::Pull((0..PARTITIONS as u8).map(PartitionId).collect());
     let (often, once) = (name("often"), name("once"));
     let mut say = |at: u64, who: &PeerName, message: Message| {
         publisher.message_arrived(ms(at), node(9000 + u16::from(*who == once)), who, Incarnation(5), message);
@@ -522,7 +522,7 @@
     let ask = |publisher: &mut Publisher<Desk>, at: Duration| {
         for router in 0..400 {
             let (who, place) = (name(&format!("r{router}")), node(9000 + router));
-            let parts = Message::Pull((0..PARTS as u8).map(PartId).collect());
+            let parts = Message::Pull((0..PARTITIONS as u8).map(PartitionId).collect());
             publisher.message_arrived(at, place, &who, Incarnation(5), Message::Subscribe);
             publisher.message_arrived(at, place, &who, Incarnation(5), parts);
         }
@@ -535,7 +535,7 @@
         publisher.timer_fired(now);
         let sent = std::mem::take(&mut desk.0.borrow_mut().sent);
         let bytes = sent.iter().map(|(_, message)| match message {
-            Message::Chunk(chunk) => size::chunk(chunk) + 90,
+            Message::Chunk(chunk) => encoded_size::chunk(chunk) + 90,
             _ => 0,
         });
         let bytes: usize = bytes.sum();
@@ -552,7 +552,7 @@
 }
 
 fn subscriber(desk: &Desk) -> Subscriber<Desk> {
-    let plan = subscriber::Plan { region: None, every: ms(100), period: PERIOD, routers: 10 };
+    let plan = subscriber::SubscriberParams { region: None, every: ms(100), period: PERIOD, routers: 10 };
     let mut subscriber = Subscriber::new(desk.clone(), name("r1"), plan, control(2, 1), 1, ms(1000));
     subscriber.nodes_changed(ms(1000), &of_one_part().into_iter().collect());
     subscriber.timer_fired(ms(1000));
@@ -560,7 +560,7 @@
 }
 
 fn said(number: u32, sent: u64, revision: u32) -> Digest {
-    let mut revisions = vec![Revision::default(); PARTS];
+    let mut revisions = vec![Revision::default(); PARTITIONS];
     revisions[5] = Revision(revision);
     Digest {
         number: DigestNo(number),
@@ -603,8 +603,8 @@
     assert_eq!(tell(4600, 7, Message::Digest(cut)), fresh);
     // What a router says, a stranger, and numbers that make no sense.
     tell(4600, 7, Message::Subscribe);
-    tell(4600, 7, Message::Pull(vec![PartId(255)]));
-    let wild = Entry { standing: Standing::Seen(LagClass(255)), ..seen(0) };
+    tell(4600, 7, Message::Pull(vec![PartitionId(255)]));
+    let wild = Entry { standing: NodeStatus::Seen(LagClass(255)), ..seen(0) };
     let wild = Change { revision: Revision(2), node: two, entry: Some(wild) };
     let hostile = Digest {
         period: Duration::MAX,
@@ -634,7 +634,7 @@
     let mut asked = Vec::new();
     for at in (1100..9000).step_by(50) {
         if at % 100 == 0 {
-            let digest = Digest { revisions: vec![Revision(1); PARTS], ..said(at as u32, at + 4000, 1) };
+            let digest = Digest { revisions: vec![Revision(1); PARTITIONS], ..said(at as u32, at + 4000, 1) };
             router.message_arrived(ms(at), &name("c0"), Incarnation(7), Message::Digest(digest));
         }
         router.timer_fired(ms(at));
@@ -651,8 +651,8 @@
     }
     let early = asked.iter().filter(|(at, _)| *at < 5000).count();
     assert!((32..100).contains(&early), "{early}");
-    let of: BTreeSet<PartId> = asked.iter().map(|(_, part)| *part).collect();
-    assert_eq!(of.len(), PARTS, "each in its turn: {of:?}");
+    let of: BTreeSet<PartitionId> = asked.iter().map(|(_, part)| *part).collect();
+    assert_eq!(of.len(), PARTITIONS, "each in its turn: {of:?}");
 }
 
 #[test]
@@ -767,11 +767,11 @@
 #[test]
 fn thousands_who_have_reason_to_look_do_not_look_at_once() {
     let mut chance = ChaCha8Rng::seed_from_u64(2);
-    let basis = Basis { period: ms(100), routers: 8000 };
+    let basis = QuotaParams { period: ms(100), routers: 8000 };
     let mut first = Vec::new();
     for _ in 0..60 {
         // Their shares have been saved up when a database fails.
-        let mut share = Share::new(basis, ms(0));
+        let mut share = HealthCheckQuota::new(basis, ms(0));
         share.nodes_changed(ms(0), &(0..20_000).map(node).collect());
         let looks = (10_000..14_000).step_by(10).find(|at| share.claim(ms(*at), node(7), None, &mut chance));
         first.push(looks.unwrap() - 10_000);
@@ -784,10 +784,10 @@
 fn a_control_instance_that_counts_few_routers_at_its_start_lets_nobody_loose() {
     let mut chance = ChaCha8Rng::seed_from_u64(3);
     let claims = |digests: u64, apart: u64, chance: &mut ChaCha8Rng| {
-        let mut share = Share::new(Basis { period: ms(100), routers: 4000 }, ms(0));
+        let mut share = HealthCheckQuota::new(QuotaParams { period: ms(100), routers: 4000 }, ms(0));
         share.nodes_changed(ms(0), &(0..2000).map(node).collect());
         let told = (1..=digests).map(|digest| ms(digest * apart));
-        told.for_each(|at| share.basis_changed(at, Basis { period: ms(100), routers: 8 }));
+        told.for_each(|at| share.basis_changed(at, QuotaParams { period: ms(100), routers: 8 }));
         let from = digests * apart;
         let mut claims = 0;
         for at in (from..from + 10_000).step_by(10) {
@@ -814,13 +814,13 @@
 #[test]
 fn thousands_who_are_alone_again_do_not_come_together_at_one_database() {
     const ROUTERS: u32 = 7900;
-    let basis = Basis { period: ms(150), routers: ROUTERS };
+    let basis = QuotaParams { period: ms(150), routers: ROUTERS };
     let nodes: BTreeSet<SocketAddr> = (0..4000).map(node).collect();
     // By tenth of a second of each spell.
     let mut looks = [[0_u32; 300]; 2];
     for router in 0..ROUTERS {
         let mut chance = ChaCha8Rng::seed_from_u64(u64::from(router));
-        let mut share = Share::new(basis, ms(0));
+        let mut share = HealthCheckQuota::new(basis, ms(0));
         share.nodes_changed(ms(0), &nodes);
         for (spell, from) in [10_000, 100_000].into_iter().enumerate() {
             share.begin(ms(from), &mut chance);
@@ -844,11 +844,11 @@
 #[test]
 fn a_share_is_begun_at_random_and_one_database_is_spared() {
     let mut chance = ChaCha8Rng::seed_from_u64(1);
-    let basis = Basis { period: ms(100), routers: 1000 };
+    let basis = QuotaParams { period: ms(100), routers: 1000 };
     let nodes: BTreeSet<SocketAddr> = (0..1000).map(node).collect();
     let mut first = Vec::new();
     for _ in 0..50 {
-        let mut share = Share::new(basis, ms(0));
+        let mut share = HealthCheckQuota::new(basis, ms(0));
         share.nodes_changed(ms(0), &nodes);
         share.begin(ms(0), &mut chance);
         let mut probes = BTreeMap::<u16, Vec<u64>>::new();
--- a/crates/observation-feed/tests/pulls.rs
+++ b/crates/observation-feed/tests/pulls.rs
@@ -7,8 +7,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use quillpoint_observation_feed::message::{CLASSES, DigestNo, PARTS, PartId, Revision};
-use quillpoint_observation_feed::{Control, Digest, Event, Host, Message, Subscriber, Word, subscriber};
+use quillpoint_observation_feed::message::{CLASSES, DigestNo, PARTITIONS, PartitionId, Revision};
+use quillpoint_observation_feed::{ControlInstance, Digest, Event, Host, Message, Subscriber, FeedObservation, subscriber};
 use quillpoint_membership::{Incarnation, PeerName};
 
 #[derive(Clone, Default)]
@@ -19,7 +19,7 @@
         self.0.borrow_mut().push(message);
     }
     fn wake(&mut self, _after: Duration) {}
-    fn learnt(&mut self, _word: Word) {}
+    fn learnt(&mut self, _word: FeedObservation) {}
     fn tell(&mut self, _event: Event) {}
 }
 
@@ -33,7 +33,7 @@
         sent: ms(sent),
         age: ms(50),
         watermarks: [Some(ms(sent - 60)); CLASSES],
-        revisions: (0..PARTS).map(|part| Revision(u32::from(part == 5))).collect(),
+        revisions: (0..PARTITIONS).map(|part| Revision(u32::from(part == 5))).collect(),
         changes: Vec::new(),
         period: ms(150),
         routers: 10,
@@ -45,8 +45,8 @@
     let desk = Desk::default();
     let name = |name| PeerName::new(name).unwrap();
     let address = SocketAddr::from(([127, 0, 0, 1], 7500));
-    let control = vec![Control { name: name("c0"), address, region: None }];
-    let plan = subscriber::Plan { region: None, every: ms(100), period: ms(150), routers: 10 };
+    let control = vec![ControlInstance { name: name("c0"), address, region: None }];
+    let plan = subscriber::SubscriberParams { region: None, every: ms(100), period: ms(150), routers: 10 };
     let mut router = Subscriber::new(desk.clone(), name("r1"), plan, control, seed, ms(1000));
     router.nodes_changed(ms(1000), &BTreeSet::new());
     let mut asked = Vec::new();
@@ -58,7 +58,7 @@
         router.timer_fired(ms(at));
         for message in desk.0.borrow_mut().drain(..) {
             if let Message::Pull(parts) = message {
-                assert_eq!(parts, [PartId(5)]);
+                assert_eq!(parts, [PartitionId(5)]);
                 asked.push(at);
             }
         }
--- a/crates/observation-feed/tests/replays.rs
+++ b/crates/observation-feed/tests/replays.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use quillpoint_observation_feed::{Control, Event, Host, Message, Publisher, Subscriber, Word, publisher, subscriber};
+use quillpoint_observation_feed::{ControlInstance, Event, Host, Message, Publisher, Subscriber, FeedObservation, publisher, subscriber};
 use quillpoint_membership::{DatedObservation, Incarnation, PeerName};
 
 type Sent = (SocketAddr, Option<Incarnation>, Message);
@@ -19,7 +19,7 @@
         self.0.borrow_mut().push((to, session, message));
     }
     fn wake(&mut self, _after: Duration) {}
-    fn learnt(&mut self, _word: Word) {}
+    fn learnt(&mut self, _word: FeedObservation) {}
     fn tell(&mut self, _event: Event) {}
 }
 
@@ -64,7 +64,7 @@
 impl Instance {
     fn started(now: u64) -> Self {
         let desk = Desk::default();
-        let plan = publisher::Plan { period: PERIOD, every: ms(100), copy_rate: 1e6, most_subscribers: 4 };
+        let plan = publisher::PublisherParams { period: PERIOD, every: ms(100), copy_rate: 1e6, most_subscribers: 4 };
         let mut publisher = Publisher::new(desk.clone(), plan, 1, ms(now));
         publisher.nodes_changed(ms(now), &(0..10).map(|port| ([10, 2, 0, 1], port).into()).collect());
         Self { publisher, desk }
@@ -96,8 +96,8 @@
 impl Follower {
     fn new(now: u64) -> Self {
         let desk = Desk::default();
-        let line = vec![Control { name: name("c1"), address: control(), region: None }];
-        let plan = subscriber::Plan { region: None, every: ms(100), period: PERIOD, routers: 1 };
+        let line = vec![ControlInstance { name: name("c1"), address: control(), region: None }];
+        let plan = subscriber::SubscriberParams { region: None, every: ms(100), period: PERIOD, routers: 1 };
         let subscriber = Subscriber::new(desk.clone(), name("r1"), plan, line, 1, ms(now));
         Self { subscriber, desk }
     }
--- a/crates/observation-feed/tests/shelf.rs
+++ b/crates/observation-feed/tests/shelf.rs
@@ -3,12 +3,12 @@
 use std::collections::BTreeMap;
 
 use quickcheck::{Gen, QuickCheck};
-use quillpoint_observation_feed::shelf::Shelf;
+use quillpoint_observation_feed::sorted_table::SortedTable;
 
 #[test]
 fn a_shelf_does_as_a_tree_map_does() {
     fn same(steps: Vec<(u8, u8)>) -> bool {
-        let (mut shelf, mut tree) = (Shelf::<u8, u32>::default(), BTreeMap::<u8, u32>::new());
+        let (mut shelf, mut tree) = (SortedTable::<u8, u32>::default(), BTreeMap::<u8, u32>::new());
         for (number, (what, key)) in (0..).zip(steps) {
             match what % 5 {
                 0 | 1 => {
--- a/crates/observation-feed/tests/world/mod.rs
+++ b/crates/observation-feed/tests/world/mod.rs
@@ -10,7 +10,7 @@
 
 use quillpoint_observation_feed::publisher::{self, Publisher};
 use quillpoint_observation_feed::subscriber::{self, Subscriber};
-use quillpoint_observation_feed::{Control, Envelope, Event, Host, Message, Word};
+use quillpoint_observation_feed::{ControlInstance, Envelope, Event, Host, Message, FeedObservation};
 use quillpoint_membership::{DatedObservation, Incarnation, PeerName};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -74,7 +74,7 @@
 struct Wishes {
     sent: Vec<(SocketAddr, Option<Incarnation>, Message)>,
     wake: Option<Duration>,
-    learnt: Vec<Word>,
+    learnt: Vec<FeedObservation>,
     events: Vec<Event>,
 }
 
@@ -89,7 +89,7 @@
         let before = self.0.borrow_mut().wake.replace(after);
         assert_eq!(before, None, "one timer each");
     }
-    fn learnt(&mut self, word: Word) {
+    fn learnt(&mut self, word: FeedObservation) {
         self.0.borrow_mut().learnt.push(word);
     }
     fn tell(&mut self, event: Event) {
@@ -194,7 +194,7 @@
     /// Probes of routers that claimed them, by tenth of a second.
     pub alone_probes: BTreeMap<u64, u64>,
     /// What routers were told by name.
-    pub learnt: Vec<(Duration, usize, Word)>,
+    pub learnt: Vec<(Duration, usize, FeedObservation)>,
     /// Whether each step is followed by the full check.
     pub checked: bool,
 }
@@ -223,8 +223,8 @@
     Some(format!("region-{}", place % regions))
 }
 
-pub fn control(shape: &Shape) -> Vec<Control> {
-    let one = |place| Control {
+pub fn control(shape: &Shape) -> Vec<ControlInstance> {
+    let one = |place| ControlInstance {
         name: publisher_name(place),
         address: publisher_address(place),
         region: region(place, shape.regions),
@@ -300,7 +300,7 @@
     pub fn start_publisher(&mut self, place: usize) {
         let desk = Desk::default();
         let now = self.now + self.publishers[place].ahead;
-        let plan = publisher::Plan {
+        let plan = publisher::PublisherParams {
             period: self.shape.period,
             every: ms(100),
             copy_rate: self.shape.copy_rate,
@@ -319,7 +319,7 @@
     pub fn start_router(&mut self, place: usize) {
         let desk = Desk::default();
         let now = self.now + self.routers[place].ahead;
-        let plan = subscriber::Plan {
+        let plan = subscriber::SubscriberParams {
             region: region(place, self.shape.regions),
             every: ms(100),
             period: self.shape.period,
@@ -421,12 +421,12 @@
         database.up = up;
     }
 
-    pub fn known(&self, router: usize, database: usize) -> Option<Word> {
+    pub fn known(&self, router: usize, database: usize) -> Option<FeedObservation> {
         let seat = &self.routers[router];
         let process = seat.process.as_ref()?;
         let word = process.side.known(self.now + seat.ahead, address(database))?;
         // On the world's clock, which positions are on.
-        Some(Word { at: word.at.saturating_sub(seat.ahead), ..word })
+        Some(FeedObservation { at: word.at.saturating_sub(seat.ahead), ..word })
     }
 
     pub fn subscriber(&self, router: usize) -> Option<&Subscriber<Desk>> {
@@ -743,7 +743,7 @@
     }
 
     /// A role and a start are those that were seen about when the word is dated, or since.
-    fn check_names(&self, router: usize, place: usize, word: &Word, seen: &[&Sighting]) {
+    fn check_names(&self, router: usize, place: usize, word: &FeedObservation, seen: &[&Sighting]) {
         let since = word.at.saturating_sub(ms(1500));
         let first = seen.iter().rposition(|sighting| sighting.at <= since).unwrap_or(0);
         let may = &seen[first..];
--- a/crates/router/src/client.rs
+++ b/crates/router/src/client.rs
@@ -28,7 +28,7 @@
 use crate::pg::{self, Asked, Broken, CancelKey, Opening};
 use crate::pool::Pool;
 use crate::presence::{Presence, has_hung_up};
-use crate::seldom::Seldom;
+use crate::log_rate_limiter::LogRateLimiter;
 use crate::socket;
 use crate::statement::{Kept, Statement};
 
@@ -122,7 +122,7 @@
     cancels: RefCell<BTreeMap<CancelKey, Sender<()>>>,
     next: Cell<u64>,
     draining: Cell<bool>,
-    told: Seldom,
+    told: LogRateLimiter,
 }
 
 impl Clients {
@@ -148,7 +148,7 @@
             cancels: RefCell::default(),
             next: Cell::new(0),
             draining: Cell::new(false),
-            told: Seldom::default(),
+            told: LogRateLimiter::default(),
         })
     }
 
--- a/crates/router/src/instance.rs
+++ b/crates/router/src/instance.rs
@@ -8,8 +8,8 @@
 
 use async_io::Timer;
 use quillpoint::host::{NodeId, PeerWord};
-use quillpoint_control_plane::{Around, Peers, Publication};
-use quillpoint_observation_feed::Word;
+use quillpoint_control_plane::{ControlHost, FleetMember, PublisherService};
+use quillpoint_observation_feed::FeedObservation;
 use quillpoint_membership::{DatedObservation, Observation};
 
 use crate::engine::{Engine, Finding, Sharing};
@@ -20,18 +20,18 @@
 
 pub struct Instance {
     engine: Rc<Engine>,
-    publication: Rc<Publication>,
+    publication: Rc<PublisherService>,
     /// Set once, right after it was made: either needs the other.
-    peers: OnceCell<Rc<Peers>>,
+    peers: OnceCell<Rc<FleetMember>>,
 }
 
 impl Instance {
-    pub fn new(engine: Rc<Engine>, publication: Rc<Publication>) -> Rc<Self> {
+    pub fn new(engine: Rc<Engine>, publication: Rc<PublisherService>) -> Rc<Self> {
         Rc::new(Self { engine, publication, peers: OnceCell::new() })
     }
 
     /// Its part in the fleet of control instances.
-    pub fn takes_part(&self, peers: Rc<Peers>) {
+    pub fn takes_part(&self, peers: Rc<FleetMember>) {
         _ = self.peers.set(peers);
     }
 
@@ -52,13 +52,13 @@
     }
 }
 
-impl Around for Instance {
+impl ControlHost for Instance {
     fn now(&self) -> Duration {
-        Around::now(&*self.engine)
+        ControlHost::now(&*self.engine)
     }
 
     fn nodes(&self) -> BTreeMap<SocketAddr, u16> {
-        Around::nodes(&*self.engine)
+        ControlHost::nodes(&*self.engine)
     }
 
     /// What others find is told to the module while RPCs are under way, and asked for when one comes: of thousands of
@@ -71,7 +71,7 @@
         }
     }
 
-    fn learnt(&self, word: Word) {
+    fn learnt(&self, word: FeedObservation) {
         self.engine.learnt(word);
     }
 
@@ -80,7 +80,7 @@
     }
 
     fn is_shut(&self, node: SocketAddr) -> bool {
-        Around::is_shut(&*self.engine, node)
+        ControlHost::is_shut(&*self.engine, node)
     }
 }
 
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -33,4 +33,4 @@
 pub mod statement;
 pub mod ties;
 
-pub use quillpoint_control_plane::seldom;
+pub use quillpoint_control_plane::log_rate_limiter;
--- a/crates/router/src/part.rs
+++ b/crates/router/src/part.rs
@@ -6,9 +6,9 @@
 use std::time::Duration;
 
 use quillpoint_conf::Conf;
-use quillpoint_control_plane::{Part, PublisherPart, SubscriberPart};
+use quillpoint_control_plane::{MemberConfig, PublisherConfig, SubscriberConfig};
 use quillpoint_datagram::keys::{BadKeys, Keyring};
-use quillpoint_observation_feed::{Control, publisher, subscriber};
+use quillpoint_observation_feed::\{ControlInstance, publisher, subscriber};
 use quillpoint_membership::PeerName;
 use quillpoint_membership::FleetParams;
 use quillpoint_membership::sharded_tasks::Plan;
@@ -51,9 +51,9 @@
 /// What ties a process to others; nothing of it where the configuration has no such section.
 #[derive(Clone, Debug, Default)]
 pub struct Parts {
-    pub fleet: Option<Part>,
-    pub publish: Option<PublisherPart>,
-    pub subscribe: Option<SubscriberPart>,
+    pub fleet: Option<MemberConfig>,
+    pub publish: Option<PublisherConfig>,
+    pub subscribe: Option<SubscriberConfig>,
 }
 
 impl Parts {
@@ -66,7 +66,7 @@
     }
 }
 
-fn fleet(conf: &Conf, launch: &Launch) -> Result<Option<Part>, BadPart> {
+fn fleet(conf: &Conf, launch: &Launch) -> Result<Option<MemberConfig>, BadPart> {
     if !conf.has_section("fleet") {
         return Ok(None);
     }
@@ -81,7 +81,7 @@
             .ok_or_else(|| BadPart::Zone { known: zones.join(", "), found: zone.to_string() })?,
     };
     let rate = count("work-budget")? as f64;
-    Ok(Some(Part {
+    Ok(Some(MemberConfig {
         name: PeerName::new(&launch.name)?,
         listen,
         advertise: conf.address("fleet", "", "advertise").unwrap_or(listen),
@@ -102,7 +102,7 @@
 }
 
 /// A control instance's end of the feed; its fleet's plan says how often databases are probed.
-fn publish(conf: &Conf, fleet: &Part) -> Result<Option<PublisherPart>, BadPart> {
+fn publish(conf: &Conf, fleet: &MemberConfig) -> Result<Option<PublisherConfig>, BadPart> {
     if !conf.has_section("publish") {
         return Ok(None);
     }
@@ -111,11 +111,11 @@
     if listen == fleet.listen && listen.port() != 0 {
         return Err(BadPart::SameAddress(listen));
     }
-    Ok(Some(PublisherPart {
+    Ok(Some(PublisherConfig {
         name: fleet.name.clone(),
         listen,
         keys: keys(conf, "publish")?,
-        plan: publisher::Plan {
+        plan: publisher::PublisherParams {
             period: fleet.plans.probe.period,
             every: DIGESTS,
             copy_rate: count("copy-budget")? as f64,
@@ -126,7 +126,7 @@
 }
 
 /// A router's end of the feed.
-fn subscribe(conf: &Conf, launch: &Launch) -> Result<Option<SubscriberPart>, BadPart> {
+fn subscribe(conf: &Conf, launch: &Launch) -> Result<Option<SubscriberConfig>, BadPart> {
     if !conf.has_section("subscribe") {
         return Ok(None);
     }
@@ -136,13 +136,13 @@
             conf.address("control", name, "address").ok_or(BadPart::Missing("control", "address"))?;
         let region = conf.word("control", name, "region").map(str::to_string);
         let fault = |fault| BadPart::Control { name: name.to_string(), fault };
-        Ok(Control { name: PeerName::new(name).map_err(fault)?, address, region })
+        Ok(ControlInstance { name: PeerName::new(name).map_err(fault)?, address, region })
     };
-    Ok(Some(SubscriberPart {
+    Ok(Some(SubscriberConfig {
         name: PeerName::new(&launch.name)?,
         listen,
         keys: keys(conf, "subscribe")?,
-        plan: subscriber::Plan {
+        plan: subscriber::SubscriberParams {
             region: conf.word("subscribe", "", "region").map(str::to_string),
             every: DIGESTS,
             period: usual(launch),
--- a/crates/router/src/peers.rs
+++ b/crates/router/src/peers.rs
@@ -5,15 +5,15 @@
 use std::time::Duration;
 
 use quillpoint::host::{NodeId, PeerWord};
-use quillpoint_control_plane::{Around, Peers, Subscription};
-use quillpoint_observation_feed::Word;
+use quillpoint_control_plane::{ControlHost, FleetMember, SubscriberService};
+use quillpoint_observation_feed::FeedObservation;
 use quillpoint_membership::{DatedObservation, Observation};
 
 use crate::engine::{Engine, Finding, Sharing};
 
 /// Whoever says it, it is hearsay to the module.
-fn peer_word(word: Word) -> PeerWord {
-    let Word { node, at, position, primary, started, failed } = word;
+fn peer_word(word: FeedObservation) -> PeerWord {
+    let FeedObservation { node, at, position, primary, started, failed } = word;
     PeerWord { node: NodeId(node), at, position, primary, waiting: None, started, failed }
 }
 
@@ -31,7 +31,7 @@
     Observation { node, age: Duration::ZERO, position, primary, waiting, started, failed }
 }
 
-impl Around for Engine {
+impl ControlHost for Engine {
     fn now(&self) -> Duration {
         self.clock.now()
     }
@@ -44,7 +44,7 @@
         self.peer_told(heard_word(evidence));
     }
 
-    fn learnt(&self, word: Word) {
+    fn learnt(&self, word: FeedObservation) {
         self.peer_told(peer_word(word));
     }
 
@@ -61,7 +61,7 @@
     }
 }
 
-impl Sharing for Peers {
+impl Sharing for FleetMember {
     fn found(&self, finding: Finding) {
         self.found(finding.asked, finding.probe, news(&finding));
     }
@@ -75,7 +75,7 @@
     }
 }
 
-impl Sharing for Subscription {
+impl Sharing for SubscriberService {
     /// Own findings are the module's already, and nobody else's matter: control instances look for themselves.
     fn found(&self, _finding: Finding) {}
 
--- a/crates/router/src/pool.rs
+++ b/crates/router/src/pool.rs
@@ -21,7 +21,7 @@
 use crate::descriptors::{Descriptors, Parked, Rank, Side, Slot};
 use crate::engine::{Attempt, Chore, Engine, Heard};
 use crate::pg::{self, Broken, Said, Told};
-use crate::seldom::Seldom;
+use crate::log_rate_limiter::LogRateLimiter;
 use crate::socket;
 use crate::statement::Kept;
 
@@ -99,7 +99,7 @@
     dials: usize,
     /// Whether it was last found out of reach, as the log has it.
     out_of_reach: bool,
-    told: Seldom,
+    told: LogRateLimiter,
     /// When something was last asked of it. Long after that nothing is kept of it.
     asked: Option<Instant>,
 }
--- a/crates/router/src/ties.rs
+++ b/crates/router/src/ties.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 
 use async_executor::LocalExecutor;
-use quillpoint_control_plane::{Around, Peers, Publication, Subscription};
+use quillpoint_control_plane::{ControlHost, FleetMember, PublisherService, SubscriberService};
 
 use crate::descriptors::{Descriptors, Slot};
 use crate::engine::{Engine, Sharing};
@@ -14,10 +14,10 @@
 
 #[derive(Default)]
 pub struct Ties {
-    peers: Option<Rc<Peers>>,
-    publication: Option<Rc<Publication>>,
+    peers: Option<Rc<FleetMember>>,
+    publication: Option<Rc<PublisherService>>,
     instance: Option<Rc<Instance>>,
-    subscription: Option<Rc<Subscription>>,
+    subscription: Option<Rc<SubscriberService>>,
     /// Kept for as long as the sockets are.
     _slots: Vec<Slot>,
 }
@@ -38,18 +38,18 @@
         };
         let mut ties = Self::default();
         if let Some(part) = &parts.publish {
-            let around = Rc::clone(engine) as Rc<dyn Around>;
-            let publication = Publication::new(part.clone(), around, seed).map_err(named("publish"))?;
+            let around = Rc::clone(engine) as Rc<dyn ControlHost>;
+            let publication = PublisherService::new(part.clone(), around, seed).map_err(named("publish"))?;
             ties.instance = Some(Instance::new(Rc::clone(engine), Rc::clone(&publication)));
             ties.publication = Some(publication);
             ties._slots.push(descriptors.take().await);
         }
         if let Some(part) = &parts.fleet {
             let around = match &ties.instance {
-                Some(instance) => Rc::clone(instance) as Rc<dyn Around>,
-                None => Rc::clone(engine) as Rc<dyn Around>,
+                Some(instance) => Rc::clone(instance) as Rc<dyn ControlHost>,
+                None => Rc::clone(engine) as Rc<dyn ControlHost>,
             };
-            let peers = Peers::new(part.clone(), around, seed).map_err(named("fleet"))?;
+            let peers = FleetMember::new(part.clone(), around, seed).map_err(named("fleet"))?;
             if let Some(instance) = &ties.instance {
                 instance.takes_part(Rc::clone(&peers));
             }
@@ -57,8 +57,8 @@
             ties._slots.push(descriptors.take().await);
         }
         if let Some(part) = &parts.subscribe {
-            let around = Rc::clone(engine) as Rc<dyn Around>;
-            let subscription = Subscription::new(part.clone(), around, seed).map_err(named("subscribe"))?;
+            let around = Rc::clone(engine) as Rc<dyn ControlHost>;
+            let subscription = SubscriberService::new(part.clone(), around, seed).map_err(named("subscribe"))?;
             ties.subscription = Some(subscription);
             ties._slots.push(descriptors.take().await);
         }
--- a/crates/router/tests/feed.rs
+++ b/crates/router/tests/feed.rs
@@ -16,7 +16,7 @@
 
 use quillpoint_datagram::keys::Keyring;
 use quillpoint_datagram::{Opener, Sealer};
-use quillpoint_observation_feed::message::{CLASSES, DigestNo, PARTS, Revision};
+use quillpoint_observation_feed::message::{CLASSES, DigestNo, PARTITIONS, Revision};
 use quillpoint_observation_feed::{Digest, Envelope, Message};
 use quillpoint_membership::{Incarnation, PeerName};
 use quillpoint_testbed::listing::{Entry, Listing, targets};
@@ -433,7 +433,7 @@
         sent: now(),
         age: Duration::ZERO,
         watermarks: [Some(now()); CLASSES],
-        revisions: vec![Revision(1); PARTS],
+        revisions: vec![Revision(1); PARTITIONS],
         changes: Vec::new(),
         period: Duration::from_millis(50),
         routers: 1,
--- a/crates/router/tests/instance.rs
+++ b/crates/router/tests/instance.rs
@@ -9,7 +9,7 @@
 use async_io::Timer;
 use futures_lite::future;
 use quillpoint::host::{Condition, Extent, GroupId, Listed, MethodId, NodeId, ZoneId};
-use quillpoint_control_plane::{Around, Part, Peers, Publication, PublisherPart};
+use quillpoint_control_plane::{ControlHost, MemberConfig, FleetMember, PublisherService, PublisherConfig};
 use quillpoint_datagram::Sealer;
 use quillpoint_datagram::keys::Keyring;
 use quillpoint_observation_feed::publisher;
@@ -42,7 +42,7 @@
 struct World {
     engine: Rc<Engine>,
     instance: Rc<Instance>,
-    peers: Rc<Peers>,
+    peers: Rc<FleetMember>,
     other: UdpSocket,
     sealer: Cell<Sealer>,
     _work: Work,
@@ -81,12 +81,12 @@
             most_subscribers: 10,
         };
         let publish =
-            PublisherPart { name: name.clone(), listen: local(), keys: keys(), plan, letters: 20_000 };
-        let publication = Publication::new(publish, Rc::clone(&engine) as Rc<dyn Around>, 1).unwrap();
+            PublisherConfig { name: name.clone(), listen: local(), keys: keys(), plan, letters: 20_000 };
+        let publication = PublisherService::new(publish, Rc::clone(&engine) as Rc<dyn ControlHost>, 1).unwrap();
         let instance = Instance::new(Rc::clone(&engine), publication);
         let (listen, advertise, seeds, letters) = (local(), local(), Vec::new(), 20_000);
-        let part = Part { name, listen, advertise, zone: 0, weight: 1, keys: keys(), seeds, plans, letters };
-        let peers = Peers::new(part, Rc::clone(&instance) as Rc<dyn Around>, 1).unwrap();
+        let part = MemberConfig { name, listen, advertise, zone: 0, weight: 1, keys: keys(), seeds, plans, letters };
+        let peers = FleetMember::new(part, Rc::clone(&instance) as Rc<dyn ControlHost>, 1).unwrap();
         instance.takes_part(Rc::clone(&peers));
         engine.share_with(Rc::clone(&instance) as Rc<dyn Sharing>);
         let (other, sealer) = (UdpSocket::bind(local()).unwrap(), Cell::default());
@@ -160,7 +160,7 @@
 fn a_node_that_several_do_not_reach_is_shut_at_once() {
     let world = World::new();
     world.told("c2", node(1), true);
-    assert!(!Around::is_shut(&*world.engine, node(1).0), "one voice alone");
+    assert!(!ControlHost::is_shut(&*world.engine, node(1).0), "one voice alone");
     world.told("c3", node(1), true);
-    assert!(Around::is_shut(&*world.engine, node(1).0) && !Around::is_shut(&*world.engine, node(0).0));
+    assert!(ControlHost::is_shut(&*world.engine, node(1).0) && !ControlHost::is_shut(&*world.engine, node(0).0));
 }
--- a/crates/router/tests/told.rs
+++ b/crates/router/tests/told.rs
@@ -7,8 +7,8 @@
 use std::time::{Duration, Instant};
 
 use quillpoint::host::{Condition, Extent, GroupId, Listed, MethodId, NodeId, PeerWord, ZoneId};
-use quillpoint_control_plane::Around;
-use quillpoint_observation_feed::Word;
+use quillpoint_control_plane::ControlHost;
+use quillpoint_observation_feed::FeedObservation;
 use quillpoint_router::deployment::Deployment;
 use quillpoint_router::engine::{Clock, Engine, Finding, Order, Owed, Sharing, Work};
 use quillpoint_router::statement::Statement;
@@ -126,7 +126,7 @@
 fn what_changes_by_name_is_told_at_once() {
     let (engine, _work, teller) = engine();
     let at = engine.clock.now();
-    let word = Word { node: node(0, 1).0, at, position: None, primary: None, started: None, failed: true };
+    let word = FeedObservation { node: node(0, 1).0, at, position: None, primary: None, started: None, failed: true };
     engine.learnt(word);
     assert!(engine.is_shut(node(0, 1)) && !engine.is_shut(node(0, 0)));
     assert_eq!(asked(&teller), [], "nobody needs to ask for it");
--- a/crates/simulator/src/feed_world.rs
+++ b/crates/simulator/src/feed_world.rs
@@ -9,7 +9,7 @@
 
 use quillpoint_datagram::Sealer;
 use quillpoint_datagram::keys::Keyring;
-use quillpoint_observation_feed::{Control, Envelope, Message, Publisher, Subscriber, Word, publisher, subscriber};
+use quillpoint_observation_feed::{ControlInstance, Envelope, Message, Publisher, Subscriber, FeedObservation, publisher, subscriber};
 use quillpoint_membership::ids::{TaskId, Subject};
 use quillpoint_membership::{
     GossipBody, MemberRecord, Event, DatedObservation, Fleet, Host, Incarnation, GossipMessage, MemberVersion, Observation, PeerName, FleetParams, MemberState,
@@ -86,7 +86,7 @@
     fn wake(&mut self, after: Duration) {
         self.0.borrow_mut().feed_wake = Some(after);
     }
-    fn learnt(&mut self, _: Word) {}
+    fn learnt(&mut self, _: FeedObservation) {}
     fn tell(&mut self, _: quillpoint_observation_feed::Event) {}
 }
 
@@ -255,7 +255,7 @@
         let zones: BTreeMap<SocketAddr, u16> =
             (0..self.nodes.len()).map(|node| (node_address(node), self.region(node) as u16)).collect();
         fleet.nodes_changed(now, &zones);
-        let plan = publisher::Plan {
+        let plan = publisher::PublisherParams {
             period: self.shape.plans.probe.period,
             every: Duration::from_millis(100),
             copy_rate: self.shape.copy_rate,
@@ -272,13 +272,13 @@
         let (now, desk) = (self.now, Desk::default());
         let region = |place: usize| Some(format!("region-{}", place % self.shape.regions));
         let control = (0..self.control.len())
-            .map(|other| Control {
+            .map(|other| ControlInstance {
                 name: control_name(other),
                 address: control_address(other),
                 region: region(other),
             })
             .collect();
-        let plan = subscriber::Plan {
+        let plan = subscriber::SubscriberParams {
             region: region(place),
             every: Duration::from_millis(100),
             period: self.shape.plans.probe.period,
@@ -357,7 +357,7 @@
         self.routers.iter_mut().for_each(|seat| (seat.costs.second, seat.costs.peak) = ((0, 0), 0));
     }
 
-    pub fn known(&self, router: usize, node: usize) -> Option<Word> {
+    pub fn known(&self, router: usize, node: usize) -> Option<FeedObservation> {
         let process = self.routers[router].process.as_ref()?;
         process.subscriber.known(self.now, node_address(node))
     }
--- a/crates/testbed/src/scale/books.rs
+++ b/crates/testbed/src/scale/books.rs
@@ -7,8 +7,8 @@
 use std::time::{Duration, Instant};
 
 use async_channel::Sender;
-use quillpoint_control_plane::{Around, Subscription};
-use quillpoint_observation_feed::Word;
+use quillpoint_control_plane::{ControlHost, SubscriberService};
+use quillpoint_observation_feed::FeedObservation;
 use quillpoint_membership::DatedObservation;
 
 use crate::now;
@@ -23,14 +23,14 @@
 
 /// What statements ask of a subscription: of each group that one comes for, what is told of its databases.
 pub struct Asks {
-    subscription: Weak<Subscription>,
+    subscription: Weak<SubscriberService>,
     groups: Rc<Vec<Vec<SocketAddr>>>,
     a_second: f64,
     asked: u64,
 }
 
 impl Asks {
-    pub fn new(subscription: &Rc<Subscription>, groups: Rc<Vec<Vec<SocketAddr>>>, a_second: f64) -> Self {
+    pub fn new(subscription: &Rc<SubscriberService>, groups: Rc<Vec<Vec<SocketAddr>>>, a_second: f64) -> Self {
         Self { subscription: Rc::downgrade(subscription), groups, a_second, asked: 0 }
     }
 }
@@ -142,7 +142,7 @@
     }
 }
 
-impl Around for Books {
+impl ControlHost for Books {
     fn now(&self) -> Duration {
         self.unix + self.start.elapsed()
     }
@@ -155,7 +155,7 @@
             self.note(node, at, primary);
         }
     }
-    fn learnt(&self, word: Word) {
+    fn learnt(&self, word: FeedObservation) {
         if !word.failed {
             self.note(word.node, word.at, word.primary);
         }
--- a/crates/testbed/src/scale/hollow.rs
+++ b/crates/testbed/src/scale/hollow.rs
@@ -12,7 +12,7 @@
 use async_channel::Receiver;
 use async_executor::{LocalExecutor, Task};
 use async_io::Timer;
-use quillpoint_control_plane::{Around, Part, Peers, SubscriberPart, Subscription, Traffic};
+use quillpoint_control_plane::{ControlHost, MemberConfig, FleetMember, SubscriberConfig, SubscriberService, Traffic};
 use quillpoint_membership::{Observation, PeerName};
 
 use crate::scale::books::{Asks, Books};
@@ -24,8 +24,8 @@
 
 /// What routers are to each other.
 pub enum Role {
-    Member(Part),
-    Subscriber(SubscriberPart),
+    Member(MemberConfig),
+    Subscriber(SubscriberConfig),
 }
 
 /// What all hollow routers of a process have in common.
@@ -80,8 +80,8 @@
 /// A router's control side.
 #[derive(Clone)]
 enum Control {
-    Member(Rc<Peers>),
-    Subscriber(Rc<Subscription>),
+    Member(Rc<FleetMember>),
+    Subscriber(Rc<SubscriberService>),
 }
 
 impl Control {
@@ -145,23 +145,23 @@
         let sampled = sampled.map(|(_, node)| *node);
         let books = Rc::new(Books::new(self.listen, nodes, sampled, movers, probes, Rc::clone(&common.cut)));
         let name = PeerName::new(&self.name).map_err(std::io::Error::other)?;
-        let around = Rc::clone(&books) as Rc<dyn Around>;
+        let around = Rc::clone(&books) as Rc<dyn ControlHost>;
         let still = Rc::new(Still::default());
         let spawn =
             |task: Pin<Box<dyn Future<Output = ()>>>| common.executor.spawn(Rc::clone(&still).hold(task));
         let (control, mut tasks) = match &common.role {
             Role::Member(part) => {
-                let part = Part { name, listen: self.listen, advertise: self.listen, ..part.clone() };
-                let peers = Peers::new(part, around, seed)?;
+                let part = MemberConfig { name, listen: self.listen, advertise: self.listen, ..part.clone() };
+                let peers = FleetMember::new(part, around, seed)?;
                 peers.listed();
                 let (one, other) = (Rc::clone(&peers), Rc::clone(&peers));
                 let tasks = vec![spawn(Box::pin(one.listen())), spawn(Box::pin(other.keep_time()))];
                 (Control::Member(peers), tasks)
             }
             Role::Subscriber(part) => {
-                let mut part = SubscriberPart { name, listen: self.listen, ..part.clone() };
+                let mut part = SubscriberConfig { name, listen: self.listen, ..part.clone() };
                 part.plan.region = Some(region(self.listen).to_string());
-                let subscription = Subscription::new(part, around, seed)?;
+                let subscription = SubscriberService::new(part, around, seed)?;
                 subscription.listed();
                 books.asks(Asks::new(&subscription, Rc::clone(&common.groups), common.statements));
                 let (one, other) = (Rc::clone(&subscription), Rc::clone(&subscription));
@@ -243,7 +243,7 @@
 
 /// A subscriber that no control instance tells probes by itself what its sessions use, as far as its share lets it: as
 /// a real one does while statements come.
-async fn ask_alone(subscription: Rc<Subscription>, books: Rc<Books>, uses: Vec<SocketAddr>) {
+async fn ask_alone(subscription: Rc<SubscriberService>, books: Rc<Books>, uses: Vec<SocketAddr>) {
     loop {
         Timer::after(ASKED_EVERY).await;
         if !subscription.subscriber().is_alone() {
@@ -276,7 +276,7 @@
 async fn probe(
     asked: Receiver<SocketAddr>,
     books: Rc<Books>,
-    peers: Weak<Peers>,
+    peers: Weak<FleetMember>,
     (executor, prober): (Rc<LocalExecutor<'static>>, Rc<Prober>),
     still: Rc<Still>,
 ) {
