--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -12,7 +12,7 @@
 
 /// What each kind of deployment sets, beside the settings that all share.
 fn variants() -> Vec<Vec<(&'static str, Value)>> {
-    let tokened = |scope: &str| {
+    let keyed = |scope: &str| {
         let mut change = vec![text("methods.4.idempotency", "keyed"), text("methods.4.idempotency_scope", scope)];
         change.extend([text("methods.0.idempotency", "keyed"), text("methods.0.idempotency_scope", scope)]);
         change.push(("methods.4.idempotency_window", Value::Span(ms(60))));
@@ -32,9 +32,9 @@
             ("replication.stamps", Value::Flag(false)),
             ("test.holds", Value::Flag(true)),
         ],
-        tokened("group"),
-        tokened("zone"),
-        tokened("all"),
+        keyed("replica_set"),
+        keyed("zone"),
+        keyed("all"),
         vec![("test.words", Value::Flag(true))],
         vec![("test.words", Value::Flag(true)), text("methods.0.idempotency", "non_idempotent")],
         vec![("test.words", Value::Flag(true)), text("replication.session_tokens", "remembered")],
