--- a/crates/control-plane/src/feed.rs
+++ b/crates/control-plane/src/feed.rs
@@ -14,7 +14,7 @@
 use crate::post::Names;
 use crate::log_rate_limiter::LogRateLimiter;
 
-pub(crate) const NAMES: Names = Names { refused: "feed_refused", unsent: "feed_unsent", keys: "feed_keys" };
+pub(crate) const NAMES: Names = Names { refused: "feed_datagram_rejected", unsent: "feed_send_failed", keys: "feed_keys" };
 /// How often the counts are logged.
 pub(crate) const COUNTS_EVERY: Duration = Duration::from_secs(60);
 
@@ -87,12 +87,12 @@
             log::warn!(event = "feed_lost", control:% = control; "{control} is silent or has left");
         }
         Event::Alone => {
-            log::warn!(event = "feed_alone"; "no control instance speaks: on its own, within its share of probes");
+            log::warn!(event = "feed_isolated"; "no control instance speaks: on its own, within its share of probes");
         }
-        Event::NotAlone => log::info!(event = "feed_not_alone"; "a control instance speaks again"),
+        Event::NotAlone => log::info!(event = "feed_reconnected"; "a control instance speaks again"),
         Event::TooManySubscribers(router) => {
             if often.is_due() {
-                log::warn!(event = "feed_too_many", peer:% = router; "no room for one more router: {router}");
+                log::warn!(event = "feed_subscriber_rejected", peer:% = router; "no room for one more router: {router}");
             }
         }
         Event::Subscribers { routers, waiting } => {
--- a/crates/control-plane/src/fleet_member.rs
+++ b/crates/control-plane/src/fleet_member.rs
@@ -20,7 +20,7 @@
 use crate::post::{Names, Passed, Post};
 use crate::wire::{Traffic, Wire};
 
-const NAMES: Names = Names { refused: "fleet_refused", unsent: "fleet_unsent", keys: "fleet_keys" };
+const NAMES: Names = Names { refused: "fleet_datagram_rejected", unsent: "fleet_send_failed", keys: "fleet_keys" };
 /// How often the counts are logged.
 const COUNTS_EVERY: Duration = Duration::from_secs(60);
 
@@ -237,7 +237,7 @@
         Event::Joined { alone } => log::info!(event = "fleet_joined", alone; "takes part in the fleet"),
         Event::Stopped(span) => {
             let ms = span.as_millis() as u64;
-            log::warn!(event = "fleet_stopped", ms; "this router stood still for {ms} ms and joins anew");
+            log::warn!(event = "fleet_process_paused", ms; "this router stood still for {ms} ms and joins anew");
         }
         Event::PeerChanged { peer, life, was, state } => {
             let (start, version) = (life.incarnation.0, life.version);
@@ -246,7 +246,7 @@
             log::info!(event = "fleet_peer", peer:% = peer, start, version, was, state; "peer {peer}: {state}");
         }
         Event::Contradicted(state) => {
-            log::warn!(event = "fleet_contradicted", state:? = state; "others took this router for {state:?}");
+            log::warn!(event = "fleet_suspicion_refuted", state:? = state; "others took this router for {state:?}");
         }
         Event::Displaced(address) => {
             log::error!(
@@ -260,12 +260,12 @@
         }
         Event::Liar { peer, node } => {
             log::warn!(
-                event = "fleet_liar", peer:% = peer, node:% = node;
+                event = "fleet_peer_contradicted", peer:% = peer, node:% = node;
                 "node {node} itself contradicts what {peer} told: {peer} is not believed for a minute"
             );
         }
         Event::TasksAssigned { owned, all, routers } => {
-            log::info!(event = "fleet_duties", owned, all, routers; "owns {owned} of {all} duties, among {routers}");
+            log::info!(event = "fleet_tasks", owned, all, routers; "owns {owned} of {all} duties, among {routers}");
         }
     }
 }
--- a/crates/router/src/discovery.rs
+++ b/crates/router/src/discovery.rs
@@ -218,7 +218,7 @@
             Use::Stops => (EndpointUpdate::Delta, self.reader.stops(&page)),
             Use::Nothing => {
                 log::info!(
-                    event = "list_answer_passed_over", call = call.number, version = page.rev;
+                    event = "endpoint_list_superseded", call = call.number, version = page.rev;
                     "an answer with version {} of the list came behind a newer one", page.rev
                 );
                 return Ok(false);
@@ -247,7 +247,7 @@
             .collect();
         let named = stops[..stops.len().min(MOST_NAMED)].join(" ");
         log::info!(
-            event = "list", version = version, call = call.number, waited_ms = waited_ms,
+            event = "endpoint_list", version = version, call = call.number, waited_ms = waited_ms,
             stops = stops.len(), stopped = named.as_str();
             "list {version}: {} entries", lines.len()
         );
@@ -257,11 +257,11 @@
         let waited_ms = self.waited_ms(call);
         match self.watch.failed(self.clock.now()) {
             Failed::Watch => log::warn!(
-                event = "list_call_failed", call = call.number, waited_ms = waited_ms;
+                event = "endpoint_poll_failed", call = call.number, waited_ms = waited_ms;
                 "the watch of the list has fallen silent"
             ),
             Failed::Call => log::warn!(
-                event = "list_call_failed", call = call.number, waited_ms = waited_ms;
+                event = "endpoint_poll_failed", call = call.number, waited_ms = waited_ms;
                 "list call failed: {failure}"
             ),
         }
@@ -288,7 +288,7 @@
             && let Some(oldest) = self.late.pop_front()
         {
             log::info!(
-                event = "list_call_late", call = oldest.number, waited_ms = self.waited_ms(&oldest);
+                event = "endpoint_poll_abandoned", call = oldest.number, waited_ms = self.waited_ms(&oldest);
                 "a call for the list was closed without an answer"
             );
         }
--- a/crates/router/tests/feed.rs
+++ b/crates/router/tests/feed.rs
@@ -278,7 +278,7 @@
         Load::of(&five.addresses(), 1, Duration::from_millis(40), &["recent", "recent", "recent", "enter"]);
     CONTROL.iter().for_each(|place| five.routers.kill(*place));
     for place in ROUTERS {
-        assert!(five.routers.await_line(place, "\"feed_alone\"", NEVER));
+        assert!(five.routers.await_line(place, "\"feed_isolated\"", NEVER));
     }
     let (from, oks_before) = (now(), oks(&load));
     let at = |node: &quillpoint_testbed::store::Node| node.probes(from);
@@ -295,7 +295,7 @@
         five.routers.start(place).unwrap();
     }
     for place in ROUTERS {
-        assert!(five.routers.await_line(place, "\"feed_not_alone\"", NEVER));
+        assert!(five.routers.await_line(place, "\"feed_reconnected\"", NEVER));
         five.follows(place, &["r0", "r1"]);
     }
     five.kept(&load.end());
@@ -315,7 +315,7 @@
         five.follows(place, names);
     }
     until("the second has all duties", || {
-        five.events(0, "fleet_duties").last().is_some_and(|line| line["owned"] == 0 && line["routers"] == 2)
+        five.events(0, "fleet_tasks").last().is_some_and(|line| line["owned"] == 0 && line["routers"] == 2)
     });
     let load = five.rare_reads();
     five.calm(&CONTROL);
--- a/crates/router/tests/fleet.rs
+++ b/crates/router/tests/fleet.rs
@@ -50,7 +50,7 @@
 /// Waits until each of these routers says that it shares with so many, and all duties have one owner.
 fn divided(routers: &Routers, among: &[usize]) -> BTreeMap<usize, u64> {
     for _ in 0..600 {
-        let last = |place: &usize| events(routers, *place, "fleet_duties").pop();
+        let last = |place: &usize| events(routers, *place, "fleet_tasks").pop();
         let told: Vec<Json> = among.iter().filter_map(last).collect();
         let owned: Vec<u64> = told.iter().map(|line| line["owned"].as_u64().unwrap()).collect();
         let all = told.iter().all(|line| line["routers"] == among.len() && line["all"] == 3);
@@ -124,7 +124,7 @@
     routers.signal(2, "-STOP");
     divided(&routers, &[0, 1]);
     routers.signal(2, "-CONT");
-    assert!(routers.await_line(2, "\"fleet_stopped\"", NEVER));
+    assert!(routers.await_line(2, "\"fleet_process_paused\"", NEVER));
     divided(&routers, &[0, 1, 2]);
 }
 
@@ -186,7 +186,7 @@
         }
         _ = socket.send_to(&bytes, to);
     }
-    assert!(routers.await_line(0, "\"fleet_refused\"", NEVER));
+    assert!(routers.await_line(0, "\"fleet_datagram_rejected\"", NEVER));
     let tally = load.end();
     let count = |count: &std::sync::atomic::AtomicU64| count.load(std::sync::atomic::Ordering::SeqCst);
     assert_eq!(count(&tally.lost), 0);
--- a/crates/testbed/src/bin/duties.rs
+++ b/crates/testbed/src/bin/duties.rs
@@ -397,7 +397,7 @@
     outages.end(1);
     sleep(ms(500));
     bench.phase("stop and continue", from, &routers, &before);
-    let stopped = routers.lines(1).iter().any(|line| line.contains("\"fleet_stopped\""));
+    let stopped = routers.lines(1).iter().any(|line| line.contains("\"fleet_process_paused\""));
 
     sleep(SETTLED);
     let deaths = |routers: &Routers| {
--- a/crates/testbed/src/scale/member.rs
+++ b/crates/testbed/src/scale/member.rs
@@ -272,7 +272,7 @@
     pub fn duties(&self) -> Vec<(u64, u64)> {
         let lines = self.process.as_ref().map(Process::lines).unwrap_or_default();
         let told = |line: &String| {
-            let line: Json = line.contains("fleet_duties").then(|| serde_json::from_str(line).ok())??;
+            let line: Json = line.contains("fleet_tasks").then(|| serde_json::from_str(line).ok())??;
             Some((line["time_us"].as_u64()?, line["routers"].as_u64()?))
         };
         lines.iter().filter_map(told).collect()
