--- a/crates/router/tests/instance.rs
+++ b/crates/router/tests/instance.rs
@@ -77,7 +77,7 @@
         let probe = TaskParams { kind, period, grace: period, floor: period, longest, priority, cost: 1.0 };
         let plans = FleetParams { probe, work_rate: 100.0, work_burst: 100.0, news_rate: 1e6, grows: true };
         let name = PeerName::new("c1").unwrap();
-        let plan = publisher::TaskParams {
+        let plan = publisher::PublisherParams {
             period,
             every: Duration::from_millis(100),
             copy_rate: 1e6,
--- a/crates/router/tests/messages.rs
+++ b/crates/router/tests/messages.rs
@@ -308,7 +308,7 @@
 
 #[test]
 fn a_machine_that_moves_is_its_old_node_gone_and_a_new_one_come() {
-    use quillpoint::host::EndpointStatus::{Draining, Gone, Healthy};
+    use quillpoint::host::EndpointStatus::{Draining, InService, Removed};
     let tree = serde_json::from_str(SETTINGS).unwrap();
     let mut reader = Reader::new(&Launch::from_tree(&tree, |_| None).unwrap().deployment);
     let mut lines = |all: bool, entries: &[(&str, u16, &str)]| {
@@ -326,11 +326,11 @@
     };
     assert_eq!(
         lines(true, &[("a", 1, "in_service"), ("b", 2, "terminating")]),
-        [(1, Healthy, 1, 1), (2, Draining, 1, 1)]
+        [(1, InService, 1, 1), (2, Draining, 1, 1)]
     );
-    assert_eq!(lines(false, &[("a", 3, "in_service")]), [(1, Gone, 1, 1), (3, Healthy, 1, 1)]);
+    assert_eq!(lines(false, &[("a", 3, "in_service")]), [(1, Removed, 1, 1), (3, InService, 1, 1)]);
     assert_eq!(
         lines(true, &[("a", 3, "terminated"), ("b", 4, "in_service")]),
-        [(3, Gone, 1, 1), (2, Gone, 1, 1), (4, Healthy, 1, 1)]
+        [(3, Removed, 1, 1), (2, Removed, 1, 1), (4, InService, 1, 1)]
     );
 }
