--- a/crates/control-plane/src/feed.rs
+++ b/crates/control-plane/src/feed.rs
@@ -70,10 +70,10 @@
     fn set_timer(&mut self, after: Duration) {
         self.0.alarm.ask(after);
     }
-    fn learnt(&mut self, word: FeedObservation) {
+    fn observation_changed(&mut self, word: FeedObservation) {
         self.0.wishes.borrow_mut().push(Wish::Learnt(word));
     }
-    fn tell(&mut self, event: Event) {
+    fn emit_event(&mut self, event: Event) {
         self.0.wishes.borrow_mut().push(Wish::Tell(event));
     }
 }
@@ -87,16 +87,16 @@
         Event::Lost(control) => {
             log::warn!(event = "feed_lost", control:% = control; "{control} is silent or has left");
         }
-        Event::Alone => {
+        Event::Isolated => {
             log::warn!(event = "feed_isolated"; "no control instance speaks: on its own, within its share of probes");
         }
-        Event::NotAlone => log::info!(event = "feed_reconnected"; "a control instance speaks again"),
-        Event::TooManySubscribers(router) => {
+        Event::Reconnected => log::info!(event = "feed_reconnected"; "a control instance speaks again"),
+        Event::SubscriberRejected(router) => {
             if often.is_due() {
                 log::warn!(event = "feed_subscriber_rejected", peer:% = router; "no room for one more router: {router}");
             }
         }
-        Event::Subscribers { routers, waiting } => {
+        Event::SubscriberCounts { routers, pending_snapshots: waiting } => {
             if often.is_due() {
                 log::info!(event = "feed_subscribers", routers, waiting; "{routers} routers are told, {waiting} copies wait");
             }
--- a/crates/control-plane/src/publisher.rs
+++ b/crates/control-plane/src/publisher.rs
@@ -39,7 +39,7 @@
     pub fn new(part: PublisherConfig, around: Rc<dyn ControlHost>, seed: u64) -> io::Result<Rc<Self>> {
         let PublisherConfig { name, listen, keys, plan, letters } = part;
         let wire = Wire::bind(listen, Rc::clone(&around), letters)?;
-        let opener = Opener::of(plan.most_subscribers.saturating_mul(WINDOWS));
+        let opener = Opener::of(plan.max_subscribers.saturating_mul(WINDOWS));
         let post = Post::new(wire, keys, opener, NAMES);
         let (now, desk) = (around.now(), Rc::new(Desk::default()));
         let publisher = Publisher::new(Hand(Rc::clone(&desk)), plan, seed, now);
@@ -53,7 +53,7 @@
         for wish in self.desk.take() {
             match wish {
                 Wish::Send { to, session, message } => {
-                    let envelope = Envelope { from: self.name.clone(), start: self.start, message };
+                    let envelope = Envelope { from: self.name.clone(), incarnation: self.start, message };
                     self.post.send(to, session, &envelope);
                 }
                 // Said to routers alone.
@@ -67,7 +67,7 @@
     /// Takes what routers say as long as the process runs.
     pub async fn listen(self: Rc<Self>) {
         let take = |from: SocketAddr, _: Duration, envelope: Envelope| {
-            let Envelope { from: who, start, message } = envelope;
+            let Envelope { from: who, incarnation: start, message } = envelope;
             self.call(|publisher, now| publisher.message_arrived(now, from, &who, start, message));
         };
         self.post.listen(|| self.start, take).await;
@@ -100,7 +100,7 @@
 
     /// This control instance has seen this, or another of its fleet, as far as that may be believed.
     pub fn seen(&self, evidence: DatedObservation) {
-        self.call(|publisher, now| publisher.seen(now, evidence));
+        self.call(|publisher, now| publisher.observe(now, evidence));
     }
 
     /// The list of databases has changed.
@@ -111,7 +111,7 @@
 
     /// So many control instances divide the probing by now.
     pub fn instances_changed(&self, instances: usize) {
-        self.call(|publisher, _| publisher.instances_changed(instances));
+        self.call(|publisher, _| publisher.instance_count_changed(instances));
     }
 
     /// What holds at once of a configuration that was read anew.
@@ -144,7 +144,7 @@
     }
 
     pub fn subscribers(&self) -> usize {
-        self.publisher.borrow().subscribers()
+        self.publisher.borrow().subscriber_count()
     }
 
     /// About the bytes that it keeps.
--- a/crates/control-plane/src/subscriber.rs
+++ b/crates/control-plane/src/subscriber.rs
@@ -81,7 +81,7 @@
         for wish in self.desk.take() {
             match wish {
                 Wish::Send { to, session, message } => {
-                    let envelope = Envelope { from: self.name.clone(), start: self.start, message };
+                    let envelope = Envelope { from: self.name.clone(), incarnation: self.start, message };
                     self.post.send(to, session, &envelope);
                 }
                 Wish::Learnt(word) => self.around.learnt(word),
@@ -94,8 +94,8 @@
     /// Takes what control instances say as long as the process runs.
     pub async fn listen(self: Rc<Self>) {
         let take = |_: SocketAddr, waited: Duration, envelope: Envelope| {
-            let Envelope { from, start, message } = envelope;
-            let Some(message) = message.waited(waited) else { return };
+            let Envelope { from, incarnation: start, message } = envelope;
+            let Some(message) = message.delayed_by(waited) else { return };
             let digest = matches!(message, Message::Digest(_));
             self.call(|subscriber, now| subscriber.message_arrived(now, &from, start, message));
             if digest {
@@ -122,7 +122,8 @@
     fn tell_counts(&self) {
         let Counts { passed: Passed { traffic, taken, refused }, probes, spared } = self.counts();
         let Traffic { sent, sent_bytes, read, read_bytes } = traffic;
-        let (following, state) = (self.subscriber.borrow().follows_by().count(), self.state_bytes());
+        let (following, state) =
+            (self.subscriber.borrow().active_instance_names().count(), self.state_bytes());
         let kinds: Vec<String> = refused.iter().map(|(kind, count)| format!("{kind:?}:{count}")).collect();
         log::info!(
             event = "feed_counts", sent, sent_bytes, taken, read, read_bytes, probes, spared, following, state,
@@ -138,9 +139,9 @@
         if asked == round {
             return None;
         }
-        let word = self.call(|subscriber, now| subscriber.known(now, node))?;
-        self.told.borrow_mut().insert(node, (round, said.max(word.at)));
-        (word.at > said).then_some(word)
+        let word = self.call(|subscriber, _| subscriber.observation(node))?;
+        self.told.borrow_mut().insert(node, (round, said.max(word.seen_at)));
+        (word.seen_at > said).then_some(word)
     }
 
     /// The list of databases has changed.
@@ -162,7 +163,7 @@
     /// What holds at once of a configuration that was read anew.
     pub fn reload(&self, part: &SubscriberConfig) {
         self.post.keys_changed(&part.keys);
-        self.call(|subscriber, now| subscriber.control_changed(now, part.control.clone()));
+        self.call(|subscriber, now| subscriber.control_instances_changed(now, part.control.clone()));
         self.tell_counts();
     }
 
@@ -183,7 +184,7 @@
 
     /// What is told of a database by now, whether it has been said before or not.
     pub fn known(&self, node: SocketAddr) -> Option<FeedObservation> {
-        self.call(|subscriber, now| subscriber.known(now, node))
+        self.call(|subscriber, _| subscriber.observation(node))
     }
 
     /// About the bytes that it keeps.
--- a/crates/control-plane/tests/queue.rs
+++ b/crates/control-plane/tests/queue.rs
@@ -19,7 +19,7 @@
     MemberVersion, Observation, PeerName,
 };
 use quillpoint_observation_feed::message::{
-    CLASSES, Chunk, Digest, DigestNo, LagClass, PARTITIONS, PartitionId, Revision,
+    Digest, DigestNumber, LAG_CLASSES, LagClass, PARTITIONS, PartitionId, Revision, SnapshotChunk,
 };
 use quillpoint_observation_feed::{
     ControlInstance, Entry, Envelope, FeedObservation, Message, NodeStatus, subscriber,
@@ -161,9 +161,9 @@
     control.set_read_timeout(Some(Duration::from_secs(10))).unwrap();
     let plan = subscriber::SubscriberParams {
         region: None,
-        every: Duration::from_millis(100),
-        period: Duration::from_millis(150),
-        routers: 1,
+        digest_interval: Duration::from_millis(100),
+        health_check_period: Duration::from_millis(150),
+        router_count: 1,
     };
     let line =
         vec![ControlInstance { name: name("c0"), address: control.local_addr().unwrap(), region: None }];
@@ -181,22 +181,22 @@
     let mut address = None;
     let mut tell = |message: Message, address: Option<(SocketAddr, Incarnation)>| {
         let (to, session) = address.unwrap();
-        let envelope = Envelope { from: name("c0"), start: Incarnation(7), message };
+        let envelope = Envelope { from: name("c0"), incarnation: Incarnation(7), message };
         control.send_to(&sealer.seal(&keys, Some(session), &envelope).unwrap(), to).unwrap();
     };
-    let part = PartitionId::of(node());
+    let partition = PartitionId::of(node());
     let digest = |number: u32, now: Duration| {
         let mut revisions = vec![Revision::default(); PARTITIONS];
-        revisions[usize::from(part.0)] = Revision(1);
+        revisions[partition.index()] = Revision(1);
         Message::Digest(Digest {
-            number: DigestNo(number),
+            number: DigestNumber(number),
             sent: now,
             age: Duration::from_millis(10),
-            watermarks: [Some(Duration::from_secs(1)); CLASSES],
+            watermarks: [Some(Duration::from_secs(1)); LAG_CLASSES],
             revisions,
             changes: Vec::new(),
-            period: Duration::from_millis(150),
-            routers: 1,
+            health_check_period: Duration::from_millis(150),
+            router_count: 1,
         })
     };
     let mut asked = [0; 1500];
@@ -205,10 +205,15 @@
         Timer::after(Duration::from_millis(200)).await;
         let (length, from) = control.recv_from(&mut asked).unwrap();
         let said = opener.open(&keys, Incarnation(7), &asked[..length]);
-        address = Some((from, said.unwrap().start));
-        let entry = Entry { primary: Some(true), started: None, standing: NodeStatus::Seen(LagClass(0)) };
-        let chunk =
-            Chunk { part, revision: Revision(1), place: 0, of: 1, alike: vec![(entry, vec![node()])] };
+        address = Some((from, said.unwrap().incarnation));
+        let entry = Entry { primary: Some(true), started: None, status: NodeStatus::Seen(LagClass(0)) };
+        let chunk = SnapshotChunk {
+            partition,
+            revision: Revision(1),
+            index: 0,
+            chunk_count: 1,
+            groups: vec![(entry, vec![node()])],
+        };
         // One, and then the process stands still whenever digests come, so that none is read as it comes.
         for number in 1..=4 {
             if number == 2 {
@@ -220,8 +225,8 @@
             Timer::after(PAUSE).await;
             if let Some(word) = subscription.known(node()) {
                 let seen = sent - Duration::from_millis(10);
-                assert!(word.at <= seen + SLACK, "dated {:?} after it was seen", word.at - seen);
-                assert!(word.at + SLACK >= seen, "dated {:?} before it was seen", seen - word.at);
+                assert!(word.seen_at <= seen + SLACK, "dated {:?} after it was seen", word.seen_at - seen);
+                assert!(word.seen_at + SLACK >= seen, "dated {:?} before it was seen", seen - word.seen_at);
             }
         }
         assert!(subscription.known(node()).is_some(), "the first measure only");
--- a/crates/datagram/src/payload.rs
+++ b/crates/datagram/src/payload.rs
@@ -34,7 +34,7 @@
     const KIND: u8 = b'F';
     const LATEST_START_ONLY: bool = false;
     fn sender(&self) -> (&PeerName, Incarnation) {
-        (&self.from, self.start)
+        (&self.from, self.incarnation)
     }
     fn only_asks(&self) -> bool {
         self.message == Message::Subscribe
--- a/crates/datagram/tests/envelopes.rs
+++ b/crates/datagram/tests/envelopes.rs
@@ -11,7 +11,8 @@
     GossipBody, GossipMessage, Incarnation, MemberRecord, MemberState, MemberVersion, PeerName,
 };
 use quillpoint_observation_feed::message::{
-    CHANGES_ALONG, CLASSES, Chunk, DigestNo, ENTRIES_ALONG, LagClass, PARTITIONS, PartitionId, Revision,
+    DigestNumber, LAG_CLASSES, LagClass, MAX_CHANGES_PER_DIGEST, MAX_ENTRIES_PER_CHUNK, PARTITIONS,
+    PartitionId, Revision, SnapshotChunk,
 };
 use quillpoint_observation_feed::{Change, Digest, Entry, Envelope, Message, NodeStatus, encoded_size};
 
@@ -23,25 +24,25 @@
 }
 
 fn envelope(from: &str, start: u64, message: Message) -> Envelope {
-    Envelope { from: PeerName::new(from).unwrap(), start: Incarnation(start), message }
+    Envelope { from: PeerName::new(from).unwrap(), incarnation: Incarnation(start), message }
 }
 
 fn entry(started: Option<Duration>) -> Entry {
-    Entry { primary: Some(true), started, standing: NodeStatus::Seen(LagClass(7)) }
+    Entry { primary: Some(true), started, status: NodeStatus::Seen(LagClass(7)) }
 }
 
 fn digest(changes: usize) -> Message {
     let node: SocketAddr = "[2001:db8:ffff:ffff:ffff:ffff:ffff:ffff]:65535".parse().unwrap();
     let change = Change { revision: Revision(u32::MAX), node, entry: Some(entry(LONG_AGO)) };
     Message::Digest(Digest {
-        number: DigestNo(u32::MAX),
+        number: DigestNumber(u32::MAX),
         sent: LONG_AGO.unwrap(),
         age: Duration::new(10, 999_999_999),
-        watermarks: [LONG_AGO; CLASSES],
+        watermarks: [LONG_AGO; LAG_CLASSES],
         revisions: vec![Revision(u32::MAX); PARTITIONS],
         changes: vec![change; changes],
-        period: Duration::new(3600, 999_999_999),
-        routers: u32::MAX,
+        health_check_period: Duration::new(3600, 999_999_999),
+        router_count: u32::MAX,
     })
 }
 
@@ -65,22 +66,23 @@
     for node in ["[2001:db8:ffff:ffff:ffff:ffff:ffff:ffff]:65535", "255.255.255.255:65535", "1.1.1.1:1"] {
         let node: SocketAddr = node.parse().unwrap();
         for started in [None, LONG_AGO] {
-            let (part, revision, entry) = (PartitionId(63), Revision(u32::MAX), entry(started));
-            let chunk = |alike| Chunk { part, revision, place: 126, of: 127, alike };
+            let (partition, revision, entry) = (PartitionId(63), Revision(u32::MAX), entry(started));
+            let chunk = |groups| SnapshotChunk { partition, revision, index: 126, chunk_count: 127, groups };
             // One entry that holds for many, or as many entries that hold for one each.
-            let fits = |chunk: &Chunk| encoded_size::chunk(chunk) <= encoded_size::ROOM;
+            let fits = |chunk: &SnapshotChunk| encoded_size::chunk(chunk) <= encoded_size::MAX_PAYLOAD_BYTES;
             let many = |count| chunk(vec![(entry, vec![node; count])]);
             let single = |count| chunk(vec![(entry, vec![node]); count]);
-            let many = (1..ENTRIES_ALONG).map(many).take_while(fits).last().unwrap();
-            let single = (1..ENTRIES_ALONG).map(single).take_while(fits).last().unwrap();
+            let many = (1..MAX_ENTRIES_PER_CHUNK).map(many).take_while(fits).last().unwrap();
+            let single = (1..MAX_ENTRIES_PER_CHUNK).map(single).take_while(fits).last().unwrap();
             let change = Change { revision, node, entry: Some(entry) };
             let Message::Digest(mut digest) = digest(0) else { unreachable!() };
-            while encoded_size::digest(&digest) + encoded_size::change(&change) <= encoded_size::ROOM
-                && digest.changes.len() < CHANGES_ALONG
+            while encoded_size::digest(&digest) + encoded_size::change(&change)
+                <= encoded_size::MAX_PAYLOAD_BYTES
+                && digest.changes.len() < MAX_CHANGES_PER_DIGEST
             {
                 digest.changes.push(change);
             }
-            assert!(digest.changes.len() > 10 && many.alike[0].1.len() > 25 && single.alike.len() > 10);
+            assert!(digest.changes.len() > 10 && many.groups[0].1.len() > 25 && single.groups.len() > 10);
             let pull = Message::Pull((0..PARTITIONS as u8).map(PartitionId).collect());
             for message in [Message::Digest(digest), Message::Chunk(many), Message::Chunk(single), pull] {
                 let sealed =
@@ -109,9 +111,12 @@
     }
     let asking = sealer.seal(&keys("a"), None, &envelope("r1", 5, Message::Subscribe)).unwrap();
     assert!(taken(&mut opener, &asking).is_ok());
-    for message in
-        [Message::Pull(vec![PartitionId(1)]), Message::Unsubscribe, Message::Leaving, Message::Full]
-    {
+    for message in [
+        Message::Pull(vec![PartitionId(1)]),
+        Message::Unsubscribe,
+        Message::Leaving,
+        Message::SubscriptionRejected,
+    ] {
         let bytes = sealer.seal(&keys("a"), None, &envelope("r1", 5, message)).unwrap();
         assert_eq!(taken(&mut opener, &bytes), Err(Refusal::OtherSession));
     }
--- a/crates/observation-feed/src/lib.rs
+++ b/crates/observation-feed/src/lib.rs
@@ -1,22 +1,25 @@
 //! What control instances know of the databases, on its way to the routers.
 //!
-//! A few control instances divide the probing among themselves (`quillpoint-membership`). Each is a publisher: ten times a
-//! second it sends every subscriber one digest, which says that of each part of the databases all were seen at a log
-//! position no lower than a watermark, but for those that a copy of that part names. Only changes of the copy travel
-//! by name. A router is a subscriber of two of them and no member of their fleet, so that what it receives follows the
-//! trouble and not the size of the installation.
+//! A few control instances divide the health checks among themselves (`quillpoint-membership`). Each is a [`Publisher`]:
+//! ten times a second it sends every subscriber one digest, which says that all databases of a partition were seen at a
+//! log position no lower than a watermark, except those that a snapshot of the partition names. Only changes of the
+//! snapshot travel by name. A router is a [`Subscriber`] of two of them and no member of their fleet, so that what it
+//! receives grows with the faults and not with the size of the installation.
 //!
-//! No I/O, no clock, no threads: [`Publisher`] and [`Subscriber`] have one method for each thing that can happen and
-//! act by calling their [`Host`]. Time is handed in as a span on a clock of the process's own that only goes forward;
-//! chance comes from the given seed. docs/feed.md says why things are as they are.
+//! No I/O, no clock, no threads: both sides have one method for each thing that can happen and act by calling their
+//! [`Host`]. Time is handed in as the reading of a monotonic clock of the process; random numbers come from a seeded
+//! generator. docs/feed.md gives the reasons for the design.
 
-pub mod clock;
-pub mod copy;
+#![warn(missing_docs)]
+
+pub mod digest_delay;
 pub mod encoded_size;
 pub mod health_check_quota;
 pub mod host;
 pub mod message;
 pub mod observation_store;
+mod partition_replica;
+pub mod partition_replicas;
 pub mod preference;
 pub mod publisher;
 pub mod publisher_replica;
--- a/crates/observation-feed/src/observation_store.rs
+++ b/crates/observation-feed/src/observation_store.rs
@@ -1,366 +1,256 @@
-//! What a control instance knows of each database, and how that stands in the copy that it tells.
+//! What a control instance knows of each database, and the snapshots of the partitions that it publishes.
 //!
-//! The copy changes only when it is revised, right before a digest, and by no more than that digest can tell. So a
-//! chunk of a copy and a digest of the same revision say the same, whichever comes first, and a burst of changes
-//! is told in order instead of making every copy useless at once. What has to wait does no harm: one that is better
-//! than its entry says is an exception a little longer; a part with one that is worse than its entry says, being
-//! silent, is not spoken for until its turn comes.
+//! The snapshots change only in [`ObservationStore::revise`], right before a digest, and by no more than that digest can
+//! carry. So a chunk and a digest of the same revision say the same, whichever arrives first, and a burst of changes is
+//! published in order instead of making every replica useless at once. What has to wait does no harm: a database that is
+//! better than its entry says is an exception a little longer; a partition with one that is silent although its entry says
+//! `Seen` is not covered until its turn comes.
 
-use std::collections::{BTreeMap, BTreeSet, VecDeque};
+mod change_log;
+mod node_record;
+mod snapshot;
+
+use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::time::Duration;
 
 use quillpoint_membership::DatedObservation;
 
+use self::change_log::{ChangeLog, LoggedChange};
+pub use self::node_record::START_PUBLISHED_FOR;
+use self::node_record::{DesiredChange, NodeRecord, Urgency};
 use crate::encoded_size;
 use crate::message::{
-    CHANGES_ALONG, CLASSES, Change, Chunk, Digest, ENTRIES_ALONG, Entry, LagClass, NodeStatus, PARTITIONS,
-    PartitionId, Revision,
+    Change, Digest, Entry, LAG_CLASSES, LagClass, MAX_CHANGES_PER_DIGEST, PARTITIONS, PartitionId, Revision,
+    SnapshotChunk,
 };
 use crate::sorted_table::SortedTable;
 
-/// A database that has not been seen for so many periods is `Unseen`, come what may, so that it does not age the others.
-/// One whose prober has died is seen by the next in line within two and a half.
-const SILENT_PERIODS: u32 = 4;
-/// One that is later than all others is so sooner, by this part of a period, as long as they are few.
+/// A database that has been silent for this many periods is `Unseen` in any case, so that it does not age the others. One
+/// whose health checker has died is seen by its successor within two and a half.
+const MAX_SILENT_PERIODS: u32 = 4;
+/// A database that is later than this many periods is `Unseen` sooner, while no more than `MAX_LATE_NODES` are.
 const LATE_PERIODS: f64 = 1.5;
-const LATE_MOST: usize = 8;
-/// Before a better class of lag is told it must have held for so many periods. One that is seen again is told at once: where
-/// a control instance has died, the next in line sees its databases only every second period until it passes for dead.
-const BETTER_PERIODS: u32 = 10;
-/// A start is told for so long: routers spare a cold database no longer.
-pub const YOUNG: Duration = Duration::from_secs(120);
-/// A database that nobody has answered for is entered after so many periods all the same.
-const UNHEARD_PERIODS: u32 = 4;
-/// Each change is told so many times where there is room, and so many are kept for that.
-const TELLS: u8 = 3;
-const LOG_MOST: usize = 256;
-
-struct Known {
-    listed: Duration,
-    /// Whether it has left the list, and is to be taken out of the copy.
-    gone: bool,
-    /// When it last answered, and the newest position that it has shown; whether its last answer showed one.
-    at: Option<Duration>,
-    position: Option<Duration>,
-    shows: bool,
-    primary: Option<bool>,
-    started: Option<Duration>,
-    /// Several have failed to reach it since it last answered.
-    failed: bool,
-    /// `None` until it is entered in the copy.
-    told: Option<Entry>,
-    /// Since when it has been better than the copy says, and the worst class of lag since then.
-    better: Option<(Duration, LagClass)>,
-}
+const MAX_LATE_NODES: usize = 8;
 
-impl Known {
-    fn stands_as_seen(&self) -> bool {
-        self.told.is_some_and(|entry| matches!(entry.standing, NodeStatus::Seen(_)))
-    }
+/// Whether any router receives the digests.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Audience {
+    /// Changes have to reach subscribers.
+    Subscribed,
+    /// Nobody has a replica: all changes are taken at once.
+    Absent,
 }
 
 #[derive(Default)]
-struct Part {
+struct Partition {
     revision: Revision,
-    nodes: SortedTable<SocketAddr, Known>,
-    /// Not spoken for: one that stands as seen has been silent, and it cannot be told yet.
-    silent: bool,
+    nodes: SortedTable<SocketAddr, NodeRecord>,
+    /// Not covered by digests: a database is published as seen but silent, and that change still waits.
+    is_withheld: bool,
 }
 
-struct Logged {
-    change: Change,
-    tells: u8,
+impl Partition {
+    /// Nobody has a replica of it yet: its first revision takes all entries.
+    fn is_new(&self) -> bool {
+        self.revision == Revision::default()
+    }
 }
 
-/// How much a change matters; the first are told first.
-#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Rank {
-    /// A role, a start, a failure, a database that is listed or no more.
-    ByName,
-    Worse,
-    Better,
+/// A change that waits for its turn.
+struct QueuedChange {
+    urgency: Urgency,
+    /// The partition's place in this revision's order.
+    turn: usize,
+    partition: usize,
+    node: SocketAddr,
+    entry: Option<Entry>,
 }
 
+/// A publisher's knowledge of all databases.
 pub struct ObservationStore {
-    period: Duration,
-    parts: Vec<Part>,
-    log: VecDeque<Logged>,
-    /// With which part the next revision begins, so that none waits for ever.
-    turn: usize,
+    health_check_period: Duration,
+    partitions: Vec<Partition>,
+    change_log: ChangeLog,
+    /// The partition that goes first in the next revision; moves on with each, so that none waits for ever.
+    first_partition: usize,
 }
 
 impl ObservationStore {
-    /// `period`: how often each database is probed by all together.
-    pub fn new(period: Duration, turn: usize) -> Self {
-        let parts = (0..PARTITIONS).map(|_| Part::default()).collect();
-        Self { period, parts, log: VecDeque::new(), turn: turn % PARTITIONS }
+    /// `health_check_period`: how often each database is checked by all control instances together. The first revision
+    /// begins with `first_partition`, of any size.
+    pub fn new(health_check_period: Duration, first_partition: usize) -> Self {
+        Self {
+            health_check_period,
+            partitions: (0..PARTITIONS).map(|_| Partition::default()).collect(),
+            change_log: ChangeLog::default(),
+            first_partition: first_partition % PARTITIONS,
+        }
     }
 
+    /// The databases on the endpoint list; nothing is kept of any other once its removal is published.
     pub fn nodes_changed(&mut self, now: Duration, nodes: &BTreeSet<SocketAddr>) {
-        for part in &mut self.parts {
-            part.nodes.iter_mut().for_each(|(node, known)| known.gone = !nodes.contains(node));
-            part.nodes.retain(|_, known| !known.gone || known.told.is_some());
+        for partition in &mut self.partitions {
+            for (node, record) in partition.nodes.iter_mut() {
+                record.is_removed = !nodes.contains(node);
+            }
+            partition.nodes.retain(|_, record| !record.is_removed || record.published.is_some());
         }
-        let mut of_parts: Vec<Vec<SocketAddr>> = vec![Vec::new(); PARTITIONS];
-        nodes.iter().for_each(|node| of_parts[PartitionId::of(*node).0 as usize].push(*node));
-        for (part, nodes) in self.parts.iter_mut().zip(of_parts) {
-            part.nodes.enter(nodes, || Known {
-                listed: now,
-                gone: false,
-                at: None,
-                position: None,
-                shows: false,
-                primary: None,
-                started: None,
-                failed: false,
-                told: None,
-                better: None,
-            });
+        let mut nodes_by_partition: Vec<Vec<SocketAddr>> = vec![Vec::new(); PARTITIONS];
+        for node in nodes {
+            nodes_by_partition[PartitionId::of(*node).index()].push(*node);
+        }
+        for (partition, nodes) in self.partitions.iter_mut().zip(nodes_by_partition) {
+            partition.nodes.insert_missing(nodes, || NodeRecord::new(now));
         }
     }
 
-    /// A word that is older than what is known changes nothing.
-    pub fn seen(&mut self, now: Duration, evidence: DatedObservation) {
-        let part = &mut self.parts[PartitionId::of(evidence.node).0 as usize];
-        let Some(known) = part.nodes.get_mut(&evidence.node) else { return };
-        let at = evidence.at.min(now);
-        if known.at.is_some_and(|known| at < known) {
-            return;
+    /// Takes an observation. One that is older than what is known changes nothing.
+    pub fn observe(&mut self, now: Duration, observation: DatedObservation) {
+        let partition = &mut self.partitions[PartitionId::of(observation.node).index()];
+        if let Some(record) = partition.nodes.get_mut(&observation.node) {
+            record.observe(now, observation);
         }
-        if evidence.failed {
-            known.failed = true;
-            return;
+    }
+
+    /// Takes into the snapshots what has changed, as far as `max_bytes` of a digest can carry it. Returns whether any
+    /// change has to wait.
+    pub fn revise(&mut self, now: Duration, max_bytes: usize, audience: Audience) -> bool {
+        let mut changes = self.queued_changes(now);
+        changes.sort_by_key(|change| (change.urgency, change.turn));
+        self.first_partition = (self.first_partition + 1) % PARTITIONS;
+        let has_backlog = self.apply_changes(changes, max_bytes, audience);
+        let max_silence = self.health_check_period * MAX_SILENT_PERIODS;
+        for partition in &mut self.partitions {
+            if partition.is_new() {
+                partition.revision = Revision(1);
+            }
+            let mut records = partition.nodes.values();
+            partition.is_withheld = records.any(|record| record.is_wrongly_published(now, max_silence));
         }
-        (known.at, known.failed, known.shows) = (Some(at), false, evidence.position.is_some());
-        known.position = evidence.position.or(known.position);
-        known.primary = evidence.primary.or(known.primary);
-        known.started = evidence.started.or(known.started);
+        self.change_log.trim();
+        has_backlog
+    }
+
+    /// After which silence a database is unseen. The few that are later than all others are published by name; where many
+    /// are late, that is the normal delay here.
+    fn max_silence(&self, now: Duration) -> Duration {
+        let late = self.health_check_period.mul_f64(LATE_PERIODS);
+        let records = self.partitions.iter().flat_map(|partition| partition.nodes.values());
+        let late_nodes = records.filter(|record| record.is_overdue(now, late)).count();
+        if late_nodes <= MAX_LATE_NODES { late } else { self.health_check_period * MAX_SILENT_PERIODS }
     }
 
-    /// Takes into the copy what has changed, as far as `room` bytes can tell it; without `told` nobody follows, and
-    /// all of it. Whether anything has to wait.
-    pub fn revise(&mut self, now: Duration, room: usize, told: bool) -> bool {
-        let (silent, late) = (self.period * SILENT_PERIODS, self.period.mul_f64(LATE_PERIODS));
-        // The few that are later than all others are told by name; where many are, that is how things are here.
-        let is_late = |known: &&Known| known.stands_as_seen() && known.at.is_some_and(|at| at + late < now);
-        let lates = self.parts.iter().flat_map(|part| part.nodes.values()).filter(is_late).count();
-        let cut = if lates <= LATE_MOST { late } else { silent };
-        let mut due: Vec<(Rank, usize, SocketAddr, Option<Entry>)> = Vec::new();
-        let mut fresh = [false; PARTITIONS];
-        for step in 0..PARTITIONS {
-            let place = (self.turn + step) % PARTITIONS;
-            let part = &mut self.parts[place];
-            fresh[place] = part.revision == Revision::default();
-            for (node, known) in part.nodes.iter_mut() {
-                if let Some((rank, wanted)) = wanted(known, now, cut, self.period) {
-                    due.push((rank, step, *node, wanted));
+    fn queued_changes(&mut self, now: Duration) -> Vec<QueuedChange> {
+        let max_silence = self.max_silence(now);
+        let mut changes = Vec::new();
+        for turn in 0..PARTITIONS {
+            let partition = (self.first_partition + turn) % PARTITIONS;
+            for (node, record) in self.partitions[partition].nodes.iter_mut() {
+                let desired = record.desired_change(now, max_silence, self.health_check_period);
+                if let Some(DesiredChange { urgency, entry }) = desired {
+                    changes.push(QueuedChange { urgency, turn, partition, node: *node, entry });
                 }
             }
         }
-        self.turn = (self.turn + 1) % PARTITIONS;
-        due.sort_by_key(|(rank, step, _, _)| (*rank, *step));
-        let (mut left, mut waits) = (room, false);
-        let mut count = 0;
-        for (_, step, node, wanted) in due {
-            let place = (self.turn + PARTITIONS - 1 + step) % PARTITIONS;
-            let free = fresh[place] || !told;
-            let part = &mut self.parts[place];
-            let change = Change { revision: Revision(part.revision.0 + 1), node, entry: wanted };
+        changes
+    }
+
+    fn apply_changes(&mut self, changes: Vec<QueuedChange>, max_bytes: usize, audience: Audience) -> bool {
+        let mut free_bytes = max_bytes;
+        let mut change_count = 0;
+        let mut has_backlog = false;
+        for QueuedChange { partition, node, entry, .. } in changes {
+            let partition = &mut self.partitions[partition];
+            let is_unbounded = partition.is_new() || audience == Audience::Absent;
+            let change = Change { revision: Revision(partition.revision.0 + 1), node, entry };
             let bytes = encoded_size::change(&change);
-            if !free && (bytes > left || count >= CHANGES_ALONG) {
-                waits = true;
+            if !is_unbounded && (bytes > free_bytes || change_count >= MAX_CHANGES_PER_DIGEST) {
+                has_backlog = true;
                 continue;
             }
-            match (wanted, part.nodes.get_mut(&node)) {
-                (Some(_), Some(known)) => (known.told, known.better) = (wanted, None),
-                _ => part.nodes.remove(&node),
+            match (entry, partition.nodes.get_mut(&node)) {
+                (Some(entry), Some(record)) => record.publish(entry),
+                _ => partition.nodes.remove(&node),
             }
-            if fresh[place] {
-                // Nobody has a copy of it yet: its first revision has them all.
+            if partition.is_new() {
                 continue;
             }
-            part.revision = change.revision;
-            if told {
-                (left, count) = (left - bytes, count + 1);
-                self.log.push_back(Logged { change, tells: 0 });
-            }
-        }
-        for (part, fresh) in self.parts.iter_mut().zip(fresh) {
-            if fresh {
-                part.revision = Revision(1);
+            partition.revision = change.revision;
+            if audience == Audience::Subscribed {
+                free_bytes -= bytes;
+                change_count += 1;
+                self.change_log.push(change);
             }
-            part.silent = part
-                .nodes
-                .values()
-                .any(|known| known.stands_as_seen() && known.at.is_none_or(|at| at + silent < now));
         }
-        while self.log.len() > LOG_MOST {
-            self.log.pop_front();
-        }
-        waits
+        has_backlog
     }
 
-    /// The changes that go along with a digest that has room for so many bytes of them: those that have been told
-    /// least, in the order in which they were made.
-    pub fn changes(&mut self, room: usize) -> Vec<Change> {
-        let mut picked: Vec<usize> = (0..self.log.len()).collect();
-        picked.sort_by_key(|place| (self.log[*place].tells, *place));
-        let (mut left, mut along) = (room, Vec::new());
-        for place in picked {
-            let bytes = encoded_size::change(&self.log[place].change);
-            if bytes > left || along.len() >= CHANGES_ALONG {
-                break;
-            }
-            left -= bytes;
-            self.log[place].tells += 1;
-            along.push(place);
-        }
-        along.sort_unstable();
-        let changes = along.into_iter().map(|place| self.log[place].change).collect();
-        self.log.retain(|logged| logged.tells < TELLS);
-        changes
+    /// The changes for a digest that has room for `max_bytes` of them. They count as sent.
+    pub fn take_changes(&mut self, max_bytes: usize) -> Vec<Change> {
+        self.change_log.take(max_bytes)
     }
 
-    /// Fills in what holds at this moment of all that stands as seen in the parts that are spoken for: how old the
-    /// oldest is, and the lowest position of each class of lag.
-    pub fn fill(&self, now: Duration, digest: &mut Digest) {
-        let mut marks = [None; CLASSES];
+    /// Sets what holds at this moment of all databases that are seen in the partitions that the digest covers: the send
+    /// time, the age of the oldest, and the lowest position of each lag class.
+    pub fn fill_digest(&self, now: Duration, digest: &mut Digest) {
+        let mut watermarks: [Option<Duration>; LAG_CLASSES] = [None; LAG_CLASSES];
         let mut oldest = now;
-        for (part, revision) in self.parts.iter().zip(&digest.revisions) {
-            if *revision == Revision::default() {
-                continue;
-            }
-            for known in part.nodes.values() {
-                if let Some(Entry { standing: NodeStatus::Seen(LagClass(class)), .. }) = known.told
-                    && let (Some(at), Some(position)) = (known.at, known.position)
-                {
-                    oldest = oldest.min(at);
-                    let mark: &mut Option<Duration> = &mut marks[class as usize];
-                    *mark = Some(mark.map_or(position, |mark| mark.min(position)));
-                }
+        let partitions = self.partitions.iter().zip(&digest.revisions);
+        let covered = partitions.filter(|(_, revision)| **revision != Revision::default());
+        for record in covered.flat_map(|(partition, _)| partition.nodes.values()) {
+            if let Some(LagClass(class)) = record.published_class()
+                && let (Some(answered_at), Some(position)) = (record.answered_at, record.position)
+            {
+                oldest = oldest.min(answered_at);
+                let watermark = &mut watermarks[usize::from(class)];
+                *watermark = Some(watermark.map_or(position, |lowest| lowest.min(position)));
             }
         }
-        (digest.sent, digest.age, digest.watermarks) = (now, now.saturating_sub(oldest), marks);
+        digest.sent = now;
+        digest.age = now.saturating_sub(oldest);
+        digest.watermarks = watermarks;
     }
 
-    /// What a digest may speak for: the default revision where it says nothing of a part.
+    /// The revisions for a digest: the default where it does not cover the partition.
     pub fn revisions(&self) -> Vec<Revision> {
-        self.parts.iter().map(|part| if part.silent { Revision::default() } else { part.revision }).collect()
+        let revision = |partition: &Partition| match partition.is_withheld {
+            true => Revision::default(),
+            false => partition.revision,
+        };
+        self.partitions.iter().map(revision).collect()
     }
 
-    /// What the revisions cannot be beyond after the next revision.
+    /// The highest revisions that the partitions can have after the next `revise`.
     pub fn highest_revisions(&self) -> Vec<Revision> {
-        self.parts.iter().map(|part| Revision(part.revision.0 + CHANGES_ALONG as u32)).collect()
+        let highest = |partition: &Partition| Revision(partition.revision.0 + MAX_CHANGES_PER_DIGEST as u32);
+        self.partitions.iter().map(highest).collect()
     }
 
-    /// The copy of a part in chunks that fit a datagram each. None before the first revision.
-    pub fn copy(&self, part: PartitionId) -> Vec<Chunk> {
-        let Some(Part { revision, nodes, .. }) = self.parts.get(part.0 as usize) else { return Vec::new() };
-        if *revision == Revision::default() {
+    /// The snapshot of a partition in chunks that fit a datagram each. None before the first revision.
+    pub fn snapshot(&self, id: PartitionId) -> Vec<SnapshotChunk> {
+        let Some(partition) = self.partitions.get(id.index()).filter(|partition| !partition.is_new()) else {
             return Vec::new();
-        }
-        let mut alike: BTreeMap<Entry, Vec<SocketAddr>> = BTreeMap::new();
-        for (node, known) in nodes.iter() {
-            known.told.into_iter().for_each(|entry| alike.entry(entry).or_default().push(*node));
-        }
-        let mut chunks: Vec<Vec<(Entry, Vec<SocketAddr>)>> = vec![Vec::new()];
-        let (mut left, mut count) = (encoded_size::ROOM, 0);
-        for (entry, nodes) in alike {
-            let mut begun = false;
-            for node in nodes {
-                let head = encoded_size::entry(&entry) + 2;
-                let bytes = encoded_size::address(node) + if begun { 0 } else { head };
-                if bytes > left || count >= ENTRIES_ALONG {
-                    chunks.push(Vec::new());
-                    (left, count, begun) = (encoded_size::ROOM - head, 0, false);
-                }
-                let Some(chunk) = chunks.last_mut() else { continue };
-                if !std::mem::replace(&mut begun, true) {
-                    chunk.push((entry, Vec::new()));
-                }
-                (left, count) = (left.saturating_sub(bytes), count + 1);
-                chunk.last_mut().into_iter().for_each(|(_, nodes)| nodes.push(node));
-            }
-        }
-        let (revision, of) = (*revision, chunks.len() as u16);
-        (0..).zip(chunks).map(|(place, alike)| Chunk { part, revision, place, of, alike }).collect()
+        };
+        let records = partition.nodes.iter();
+        let entries = records.filter_map(|(node, record)| Some((*node, record.published?)));
+        snapshot::chunks(id, partition.revision, entries)
     }
 
-    /// About the bytes that it takes.
+    /// About the bytes that it holds on the heap.
     pub fn state_bytes(&self) -> usize {
-        self.parts.len() * size_of::<Part>()
-            + self.len() * size_of::<(SocketAddr, Known)>()
-            + self.log.len() * size_of::<Logged>()
+        self.partitions.len() * size_of::<Partition>()
+            + self.len() * size_of::<(SocketAddr, NodeRecord)>()
+            + self.change_log.len() * size_of::<LoggedChange>()
     }
 
-    /// How many databases are listed.
+    /// How many databases are kept.
     pub fn len(&self) -> usize {
-        self.parts.iter().map(|part| part.nodes.len()).sum()
+        self.partitions.iter().map(|partition| partition.nodes.len()).sum()
     }
 
+    /// Whether no database is kept.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 }
-
-/// What the copy should say of a database now, where it says something else: the change, and how much it matters.
-fn wanted(
-    known: &mut Known,
-    now: Duration,
-    cut: Duration,
-    period: Duration,
-) -> Option<(Rank, Option<Entry>)> {
-    if known.gone {
-        return Some((Rank::ByName, None));
-    }
-    let started = known.started.filter(|started| *started + YOUNG > now);
-    let stands = if known.failed {
-        NodeStatus::Down
-    } else {
-        match (known.at, known.position) {
-            (Some(at), Some(position)) if known.shows && at + cut >= now => {
-                NodeStatus::Seen(class(at.saturating_sub(position), period))
-            }
-            _ => NodeStatus::Unseen,
-        }
-    };
-    let Some(was) = known.told else {
-        // One that nobody has heard of is given time to answer, so that a start is no burst of changes.
-        let heard = known.at.is_some() || known.failed || known.listed + period * UNHEARD_PERIODS <= now;
-        let entry = Entry { primary: known.primary, started, standing: stands };
-        return heard.then_some((Rank::ByName, Some(entry)));
-    };
-    let stood = was.standing;
-    // Worse holds at once, better only after a while: one that goes to and fro is told once.
-    let (standing, rank) = match (stood, stands) {
-        (NodeStatus::Down, NodeStatus::Down) | (NodeStatus::Unseen, NodeStatus::Unseen) => {
-            (stood, Rank::Better)
-        }
-        (NodeStatus::Down, _) | (_, NodeStatus::Down) => (stands, Rank::ByName),
-        (NodeStatus::Seen(_), NodeStatus::Unseen) => (stands, Rank::Worse),
-        (NodeStatus::Seen(was), NodeStatus::Seen(is)) if is > was => (stands, Rank::Worse),
-        (NodeStatus::Seen(was), NodeStatus::Seen(is)) if is == was => (stood, Rank::Better),
-        (_, NodeStatus::Seen(is)) => {
-            let (since, worst) = known.better.unwrap_or((now, is));
-            let worst = worst.max(is);
-            let after = if stood == NodeStatus::Unseen { 0 } else { BETTER_PERIODS };
-            known.better = Some((since, worst));
-            let holds = since + period * after <= now;
-            (if holds { NodeStatus::Seen(worst) } else { stood }, Rank::Better)
-        }
-    };
-    if matches!(stands, NodeStatus::Unseen) || stood == stands {
-        known.better = None;
-    }
-    let by_name = known.primary != was.primary || (started != was.started && started.is_some());
-    let rank = if by_name { Rank::ByName } else { rank };
-    let entry = Entry { primary: known.primary, started, standing };
-    (entry != was).then_some((rank, Some(entry)))
-}
-
-/// The first class reaches as far behind as a period; the last holds all that is beyond the others.
-fn class(lag: Duration, period: Duration) -> LagClass {
-    let reaches = |class: &u8| lag <= period * (1 << class);
-    LagClass((0..CLASSES as u8).find(reaches).unwrap_or(CLASSES as u8 - 1))
-}
--- /dev/null
+++ b/crates/observation-feed/src/publisher/rounds.rs
@@ -0,0 +1,129 @@
+//! Rounds of digests: each round makes one digest and sends it to the subscribers in batches, so that no burst leaves.
+
+use std::time::Duration;
+
+use super::Publisher;
+use crate::encoded_size;
+use crate::host::Host;
+use crate::message::{Digest, DigestNumber, LAG_CLASSES, Message};
+use crate::observation_store::Audience;
+
+/// In how many batches the subscribers are served over a digest interval.
+const BATCHES_PER_ROUND: u32 = 10;
+/// While changes wait, rounds are shorter by this factor, so that a burst is published within seconds.
+const BACKLOG_SPEEDUP: u32 = 5;
+/// No digest leaves before databases have been listed for this many periods: a publisher that has just started would
+/// publish each as unseen, and then as seen.
+const WARM_UP_PERIODS: u32 = 4;
+
+/// The round that is under way.
+pub(super) struct Rounds {
+    /// `None` until the publisher has warmed up.
+    digest: Option<Digest>,
+    number: DigestNumber,
+    batch_count: u32,
+    next_batch: u32,
+    next_batch_at: Duration,
+}
+
+impl Rounds {
+    pub(super) fn new(now: Duration) -> Self {
+        Self {
+            digest: None,
+            number: DigestNumber::default(),
+            batch_count: BATCHES_PER_ROUND,
+            next_batch: 0,
+            next_batch_at: now,
+        }
+    }
+
+    pub(super) fn next_batch_at(&self) -> Duration {
+        self.next_batch_at
+    }
+
+    pub(super) fn is_warmed_up(&self) -> bool {
+        self.digest.is_some()
+    }
+
+    fn schedule_next_batch(&mut self, now: Duration, digest_interval: Duration) {
+        self.next_batch = (self.next_batch + 1) % self.batch_count;
+        let step = digest_interval / BATCHES_PER_ROUND;
+        // A process that stood still goes on from now, and does not make up for what it has missed.
+        let has_stood_still = now > self.next_batch_at + digest_interval;
+        self.next_batch_at = if has_stood_still { now + step } else { self.next_batch_at + step };
+    }
+}
+
+impl<H: Host> Publisher<H> {
+    pub(super) fn send_due_batch(&mut self, now: Duration) {
+        if now < self.rounds.next_batch_at {
+            return;
+        }
+        if self.rounds.next_batch == 0 {
+            self.begin_round(now);
+        }
+        self.send_batch(now);
+        self.rounds.schedule_next_batch(now, self.params.digest_interval);
+    }
+
+    /// Decides what the digests of the round say, except for what holds at the moment of sending.
+    fn begin_round(&mut self, now: Duration) {
+        self.expire_subscriptions(now);
+        self.report_counts(now);
+        self.rounds.batch_count = BATCHES_PER_ROUND;
+        if !self.has_warmed_up(now) {
+            self.rounds.digest = None;
+            return;
+        }
+        self.rounds.number = DigestNumber(self.rounds.number.0 + 1);
+        let mut digest = self.longest_digest(now);
+        let max_change_bytes = encoded_size::MAX_PAYLOAD_BYTES.saturating_sub(encoded_size::digest(&digest));
+        let audience = if self.subscriptions.is_empty() { Audience::Absent } else { Audience::Subscribed };
+        let has_backlog = self.store.revise(now, max_change_bytes, audience);
+        digest.revisions = self.store.revisions();
+        digest.changes = self.store.take_changes(max_change_bytes);
+        self.rounds.digest = Some(digest);
+        if has_backlog {
+            self.rounds.batch_count = BATCHES_PER_ROUND / BACKLOG_SPEEDUP;
+        }
+    }
+
+    fn has_warmed_up(&self, now: Duration) -> bool {
+        let warm_up = self.params.health_check_period * WARM_UP_PERIODS;
+        self.first_listed_at.is_some_and(|listed_at| listed_at + warm_up <= now)
+    }
+
+    /// A digest without changes that is as long as any of this round: the rest of the datagram is for changes.
+    fn longest_digest(&self, now: Duration) -> Digest {
+        Digest {
+            number: self.rounds.number,
+            sent: now,
+            age: Duration::ZERO,
+            watermarks: [Some(now); LAG_CLASSES],
+            revisions: self.store.highest_revisions(),
+            changes: Vec::new(),
+            health_check_period: self.params.health_check_period,
+            router_count: self.router_count(),
+        }
+    }
+
+    fn send_batch(&mut self, now: Duration) {
+        let Rounds { digest: Some(digest), batch_count, next_batch, .. } = &mut self.rounds else { return };
+        let subscriptions = self.subscriptions.values();
+        let mut batch =
+            subscriptions.filter(|known| known.batch_key % *batch_count == *next_batch).peekable();
+        if batch.peek().is_some() {
+            self.store.fill_digest(now, digest);
+        }
+        for subscription in batch {
+            let message = Message::Digest(digest.clone());
+            self.host.send(subscription.address, Some(subscription.incarnation), message);
+        }
+    }
+
+    /// About how many routers there are: each follows two control instances, where there are two.
+    fn router_count(&self) -> u32 {
+        let followed_by_each = self.instance_count.min(2);
+        (self.subscriptions.len() * self.instance_count / followed_by_each) as u32
+    }
+}
--- a/crates/observation-feed/src/publisher_replica.rs
+++ b/crates/observation-feed/src/publisher_replica.rs
@@ -1,69 +1,84 @@
-//! What one control instance has told a router: of its latest start alone, and each digest once and in order.
+//! A router's replica of one publisher: of its latest incarnation alone, and each digest once and in order.
 
 use quillpoint_membership::Incarnation;
 
-use crate::copy::Copy;
-use crate::message::DigestNo;
+use crate::message::DigestNumber;
+use crate::partition_replicas::PartitionReplicas;
 
+/// The last digest that was accepted of a publisher.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct LastDigest {
+    /// The publisher's incarnation.
+    pub incarnation: Incarnation,
+    /// The digest's number in that incarnation.
+    pub number: DigestNumber,
+}
+
+/// What a router has received of one publisher.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct PublisherReplica {
-    start: Incarnation,
-    number: DigestNo,
-    /// It has been silent for so long that an earlier start is that of a clock which was set back.
-    silent: bool,
-    copy: Copy,
+    incarnation: Incarnation,
+    number: DigestNumber,
+    /// The publisher was silent for so long that an earlier incarnation means a clock that was set back.
+    accepts_any_incarnation: bool,
+    partitions: PartitionReplicas,
 }
 
-/// Whether a message's start is the one that is known.
+/// A message's incarnation compared with the one that is known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Start {
+pub enum IncarnationOrder {
+    /// The message is to be discarded.
     Earlier,
+    /// The message is of the process that is known.
     Same,
-    /// Nothing that was told before holds any more.
+    /// A new process: nothing that was received before holds any more.
     Later,
 }
 
 impl PublisherReplica {
-    /// Nothing, of one that was heard before: what it said by then is not taken again.
-    pub fn after((start, number): (Incarnation, DigestNo)) -> Self {
-        Self { start, number, ..Self::default() }
+    /// An empty replica of a publisher that was heard before; what it sent by then is not accepted again.
+    pub fn resuming_after(last: LastDigest) -> Self {
+        Self { incarnation: last.incarnation, number: last.number, ..Self::default() }
     }
 
-    /// Nothing of it can be under way any more: the start that it names next is its latest, whichever that is.
-    pub fn was_silent(&mut self) {
-        self.silent = true;
+    /// Accepts whichever incarnation is named next as the latest: no datagram of an earlier one can be under way.
+    pub fn accept_any_incarnation(&mut self) {
+        self.accepts_any_incarnation = true;
     }
 
-    /// A message of that start has come.
-    pub fn came(&mut self, start: Incarnation) -> Start {
-        let silent = std::mem::take(&mut self.silent);
-        if start < self.start && !silent {
-            return Start::Earlier;
+    /// Compares a message's incarnation with the known one, and starts anew with a later one.
+    pub fn check_incarnation(&mut self, incarnation: Incarnation) -> IncarnationOrder {
+        let accepts_any = std::mem::take(&mut self.accepts_any_incarnation);
+        if incarnation < self.incarnation && !accepts_any {
+            return IncarnationOrder::Earlier;
         }
-        if start == self.start {
-            return Start::Same;
+        if incarnation == self.incarnation {
+            return IncarnationOrder::Same;
         }
-        *self = Self::after((start, DigestNo::default()));
-        Start::Later
+        *self = Self { incarnation, ..Self::default() };
+        IncarnationOrder::Later
     }
 
-    /// Whether this digest is later than all before.
-    pub fn count(&mut self, number: DigestNo) -> bool {
-        let later = number > self.number;
+    /// Whether this digest is later than all before; it counts as received.
+    pub fn accept_digest(&mut self, number: DigestNumber) -> bool {
+        let is_later = number > self.number;
         self.number = self.number.max(number);
-        later
+        is_later
     }
 
-    /// The start that is known, where one is, and the last digest.
-    pub fn heard(&self) -> Option<(Incarnation, DigestNo)> {
-        (self.start != Incarnation::default()).then_some((self.start, self.number))
+    /// The last digest, if any incarnation is known.
+    pub fn last_digest(&self) -> Option<LastDigest> {
+        let is_known = self.incarnation != Incarnation::default();
+        is_known.then_some(LastDigest { incarnation: self.incarnation, number: self.number })
     }
 
-    pub fn copy(&self) -> &Copy {
-        &self.copy
+    /// The replicas of the partitions.
+    pub fn partitions(&self) -> &PartitionReplicas {
+        &self.partitions
     }
 
-    pub fn copy_mut(&mut self) -> &mut Copy {
-        &mut self.copy
+    /// The replicas of the partitions, to be changed.
+    pub fn partitions_mut(&mut self) -> &mut PartitionReplicas {
+        &mut self.partitions
     }
 }
--- /dev/null
+++ b/crates/observation-feed/src/subscriber/followed_instance.rs
@@ -0,0 +1,89 @@
+//! A control instance that is followed, or has been: its replica and the state of the subscription.
+
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+use quillpoint_membership::Incarnation;
+
+use super::snapshot_pulls::PendingPull;
+use crate::digest_delay::DelayMeasurement;
+use crate::message::PartitionId;
+use crate::preference::ControlInstance;
+use crate::publisher_replica::PublisherReplica;
+
+pub(super) struct FollowedInstance {
+    pub(super) instance: ControlInstance,
+    pub(super) followed_since: Duration,
+    /// When the last digest arrived since it is followed.
+    pub(super) last_digest_at: Option<Duration>,
+    /// When the last digest arrived at any time, or since when it is known.
+    pub(super) last_heard_at: Duration,
+    pub(super) next_renewal_at: Duration,
+    pub(super) replica: PublisherReplica,
+    /// Of its digests since it is followed.
+    pub(super) delays: DelayMeasurement,
+    /// The partitions whose replica has another revision than its last digest names.
+    pub(super) pulls: BTreeMap<PartitionId, PendingPull>,
+    /// From when on snapshots are pulled of partitions that another instance already covers.
+    pub(super) redundant_pulls_from: Option<Duration>,
+}
+
+impl FollowedInstance {
+    pub(super) fn new(instance: ControlInstance, replica: PublisherReplica, now: Duration) -> Self {
+        Self {
+            instance,
+            followed_since: now,
+            last_digest_at: None,
+            last_heard_at: now,
+            next_renewal_at: now,
+            replica,
+            delays: DelayMeasurement::default(),
+            pulls: BTreeMap::new(),
+            redundant_pulls_from: None,
+        }
+    }
+
+    /// The same instance followed once more with its cached replica. Delays are measured anew: the network path may be
+    /// another by now.
+    pub(super) fn followed_again(self, now: Duration) -> Self {
+        Self {
+            followed_since: now,
+            next_renewal_at: now,
+            delays: DelayMeasurement::default(),
+            redundant_pulls_from: None,
+            ..self
+        }
+    }
+
+    /// Another process of that name: nothing of the earlier one holds.
+    pub(super) fn restart(&mut self, now: Duration) {
+        self.delays = DelayMeasurement::default();
+        self.redundant_pulls_from = None;
+        self.pulls.clear();
+        self.next_renewal_at = now;
+    }
+
+    /// Notes a digest. Returns whether it is the first since the instance is followed, which is answered at once: until
+    /// then the subscription has the lease of an unvalidated address.
+    pub(super) fn digest_heard(&mut self, now: Duration) -> bool {
+        self.last_heard_at = now;
+        let is_first = self.last_digest_at.replace(now).is_none();
+        if is_first {
+            self.next_renewal_at = now;
+        }
+        is_first
+    }
+
+    /// Whether a digest has arrived within `max_silence`.
+    pub(super) fn is_active(&self, now: Duration, max_silence: Duration) -> bool {
+        self.last_digest_at.is_some_and(|last_digest_at| last_digest_at + max_silence >= now)
+    }
+
+    pub(super) fn is_complete(&self) -> bool {
+        self.replica.partitions().is_complete()
+    }
+
+    pub(super) fn incarnation(&self) -> Option<Incarnation> {
+        self.replica.last_digest().map(|last| last.incarnation)
+    }
+}
--- /dev/null
+++ b/crates/observation-feed/src/subscriber/isolation.rs
@@ -0,0 +1,69 @@
+//! Whether any control instance sends digests, and which health checks the router makes by itself.
+
+use std::net::SocketAddr;
+use std::time::Duration;
+
+use super::Subscriber;
+use crate::host::{Event, Host};
+
+/// How long an observation counts as current, and after how long without digests isolation is reported.
+const OBSERVATION_CURRENT_FOR: Duration = Duration::from_secs(1);
+
+/// Whether the router is isolated from all control instances.
+pub(super) struct Isolation {
+    pub(super) last_digest_at: Duration,
+    pub(super) is_isolated: bool,
+    is_reported: bool,
+}
+
+impl Isolation {
+    pub(super) fn new(now: Duration) -> Self {
+        Self { last_digest_at: now, is_isolated: true, is_reported: false }
+    }
+}
+
+impl<H: Host> Subscriber<H> {
+    pub(super) fn has_active_instance(&self, now: Duration) -> bool {
+        let max_silence = self.max_silence();
+        self.followed.iter().any(|followed| followed.is_active(now, max_silence))
+    }
+
+    /// Notes whether any control instance sends digests.
+    pub(super) fn update_isolation(&mut self, now: Duration) {
+        let is_isolated = !self.has_active_instance(now);
+        let was_isolated = self.isolation.is_isolated;
+        if was_isolated && !is_isolated && self.isolation.is_reported {
+            self.isolation.is_reported = false;
+            self.host.emit_event(Event::Reconnected);
+        }
+        if !was_isolated && is_isolated {
+            self.quota.begin_isolation(now, &mut self.rng);
+        }
+        self.isolation.is_isolated = is_isolated;
+        let is_over_limit = self.isolation.last_digest_at + OBSERVATION_CURRENT_FOR < now;
+        if is_isolated && !self.isolation.is_reported && is_over_limit {
+            self.isolation.is_reported = true;
+            self.host.emit_event(Event::Isolated);
+        }
+    }
+
+    /// Whether this router may check a database now; if so, the check counts as made. While the feed has a current
+    /// observation: only with `needs_own_check`, where nobody else's check is of use. Without one, or isolated: within the
+    /// router's own quota.
+    pub fn claim_health_check(&mut self, now: Duration, node: SocketAddr, needs_own_check: bool) -> bool {
+        if self.has_left {
+            return false;
+        }
+        self.update_isolation(now);
+        let observation = self.observation(node).filter(|_| !self.isolation.is_isolated);
+        let is_current = observation.is_some_and(|observation| {
+            observation.failed || observation.seen_at + OBSERVATION_CURRENT_FOR >= now
+        });
+        if is_current && !needs_own_check {
+            return false;
+        }
+        let last_seen = observation.filter(|observation| !observation.failed);
+        let last_seen = last_seen.map(|observation| observation.seen_at);
+        self.quota.claim(now, node, last_seen, &mut self.rng)
+    }
+}
--- /dev/null
+++ b/crates/observation-feed/src/subscriber/snapshot_pulls.rs
@@ -0,0 +1,125 @@
+//! Which snapshots are pulled from which control instance, and when again if they do not arrive.
+
+use std::time::Duration;
+
+use rand::RngExt;
+
+use super::Subscriber;
+use super::followed_instance::FollowedInstance;
+use crate::host::Host;
+use crate::message::{Message, PartitionId, Revision};
+
+/// How many partitions are requested from an instance at a time.
+const MAX_IN_FLIGHT: usize = 16;
+/// A request is repeated after this backoff, which doubles with each attempt up to a bound: a partition whose snapshot has
+/// been lost several times ages meanwhile. A publisher notes a partition once however often it is requested, and paces
+/// what it sends.
+const RETRY_BACKOFF: Duration = Duration::from_millis(600);
+const MAX_RETRY_BACKOFF: Duration = Duration::from_millis(1600);
+/// Jitter shortens a backoff to this fraction at the most: the first answer has 400 ms.
+const MIN_BACKOFF_FRACTION: f64 = 2.0 / 3.0;
+/// A second snapshot of what another instance covers is pulled after once to twice this time.
+const REDUNDANT_PULL_DELAY: Duration = Duration::from_secs(3);
+
+/// A partition whose snapshot is needed.
+pub(super) struct PendingPull {
+    /// When it is requested, or requested again.
+    due: Duration,
+    attempts: u32,
+}
+
+impl PendingPull {
+    fn is_in_flight(&self, now: Duration) -> bool {
+        self.attempts > 0 && self.due > now
+    }
+}
+
+impl FollowedInstance {
+    fn revision(&self, partition: PartitionId) -> Revision {
+        self.replica.partitions().revision(partition)
+    }
+}
+
+impl<H: Host> Subscriber<H> {
+    /// Notes the partitions of which a digest names a later revision than the replica has.
+    pub(super) fn schedule_pulls(&mut self, now: Duration, index: usize, revisions: &[Revision]) {
+        // A missed change is repeated in the next digests; only then is the snapshot pulled.
+        let repetition_time = self.params.digest_interval * 2;
+        let followed = &mut self.followed[index];
+        for (partition, revision) in (0..).map(PartitionId).zip(revisions) {
+            let own = followed.revision(partition);
+            if own >= *revision {
+                followed.pulls.remove(&partition);
+            } else {
+                let delay = if own == Revision::default() { Duration::ZERO } else { repetition_time };
+                let due = now + delay.mul_f64(self.rng.random_range(1.0..2.0));
+                followed.pulls.entry(partition).or_insert(PendingPull { due, attempts: 0 });
+            }
+        }
+    }
+
+    /// Requests the snapshots that are due, a few at a time from each instance that sends digests.
+    pub(super) fn pull_snapshots(&mut self, now: Duration) {
+        let max_silence = self.max_silence();
+        let is_complete = self.is_complete();
+        let is_active = |index: &usize| self.followed[*index].is_active(now, max_silence);
+        let active: Vec<usize> = (0..self.followed.len()).filter(is_active).collect();
+        for (turn, index) in active.iter().enumerate() {
+            let partitions = self.due_pulls(now, &active, turn);
+            let redundant_pull_delay = REDUNDANT_PULL_DELAY.mul_f64(self.rng.random_range(1.0..2.0));
+            if is_complete {
+                let from = &mut self.followed[*index].redundant_pulls_from;
+                from.get_or_insert(now + redundant_pull_delay);
+            }
+            self.request_snapshots(now, *index, partitions);
+        }
+    }
+
+    /// The partitions to request from the instance at this place of the active ones.
+    fn due_pulls(&self, now: Duration, active: &[usize], turn: usize) -> Vec<PartitionId> {
+        let followed = &self.followed[active[turn]];
+        let in_flight = followed.pulls.values().filter(|pull| pull.is_in_flight(now)).count();
+        let due = followed
+            .pulls
+            .iter()
+            .filter(|(partition, pull)| pull.due <= now && self.may_pull(now, active, turn, **partition));
+        let mut due: Vec<(u32, PartitionId)> =
+            due.map(|(partition, pull)| (pull.attempts, *partition)).collect();
+        // What has been requested in vain does not keep the others waiting.
+        due.sort_unstable();
+        let free = MAX_IN_FLIGHT.saturating_sub(in_flight);
+        due.into_iter().take(free).map(|(_, partition)| partition).collect()
+    }
+
+    /// Whether it is this instance's turn. The first snapshot of a partition is pulled from one of the instances, half
+    /// from each: both together would take twice as long. Second ones follow when the rush is over.
+    fn may_pull(&self, now: Duration, active: &[usize], turn: usize, partition: PartitionId) -> bool {
+        let followed = &self.followed[active[turn]];
+        let has_snapshot = followed.revision(partition) != Revision::default();
+        if has_snapshot {
+            return true;
+        }
+        let mut others = active.iter().filter(|other| **other != active[turn]);
+        let is_covered_elsewhere =
+            others.any(|other| self.followed[*other].replica.partitions().is_covered(partition));
+        if is_covered_elsewhere {
+            return followed.redundant_pulls_from.is_some_and(|from| from <= now);
+        }
+        let is_own_turn = partition.index() % active.len() == turn;
+        is_own_turn || followed.followed_since + REDUNDANT_PULL_DELAY <= now
+    }
+
+    fn request_snapshots(&mut self, now: Duration, index: usize, partitions: Vec<PartitionId>) {
+        let followed = &mut self.followed[index];
+        for partition in &partitions {
+            let Some(pull) = followed.pulls.get_mut(partition) else { continue };
+            let backoff = RETRY_BACKOFF.saturating_mul(1 << pull.attempts.min(16)).min(MAX_RETRY_BACKOFF);
+            pull.due = now + backoff.mul_f64(self.rng.random_range(MIN_BACKOFF_FRACTION..1.0));
+            pull.attempts = pull.attempts.saturating_add(1);
+        }
+        if !partitions.is_empty() {
+            let session = followed.incarnation();
+            self.host.send(followed.instance.address, session, Message::Pull(partitions));
+        }
+    }
+}
--- a/crates/observation-feed/src/token_bucket.rs
+++ b/crates/observation-feed/src/token_bucket.rs
@@ -1,41 +1,44 @@
-//! A budget that fills evenly.
+//! A token bucket that may go into debt.
 
 use std::time::Duration;
 
-/// Units that come at a rate and are saved up to a bound. What is taken beyond them is owed, and paid first.
+/// Tokens arrive at a rate and are saved up to a burst. What is spent beyond them is a debt that is paid first.
 #[derive(Clone, Debug)]
 pub struct TokenBucket {
-    rate: f64,
-    most: f64,
-    saved: f64,
-    counted: Duration,
+    tokens_per_second: f64,
+    burst: f64,
+    tokens: f64,
+    refilled_at: Duration,
 }
 
 impl TokenBucket {
-    /// So many units a second, of which `most` may be saved up; empty at the start.
-    pub fn new(rate: f64, most: f64, now: Duration) -> Self {
-        Self { rate, most, saved: 0.0, counted: now }
+    /// A bucket that is empty at the start; `burst` is the most tokens that are saved.
+    pub fn new(tokens_per_second: f64, burst: f64, now: Duration) -> Self {
+        Self { tokens_per_second, burst, tokens: 0.0, refilled_at: now }
     }
 
-    /// Another rate from now on; what is saved stays within the new bound.
-    pub fn set(&mut self, now: Duration, rate: f64, most: f64) {
-        self.fill(now);
-        (self.rate, self.most, self.saved) = (rate, most, self.saved.min(most));
+    /// Changes the rate from now on; saved tokens stay within the new burst.
+    pub fn set_rate(&mut self, now: Duration, tokens_per_second: f64, burst: f64) {
+        self.refill(now);
+        self.tokens_per_second = tokens_per_second;
+        self.burst = burst;
+        self.tokens = self.tokens.min(burst);
     }
 
-    /// Whether anything is there to be spent.
-    pub fn has(&mut self, now: Duration, units: f64) -> bool {
-        self.fill(now);
-        self.saved >= units
+    /// Whether at least so many tokens are there now.
+    pub fn has(&mut self, now: Duration, tokens: f64) -> bool {
+        self.refill(now);
+        self.tokens >= tokens
     }
 
-    pub fn spend(&mut self, units: f64) {
-        self.saved -= units;
+    /// Takes tokens, into debt if need be.
+    pub fn spend(&mut self, tokens: f64) {
+        self.tokens -= tokens;
     }
 
-    fn fill(&mut self, now: Duration) {
-        let passed = now.saturating_sub(self.counted).as_secs_f64();
-        (self.saved, self.counted) =
-            ((self.saved + self.rate * passed).min(self.most), now.max(self.counted));
+    fn refill(&mut self, now: Duration) {
+        let elapsed_seconds = now.saturating_sub(self.refilled_at).as_secs_f64();
+        self.tokens = (self.tokens + self.tokens_per_second * elapsed_seconds).min(self.burst);
+        self.refilled_at = now.max(self.refilled_at);
     }
 }
--- a/crates/observation-feed/tests/handover.rs
+++ b/crates/observation-feed/tests/handover.rs
@@ -1,4 +1,4 @@
-//! The hand-over of one part's copy from a publisher to a router, and from one start of the publisher to the next,
+//! The hand-over of one partition's snapshots from a publisher to a router, and from one incarnation of the publisher to the next,
 //! model-checked: the router's side as it is ([`PublisherReplica`]), in every order in which messages come, come again or are lost.
 //! Nothing that was ever sent leaves the network, so that each may come at any time, twice, late or never. Time goes in
 //! ticks.
@@ -8,11 +8,11 @@
 use std::time::Duration;
 
 use quillpoint_membership::Incarnation;
-use quillpoint_observation_feed::copy::Cover;
 use quillpoint_observation_feed::message::{
-    CLASSES, Chunk, DigestNo, LagClass, PARTITIONS, PartitionId, Revision,
+    DigestNumber, LAG_CLASSES, LagClass, PARTITIONS, PartitionId, Revision, SnapshotChunk,
 };
-use quillpoint_observation_feed::publisher_replica::{PublisherReplica, Start};
+use quillpoint_observation_feed::partition_replicas::Coverage;
+use quillpoint_observation_feed::publisher_replica::{IncarnationOrder, PublisherReplica};
 use quillpoint_observation_feed::{Change, Entry, FeedObservation, NodeStatus};
 use stateright::{Checker, Model, Property};
 
@@ -25,7 +25,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-enum Said {
+enum Sent {
     Digest {
         number: u32,
         sent: u8,
@@ -36,7 +36,7 @@
     },
     Chunk {
         revision: u32,
-        place: u16,
+        index: u16,
         seen: bool,
     },
 }
@@ -46,16 +46,16 @@
     now: u8,
     /// When each database was seen last; positions are those times.
     seen: [u8; NODES],
-    /// The publisher: its start, the copy's revision, how each stands in it, and the last change.
+    /// The publisher: its incarnation, the snapshot's revision, how each stands in it, and the last change.
     start: u64,
     number: u32,
     revision: u32,
     stands: [bool; NODES],
     change: Option<(u32, usize, bool)>,
     steps: u8,
-    sent: BTreeSet<(u64, Said)>,
+    sent: BTreeSet<(u64, Sent)>,
     router: PublisherReplica,
-    /// A message has made something that was known older, though it was of the same start.
+    /// A message has made something that was known older, though it was of the same incarnation.
     older: bool,
 }
 
@@ -65,12 +65,12 @@
     See(usize),
     Revise(usize),
     Digest,
-    Copy,
+    Snapshot,
     Restart,
-    Arrive(u64, Said),
+    Arrive(u64, Sent),
 }
 
-/// Two databases of one part.
+/// Two databases of one partition.
 fn nodes() -> [SocketAddr; NODES] {
     let all = (0..).map(|port| SocketAddr::from(([10, 0, 0, 1], port)));
     let mut of = all.filter(|node| PartitionId::of(*node) == PartitionId(0));
@@ -82,42 +82,44 @@
 }
 
 fn entry(seen: bool) -> Entry {
-    let standing = if seen { NodeStatus::Seen(LagClass(0)) } else { NodeStatus::Unseen };
-    Entry { primary: None, started: None, standing }
+    let status = if seen { NodeStatus::Seen(LagClass(0)) } else { NodeStatus::Unseen };
+    Entry { primary: None, started: None, status }
 }
 
-fn word(world: &World, node: usize) -> Option<FeedObservation> {
-    world.router.copy().word(nodes()[node])
+fn observation(world: &World, node: usize) -> Option<FeedObservation> {
+    world.router.partitions().observation(nodes()[node])
 }
 
-fn take(router: &mut PublisherReplica, start: u64, said: &Said) {
-    if router.came(Incarnation(start)) == Start::Earlier {
+fn take(router: &mut PublisherReplica, start: u64, message: &Sent) {
+    if router.check_incarnation(Incarnation(start)) == IncarnationOrder::Earlier {
         return;
     }
-    match said {
-        Said::Digest { number, sent, age, mark, revision, change } => {
-            if !router.count(DigestNo(*number)) {
+    match message {
+        Sent::Digest { number, sent, age, mark, revision, change } => {
+            if !router.accept_digest(DigestNumber(*number)) {
                 return;
             }
-            let at = ticks(*sent) - ticks(*age);
+            let seen_at = ticks(*sent) - ticks(*age);
             let change = change.map(|(revision, node, seen)| Change {
                 revision: Revision(revision),
                 node: nodes()[node],
                 entry: Some(entry(seen)),
             });
-            router.copy_mut().change(change.into_iter().collect(), at);
-            let mut watermarks = [None; CLASSES];
+            router.partitions_mut().apply_changes(change.into_iter().collect(), seen_at);
+            let mut watermarks = [None; LAG_CLASSES];
             watermarks[0] = mark.map(ticks);
             let mut revisions = vec![Revision::default(); PARTITIONS];
             revisions[0] = Revision(*revision);
-            router.copy_mut().cover(&revisions, Cover { number: DigestNo(*number), at, watermarks });
+            router
+                .partitions_mut()
+                .cover(&revisions, Coverage { number: DigestNumber(*number), seen_at, watermarks });
         }
-        Said::Chunk { revision, place, seen } => router.copy_mut().chunk(Chunk {
-            part: PartitionId(0),
+        Sent::Chunk { revision, index, seen } => router.partitions_mut().add_chunk(SnapshotChunk {
+            partition: PartitionId(0),
             revision: Revision(*revision),
-            place: *place,
-            of: NODES as u16,
-            alike: vec![(entry(*seen), vec![nodes()[usize::from(*place)]])],
+            index: *index,
+            chunk_count: NODES as u16,
+            groups: vec![(entry(*seen), vec![nodes()[usize::from(*index)]])],
         }),
     }
 }
@@ -143,11 +145,11 @@
     }
 
     fn actions(&self, world: &World, steps: &mut Vec<Step>) {
-        steps.extend(world.sent.iter().map(|(start, said)| Step::Arrive(*start, said.clone())));
+        steps.extend(world.sent.iter().map(|(start, message)| Step::Arrive(*start, message.clone())));
         if world.steps >= self.steps {
             return;
         }
-        steps.extend([Step::Tick, Step::Digest, Step::Copy]);
+        steps.extend([Step::Tick, Step::Digest, Step::Snapshot]);
         steps.extend((0..NODES).filter(|node| world.seen[*node] < world.now).map(Step::See));
         steps.extend((0..NODES).map(Step::Revise));
         if world.start <= u64::from(self.restarts) {
@@ -169,7 +171,7 @@
             Step::Digest => {
                 world.number += 1;
                 let oldest = (0..NODES).filter(|node| world.stands[*node]).map(|node| world.seen[node]).min();
-                let digest = Said::Digest {
+                let digest = Sent::Digest {
                     number: world.number,
                     sent: world.now,
                     age: world.now - oldest.unwrap_or(world.now),
@@ -179,23 +181,25 @@
                 };
                 world.sent.insert((world.start, digest));
             }
-            Step::Copy => {
-                for (place, seen) in (0..).zip(world.stands) {
-                    world.sent.insert((world.start, Said::Chunk { revision: world.revision, place, seen }));
+            Step::Snapshot => {
+                for (index, seen) in (0..).zip(world.stands) {
+                    world.sent.insert((world.start, Sent::Chunk { revision: world.revision, index, seen }));
                 }
             }
             Step::Restart => {
                 (world.start, world.number, world.revision) = (world.start + 1, 0, 1);
                 world.change = None;
             }
-            Step::Arrive(start, said) => {
-                take(&mut world.router, start, &said);
+            Step::Arrive(start, message) => {
+                take(&mut world.router, start, &message);
                 if world.router == before.router {
                     return None;
                 }
-                let same = world.router.heard().map(|(start, _)| start)
-                    == before.router.heard().map(|(start, _)| start);
-                let at = |told: &PublisherReplica, node| told.copy().word(node).map(|word| word.at);
+                let same = world.router.last_digest().map(|last| last.incarnation)
+                    == before.router.last_digest().map(|last| last.incarnation);
+                let at = |replica: &PublisherReplica, node| {
+                    replica.partitions().observation(node).map(|observation| observation.seen_at)
+                };
                 let older = nodes().iter().any(|node| at(&world.router, *node) < at(&before.router, *node));
                 world.older |= same && older;
             }
@@ -206,17 +210,21 @@
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::always("nothing is dated later than it was seen", |_, world: &World| {
-                (0..NODES).all(|node| word(world, node).is_none_or(|word| word.at <= ticks(world.seen[node])))
+                (0..NODES).all(|node| {
+                    observation(world, node)
+                        .is_none_or(|observation| observation.seen_at <= ticks(world.seen[node]))
+                })
             }),
             Property::always("no position is higher than was shown", |_, world: &World| {
                 (0..NODES).all(|node| {
-                    word(world, node).is_none_or(|word| word.position <= Some(ticks(world.seen[node])))
+                    observation(world, node)
+                        .is_none_or(|observation| observation.position <= Some(ticks(world.seen[node])))
                 })
             }),
             Property::always("no message makes older what is known", |_, world: &World| !world.older),
-            Property::sometimes("a change of a copy is covered", |_, world: &World| {
-                world.router.copy().revision(PartitionId(0)) == Revision(2)
-                    && (0..NODES).all(|node| word(world, node).is_some())
+            Property::sometimes("a change of a snapshot is covered", |_, world: &World| {
+                world.router.partitions().revision(PartitionId(0)) == Revision(2)
+                    && (0..NODES).all(|node| observation(world, node).is_some())
             }),
         ]
     }
@@ -229,12 +237,12 @@
 }
 
 #[test]
-fn a_copy_is_handed_over_whole_and_in_order_whatever_is_lost_doubled_or_late() {
+fn a_snapshot_is_handed_over_complete_and_in_order_whatever_is_lost_doubled_or_late() {
     check(Bounds { steps: 6, restarts: 0 });
 }
 
 #[test]
-fn of_an_earlier_start_nothing_holds() {
-    // The next start counts its revisions and digests from one again, and its copy may be another.
+fn of_an_earlier_incarnation_nothing_holds() {
+    // The next incarnation counts its revisions and digests from one again, and its snapshot may be another.
     check(Bounds { steps: 6, restarts: 1 });
 }
--- a/crates/observation-feed/tests/replays.rs
+++ b/crates/observation-feed/tests/replays.rs
@@ -1,5 +1,5 @@
-//! Wishes to subscribe that were recorded before a control instance's restart, and are sent again from elsewhere: they
-//! name no start, so that a hash alone does not tell them from new ones.
+//! `Subscribe` messages that were recorded before a control instance's restart and are replayed from elsewhere: they name
+//! no incarnation, so that a hash alone does not tell them from new ones.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -7,25 +7,27 @@
 use std::time::Duration;
 
 use quillpoint_membership::{DatedObservation, Incarnation, PeerName};
+use quillpoint_observation_feed::publisher::PublisherParams;
+use quillpoint_observation_feed::subscriber::SubscriberParams;
 use quillpoint_observation_feed::{
-    ControlInstance, Event, FeedObservation, Host, Message, Publisher, Subscriber, publisher, subscriber,
+    ControlInstance, Event, FeedObservation, Host, Message, Publisher, Subscriber,
 };
 
 type Sent = (SocketAddr, Option<Incarnation>, Message);
 
 #[derive(Clone, Default)]
-struct Desk(Rc<RefCell<Vec<Sent>>>);
+struct RecordingHost(Rc<RefCell<Vec<Sent>>>);
 
-impl Host for Desk {
+impl Host for RecordingHost {
     fn send(&mut self, to: SocketAddr, session: Option<Incarnation>, message: Message) {
         self.0.borrow_mut().push((to, session, message));
     }
     fn set_timer(&mut self, _after: Duration) {}
-    fn learnt(&mut self, _word: FeedObservation) {}
-    fn tell(&mut self, _event: Event) {}
+    fn observation_changed(&mut self, _observation: FeedObservation) {}
+    fn emit_event(&mut self, _event: Event) {}
 }
 
-impl Desk {
+impl RecordingHost {
     fn take(&self) -> Vec<Sent> {
         std::mem::take(&mut *self.0.borrow_mut())
     }
@@ -59,55 +61,60 @@
 
 /// A control instance that has just started, of ten databases.
 struct Instance {
-    publisher: Publisher<Desk>,
-    desk: Desk,
+    publisher: Publisher<RecordingHost>,
+    host: RecordingHost,
 }
 
 impl Instance {
     fn started(now: u64) -> Self {
-        let desk = Desk::default();
-        let plan = publisher::PublisherParams {
-            period: PERIOD,
-            every: ms(100),
-            copy_rate: 1e6,
-            most_subscribers: 4,
+        let host = RecordingHost::default();
+        let params = PublisherParams {
+            health_check_period: PERIOD,
+            digest_interval: ms(100),
+            snapshot_bytes_per_second: 1e6,
+            max_subscribers: 4,
         };
-        let mut publisher = Publisher::new(desk.clone(), plan, 1, ms(now));
+        let mut publisher = Publisher::new(host.clone(), params, 1, ms(now));
         publisher.nodes_changed(ms(now), &(0..10).map(|port| ([10, 2, 0, 1], port).into()).collect());
-        Self { publisher, desk }
+        Self { publisher, host }
     }
 
     fn asked(&mut self, now: u64, from: SocketAddr, message: Message) {
         self.publisher.message_arrived(ms(now), from, &name("r1"), ROUTER, message);
     }
 
-    /// Ten milliseconds pass. What is said meanwhile.
+    /// Ten milliseconds pass. What is sent meanwhile.
     fn turn(&mut self, now: u64) -> Vec<Sent> {
         for port in 0..10 {
             let (node, at) = (SocketAddr::from(([10, 2, 0, 1], port)), ms(now));
             let (position, primary) = (Some(at), Some(port == 0));
-            let seen =
+            let observation =
                 DatedObservation { node, at, position, primary, waiting: None, started: None, failed: false };
-            self.publisher.seen(at, seen);
+            self.publisher.observe(at, observation);
         }
         self.publisher.timer_fired(ms(now));
-        self.desk.take()
+        self.host.take()
     }
 }
 
 /// A router that follows it.
 struct Follower {
-    subscriber: Subscriber<Desk>,
-    desk: Desk,
+    subscriber: Subscriber<RecordingHost>,
+    host: RecordingHost,
 }
 
 impl Follower {
     fn new(now: u64) -> Self {
-        let desk = Desk::default();
-        let line = vec![ControlInstance { name: name("c1"), address: control(), region: None }];
-        let plan = subscriber::SubscriberParams { region: None, every: ms(100), period: PERIOD, routers: 1 };
-        let subscriber = Subscriber::new(desk.clone(), name("r1"), plan, line, 1, ms(now));
-        Self { subscriber, desk }
+        let host = RecordingHost::default();
+        let instances = vec![ControlInstance { name: name("c1"), address: control(), region: None }];
+        let params = SubscriberParams {
+            region: None,
+            digest_interval: ms(100),
+            health_check_period: PERIOD,
+            router_count: 1,
+        };
+        let subscriber = Subscriber::new(host.clone(), name("r1"), params, instances, 1, ms(now));
+        Self { subscriber, host }
     }
 
     fn told(&mut self, now: u64, start: Incarnation, message: Message) {
@@ -124,7 +131,7 @@
             let open = message == Message::Subscribe && session.is_none();
             (open || session == Some(start)).then_some(message)
         };
-        self.desk.take().into_iter().filter_map(meant).collect()
+        self.host.take().into_iter().filter_map(meant).collect()
     }
 }
 
@@ -158,7 +165,7 @@
 }
 
 #[test]
-fn a_recorded_wish_to_subscribe_turns_no_digest_of_a_router_elsewhere_once_it_has_answered_one() {
+fn a_replayed_subscribe_redirects_no_digest_of_a_router_that_has_answered_one() {
     let mut router = Follower::new(1000);
     let before = play(BEFORE, 1000, 4000, &mut router, |_| false);
     assert!(before.len() > 20 && before.iter().all(|(_, to)| *to == own()), "{before:?}");
@@ -172,10 +179,10 @@
 }
 
 #[test]
-fn one_that_comes_before_the_router_itself_costs_it_nothing() {
+fn a_replay_that_arrives_before_the_router_itself_costs_it_nothing() {
     let mut router = Follower::new(1000);
     play(BEFORE, 1000, 4000, &mut router, |_| false);
-    // Ahead of the router's own word, once, while the control instance still sees too little to speak.
+    // Ahead of the router's own request, once, while the control instance still sees too little to speak.
     let after = play(AFTER, 4000, 12_000, &mut router, |now| now == 4000);
     let own_first = after.iter().find(|(_, to)| *to == own()).map_or(u64::MAX, |(at, _)| *at);
     let lost = || after.iter().filter(|(_, to)| *to == elsewhere());
@@ -184,7 +191,7 @@
 }
 
 #[test]
-fn of_a_router_that_is_not_there_a_recording_has_digests_sent_for_little_more_than_a_second() {
+fn a_replay_of_a_router_that_is_not_there_has_digests_sent_for_little_more_than_a_second() {
     let mut instance = Instance::started(1000);
     let mut sent = Vec::new();
     for now in (1000..8000).step_by(10) {
@@ -195,17 +202,17 @@
         sent.extend(instance.turn(now).into_iter().map(|_| now));
     }
     assert!(sent.len() <= 13, "{sent:?}");
-    assert_eq!(instance.publisher.subscribers(), 0);
+    assert_eq!(instance.publisher.subscriber_count(), 0);
 }
 
 #[test]
-fn a_router_answers_the_first_digest_at_once_and_names_the_start_from_then_on() {
+fn a_router_answers_the_first_digest_at_once_and_names_the_incarnation_from_then_on() {
     let mut router = Follower::new(1000);
     let mut instance = Instance::started(1000);
     let (mut said, mut first) = (Vec::new(), None);
     for now in (1000..9000).step_by(10) {
         router.subscriber.timer_fired(ms(now));
-        for (_, session, message) in router.desk.take() {
+        for (_, session, message) in router.host.take() {
             if session.is_none() || session == Some(AFTER) {
                 instance.asked(now, own(), message.clone());
             }
--- a/crates/observation-feed/tests/pulls.rs
+++ b/crates/observation-feed/tests/snapshot_pulls.rs
@@ -1,4 +1,4 @@
-//! When a router asks again for a part's copy that does not come: soon enough that the part is not long without one,
+//! When a router requests a snapshot again that does not arrive: soon enough that the partition is not long without one,
 //! never at once, and not all routers at the same moments.
 
 use std::cell::RefCell;
@@ -8,21 +8,22 @@
 use std::time::Duration;
 
 use quillpoint_membership::{Incarnation, PeerName};
-use quillpoint_observation_feed::message::{CLASSES, DigestNo, PARTITIONS, PartitionId, Revision};
+use quillpoint_observation_feed::message::{DigestNumber, LAG_CLASSES, PARTITIONS, PartitionId, Revision};
+use quillpoint_observation_feed::subscriber::SubscriberParams;
 use quillpoint_observation_feed::{
-    ControlInstance, Digest, Event, FeedObservation, Host, Message, Subscriber, subscriber,
+    ControlInstance, Digest, Event, FeedObservation, Host, Message, Subscriber,
 };
 
 #[derive(Clone, Default)]
-struct Desk(Rc<RefCell<Vec<Message>>>);
+struct RecordingHost(Rc<RefCell<Vec<Message>>>);
 
-impl Host for Desk {
+impl Host for RecordingHost {
     fn send(&mut self, _to: SocketAddr, _session: Option<Incarnation>, message: Message) {
         self.0.borrow_mut().push(message);
     }
     fn set_timer(&mut self, _after: Duration) {}
-    fn learnt(&mut self, _word: FeedObservation) {}
-    fn tell(&mut self, _event: Event) {}
+    fn observation_changed(&mut self, _observation: FeedObservation) {}
+    fn emit_event(&mut self, _event: Event) {}
 }
 
 fn ms(ms: u64) -> Duration {
@@ -31,62 +32,67 @@
 
 fn digest(number: u32, sent: u64) -> Digest {
     Digest {
-        number: DigestNo(number),
+        number: DigestNumber(number),
         sent: ms(sent),
         age: ms(50),
-        watermarks: [Some(ms(sent - 60)); CLASSES],
-        revisions: (0..PARTITIONS).map(|part| Revision(u32::from(part == 5))).collect(),
+        watermarks: [Some(ms(sent - 60)); LAG_CLASSES],
+        revisions: (0..PARTITIONS).map(|partition| Revision(u32::from(partition == 5))).collect(),
         changes: Vec::new(),
-        period: ms(150),
-        routers: 10,
+        health_check_period: ms(150),
+        router_count: 10,
     }
 }
 
-/// When a router asked for the one part there is, none of which is ever answered, in steps of 10 ms.
-fn asked(seed: u64) -> Vec<u64> {
-    let desk = Desk::default();
+/// When a router requested the one partition there is, in vain each time, in steps of 10 ms.
+fn requested(seed: u64) -> Vec<u64> {
+    let host = RecordingHost::default();
     let name = |name| PeerName::new(name).unwrap();
     let address = SocketAddr::from(([127, 0, 0, 1], 7500));
     let control = vec![ControlInstance { name: name("c0"), address, region: None }];
-    let plan = subscriber::SubscriberParams { region: None, every: ms(100), period: ms(150), routers: 10 };
-    let mut router = Subscriber::new(desk.clone(), name("r1"), plan, control, seed, ms(1000));
+    let params = SubscriberParams {
+        region: None,
+        digest_interval: ms(100),
+        health_check_period: ms(150),
+        router_count: 10,
+    };
+    let mut router = Subscriber::new(host.clone(), name("r1"), params, control, seed, ms(1000));
     router.nodes_changed(ms(1000), &BTreeSet::new());
-    let mut asked = Vec::new();
+    let mut requested = Vec::new();
     for at in (1000..41_000).step_by(10) {
         if at % 100 == 0 {
             let digest = Message::Digest(digest(at as u32 / 100, at + 4000));
             router.message_arrived(ms(at), &name("c0"), Incarnation(7), digest);
         }
         router.timer_fired(ms(at));
-        for message in desk.0.borrow_mut().drain(..) {
-            if let Message::Pull(parts) = message {
-                assert_eq!(parts, [PartitionId(5)]);
-                asked.push(at);
+        for message in host.0.borrow_mut().drain(..) {
+            if let Message::Pull(partitions) = message {
+                assert_eq!(partitions, [PartitionId(5)]);
+                requested.push(at);
             }
         }
     }
-    asked
+    requested
 }
 
 #[test]
-fn a_part_that_was_asked_for_in_vain_is_asked_for_again_within_1_6_s_and_never_at_once() {
+fn a_partition_that_was_requested_in_vain_is_requested_again_within_1_6_s_and_never_at_once() {
     for seed in 0..20 {
-        let asked = asked(seed);
-        let waits: Vec<u64> = asked.windows(2).map(|two| two[1] - two[0]).collect();
+        let requested = requested(seed);
+        let waits: Vec<u64> = requested.windows(2).map(|two| two[1] - two[0]).collect();
         // It is looked at every 10 ms here.
         assert!(waits.iter().all(|wait| (400..=1610).contains(wait)), "seed {seed}: {waits:?}");
-        let last = asked.last().unwrap();
+        let last = requested.last().unwrap();
         assert!(*last >= 41_000 - 1610, "seed {seed}: given up at {last}");
-        // Each further try waits longer, up to the bound: nobody asks every half second for ever.
+        // Each further attempt waits longer, up to the bound: nobody requests every half second for ever.
         assert!(waits[2..].iter().all(|wait| *wait >= 1060), "seed {seed}: {waits:?}");
     }
 }
 
 #[test]
-fn routers_that_began_together_do_not_ask_together() {
+fn routers_that_began_together_do_not_request_together() {
     let mut together = BTreeMap::<u64, u32>::new();
     for seed in 0..200 {
-        asked(seed)
+        requested(seed)
             .into_iter()
             .filter(|at| *at >= 10_000)
             .for_each(|at| *together.entry(at).or_default() += 1);
--- /dev/null
+++ b/crates/observation-feed/tests/units/encoded_size.rs
@@ -0,0 +1,76 @@
+//! The longest messages.
+
+use std::net::SocketAddr;
+use std::time::Duration;
+
+use quillpoint_membership::{DatedObservation, Incarnation};
+use quillpoint_observation_feed::message::{Digest, DigestNumber, LAG_CLASSES, PARTITIONS, PartitionId};
+use quillpoint_observation_feed::observation_store::{Audience, ObservationStore};
+use quillpoint_observation_feed::{Envelope, Message, encoded_size};
+
+use crate::fixtures::{ms, name};
+
+#[test]
+fn the_longest_message_fits_a_datagram() {
+    let node = |number: u32| {
+        let address = std::net::Ipv6Addr::from(u128::MAX - u128::from(number) * 977);
+        SocketAddr::from((address, 60_000 + (number % 5000) as u16))
+    };
+    let now = Duration::new(u64::MAX / 2, 999_999_999);
+    let mut store = ObservationStore::new(ms(150), 0);
+    store.nodes_changed(now, &(0..20_000).map(node).collect());
+    let observe_all = |store: &mut ObservationStore, at: Duration, flip: bool| {
+        for number in 0..20_000 {
+            store.observe(
+                at,
+                DatedObservation {
+                    node: node(number),
+                    at,
+                    position: Some(at - Duration::new(u64::from(number % 9), 999)),
+                    primary: Some(flip),
+                    waiting: None,
+                    started: Some(at - Duration::new(1, number)),
+                    failed: false,
+                },
+            );
+        }
+    };
+    let datagram_bytes = |message: Message| {
+        let from = name(&"n".repeat(32));
+        let envelope = Envelope { from, incarnation: Incarnation(u64::MAX), message };
+        postcard::to_stdvec(&envelope).unwrap().len() + 55
+    };
+    observe_all(&mut store, now, false);
+    store.revise(now, 0, Audience::Subscribed);
+    for partition in (0..PARTITIONS as u8).map(PartitionId) {
+        for chunk in store.snapshot(partition) {
+            assert!(datagram_bytes(Message::Chunk(chunk)) <= 1200);
+        }
+    }
+    let mut most = 0;
+    for step in 1..40 {
+        let now = now + ms(step * 100);
+        observe_all(&mut store, now, step % 2 == 0);
+        let mut digest = Digest {
+            number: DigestNumber(u32::MAX),
+            sent: now,
+            age: now,
+            watermarks: [Some(now); LAG_CLASSES],
+            revisions: store.highest_revisions(),
+            changes: Vec::new(),
+            health_check_period: now,
+            router_count: u32::MAX,
+        };
+        let max_change_bytes = encoded_size::MAX_PAYLOAD_BYTES - encoded_size::digest(&digest);
+        assert!(
+            store.revise(now, max_change_bytes, Audience::Subscribed),
+            "more has changed than a digest can carry"
+        );
+        (digest.revisions, digest.changes) = (store.revisions(), store.take_changes(max_change_bytes));
+        assert!(!digest.changes.is_empty());
+        most = most.max(datagram_bytes(Message::Digest(digest)));
+    }
+    assert!((1000..=1200).contains(&most), "{most}");
+    let partitions = (0..PARTITIONS as u8).map(PartitionId).collect();
+    assert!(datagram_bytes(Message::Pull(partitions)) <= 1200);
+}
--- /dev/null
+++ b/crates/observation-feed/tests/world/recording_host.rs
@@ -0,0 +1,36 @@
+//! A host that records what a publisher or a subscriber does during a call.
+
+use std::cell::RefCell;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+
+use quillpoint_membership::Incarnation;
+use quillpoint_observation_feed::{Event, FeedObservation, Host, Message};
+
+#[derive(Default)]
+pub(super) struct RecordedCalls {
+    pub(super) sent: Vec<(SocketAddr, Option<Incarnation>, Message)>,
+    pub(super) timer: Option<Duration>,
+    pub(super) changed: Vec<FeedObservation>,
+    pub(super) events: Vec<Event>,
+}
+
+#[derive(Clone, Default)]
+pub struct RecordingHost(pub(super) Rc<RefCell<RecordedCalls>>);
+
+impl Host for RecordingHost {
+    fn send(&mut self, to: SocketAddr, session: Option<Incarnation>, message: Message) {
+        self.0.borrow_mut().sent.push((to, session, message));
+    }
+    fn set_timer(&mut self, after: Duration) {
+        let before = self.0.borrow_mut().timer.replace(after);
+        assert_eq!(before, None, "one timer each");
+    }
+    fn observation_changed(&mut self, observation: FeedObservation) {
+        self.0.borrow_mut().changed.push(observation);
+    }
+    fn emit_event(&mut self, event: Event) {
+        self.0.borrow_mut().events.push(event);
+    }
+}
--- a/crates/router/src/peers.rs
+++ b/crates/router/src/peers.rs
@@ -13,7 +13,7 @@
 
 /// Whoever says it, it is hearsay to the module.
 fn peer_word(word: FeedObservation) -> PeerObservation {
-    let FeedObservation { node, at, position, primary, started, failed } = word;
+    let FeedObservation { node, seen_at: at, position, primary, started, failed } = word;
     PeerObservation { node: NodeId(node), at, position, primary, waiting: None, started, failed }
 }
 
--- a/crates/router/tests/feed.rs
+++ b/crates/router/tests/feed.rs
@@ -17,7 +17,7 @@
 use quillpoint_datagram::keys::Keyring;
 use quillpoint_datagram::{Opener, Sealer};
 use quillpoint_membership::{Incarnation, PeerName};
-use quillpoint_observation_feed::message::{CLASSES, DigestNo, PARTITIONS, Revision};
+use quillpoint_observation_feed::message::{DigestNumber, LAG_CLASSES, PARTITIONS, Revision};
 use quillpoint_observation_feed::{Digest, Envelope, Message};
 use quillpoint_router::pg::{self, Told};
 use quillpoint_testbed::listing::{Entry, Listing, targets};
@@ -429,18 +429,18 @@
 
 fn forged(name: &str, start: u64, number: u32) -> Envelope {
     let digest = Digest {
-        number: DigestNo(number),
+        number: DigestNumber(number),
         sent: now(),
         age: Duration::ZERO,
-        watermarks: [Some(now()); CLASSES],
+        watermarks: [Some(now()); LAG_CLASSES],
         revisions: vec![Revision(1); PARTITIONS],
         changes: Vec::new(),
-        period: Duration::from_millis(50),
-        routers: 1,
+        health_check_period: Duration::from_millis(50),
+        router_count: 1,
     };
     Envelope {
         from: PeerName::new(name).unwrap(),
-        start: Incarnation(start),
+        incarnation: Incarnation(start),
         message: Message::Digest(digest),
     }
 }
@@ -473,7 +473,7 @@
             if asked + Duration::from_secs(1) < now() {
                 asked = now();
                 let message = Message::Subscribe;
-                let envelope = Envelope { from: self.name.clone(), start: Self::START, message };
+                let envelope = Envelope { from: self.name.clone(), incarnation: Self::START, message };
                 let bytes = self.sealer.seal(&self.keys, None, &envelope).unwrap();
                 _ = self.socket.send_to(&bytes, self.control);
             }
--- a/crates/router/tests/instance.rs
+++ b/crates/router/tests/instance.rs
@@ -78,10 +78,10 @@
         let plans = FleetParams { probe, work_rate: 100.0, work_burst: 100.0, news_rate: 1e6, grows: true };
         let name = PeerName::new("c1").unwrap();
         let plan = publisher::PublisherParams {
-            period,
-            every: Duration::from_millis(100),
-            copy_rate: 1e6,
-            most_subscribers: 10,
+            health_check_period: period,
+            digest_interval: Duration::from_millis(100),
+            snapshot_bytes_per_second: 1e6,
+            max_subscribers: 10,
         };
         let publish =
             PublisherConfig { name: name.clone(), listen: local(), keys: keys(), plan, letters: 20_000 };
--- a/crates/router/tests/told.rs
+++ b/crates/router/tests/told.rs
@@ -130,7 +130,7 @@
     let at = engine.clock.now();
     let word = FeedObservation {
         node: node(0, 1).0,
-        at,
+        seen_at: at,
         position: None,
         primary: None,
         started: None,
--- a/crates/simulator/src/feed_run.rs
+++ b/crates/simulator/src/feed_run.rs
@@ -192,7 +192,7 @@
         let busy = |world: &World| {
             !world.all_follow()
                 || (0..self.sizes.control)
-                    .any(|place| world.publisher(place).is_some_and(|one| one.waiting() > 0))
+                    .any(|place| world.publisher(place).is_some_and(|one| one.pending_snapshots() > 0))
         };
         let mut quiet = Duration::ZERO;
         while quiet < Duration::from_secs(7) && self.world.now < START + SETTLE {
@@ -212,7 +212,7 @@
             for router in some(self.sizes.routers).filter(|router| self.world.subscriber(*router).is_some()) {
                 for node in some(self.sizes.nodes) {
                     if let Some(word) = self.world.known(router, node) {
-                        let age = self.world.now.saturating_sub(word.at).as_micros() as u64;
+                        let age = self.world.now.saturating_sub(word.seen_at).as_micros() as u64;
                         self.ages.record(age).expect("a histogram that grows takes all");
                     }
                 }
@@ -351,7 +351,7 @@
     fn until_all_fresh(&mut self, from: Duration) -> f64 {
         let fresh = |world: &World, router: usize, node: usize| {
             let word = world.known(router, node);
-            word.is_some_and(|word| !word.failed && word.at + Duration::from_secs(1) >= world.now)
+            word.is_some_and(|word| !word.failed && word.seen_at + Duration::from_secs(1) >= world.now)
         };
         let all = |world: &World| {
             let some = (0..self.sizes.routers).step_by(self.sizes.routers.div_ceil(LOOKED_AT));
--- a/crates/simulator/src/feed_world.rs
+++ b/crates/simulator/src/feed_world.rs
@@ -89,8 +89,8 @@
     fn set_timer(&mut self, after: Duration) {
         self.0.borrow_mut().feed_wake = Some(after);
     }
-    fn learnt(&mut self, _: FeedObservation) {}
-    fn tell(&mut self, _: quillpoint_observation_feed::Event) {}
+    fn observation_changed(&mut self, _: FeedObservation) {}
+    fn emit_event(&mut self, _: quillpoint_observation_feed::Event) {}
 }
 
 /// What a process has cost.
@@ -259,10 +259,10 @@
             (0..self.nodes.len()).map(|node| (node_address(node), self.region(node) as u16)).collect();
         fleet.nodes_changed(now, &zones);
         let plan = publisher::PublisherParams {
-            period: self.shape.plans.probe.period,
-            every: Duration::from_millis(100),
-            copy_rate: self.shape.copy_rate,
-            most_subscribers: 100_000,
+            health_check_period: self.shape.plans.probe.period,
+            digest_interval: Duration::from_millis(100),
+            snapshot_bytes_per_second: self.shape.copy_rate,
+            max_subscribers: 100_000,
         };
         let mut publisher = Publisher::new(desk.clone(), plan, seed ^ 1, now);
         publisher.nodes_changed(now, &zones.into_keys().collect());
@@ -283,9 +283,9 @@
             .collect();
         let plan = subscriber::SubscriberParams {
             region: region(place),
-            every: Duration::from_millis(100),
-            period: self.shape.plans.probe.period,
-            routers: self.shape.routers as u32,
+            digest_interval: Duration::from_millis(100),
+            health_check_period: self.shape.plans.probe.period,
+            router_count: self.shape.routers as u32,
         };
         let seed = self.shape.seed ^ ((place as u64) << 20) ^ self.routers[place].life;
         let mut subscriber = Subscriber::new(desk.clone(), router_name(place), plan, control, seed, now);
@@ -362,7 +362,7 @@
 
     pub fn known(&self, router: usize, node: usize) -> Option<FeedObservation> {
         let process = self.routers[router].process.as_ref()?;
-        process.subscriber.known(self.now, node_address(node))
+        process.subscriber.observation(node_address(node))
     }
 
     pub fn subscriber(
@@ -381,7 +381,7 @@
 
     /// Whether all routers that run are told of all nodes, by one control instance or another.
     pub fn all_follow(&self) -> bool {
-        self.routers.iter().flat_map(|seat| &seat.process).all(|process| process.subscriber.is_whole())
+        self.routers.iter().flat_map(|seat| &seat.process).all(|process| process.subscriber.is_complete())
     }
 
     pub fn run_until(&mut self, until: Duration) {
@@ -473,10 +473,10 @@
         let life = seat.life;
         let began = Instant::now();
         for evidence in wishes.heard {
-            process.publisher.seen(now, evidence);
+            process.publisher.observe(now, evidence);
         }
         if let Some(instances) = wishes.instances {
-            process.publisher.instances_changed(instances);
+            process.publisher.instance_count_changed(instances);
         }
         seat.costs.busy += began.elapsed();
         if let Some(after) = wishes.fleet_wake {
@@ -612,12 +612,12 @@
     // An own failure is one voice; the fleet tells of it when there are two.
     if !failed {
         let evidence = DatedObservation { node, at: now, position, primary, waiting, started, failed };
-        instance.publisher.seen(now, evidence);
+        instance.publisher.observe(now, evidence);
     }
 }
 
 /// The bytes of a datagram.
 fn length(from: &PeerName, start: Incarnation, message: &Message) -> usize {
-    let envelope = Envelope { from: from.clone(), start, message: message.clone() };
+    let envelope = Envelope { from: from.clone(), incarnation: start, message: message.clone() };
     postcard::to_stdvec(&envelope).expect("messages have a form").len() + DATAGRAM
 }
--- a/crates/testbed/src/capacity/asks.rs
+++ b/crates/testbed/src/capacity/asks.rs
@@ -5,7 +5,9 @@
 
 use quillpoint_membership::membership::MOST_PEERS;
 use quillpoint_membership::message::CARDS_WHOLE;
-use quillpoint_observation_feed::health_check_quota::{CROWD, TIMES};
+use quillpoint_observation_feed::health_check_quota::{
+    ISOLATED_RATE_MULTIPLE, MAX_ROUTERS_PER_NODE_AND_PERIOD,
+};
 
 use crate::listing;
 use crate::record::{Axis, Mode};
@@ -652,7 +654,11 @@
                 "probes a second, no control instance left, the mean over all databases",
                 feed,
                 Budget::None,
-                computed(&[TIMES, PROBES_S], 1.0, "crates/observation-feed/src/share.rs"),
+                computed(
+                    &[ISOLATED_RATE_MULTIPLE, PROBES_S],
+                    1.0,
+                    "crates/observation-feed/src/health_check_quota.rs",
+                ),
                 "feed: paced share",
             ),
             ask(
@@ -660,7 +666,11 @@
                 "probes a second, no control instance left, at one that all use, over time no more than",
                 feed,
                 Budget::None,
-                computed(&[CROWD, PROBES_S], 1.0, "crates/observation-feed/src/share.rs"),
+                computed(
+                    &[MAX_ROUTERS_PER_NODE_AND_PERIOD, PROBES_S],
+                    1.0,
+                    "crates/observation-feed/src/health_check_quota.rs",
+                ),
                 "feed: paced share",
             ),
             // Each probes it once before its floor has passed, and nothing but chance keeps them from the same second.
@@ -669,7 +679,7 @@
                 "probes in one second, no control instance left, the most that one that all use may get",
                 feed,
                 Budget::None,
-                computed(&[ROUTERS, 1.0], 1.0, "crates/observation-feed/src/share.rs"),
+                computed(&[ROUTERS, 1.0], 1.0, "crates/observation-feed/src/health_check_quota.rs"),
                 "feed: paced share",
             ),
             ask(discovery, "calls a second, a region alone", any, Budget::None, Source::Nothing, "watch"),
--- a/crates/testbed/src/scale/books.rs
+++ b/crates/testbed/src/scale/books.rs
@@ -161,7 +161,7 @@
     }
     fn learnt(&self, word: FeedObservation) {
         if !word.failed {
-            self.note(word.node, word.at, word.primary);
+            self.note(word.node, word.seen_at, word.primary);
         }
     }
     fn refreshed(&self) {
--- a/crates/testbed/src/scale/hollow.rs
+++ b/crates/testbed/src/scale/hollow.rs
@@ -248,7 +248,7 @@
 async fn ask_alone(subscription: Rc<SubscriberService>, books: Rc<Books>, uses: Vec<SocketAddr>) {
     loop {
         Timer::after(ASKED_EVERY).await;
-        if !subscription.subscriber().is_alone() {
+        if !subscription.subscriber().is_isolated() {
             continue;
         }
         for node in &uses {
