--- a/crates/adapter/src/lib.rs
+++ b/crates/adapter/src/lib.rs
@@ -135,11 +135,11 @@
         };
         Ok(Endpoint {
             node: self.node()?,
-            group: ReplicaSetId(self.maybe::<f64>("Shard")?.unwrap_or(0.0) as u64),
+            replica_set: ReplicaSetId(self.maybe::<f64>("Shard")?.unwrap_or(0.0) as u64),
             zone: ZoneId(self.maybe("Campus")?.unwrap_or(0)),
             kind: self.maybe("Shape")?.unwrap_or(0),
             primary: self.maybe::<f64>("Primary")?.unwrap_or(0.0) > 0.0,
-            condition: self.read("Condition", word)?.ok_or_else(|| self.missing("Condition"))?,
+            status: self.read("Condition", word)?.ok_or_else(|| self.missing("Condition"))?,
             started: self.time("LastStartMs")?.filter(|at| !at.is_zero()),
         })
     }
@@ -197,7 +197,7 @@
     fn abort(&mut self, rpc: RpcId) {
         self.put(format_args!("END_FAILED Who={} OpId={:016x}", self.who, rpc.0));
     }
-    fn probe(&mut self, node: NodeId) {
+    fn health_check(&mut self, node: NodeId) {
         self.put(format_args!("TOUCH Who={} Node={}", self.who, node.0));
     }
     fn close_idle(&mut self, node: NodeId) {
@@ -321,7 +321,7 @@
                     id: fields.rpc()?,
                     method: MethodId(fields.must("Band")?),
                     session: fields.hex("Key")?.map(SessionKey),
-                    group: ReplicaSetId(fields.must::<f64>("GroupNo")? as u64),
+                    replica_set: ReplicaSetId(fields.must::<f64>("GroupNo")? as u64),
                     remaining: fields.time("RemainingMs")?.ok_or_else(|| fields.missing("RemainingMs"))?,
                     work: fields.time("EffortMs")?,
                     since_write: fields.time("SinceWriteMs")?.filter(|since| !since.is_zero()),
@@ -334,7 +334,7 @@
                 let role = [None, Some(Role::Primary), Some(Role::Replica), None][(stamp % 4) as usize];
                 let end = AttemptEnd {
                     rpc: fields.rpc()?,
-                    call: AttemptNumber(fields.must("SeqNo")?),
+                    attempt: AttemptNumber(fields.must("SeqNo")?),
                     node: fields.node()?,
                     outcome: fields.outcome()?,
                     finished: fields.flag("Last")?,
--- a/crates/router/src/client.rs
+++ b/crates/router/src/client.rs
@@ -629,6 +629,6 @@
 
 /// For a client that there is no room for: nothing has run, and soon there may be some.
 fn put_no_room(out: &mut Vec<u8>, fatal: bool, message: &str) {
-    let wait = quillpoint::HOLD.as_millis().to_string();
+    let wait = quillpoint::FRESHNESS_WAIT.as_millis().to_string();
     pg::put_error(out, fatal, "53300", message, Some(&wait));
 }
--- a/crates/router/src/discovery.rs
+++ b/crates/router/src/discovery.rs
@@ -244,7 +244,7 @@
         let waited_ms = self.waited_ms(call);
         let stops: Vec<String> = lines
             .iter()
-            .filter(|line| line.condition != EndpointStatus::InService)
+            .filter(|line| line.status != EndpointStatus::InService)
             .map(|line| line.node.0.to_string())
             .collect();
         let named = stops[..stops.len().min(MOST_NAMED)].join(" ");
--- a/crates/router/src/engine.rs
+++ b/crates/router/src/engine.rs
@@ -170,7 +170,7 @@
     fn abort(&mut self, rpc: RpcId) {
         self.0.finish(rpc, |live| Order::Abort(live.last));
     }
-    fn probe(&mut self, node: NodeId) {
+    fn health_check(&mut self, node: NodeId) {
         _ = self.0.chores.try_send(Chore::Probe(node));
     }
     fn close_idle(&mut self, node: NodeId) {
@@ -316,14 +316,14 @@
         };
         let took = now.saturating_sub(at);
         let (role, position, report) = (heard.role, heard.position, heard.report);
-        let end = AttemptEnd { rpc, call, node, outcome, finished, took, role, position, report };
+        let end = AttemptEnd { rpc, attempt: call, node, outcome, finished, took, role, position, report };
         self.router.borrow_mut().attempt_ended(now, end);
         // A commit is rounded up, so that as a position it is told a millisecond lower.
         let position = position.map(|at| at.saturating_sub(Duration::from_millis(1)));
         let position = position.max(report.and_then(|report| report.position));
         if position.is_some() || role.is_some() {
             let primary = role.map(|role| role == Role::Primary);
-            let waiting = report.and_then(|report| report.waiting);
+            let waiting = report.and_then(|report| report.queued);
             self.share(node, at, false, false, (position, primary, waiting));
         }
     }
@@ -389,7 +389,7 @@
 
     /// Whether only an own probe tells this router anything of the node.
     pub fn is_shut(&self, node: NodeId) -> bool {
-        self.router.borrow().is_shut(node)
+        self.router.borrow().is_ejected(node)
     }
 
     /// The nodes on the list, with the places of their zones.
@@ -468,7 +468,7 @@
                 id,
                 method,
                 session: statement.session.filter(|_| known.has_sessions),
-                group,
+                replica_set: group,
                 remaining,
                 work: None,
                 since_write: after.map(|at| now.saturating_sub(at)),
@@ -506,7 +506,7 @@
         self.tell(|router, now| router.health_check_ended(now, node, outcome, report));
         let failed = !matches!(outcome, Outcome::Ok | Outcome::Error | Outcome::Rejected);
         let report = report.filter(|_| !failed).unwrap_or_default();
-        self.share(node, asked, true, failed, (report.position, report.primary, report.waiting));
+        self.share(node, asked, true, failed, (report.position, report.primary, report.queued));
     }
 
     pub fn endpoints_changed(&self, extent: EndpointUpdate, lines: &[Endpoint]) {
--- a/crates/router/src/list.rs
+++ b/crates/router/src/list.rs
@@ -66,7 +66,7 @@
         let before = if page.all { std::mem::take(&mut self.endpoints) } else { BTreeMap::new() };
         for target in page.targets.iter().filter_map(read) {
             let line = self.line(&target);
-            let old = match line.condition {
+            let old = match line.status {
                 EndpointStatus::Removed => self.endpoints.remove(&target.uid),
                 _ => self.endpoints.insert(target.uid.clone(), line.clone()),
             };
@@ -74,7 +74,7 @@
             if let Some(old) = old.or_else(|| before.get(&target.uid).cloned())
                 && old.node != line.node
             {
-                lines.push(Endpoint { condition: EndpointStatus::Removed, ..old });
+                lines.push(Endpoint { status: EndpointStatus::Removed, ..old });
             }
             lines.push(line);
         }
@@ -84,18 +84,18 @@
     /// The entries of a page that say that a node drains or is gone. Nothing of the page is remembered.
     pub fn stops(&self, page: &Page) -> Vec<Endpoint> {
         let lines = page.targets.iter().filter_map(read).map(|target| self.line(&target));
-        lines.filter(|line| line.condition != EndpointStatus::InService).collect()
+        lines.filter(|line| line.status != EndpointStatus::InService).collect()
     }
 
     fn line(&self, target: &Target) -> Endpoint {
         let place = |names: &[String], name: &str| names.iter().position(|known| known == name);
         Endpoint {
             node: NodeId(target.endpoint),
-            group: ReplicaSetId(target.pod_group),
+            replica_set: ReplicaSetId(target.pod_group),
             zone: ZoneId(place(&self.zones, &target.az).unwrap_or(0)),
             kind: place(&self.kinds, &target.model).unwrap_or(0),
             primary: target.role == "primary",
-            condition: match target.state {
+            status: match target.state {
                 State::InService => EndpointStatus::InService,
                 State::Terminating => EndpointStatus::Draining,
                 State::Terminated => EndpointStatus::Removed,
--- a/crates/router/src/peers.rs
+++ b/crates/router/src/peers.rs
@@ -14,14 +14,14 @@
 /// Whoever says it, it is hearsay to the module.
 fn peer_word(word: FeedObservation) -> PeerObservation {
     let FeedObservation { node, at, position, primary, started, failed } = word;
-    PeerObservation { node: NodeId(node), at, position, primary, waiting: None, started, failed }
+    PeerObservation { node: NodeId(node), at, position, primary, queued: None, started, failed }
 }
 
 /// The same of what members of a fleet tell.
 pub(crate) fn heard_word(evidence: DatedObservation) -> PeerObservation {
     let DatedObservation { node, at, position, primary, waiting, started, failed } = evidence;
     let (node, waiting) = (NodeId(node), waiting.map(f64::from));
-    PeerObservation { node, at, position, primary, waiting, started, failed }
+    PeerObservation { node, at, position, primary, queued: waiting, started, failed }
 }
 
 /// What a router has found out, as its fleet takes it.
--- a/crates/router/tests/instance.rs
+++ b/crates/router/tests/instance.rs
@@ -64,11 +64,11 @@
         let (engine, work) = Engine::new(3, &deployment);
         let listed = |place| Endpoint {
             node: node(place),
-            group: ReplicaSetId(0),
+            replica_set: ReplicaSetId(0),
             zone: ZoneId(0),
             kind: 0,
             primary: false,
-            condition: EndpointStatus::InService,
+            status: EndpointStatus::InService,
             started: None,
         };
         engine.endpoints_changed(EndpointUpdate::Snapshot, &[listed(0), listed(1)]);
--- a/crates/router/tests/messages.rs
+++ b/crates/router/tests/messages.rs
@@ -319,10 +319,7 @@
         let targets: Vec<_> = entries.iter().map(entry).collect();
         let page = Page::of(&serde_json::json!({"rev": 1, "all": all, "targets": targets})).unwrap();
         let lines = reader.lines(&page);
-        lines
-            .iter()
-            .map(|line| (line.node.0.port(), line.condition, line.zone.0, line.kind))
-            .collect::<Vec<_>>()
+        lines.iter().map(|line| (line.node.0.port(), line.status, line.zone.0, line.kind)).collect::<Vec<_>>()
     };
     assert_eq!(
         lines(true, &[("a", 1, "in_service"), ("b", 2, "terminating")]),
--- a/crates/router/tests/told.rs
+++ b/crates/router/tests/told.rs
@@ -37,7 +37,7 @@
             at: now,
             position: Some(now),
             primary: Some(false),
-            waiting: None,
+            queued: None,
             started: None,
             failed: false,
         })
@@ -61,11 +61,11 @@
     let (engine, work) = Engine::new(3, &deployment);
     let listed = |group: u64, place: u16| Endpoint {
         node: node(group, place),
-        group: ReplicaSetId(group),
+        replica_set: ReplicaSetId(group),
         zone: ZoneId(0),
         kind: 0,
         primary: false,
-        condition: EndpointStatus::InService,
+        status: EndpointStatus::InService,
         started: None,
     };
     let list: Vec<Endpoint> = (0..3).flat_map(|group| [listed(group, 0), listed(group, 1)]).collect();
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -147,8 +147,8 @@
     match name {
         "x0" => report.position = Some(origin + span(value * 1000.0)),
         "x1" => report.primary = Some(value > 0.0),
-        "active" | "inflight" => report.active = Some(value),
-        "waiting" | "queue" => report.waiting = Some(value),
+        "active" | "inflight" => report.in_flight = Some(value),
+        "waiting" | "queue" => report.queued = Some(value),
         _ => {}
     }
 }
--- /dev/null
+++ b/src/endpoints.rs
@@ -0,0 +1,117 @@
+//! The endpoint list: nodes that are added, drain or are removed, and how often the list is polled.
+
+use std::time::Duration;
+
+use rand::RngExt;
+
+use crate::health_checks::MAX_FAILURES;
+use crate::host::{Endpoint, EndpointStatus, EndpointUpdate, Host};
+use crate::node_state::{NodeState, ReplicaSet};
+use crate::router::Router;
+
+/// Delay of the next poll after a failed one; it doubles with each further failure.
+const INITIAL_POLL_BACKOFF: Duration = Duration::from_millis(300);
+/// The longest delay after a failed poll: poll interval / this.
+const MAX_BACKOFF_DIVISOR: u32 = 4;
+/// A poll that is never answered is made again after: poll interval / this. It is then in time.
+const UNANSWERED_POLL_DIVISOR: u32 = 2;
+
+/// When the endpoint list is polled next.
+pub(crate) struct EndpointPoll {
+    /// None where the host keeps the watch by itself.
+    next_at: Option<Duration>,
+    backoff: Duration,
+}
+
+impl EndpointPoll {
+    pub fn new(watches_endpoints: bool, now: Duration) -> Self {
+        Self { next_at: watches_endpoints.then_some(now), backoff: INITIAL_POLL_BACKOFF }
+    }
+
+    /// A snapshot or a delta came, so the watch stands. A cached snapshot says nothing of it.
+    fn succeeded(&mut self, update: EndpointUpdate) {
+        self.backoff = INITIAL_POLL_BACKOFF;
+        if update != EndpointUpdate::CachedSnapshot {
+            self.next_at = None;
+        }
+    }
+
+    /// A poll failed. That does not say whether a watch stands; polling again is always allowed and keeps the duty.
+    pub fn failed(&mut self, now: Duration, poll_interval: Duration) {
+        let longest = poll_interval / MAX_BACKOFF_DIVISOR;
+        self.next_at = Some(now + self.backoff.min(longest));
+        self.backoff = (self.backoff * 2).min(longest);
+    }
+}
+
+impl<H: Host> Router<H> {
+    /// Periodic: polls the endpoint list when it is due.
+    pub(crate) fn poll_endpoints(&mut self, now: Duration) {
+        if self.endpoint_poll.next_at.is_some_and(|at| at <= now) {
+            self.endpoint_poll.next_at = Some(now + self.config.poll_interval / UNANSWERED_POLL_DIVISOR);
+            self.host.watch_endpoints();
+        }
+    }
+
+    /// Takes in an update of the endpoint list.
+    pub(crate) fn apply_endpoints(&mut self, now: Duration, update: EndpointUpdate, list: &[Endpoint]) {
+        self.endpoint_poll.succeeded(update);
+        if update != EndpointUpdate::Delta {
+            self.remove_unlisted(list);
+        }
+        // A node that is new on a list known before has just started, even if no time is told.
+        let is_known_list = !self.nodes.is_empty() && update == EndpointUpdate::Delta;
+        let assumed_start = is_known_list.then_some(now);
+        for endpoint in list {
+            // A removed node that is not known has drained and been forgotten since.
+            if endpoint.status != EndpointStatus::Removed || self.nodes.contains_key(&endpoint.node) {
+                self.apply_endpoint(endpoint, assumed_start);
+            }
+        }
+    }
+
+    /// A snapshot is the whole list: a node that is not on it is removed. Where only nodes that are listed as draining
+    /// have to be left alone, it may still be sent to.
+    fn remove_unlisted(&mut self, list: &[Endpoint]) {
+        for (node, state) in &mut self.nodes {
+            state.removed = !list.iter().any(|endpoint| endpoint.node == *node);
+            state.draining |= state.removed && !self.config.only_listed_draining;
+        }
+    }
+
+    /// Takes in one entry. A node that is new or has started anew begins its slow start. A new replica set has a part of
+    /// one read in its primary's quota, drawn by chance: no single router of many would ever earn a whole one.
+    fn apply_endpoint(&mut self, endpoint: &Endpoint, assumed_start: Option<Duration>) {
+        let routers = self.config.routers;
+        let new_node = || NodeState::new(endpoint, assumed_start, routers);
+        let state = self.nodes.entry(endpoint.node).or_insert_with(new_node);
+        state.removed = endpoint.status == EndpointStatus::Removed;
+        let is_unlisted_draining = state.removed && (!self.config.only_listed_draining || state.draining);
+        state.draining = endpoint.status == EndpointStatus::Draining || is_unlisted_draining;
+        if endpoint.started > state.started || state.slow_start.progress == 0.0 {
+            self.restart_node(endpoint.node, endpoint.started);
+        }
+        let new_replica_set =
+            || ReplicaSet { primary_quota: self.rng.random_range(0.0..1.0), ..ReplicaSet::default() };
+        let replica_set = self.replica_sets.entry(endpoint.replica_set).or_insert_with(new_replica_set);
+        replica_set.nodes.insert(endpoint.node);
+        if endpoint.primary {
+            self.note_listed_primary(endpoint);
+        }
+    }
+
+    /// Periodic: nothing is kept of a node that is removed and not sent to, once all that is in flight there has ended.
+    pub(crate) fn forget_removed_nodes(&mut self, now: Duration) {
+        let is_over = |node: &NodeState| {
+            let is_dead = node.draining || node.health_check.failed_in_row == MAX_FAILURES;
+            node.removed && is_dead && node.in_flight.is_empty() && !node.health_check.in_flight
+        };
+        while let Some((node, state)) = self.nodes.iter().find(|(_, state)| is_over(state)) {
+            let (node, replica_set) = (*node, state.replica_set);
+            self.nodes.remove(&node);
+            self.lose_primary(now, replica_set, node);
+            self.replica_sets.entry(replica_set).or_default().nodes.remove(&node);
+            self.host.close_idle(node);
+        }
+    }
+}
--- a/src/host.rs
+++ b/src/host.rs
@@ -1,21 +1,25 @@
-//! The interface of the decision module: what it asks of its host, and the plain data that passes.
+//! The interface of the decisions: what they ask of their host, and the plain data that passes.
 //!
-//! All times are spans on one clock that every router reads and that only goes forward. A log position is a
-//! time on the same clock.
+//! All times are spans on one clock that every router reads and that only goes forward. A log position is a time on the
+//! same clock.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
 
+/// An RPC, unique while its router runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RpcId(pub u64);
 
+/// A node: one PostgreSQL server, by its address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct NodeId(pub SocketAddr);
 
+/// A replica set: one primary and its replicas.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ReplicaSetId(pub u64);
 
+/// A client's session, whose reads see its own writes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SessionKey(pub u64);
 
@@ -23,185 +27,245 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct MethodId(pub usize);
 
+/// A failure domain that nodes share.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ZoneId(pub usize);
 
-/// Which attempt of its RPC, counted from 0 in the order they were made.
+/// Which attempt of its RPC, counted from 0 in the order in which they were made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptNumber(pub u32);
 
-/// What the module may do. Everything takes effect at once, in the order of the calls.
+/// What a router may do. Everything takes effect at once, in the order of the calls.
 pub trait Host {
+    /// Sends the RPC to the node; the attempt ends with [`Outcome::TimedOut`] after `timeout`.
     fn attempt(&mut self, rpc: RpcId, node: NodeId, timeout: Duration);
     /// Final answer: nothing ran, come back after `retry_after` (zero: no advice).
     fn reject(&mut self, rpc: RpcId, retry_after: Duration);
     /// Final answer that promises nothing about the effect.
     fn abort(&mut self, rpc: RpcId);
-    fn probe(&mut self, node: NodeId);
+    /// Asks the node how it is, without an RPC.
+    fn health_check(&mut self, node: NodeId);
     /// Closes this router's idle connections to the node.
     fn close_idle(&mut self, node: NodeId);
-    /// Asks for changes to the node list from now on.
+    /// Asks for updates of the endpoint list from now on.
     fn watch_endpoints(&mut self);
     /// Asks for one call of `timer_fired` after this span. It cannot be taken back.
     fn set_timer(&mut self, after: Duration);
+    /// Writes a line to the log.
     fn log(&mut self, line: &str);
 }
 
 /// One setting. The map's names are dotted paths, list places as numbers: `methods.0.deadline`.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Value {
+    /// Yes or no.
     Flag(bool),
+    /// A count or a ratio.
     Number(f64),
+    /// A time.
     Span(Duration),
+    /// A name.
     Text(String),
 }
 
-/// The settings: a plain map, with a look-up for each type of value.
+/// The settings: a plain map, with a look-up for each type of value. A value of another type counts as missing.
 #[derive(Clone, Debug, Default)]
 pub struct ValueMap(pub BTreeMap<String, Value>);
 
 impl ValueMap {
+    /// The number of this name.
     pub fn number(&self, name: &str) -> Option<f64> {
         match self.0.get(name) {
             Some(Value::Number(number)) => Some(*number),
             _ => None,
         }
     }
+
+    /// The time of this name.
     pub fn span(&self, name: &str) -> Option<Duration> {
         match self.0.get(name) {
             Some(Value::Span(span)) => Some(*span),
             _ => None,
         }
     }
-    /// Empty where the setting is missing.
+
+    /// The text of this name; empty where the setting is missing.
     pub fn text(&self, name: &str) -> &str {
         match self.0.get(name) {
             Some(Value::Text(text)) => text,
             _ => "",
         }
     }
+
+    /// Whether the setting says yes; one that is missing does not.
     pub fn flag(&self, name: &str) -> bool {
         matches!(self.0.get(name), Some(Value::Flag(true)))
     }
+
     /// Whether the setting says no; one that is missing does not.
     pub fn denies(&self, name: &str) -> bool {
         matches!(self.0.get(name), Some(Value::Flag(false)))
     }
 }
 
+/// An RPC as it arrives.
 #[derive(Clone, Debug)]
 pub struct Rpc {
+    /// Its number.
     pub id: RpcId,
+    /// The method that it calls.
     pub method: MethodId,
+    /// The session that it is part of.
     pub session: Option<SessionKey>,
-    pub group: ReplicaSetId,
+    /// The replica set that it is for.
+    pub replica_set: ReplicaSetId,
     /// How long the client still waits for this try.
     pub remaining: Duration,
+    /// The work that it states.
     pub work: Option<Duration>,
     /// How long ago the session's last write was committed, where clients carry that.
     pub since_write: Option<Duration>,
+    /// The client marks it as a retry of its own.
     pub retried: bool,
 }
 
+/// What a node is in its replica set.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
+    /// It takes writes.
     Primary,
+    /// It applies the primary's log.
     Replica,
 }
 
-/// How an attempt ended.
+/// How an attempt or a health check ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
+    /// It went through.
     Ok,
+    /// The node answered with an error.
     Error,
-    /// Turned away unseen: no room, or the node drains.
+    /// Rejected unseen: the node has no capacity, or drains.
     Rejected,
+    /// No answer came in time.
     TimedOut,
+    /// No connection to the node came about.
     ConnectFailed,
+    /// The connection broke.
     Reset,
+    /// It was given up from here.
     Cancelled,
-    /// Never left the router.
+    /// It never left the router.
     NotSent,
-    /// An answer came of which nothing can be made. It has run.
+    /// A malformed response came. The attempt has run.
     Malformed,
-    /// Turned away untouched: a write at a replica, or a read the node is too far behind for.
+    /// Rejected untouched: a write at a replica, or a read that the node is too far behind for.
     Misrouted,
 }
 
 impl Outcome {
-    /// Whether no node can have been sent it whole.
+    /// Whether no node can have been sent the whole request.
     pub fn unwritten(self) -> bool {
         matches!(self, Self::ConnectFailed | Self::NotSent)
     }
+
     /// Whether this outcome proves that nothing ran.
     pub fn never_ran(self) -> bool {
         matches!(self, Self::Rejected | Self::ConnectFailed | Self::NotSent | Self::Misrouted)
     }
 }
 
-/// What a node says of itself, as old as the report is.
+/// What a node says of itself, as old as the report is. None stands for what it does not say.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
+    /// Its log position.
     pub position: Option<Duration>,
+    /// Whether it is the primary.
     pub primary: Option<bool>,
-    pub active: Option<f64>,
-    pub waiting: Option<f64>,
+    /// Requests in flight there, from all routers.
+    pub in_flight: Option<f64>,
+    /// Requests queued there, from all routers.
+    pub queued: Option<f64>,
 }
 
+/// The end of an attempt.
 #[derive(Clone, Debug)]
 pub struct AttemptEnd {
+    /// The RPC.
     pub rpc: RpcId,
-    pub call: AttemptNumber,
+    /// Which of its attempts.
+    pub attempt: AttemptNumber,
+    /// The node that it went to.
     pub node: NodeId,
+    /// How it ended.
     pub outcome: Outcome,
-    /// The RPC is finished; nothing more is owed.
+    /// The RPC has its final answer; nothing more is owed.
     pub finished: bool,
+    /// Time from the attempt's order to its end.
     pub took: Duration,
-    /// What the answer itself says of the node.
+    /// What the answer itself says of the node's role.
     pub role: Option<Role>,
     /// The node's log position, or the commit time of a write that went through.
     pub position: Option<Duration>,
+    /// The report that came with the answer.
     pub report: Option<LoadReport>,
 }
 
 /// What another router has found out about a node, dated on this router's clock.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PeerObservation {
+    /// The node.
     pub node: NodeId,
+    /// When it was observed.
     pub at: Duration,
+    /// Its log position then.
     pub position: Option<Duration>,
+    /// Whether it was the primary.
     pub primary: Option<bool>,
-    pub waiting: Option<f64>,
+    /// Requests queued there.
+    pub queued: Option<f64>,
+    /// When its process started.
     pub started: Option<Duration>,
     /// Several routers have failed to reach it; all else is then empty.
     pub failed: bool,
 }
 
+/// Whether a node may be sent to, by the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointStatus {
+    /// It may.
     InService,
+    /// It is told to drain.
     Draining,
+    /// It is off the list.
     Removed,
 }
 
-/// One line of the node list.
+/// One entry of the endpoint list.
 #[derive(Clone, Debug)]
 pub struct Endpoint {
+    /// The node.
     pub node: NodeId,
-    pub group: ReplicaSetId,
+    /// The replica set that it is part of.
+    pub replica_set: ReplicaSetId,
+    /// The zone that it is in.
     pub zone: ZoneId,
+    /// The kind of machine that it runs on.
     pub kind: usize,
+    /// Whether it was the primary when the list was made.
     pub primary: bool,
-    pub condition: EndpointStatus,
+    /// Whether it may be sent to.
+    pub status: EndpointStatus,
+    /// When its process started, where the list says so.
     pub started: Option<Duration>,
 }
 
-/// How far a piece of news about the node list reaches.
+/// How much of the endpoint list an update covers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointUpdate {
     /// Only these entries changed.
     Delta,
-    /// The whole list as the registry has it; who is missing is gone.
+    /// The whole list as the registry has it; a node that is missing is removed.
     Snapshot,
     /// The whole list as this router last saw it, perhaps long ago.
     CachedSnapshot,
--- /dev/null
+++ b/src/session_tokens.rs
@@ -0,0 +1,69 @@
+//! Session tokens: the commits of the sessions that wrote through this router, where clients do not carry them.
+
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+use crate::host::{AttemptEnd, Host, Outcome, ReplicaSetId, Rpc, SessionKey};
+use crate::node_state::NodeState;
+use crate::outlier_detection::AttemptEvidence;
+use crate::router::Router;
+
+/// Past this many tokens none is kept: the newest stands in for all, so that memory has a bound.
+const MAX_TOKENS: usize = 10_000;
+/// Within this time after a node wrote an answer, the answer has come here or is lost.
+const MAX_ANSWER_DELAY: Duration = Duration::from_millis(100);
+
+/// A session within a replica set.
+pub(crate) type SessionInSet = (ReplicaSetId, SessionKey);
+
+/// The newest commit of each session that wrote through this router.
+pub(crate) type SessionTokens = BTreeMap<SessionInSet, Duration>;
+
+impl<H: Host> Router<H> {
+    /// The position up to which the RPC's session has written through this router. A write whose answer stays away may
+    /// be committed and its answer lost.
+    pub(crate) fn remembered_commit(&self, now: Duration, rpc: &Rpc) -> Option<Duration> {
+        let session = rpc.session.filter(|_| self.config.remembers_session_tokens)?;
+        let replica_set = self.replica_sets.get(&rpc.replica_set)?;
+        let mut in_flight = replica_set.nodes.iter().flat_map(|node| &self.nodes[node].in_flight);
+        let may_be_lost = in_flight
+            .any(|attempt| attempt.writes_for == Some(session) && attempt.sent + MAX_ANSWER_DELAY <= now);
+        let token = self.session_tokens.get(&(rpc.replica_set, session)).copied();
+        let lost_commit = may_be_lost.then(|| now - MAX_ANSWER_DELAY);
+        token.or(replica_set.passed_commit).max(lost_commit)
+    }
+
+    /// Remembers what a write committed, also if its client has left. A commit that no complete answer tells of is over
+    /// by the attempt's end.
+    pub(crate) fn remember_commit(&mut self, now: Duration, end: &AttemptEnd, evidence: &AttemptEvidence) {
+        let Some(node) = self.nodes.get(&end.node) else { return };
+        let session = evidence.attempt.as_ref().and_then(|attempt| attempt.writes_for);
+        if !self.config.remembers_session_tokens || end.outcome.never_ran() {
+            return;
+        }
+        if let Some(session) = session {
+            let commit = end.position.filter(|_| end.outcome == Outcome::Ok).unwrap_or(now);
+            let token = self.session_tokens.entry((node.replica_set, session)).or_default();
+            *token = commit.max(*token);
+        }
+    }
+
+    /// Periodic: drops the tokens that all nodes of their replica set have passed. Such a token excludes only a node
+    /// that comes back later, and the newest one dropped stands in for all.
+    pub(crate) fn drop_passed_tokens(&mut self) {
+        let nodes = &self.nodes;
+        let replica_sets = &mut self.replica_sets;
+        let has_capacity = self.session_tokens.len() <= MAX_TOKENS;
+        self.session_tokens.retain(|(id, _), token| {
+            let is_behind = |node: &NodeState| {
+                node.replica_set == *id && !node.draining && node.log.position < Some(*token)
+            };
+            let keep = has_capacity && nodes.values().any(is_behind);
+            let replica_set = replica_sets.entry(*id).or_default();
+            if !keep {
+                replica_set.passed_commit = replica_set.passed_commit.max(Some(*token));
+            }
+            keep
+        });
+    }
+}
--- /dev/null
+++ b/src/wait_queue.rs
@@ -0,0 +1,67 @@
+//! The wait queue of a replica set: requests that no node has capacity for, in one order for each method and stage.
+
+use std::collections::{BTreeMap, BTreeSet};
+use std::time::Duration;
+
+use crate::host::{MethodId, RpcId};
+use crate::pending_request::PendingRequest;
+
+/// First attempts are served before retries, so that retries cannot feed an overload.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub(crate) enum AttemptStage {
+    First,
+    Retry,
+}
+
+/// One line of the queue.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct Line {
+    stage: AttemptStage,
+    method: MethodId,
+}
+
+impl Line {
+    fn of(request: &PendingRequest) -> Self {
+        let stage = if request.attempts.is_empty() { AttemptStage::First } else { AttemptStage::Retry };
+        Self { stage, method: request.rpc.method }
+    }
+}
+
+/// A place in the queue. The greatest is served first: the newest, by the end of its latency objective.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub(crate) struct QueueEntry {
+    pub objective_at: Duration,
+    pub rpc: RpcId,
+}
+
+impl QueueEntry {
+    fn of(request: &PendingRequest) -> Self {
+        Self { objective_at: request.objective_at, rpc: request.rpc.id }
+    }
+}
+
+/// The requests that wait in one replica set.
+#[derive(Default)]
+pub(crate) struct WaitQueue {
+    lines: BTreeMap<Line, BTreeSet<QueueEntry>>,
+}
+
+impl WaitQueue {
+    pub fn insert(&mut self, request: &PendingRequest) {
+        self.lines.entry(Line::of(request)).or_default().insert(QueueEntry::of(request));
+    }
+
+    /// Takes the request out. Its attempts must be the same as when it was inserted.
+    pub fn remove(&mut self, request: &PendingRequest) {
+        if let Some(line) = self.lines.get_mut(&Line::of(request)) {
+            line.remove(&QueueEntry::of(request));
+        }
+    }
+
+    /// The request of each method that is served first at this stage.
+    pub fn heads(&self, stage: AttemptStage) -> impl Iterator<Item = (MethodId, QueueEntry)> {
+        let first = Line { stage, method: MethodId(0) };
+        let last = Line { stage, method: MethodId(usize::MAX) };
+        self.lines.range(first..=last).filter_map(|(line, entries)| Some((line.method, *entries.last()?)))
+    }
+}
--- a/tests/peers.rs
+++ b/tests/peers.rs
@@ -105,13 +105,13 @@
     let mut word = stage.position_word(2, stage.now());
     (word.failed, word.position) = (true, None);
     stage.word(2, word);
-    assert!(stage.router.is_shut(node(2)));
+    assert!(stage.router.is_ejected(node(2)));
     let good = stage.position_word(2, stage.now());
     stage.word(2, good);
-    assert!(stage.router.is_shut(node(2)), "others reach it, which is of no use here");
+    assert!(stage.router.is_ejected(node(2)), "others reach it, which is of no use here");
     stage.pass(ms(200));
     stage.end_probes(|_| true);
-    assert!(!stage.router.is_shut(node(2)));
+    assert!(!stage.router.is_ejected(node(2)));
 }
 
 #[test]
@@ -122,7 +122,7 @@
     assert!(probes.contains(&node(2)));
     let now = stage.now();
     probes.iter().for_each(|node| stage.router.health_check_ended(now, *node, Outcome::Cancelled, None));
-    assert!(probes.iter().all(|node| !stage.router.is_shut(*node)));
+    assert!(probes.iter().all(|node| !stage.router.is_ejected(*node)));
     // And it may be asked again.
     stage.arrive(0, LONG, None);
     assert!(stage.books.0.borrow().probes.contains(&node(2)));
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -78,7 +78,7 @@
         let (node, listed, method) = (&self.nodes[&to], &self.list[&to], seen.rpc.method.0);
         assert!(seen.answer.is_none(), "rule 1: sent after the final answer");
         assert!(self.now < seen.arrived + seen.rpc.remaining, "rule 1: sent after the client's time");
-        assert_eq!(listed.group, seen.rpc.group, "sent to another group");
+        assert_eq!(listed.replica_set, seen.rpc.replica_set, "sent to another group");
         assert!(seen.calls.len() < self.values.number("allowed.attempts").unwrap() as usize);
         let out = seen.calls.iter().any(|call| call.outcome.is_none());
         assert!(!out || self.values.flag("allowed.hedging"), "two attempts at once");
@@ -88,7 +88,7 @@
             let scope = match self.text("methods.#.idempotency_scope", method) {
                 "all" => true,
                 "zone" => earlier.zone == listed.zone,
-                _ => earlier.group == listed.group,
+                _ => earlier.replica_set == listed.replica_set,
             };
             match self.text("methods.#.idempotency", method) {
                 "idempotent" => {}
@@ -160,7 +160,7 @@
     fn abort(&mut self, rpc: RpcId) {
         self.0.borrow_mut().answer(rpc, "aborted", Duration::ZERO);
     }
-    fn probe(&mut self, node: NodeId) {
+    fn health_check(&mut self, node: NodeId) {
         let mut world = self.0.borrow_mut();
         assert!(!world.probes.contains(&node), "two probes out at one node");
         world.probes.push(node);
@@ -256,7 +256,15 @@
     pub fn listed(&self, number: usize, condition: EndpointStatus) -> Endpoint {
         let (node, zone) = (node(number), ZoneId(number % 2));
         let primary = node == self.primary;
-        Endpoint { node, group: ReplicaSetId(0), zone, kind: 0, primary, condition, started: None }
+        Endpoint {
+            node,
+            replica_set: ReplicaSetId(0),
+            zone,
+            kind: 0,
+            primary,
+            status: condition,
+            started: None,
+        }
     }
 
     pub fn now(&self) -> Duration {
@@ -275,7 +283,7 @@
             if was.is_some_and(|was| entry.started > was.started) {
                 node.told_start = now;
             }
-            let stopped = match entry.condition {
+            let stopped = match entry.status {
                 EndpointStatus::InService => false,
                 EndpointStatus::Draining => true,
                 EndpointStatus::Removed => !gone_stays || node.stopped.is_some(),
@@ -307,7 +315,16 @@
         let (id, now) = (RpcId(self.next), self.now());
         let session = (method == 2 || method == 4).then_some(SessionKey(7));
         let (method, group) = (MethodId(method), self.group);
-        let rpc = Rpc { id, method, session, group, remaining, work: None, since_write, retried: false };
+        let rpc = Rpc {
+            id,
+            method,
+            session,
+            replica_set: group,
+            remaining,
+            work: None,
+            since_write,
+            retried: false,
+        };
         let remembered = self.books.0.borrow().values.text("replication.session_tokens") == "remembered";
         let commit = self.books.0.borrow().commit;
         let token = if remembered { commit } else { since_write.map(|since| now - since) };
@@ -366,8 +383,9 @@
         drop(world);
         let role = spoke.then_some(role);
         let call = AttemptNumber(place as u32);
-        let report = self.queue.map(|queue| LoadReport { waiting: Some(queue), ..LoadReport::default() });
-        let end = AttemptEnd { rpc: id, call, node, outcome, finished, took, role, position, report };
+        let report = self.queue.map(|queue| LoadReport { queued: Some(queue), ..LoadReport::default() });
+        let end =
+            AttemptEnd { rpc: id, attempt: call, node, outcome, finished, took, role, position, report };
         self.router.attempt_ended(now, end);
     }
 
@@ -416,7 +434,7 @@
             at: self.now(),
             position: Some(position),
             primary: None,
-            waiting: None,
+            queued: None,
             started: None,
             failed: false,
         }
@@ -460,7 +478,7 @@
                 known.position = position;
                 known.told_position = known.told_position.max(position);
                 let (position, primary) = (Some(position), Some(primary));
-                LoadReport { position, primary, active: self.holds, waiting: self.queue }
+                LoadReport { position, primary, in_flight: self.holds, queued: self.queue }
             });
             let end = if report.is_some() { Outcome::Ok } else { Outcome::TimedOut };
             self.router.health_check_ended(now, node, end, report);
@@ -520,8 +538,8 @@
                 87..89 => {
                     let mut entry = self.listed(some, EndpointStatus::InService);
                     match chance.random_range(0..8) {
-                        0 => entry.condition = EndpointStatus::Draining,
-                        1 => entry.condition = EndpointStatus::Removed,
+                        0 => entry.status = EndpointStatus::Draining,
+                        1 => entry.status = EndpointStatus::Removed,
                         _ => entry.started = Some(now - ms(chance.random_range(0..900))),
                     }
                     self.list(EndpointUpdate::Delta, &[entry]);
