--- /dev/null
+++ b/tests/decisions/rules.rs
@@ -0,0 +1,63 @@
+//! Random runs under every kind of setting; the invariant checker checks the five rules at each step.
+
+use quickcheck::{Gen, QuickCheck};
+use quillpoint::host::*;
+
+use crate::simulation::{Simulation, ms};
+
+fn text(name: &'static str, text: &str) -> (&'static str, Value) {
+    (name, Value::Text(text.into()))
+}
+
+/// What each kind of deployment sets, beside the settings that all share.
+fn variants() -> Vec<Vec<(&'static str, Value)>> {
+    let keyed = |scope: &str| {
+        let mut change =
+            vec![text("methods.4.idempotency", "keyed"), text("methods.4.idempotency_scope", scope)];
+        change.extend([text("methods.0.idempotency", "keyed"), text("methods.0.idempotency_scope", scope)]);
+        change.push(("methods.4.idempotency_window", Value::Span(ms(60))));
+        change
+    };
+    vec![
+        vec![],
+        vec![text("replication.read_check", "reject"), text("discovery", "subscribe")],
+        vec![text("replication.read_check", "hold"), ("methods.0.late_weight", Value::Number(0.2))],
+        vec![text("replication.session_tokens", "remembered"), text("discovery", "automatic")],
+        vec![("replication.stamps", Value::Flag(false))],
+        vec![("allowed.hedging", Value::Flag(false)), ("allowed.cancel", Value::Flag(false))],
+        vec![
+            ("allowed.health_checks", Value::Flag(false)),
+            ("rules.only_listed_draining", Value::Flag(true)),
+        ],
+        vec![text("methods.0.idempotency", "non_idempotent"), text("replication.consistency.1", "write")],
+        vec![
+            text("reports.source", "probe"),
+            ("replication.stamps", Value::Flag(false)),
+            ("test.load_reports", Value::Flag(true)),
+        ],
+        keyed("replica_set"),
+        keyed("zone"),
+        keyed("all"),
+        vec![("test.observations", Value::Flag(true))],
+        vec![("test.observations", Value::Flag(true)), text("methods.0.idempotency", "non_idempotent")],
+        vec![("test.observations", Value::Flag(true)), text("replication.session_tokens", "remembered")],
+    ]
+}
+
+fn run(seed: u64, few: bool, variant: u8) -> bool {
+    let variants = variants();
+    let mut simulation =
+        Simulation::new(if few { 2 } else { 6 }, seed, &variants[variant as usize % variants.len()]);
+    simulation.run(seed, 1500);
+    let sent: usize = simulation.record().nodes.values().map(|node| node.sends.len()).sum();
+    few || sent > 100
+}
+
+#[test]
+fn the_five_rules_hold_in_random_runs() {
+    // A fixed seed: the same runs every time.
+    let fixed = Gen::from_size_and_seed(64, 20_260);
+    // Each kind of setting, whatever the draws below leave out.
+    assert!((0..30).all(|seed| run(seed, false, seed as u8)));
+    QuickCheck::new().rng(fixed).tests(120).quickcheck(run as fn(u64, bool, u8) -> bool);
+}
--- /dev/null
+++ b/tests/decisions/simulation/mod.rs
@@ -0,0 +1,318 @@
+//! One router among simulated nodes, with virtual time. The invariant checker sees each call that it makes.
+
+mod checker;
+mod random_run;
+
+use std::cell::{Ref, RefMut};
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+use quillpoint::Router;
+use quillpoint::host::*;
+
+pub use checker::FinalAnswer;
+use checker::{InvariantChecker, NodeRecord, Record, RequestRecord};
+
+pub fn ms(ms: u64) -> Duration {
+    Duration::from_millis(ms)
+}
+
+pub fn node(number: usize) -> NodeId {
+    NodeId(format!("10.0.0.{number}:7000").parse().unwrap())
+}
+
+/// How long answers take, by the zone of their node.
+#[derive(Clone, Copy)]
+pub struct AnswerTimes {
+    pub even_nodes: Duration,
+    pub odd_nodes: Duration,
+}
+
+impl AnswerTimes {
+    pub fn all(time: Duration) -> Self {
+        Self { even_nodes: time, odd_nodes: time }
+    }
+}
+
+/// Methods: 0 bounded by 300 ms, 1 any, 2 session, 3 fresh, 4 write.
+pub struct Simulation {
+    checker: InvariantChecker,
+    pub router: Router<InvariantChecker>,
+    pub primary: NodeId,
+    pub answer_times: AnswerTimes,
+    /// Requests queued at each node, as answers and health checks report it.
+    pub queued: Option<f64>,
+    /// Requests in flight at each node, as health checks report it.
+    pub in_flight: Option<f64>,
+    /// The replica set that RPCs are for.
+    pub replica_set: ReplicaSetId,
+    next: u64,
+}
+
+pub fn settings(change: &[(&str, Value)]) -> ValueMap {
+    let mut values = BTreeMap::new();
+    let mut put = |name: &str, value: Value| _ = values.insert(name.to_string(), value);
+    let text = |text: &str| Value::Text(text.into());
+    for (place, consistency) in ["bounded", "any", "session", "fresh", "write"].into_iter().enumerate() {
+        let idempotency = if place == 4 { "non_idempotent" } else { "idempotent" };
+        put(&format!("replication.consistency.{place}"), text(consistency));
+        put(&format!("methods.{place}.idempotency"), text(idempotency));
+        put(&format!("replication.staleness_bound.{place}"), Value::Span(ms(300)));
+        put(&format!("methods.{place}.latency_objective"), Value::Span(ms(200)));
+        put(&format!("methods.{place}.idempotency_window"), Value::Span(ms(400)));
+    }
+    put("replication.read_check", text("none"));
+    let numbers = [
+        ("methods.4.late_weight", 0.5),
+        ("allowed.attempts", 6.0),
+        ("rules.slow_start_initial_capacity", 0.25),
+        ("rules.overload_multiple", 3.0),
+    ];
+    numbers.into_iter().for_each(|(name, number)| put(name, Value::Number(number)));
+    let rules = [
+        ("drain_grace", 100),
+        ("slow_start_duration", 10_000),
+        ("overload_window", 1000),
+        ("poll_interval", 8000),
+    ];
+    rules.into_iter().for_each(|(name, span)| put(&format!("rules.{name}"), Value::Span(ms(span))));
+    put("allowed.max_retry_after", Value::Span(ms(1000)));
+    put("tick", Value::Span(ms(1)));
+    let flags = ["allowed.health_checks", "allowed.cancel", "allowed.hedging"];
+    flags.into_iter().for_each(|flag| put(flag, Value::Flag(true)));
+    change.iter().for_each(|(name, value)| put(name, value.clone()));
+    ValueMap(values)
+}
+
+impl Simulation {
+    /// Nodes 1 to `nodes` in one replica set; node 1 is the primary, and the first list says so.
+    pub fn new(nodes: usize, seed: u64, change: &[(&str, Value)]) -> Self {
+        let checker = InvariantChecker::default();
+        checker.0.borrow_mut().now = ms(100_000);
+        checker.0.borrow_mut().values = settings(change);
+        let router = Router::new(checker.clone(), seed, settings(change), ms(100_000));
+        let mut simulation = Self {
+            checker,
+            router,
+            primary: node(1),
+            answer_times: AnswerTimes::all(ms(10)),
+            queued: None,
+            in_flight: None,
+            replica_set: ReplicaSetId(0),
+            next: 0,
+        };
+        let list: Vec<Endpoint> =
+            (1..=nodes).map(|number| simulation.endpoint(number, EndpointStatus::InService)).collect();
+        simulation.update_endpoints(EndpointUpdate::CachedSnapshot, &list);
+        simulation
+    }
+
+    /// What the router was told and did.
+    pub fn record(&self) -> Ref<'_, Record> {
+        self.checker.0.borrow()
+    }
+
+    pub fn record_mut(&self) -> RefMut<'_, Record> {
+        self.checker.0.borrow_mut()
+    }
+
+    pub fn endpoint(&self, number: usize, status: EndpointStatus) -> Endpoint {
+        let (node, zone) = (node(number), ZoneId(number % 2));
+        let primary = node == self.primary;
+        Endpoint { node, replica_set: ReplicaSetId(0), zone, kind: 0, primary, status, started: None }
+    }
+
+    pub fn now(&self) -> Duration {
+        self.record().now
+    }
+
+    pub fn update_endpoints(&mut self, update: EndpointUpdate, list: &[Endpoint]) {
+        let now = self.now();
+        let is_primary = |node| node == self.primary;
+        for entry in list {
+            let mut record = self.record_mut();
+            let only_listed_draining = record.values.flag("rules.only_listed_draining");
+            let was = record.endpoints.insert(entry.node, entry.clone());
+            let new = NodeRecord {
+                was_primary: is_primary(entry.node),
+                position: now - ms(1),
+                ..NodeRecord::default()
+            };
+            let node = record.nodes.entry(entry.node).or_insert(new);
+            if was.is_some_and(|was| entry.started > was.started) {
+                node.start_told_at = now;
+            }
+            let is_draining = match entry.status {
+                EndpointStatus::InService => false,
+                EndpointStatus::Draining => true,
+                EndpointStatus::Removed => !only_listed_draining || node.draining_since.is_some(),
+            };
+            node.draining_since = if is_draining { node.draining_since.or(Some(now)) } else { None };
+        }
+        self.router.endpoints_changed(now, update, list);
+    }
+
+    /// Lets time go by; the timers fire on the way.
+    pub fn advance(&mut self, span: Duration) {
+        let end = self.now() + span;
+        loop {
+            let next = self.record().timers.iter().copied().min().filter(|at| *at <= end);
+            let Some(at) = next else { break };
+            self.record_mut().timers.retain(|timer| *timer != at);
+            let now = self.now().max(at);
+            self.record_mut().now = now;
+            self.router.timer_fired(now);
+        }
+        self.record_mut().now = end;
+        for request in self.record().requests.values().filter(|request| request.answer.is_none()) {
+            let deadline = request.arrived + request.rpc.remaining;
+            assert!(end <= deadline + ms(2), "rule 1: no final answer in time");
+        }
+    }
+
+    pub fn arrive(&mut self, method: usize, remaining: Duration, since_write: Option<Duration>) -> RpcId {
+        self.next += 1;
+        let (id, now) = (RpcId(self.next), self.now());
+        let session = (method == 2 || method == 4).then_some(SessionKey(7));
+        let (method, replica_set) = (MethodId(method), self.replica_set);
+        let rpc =
+            Rpc { id, method, session, replica_set, remaining, work: None, since_write, retried: false };
+        let is_remembered = self.record().values.text("replication.session_tokens") == "remembered";
+        let commit = self.record().commit;
+        let token = if is_remembered { commit } else { since_write.map(|since| now - since) };
+        self.record_mut().requests.insert(id, RequestRecord::new(rpc.clone(), now, token));
+        self.router.rpc_arrived(now, rpc);
+        id
+    }
+
+    pub fn sent_to(&self, id: RpcId) -> Vec<NodeId> {
+        self.record().requests[&id].attempts.iter().map(|attempt| attempt.node).collect()
+    }
+
+    pub fn answer(&self, id: RpcId) -> Option<FinalAnswer> {
+        self.record().requests[&id].answer
+    }
+
+    pub fn retry_after(&self, id: RpcId) -> Duration {
+        self.record().requests[&id].retry_after
+    }
+
+    /// Ends the newest attempt in flight of the RPC.
+    pub fn end_attempt(&mut self, id: RpcId, outcome: Outcome) {
+        let now = self.now();
+        let answered = outcome == Outcome::Ok;
+        let outcome = self.outcome_for_client(id, outcome);
+        let mut record = self.record_mut();
+        let has_stamps = record.has_stamps();
+        let request = record.requests.get_mut(&id).unwrap();
+        let place = request.newest_in_flight();
+        let attempt = &mut request.attempts[place];
+        attempt.outcome = Some(outcome);
+        let node = attempt.node;
+        if outcome == Outcome::Ok && request.answer.is_none() {
+            request.answer = Some(FinalAnswer::Ok);
+        }
+        let finished = request.answer.is_some();
+        let is_answer =
+            answered || matches!(outcome, Outcome::Misrouted | Outcome::Rejected | Outcome::Error);
+        let role = if node == self.primary { Role::Primary } else { Role::Replica };
+        let in_even_zone = record.endpoints[&node].zone.0 == 0;
+        let took = if in_even_zone { self.answer_times.even_nodes } else { self.answer_times.odd_nodes };
+        let known = record.nodes.get_mut(&node).unwrap();
+        if outcome == Outcome::Ok {
+            known.oks.push(now);
+        }
+        // What a primary has written it keeps, whatever it becomes.
+        known.position = if role == Role::Primary { now } else { known.position };
+        if is_answer {
+            known.answered_as_replica = role == Role::Replica;
+        }
+        let position = (is_answer && has_stamps).then_some(known.position);
+        known.told_position = known.told_position.max(position.unwrap_or_default());
+        // A write counts once its ok is here, also where its client has been answered or has disconnected.
+        if outcome == Outcome::Ok && record.requests[&id].rpc.method.0 == 4 {
+            record.commit = record.commit.max(position);
+        }
+        drop(record);
+        let role = is_answer.then_some(role);
+        let attempt = AttemptNumber(place as u32);
+        let report = self.queued.map(|queued| LoadReport { queued: Some(queued), ..LoadReport::default() });
+        let end = AttemptEnd { rpc: id, attempt, node, outcome, finished, took, role, position, report };
+        self.router.attempt_ended(now, end);
+    }
+
+    /// The client no longer waits; its attempts run on.
+    pub fn disconnect(&mut self, id: RpcId) {
+        self.record_mut().requests.get_mut(&id).unwrap().answer = Some(FinalAnswer::Disconnected);
+        self.router.client_disconnected(id);
+    }
+
+    /// What a host makes of an ok: the router may know that it is not proven to be fresh. What passes must be.
+    fn outcome_for_client(&self, id: RpcId, outcome: Outcome) -> Outcome {
+        let record = self.record();
+        let request = &record.requests[&id];
+        let place = request.newest_in_flight();
+        let attempt = &request.attempts[place];
+        if outcome != Outcome::Ok || request.answer.is_some() {
+            return outcome;
+        }
+        let position =
+            if attempt.node == self.primary { record.now } else { record.nodes[&attempt.node].position };
+        let told = record.has_stamps().then_some(position);
+        if !self.router.permits_response(record.now, id, AttemptNumber(place as u32), told) {
+            return Outcome::Malformed;
+        }
+        assert!(
+            attempt.required.is_none_or(|required| position >= required),
+            "rule 5: a stale answer passed"
+        );
+        outcome
+    }
+
+    /// Another router has observed a node.
+    pub fn peer_observes(&mut self, observation: PeerObservation) {
+        let mut record = self.record_mut();
+        let node = record.nodes.get_mut(&observation.node).unwrap();
+        node.observed_position = node.observed_position.max(observation.position.unwrap_or_default());
+        drop(record);
+        self.router.peer_observed(self.now(), observation);
+    }
+
+    /// Another router's observation of a node's position, made now.
+    pub fn observation(&self, number: usize, position: Duration) -> PeerObservation {
+        PeerObservation {
+            node: node(number),
+            at: self.now(),
+            position: Some(position),
+            primary: None,
+            queued: None,
+            started: None,
+            failed: false,
+        }
+    }
+
+    /// Ends all health checks that are in flight; a node is up if `is_up` says so.
+    pub fn end_health_checks(&mut self, is_up: impl Fn(NodeId) -> bool) {
+        let checks = std::mem::take(&mut self.record_mut().health_checks);
+        for node in checks {
+            let (now, primary) = (self.now(), node == self.primary);
+            let report = is_up(node).then(|| {
+                let mut record = self.record_mut();
+                let known = record.nodes.get_mut(&node).unwrap();
+                let position = if primary { now } else { known.position };
+                known.position = position;
+                known.told_position = known.told_position.max(position);
+                let (position, primary) = (Some(position), Some(primary));
+                LoadReport { position, primary, in_flight: self.in_flight, queued: self.queued }
+            });
+            let outcome = if report.is_some() { Outcome::Ok } else { Outcome::TimedOut };
+            self.router.health_check_ended(now, node, outcome, report);
+        }
+    }
+
+    pub fn set_position(&mut self, number: usize, position: Duration) {
+        let mut record = self.record_mut();
+        let node = record.nodes.get_mut(&node(number)).unwrap();
+        node.position = node.position.max(position);
+    }
+}
--- /dev/null
+++ b/tests/decisions/slow_start.rs
@@ -0,0 +1,92 @@
+//! What a node that has just started is sent.
+
+use quillpoint::host::*;
+
+use crate::simulation::{Simulation, ms, node};
+use crate::support::LONG;
+
+#[test]
+fn many_routers_together_overload_no_warming_node() {
+    // Evenly loaded, each with an RPC every 200 ms.
+    routers_together(100, &[2], 300);
+}
+
+#[test]
+fn unevenly_loaded_routers_together_overload_no_warming_node() {
+    // Some have an RPC every 100 ms, others every 400 ms, 1.6 s or 6.4 s.
+    for routers in [20, 30, 300] {
+        routers_together(routers, &[1, 4, 16, 64], 291);
+    }
+}
+
+/// So many routers, each with an RPC every so many steps of 100 ms. After 20 s node 4 starts anew, and only it is
+/// fresh. Looked at are the seconds that begin before the step `until`.
+fn routers_together(routers: usize, every: &[usize], until: usize) {
+    let bounded = ("replication.consistency.1", Value::Text("bounded".into()));
+    let change = [("routers", Value::Number(routers as f64)), bounded];
+    let mut simulations: Vec<Simulation> =
+        (0..routers as u64).map(|seed| Simulation::new(4, seed, &change)).collect();
+    let (mut sends, mut carried) = (Vec::new(), 0);
+    for step in 0..400 {
+        for (number, simulation) in simulations.iter_mut().enumerate() {
+            let now = simulation.now();
+            (2..=4)
+                .filter(|node| step < 200 || *node == 4)
+                .for_each(|node| simulation.set_position(node, now));
+            if step == 200 {
+                let mut entry = simulation.endpoint(4, EndpointStatus::InService);
+                entry.started = Some(now);
+                simulation.update_endpoints(EndpointUpdate::Delta, &[entry]);
+            }
+            simulation.end_health_checks(|_| true);
+            if (step + number).is_multiple_of(every[number % every.len()]) {
+                let id = simulation.arrive(number % 2, ms(150), None);
+                simulation.advance(ms(0));
+                simulation.end_health_checks(|_| true);
+                let to = simulation.sent_to(id);
+                carried += usize::from(step < 200 && to.contains(&node(4)));
+                sends.extend(to.iter().filter(|to| step >= 200 && **to == node(4)).map(|_| step));
+                to.iter().for_each(|_| simulation.end_attempt(id, Outcome::Ok));
+            }
+            simulation.advance(ms(100));
+        }
+    }
+    // Warm it carried so many a second; just started, a quarter of that and more with time, three times over at most, and
+    // what chance adds, for all of them together. After ten seconds it is warm, and all that no other node is
+    // fresh for may go there.
+    for start in 200..until {
+        let sent = sends.iter().filter(|at| (start..start + 10).contains(*at)).count() as f64;
+        let progress = 0.25 + 0.75 * (start - 200) as f64 / 100.0;
+        let budget = 3.0 * progress.min(1.0) * carried as f64 / 20.0;
+        let most = budget + f64::min(5.0, 2.0 * budget.sqrt() + 2.0);
+        assert!(sent <= most, "{sent} of {most} in the second from {start}, {routers} routers");
+    }
+    assert!(sends.len() > routers, "nor is it left alone: {}", sends.len());
+}
+
+#[test]
+fn assigned_health_checks_count_against_a_warming_nodes_budget() {
+    let reads = |checks: usize| {
+        // Nothing has been heard but the list.
+        let mut simulation = Simulation::new(3, 1, &[]);
+        let mut entry = simulation.endpoint(2, EndpointStatus::InService);
+        entry.started = Some(simulation.now());
+        simulation.update_endpoints(EndpointUpdate::Delta, &[entry]);
+        for _ in 0..checks {
+            assert!(simulation.router.begin_assigned_health_check(node(2)));
+            assert!(!simulation.router.begin_assigned_health_check(node(2)), "one at a time");
+            let now = simulation.now();
+            let report = LoadReport { position: Some(now), ..LoadReport::default() };
+            simulation.router.health_check_ended(now, node(2), Outcome::Ok, Some(report));
+        }
+        let observation = simulation.observation(2, simulation.now());
+        simulation.peer_observes(observation);
+        simulation.set_position(2, simulation.now());
+        simulation.advance(ms(400));
+        let observation = simulation.observation(2, simulation.now());
+        simulation.peer_observes(observation);
+        let ids: Vec<RpcId> = (0..20).map(|_| simulation.arrive(1, LONG, None)).collect();
+        ids.iter().filter(|id| simulation.sent_to(**id) == [node(2)]).count()
+    };
+    assert!(reads(200) < reads(0), "{} {}", reads(200), reads(0));
+}
