--- a/crates/testbed/src/capacity/asks.rs
+++ b/crates/testbed/src/capacity/asks.rs
@@ -193,7 +193,7 @@
                     shared,
                     Budget::Most(ROUTER_BYTES_S),
                     calm(SIMULATED, Mode::Shared, "router_bytes_out_s", known()),
-                    "fleet",
+                    "membership",
                 ),
                 ask(
                     router,
@@ -201,7 +201,7 @@
                     shared,
                     Budget::None,
                     calm(SIMULATED, Mode::Shared, "router_messages_out_s", known()),
-                    "fleet",
+                    "membership",
                 ),
                 ask(
                     router,
@@ -209,7 +209,7 @@
                     shared,
                     Budget::Most(ROUTER_CPU),
                     calm(SIMULATED, Mode::Shared, "router_cpu_part", known()),
-                    "fleet",
+                    "membership",
                 ),
                 ask(
                     router,
@@ -217,7 +217,7 @@
                     shared,
                     Budget::Most(AGE_S),
                     calm(SIMULATED, Mode::Shared, "age_p99_s", known()),
-                    "fleet",
+                    "membership",
                 ),
                 ask(
                     database,
@@ -225,7 +225,7 @@
                     shared,
                     Budget::Most(PROBES_S),
                     calm(SIMULATED, Mode::Shared, "database_probes_s", known()),
-                    "fleet",
+                    "membership",
                 ),
                 ask(
                     router,
@@ -249,14 +249,14 @@
                     shared,
                     Budget::None,
                     computed(&[ROUTERS, DATABASES], 1.0, "crates/membership/src/rendezvous.rs"),
-                    "fleet",
+                    "membership",
                 ),
             ];
-            rows.extend(of_a_router(Mode::Shared, shared, "fleet"));
+            rows.extend(of_a_router(Mode::Shared, shared, "membership"));
             rows
         }
         "calm-feed" => {
-            let mut rows = of_a_router(Mode::Feed, feed, "feed, control");
+            let mut rows = of_a_router(Mode::Feed, feed, "observation-feed, control-plane");
             let of_control = [
                 ("bytes in and out a second", CONTROL_BYTES, Budget::Most(CONTROL_BYTES_S)),
                 ("messages in and out a second", CONTROL_MESSAGES, Budget::None),
@@ -266,14 +266,14 @@
             ];
             rows.extend(of_control.map(|(what, figure, budget)| {
                 let source = calm(PLAYED, Mode::Feed, figure, shares());
-                ask(control, what, feed, budget, source, "feed, fleet, control")
+                ask(control, what, feed, budget, source, "observation-feed, membership, control-plane")
             }));
             for (what, figure) in [
                 ("bytes a second, of one that watches it", "discovery_bytes_s"),
                 ("calls a second, of one that watches it", "discovery_calls_s"),
             ] {
                 let source = calm(PLAYED, Mode::Feed, figure, both());
-                rows.push(ask(discovery, what, any, Budget::None, source, "watch"));
+                rows.push(ask(discovery, what, any, Budget::None, source, "discovery-watch"));
             }
             rows.push(ask(
                 database,
@@ -281,7 +281,7 @@
                 feed,
                 Budget::Most(PROBES_S),
                 calm(PLAYED, Mode::Feed, "database_probes_s", both()),
-                "fleet among control instances",
+                "membership among control instances",
             ));
             let at_connections = || vec![Over::Size(Axis::Connections, CONNECTIONS)];
             let at_statements = || vec![Over::Size(Axis::Statements, STATEMENTS)];
@@ -320,12 +320,12 @@
                 ),
             ]);
             for (role, what, by) in [
-                (discovery, "calls and bytes a second, of all 7,908 that watch it", "watch"),
-                (discovery, "processor time, cores", "watch"),
-                (discovery, "memory, bytes", "watch"),
-                (database, "bytes of probes a second", "fleet among control instances"),
-                (database, "processor time of probes, cores", "fleet among control instances"),
-                (database, "memory and state of probes, bytes", "fleet among control instances"),
+                (discovery, "calls and bytes a second, of all 7,908 that watch it", "discovery-watch"),
+                (discovery, "processor time, cores", "discovery-watch"),
+                (discovery, "memory, bytes", "discovery-watch"),
+                (database, "bytes of probes a second", "membership among control instances"),
+                (database, "processor time of probes, cores", "membership among control instances"),
+                (database, "memory and state of probes, bytes", "membership among control instances"),
                 (connection, "state of one, bytes", "router"),
                 (connection, "bytes a second of one", "router"),
             ] {
@@ -337,7 +337,7 @@
                 any,
                 Budget::None,
                 computed(&[entry, DATABASES], 1.0, "crates/testbed/src/listing.rs"),
-                "watch",
+                "discovery-watch",
             ));
             rows.push(ask(
                 connection,
@@ -356,7 +356,7 @@
                 any,
                 Budget::None,
                 computed(&[entry, DATABASES], 1.0, "crates/testbed/src/listing.rs"),
-                "watch: whole lists",
+                "discovery-watch: whole lists",
             ),
             ask(
                 discovery,
@@ -364,7 +364,7 @@
                 any,
                 Budget::None,
                 computed(&[entry, DATABASES], RESTART_EVERY_S, "crates/testbed/src/listing.rs"),
-                "watch: whole lists",
+                "discovery-watch: whole lists",
             ),
             ask(
                 router,
@@ -372,7 +372,7 @@
                 feed,
                 Budget::Most(ROUTER_MEMORY),
                 fault(RESTART, "peak_router_memory_bytes"),
-                "feed, control",
+                "observation-feed, control-plane",
             ),
             ask(
                 router,
@@ -380,7 +380,7 @@
                 feed,
                 Budget::Most(ROUTER_MEMORY),
                 fault(RESTART, "peak_router_state_bytes"),
-                "feed, control",
+                "observation-feed, control-plane",
             ),
             ask(
                 control,
@@ -388,7 +388,7 @@
                 feed,
                 Budget::None,
                 Source::Nothing,
-                "feed: paced copies",
+                "observation-feed: paced copies",
             ),
             ask(
                 database,
@@ -396,7 +396,7 @@
                 feed,
                 Budget::None,
                 Source::Nothing,
-                "fleet among control instances",
+                "membership among control instances",
             ),
             ask(
                 connection,
@@ -414,7 +414,7 @@
                 shared,
                 Budget::None,
                 fault(RESTART, "peak_router_bytes_s"),
-                "fleet",
+                "membership",
             ),
             ask(
                 router,
@@ -422,7 +422,7 @@
                 shared,
                 Budget::None,
                 fault(RESTART, "calm_after_s"),
-                "fleet",
+                "membership",
             ),
             ask(
                 router,
@@ -430,7 +430,7 @@
                 shared,
                 Budget::None,
                 fault(STOP, "peak_router_bytes_s"),
-                "fleet",
+                "membership",
             ),
             ask(
                 router,
@@ -438,7 +438,7 @@
                 shared,
                 Budget::None,
                 fault(STOP, "calm_after_s"),
-                "fleet",
+                "membership",
             ),
             ask(
                 router,
@@ -483,7 +483,7 @@
                 feed,
                 Budget::Most(FOLLOW_S),
                 fault(RESTART, "follow_max_s"),
-                "feed",
+                "observation-feed",
             ),
             ask(
                 router,
@@ -491,7 +491,7 @@
                 feed,
                 Budget::None,
                 fault(RESTART, "peak_router_bytes_s"),
-                "feed",
+                "observation-feed",
             ),
             ask(
                 control,
@@ -499,7 +499,7 @@
                 feed,
                 Budget::TimesCalm(5.0, CONTROL_BYTES),
                 fault(RESTART, "peak_control_bytes_s"),
-                "feed: paced copies",
+                "observation-feed: paced copies",
             ),
             ask(
                 control,
@@ -507,7 +507,7 @@
                 feed,
                 Budget::Most(1.0),
                 fault(RESTART, "peak_control_cpu_part"),
-                "feed: paced copies",
+                "observation-feed: paced copies",
             ),
             ask(
                 router,
@@ -515,7 +515,7 @@
                 feed,
                 Budget::None,
                 fault(RESTART, "calm_after_s"),
-                "feed",
+                "observation-feed",
             ),
             ask(
                 router,
@@ -523,7 +523,7 @@
                 feed,
                 Budget::None,
                 fault(STOP, "follow_max_s"),
-                "feed",
+                "observation-feed",
             ),
             ask(
                 control,
@@ -531,7 +531,7 @@
                 feed,
                 Budget::None,
                 fault(STOP, "peak_control_bytes_s"),
-                "feed: paced copies",
+                "observation-feed: paced copies",
             ),
             ask(
                 router,
@@ -539,7 +539,7 @@
                 feed,
                 Budget::None,
                 fault(STOP, "calm_after_s"),
-                "feed",
+                "observation-feed",
             ),
             ask(
                 router,
@@ -547,7 +547,7 @@
                 feed,
                 Budget::Most(CHANGE_S),
                 fault(PRIMARY, "change_known_max_s"),
-                "feed",
+                "observation-feed",
             ),
             ask(
                 router,
@@ -555,7 +555,7 @@
                 feed,
                 Budget::Most(FOLLOW_S),
                 fault(RESTART, "real_follow_max_s"),
-                "feed",
+                "observation-feed",
             ),
             ask(
                 discovery,
@@ -563,7 +563,7 @@
                 any,
                 Budget::None,
                 fault(RESTART, "fault_discovery_calls"),
-                "watch",
+                "discovery-watch",
             ),
             ask(
                 discovery,
@@ -571,7 +571,7 @@
                 any,
                 Budget::None,
                 fault(RESTART, "fault_discovery_bytes_out"),
-                "watch: whole lists",
+                "discovery-watch: whole lists",
             ),
             ask(
                 database,
@@ -579,7 +579,7 @@
                 feed,
                 Budget::None,
                 Source::Nothing,
-                "fleet among control instances",
+                "membership among control instances",
             ),
             ask(
                 connection,
@@ -597,7 +597,7 @@
                 shared,
                 Budget::None,
                 fault(CUT, "calm_after_s"),
-                "fleet",
+                "membership",
             ),
             ask(
                 control,
@@ -605,7 +605,7 @@
                 feed,
                 Budget::Most(CONTROL_BYTES_S),
                 calm(PLAYED, Mode::Feed, CONTROL_BYTES, followed(ROUTERS / 2.0, CONTROL_MACHINES / 2.0)),
-                "feed, fleet, control",
+                "observation-feed, membership, control-plane",
             ),
             ask(
                 control,
@@ -613,7 +613,7 @@
                 feed,
                 Budget::Most(1.0),
                 calm(PLAYED, Mode::Feed, "control_cpu_part", followed(ROUTERS / 2.0, CONTROL_MACHINES / 2.0)),
-                "feed, fleet, control",
+                "observation-feed, membership, control-plane",
             ),
             ask(
                 router,
@@ -621,7 +621,7 @@
                 feed,
                 Budget::None,
                 fault(CUT, "fault_age_max_s"),
-                "feed",
+                "observation-feed",
             ),
             ask(
                 router,
@@ -629,7 +629,7 @@
                 feed,
                 Budget::Most(5.0),
                 fault(CUT, AGREE),
-                "feed",
+                "observation-feed",
             ),
             ask(
                 router,
@@ -637,7 +637,7 @@
                 feed,
                 Budget::None,
                 fault(CUT, "calm_after_s"),
-                "feed",
+                "observation-feed",
             ),
             ask(
                 control,
@@ -645,23 +645,23 @@
                 feed,
                 Budget::None,
                 fault(CUT, "peak_control_bytes_s"),
-                "feed: paced copies",
+                "observation-feed: paced copies",
             ),
             ask(
                 database,
                 "probes a second, no control instance left, the mean over all databases",
                 feed,
                 Budget::None,
-                computed(&[TIMES, PROBES_S], 1.0, "crates/observation-feed/src/share.rs"),
-                "feed: paced share",
+                computed(&[TIMES, PROBES_S], 1.0, "crates/observation-feed/src/health_check_quota.rs"),
+                "observation-feed: paced share",
             ),
             ask(
                 database,
                 "probes a second, no control instance left, at one that all use, over time no more than",
                 feed,
                 Budget::None,
-                computed(&[CROWD, PROBES_S], 1.0, "crates/observation-feed/src/share.rs"),
-                "feed: paced share",
+                computed(&[CROWD, PROBES_S], 1.0, "crates/observation-feed/src/health_check_quota.rs"),
+                "observation-feed: paced share",
             ),
             // Each probes it once before its floor has passed, and nothing but chance keeps them from the same second.
             ask(
@@ -669,10 +669,17 @@
                 "probes in one second, no control instance left, the most that one that all use may get",
                 feed,
                 Budget::None,
-                computed(&[ROUTERS, 1.0], 1.0, "crates/observation-feed/src/share.rs"),
-                "feed: paced share",
+                computed(&[ROUTERS, 1.0], 1.0, "crates/observation-feed/src/health_check_quota.rs"),
+                "observation-feed: paced share",
+            ),
+            ask(
+                discovery,
+                "calls a second, a region alone",
+                any,
+                Budget::None,
+                Source::Nothing,
+                "discovery-watch",
             ),
-            ask(discovery, "calls a second, a region alone", any, Budget::None, Source::Nothing, "watch"),
             ask(
                 connection,
                 "share of statements answered in a region alone",
@@ -689,7 +696,7 @@
                 feed,
                 Budget::Most(CONTROL_BYTES_S),
                 calm(PLAYED, Mode::Feed, CONTROL_BYTES, followed(ROUTERS, CONTROL_MACHINES - 1.0)),
-                "feed, fleet, control",
+                "observation-feed, membership, control-plane",
             ),
             ask(
                 control,
@@ -697,7 +704,7 @@
                 feed,
                 Budget::Most(1.0),
                 calm(PLAYED, Mode::Feed, "control_cpu_part", followed(ROUTERS, CONTROL_MACHINES - 1.0)),
-                "feed, fleet, control",
+                "observation-feed, membership, control-plane",
             ),
             ask(
                 router,
@@ -705,7 +712,7 @@
                 feed,
                 Budget::Most(1.0),
                 fault(KILL, "fault_age_max_s"),
-                "feed",
+                "observation-feed",
             ),
             ask(
                 router,
@@ -713,7 +720,7 @@
                 feed,
                 Budget::None,
                 fault(KILL, "follow_max_s"),
-                "feed",
+                "observation-feed",
             ),
             ask(
                 control,
@@ -721,7 +728,7 @@
                 feed,
                 Budget::None,
                 fault(KILL, "peak_control_bytes_s"),
-                "feed: paced copies",
+                "observation-feed: paced copies",
             ),
             ask(
                 router,
@@ -729,13 +736,15 @@
                 feed,
                 Budget::Most(ROUTER_BYTES_S),
                 fault(KILL_ALL, "alone_router_bytes_out_s"),
-                "feed",
+                "observation-feed",
             ),
         ],
         "burst" => {
             let burst = || vec![Over::Size(Axis::Changes, BURST)];
             let mut rows = Vec::new();
-            for (mode, side, by) in [(Mode::Shared, shared, "fleet"), (Mode::Feed, feed, "feed")] {
+            for (mode, side, by) in
+                [(Mode::Shared, shared, "membership"), (Mode::Feed, feed, "observation-feed")]
+            {
                 rows.extend([
                     ask(
                         router,
@@ -761,7 +770,7 @@
                 feed,
                 Budget::Most(CONTROL_BYTES_S),
                 calm(PLAYED, Mode::Feed, CONTROL_BYTES, burst()),
-                "feed",
+                "observation-feed",
             ));
             rows.extend([
                 ask(
@@ -770,7 +779,7 @@
                     any,
                     Budget::None,
                     Source::Nothing,
-                    "watch",
+                    "discovery-watch",
                 ),
                 ask(
                     database,
@@ -778,7 +787,7 @@
                     feed,
                     Budget::Most(PROBES_S),
                     calm(PLAYED, Mode::Feed, "database_probes_s", burst()),
-                    "fleet among control instances",
+                    "membership among control instances",
                 ),
                 ask(
                     connection,
