--- a/src/admission.rs
+++ b/src/admission.rs
@@ -6,10 +6,11 @@
 use crate::balancing::RoutingChoice;
 use crate::freshness::FRESHNESS_WAIT;
 use crate::host::{Host, MethodId, ReplicaSetId, Rpc, RpcId};
+use crate::maintenance::DueTime;
 use crate::method::FirstTryWait;
 use crate::pending_request::PendingRequest;
 use crate::router::Router;
-use crate::wait_queue::{AttemptStage, QueueEntry};
+use crate::wait_queue::{AttemptStage, QueueHead};
 
 /// Past a utilization of 1, fewer reads are admitted by this power of it.
 const SHED_POWER: i32 = 8;
@@ -70,7 +71,7 @@
         self.replica_sets.entry(request.rpc.replica_set).or_default().queue.insert(request);
         let request = &self.pending[&id];
         let next = self.send_useful_until(request).min(request.arrived + FRESHNESS_WAIT).max(now);
-        self.due.insert((next, id));
+        self.due.insert(DueTime { at: next, rpc: id });
     }
 
     /// Takes a request out of its wait queue.
@@ -87,13 +88,13 @@
     pub(crate) fn dispatch(&mut self, now: Duration, replica_set: ReplicaSetId) {
         for stage in [AttemptStage::First, AttemptStage::Retry] {
             let mut blocked = BTreeSet::new();
-            while let Some((method, entry)) = self.next_queued(replica_set, stage, &blocked) {
+            while let Some(head) = self.next_queued(replica_set, stage, &blocked) {
                 self.replica_sets.entry(replica_set).or_default().last_wanted = now;
-                match self.choose_node(now, entry.rpc) {
-                    RoutingChoice::Send(node) => self.send(now, entry.rpc, node),
-                    RoutingChoice::Reject => self.finish(entry.rpc, FRESHNESS_WAIT),
+                match self.choose_node(now, head.entry.rpc) {
+                    RoutingChoice::Send(node) => self.send(now, head.entry.rpc, node),
+                    RoutingChoice::Reject => self.finish(head.entry.rpc, FRESHNESS_WAIT),
                     RoutingChoice::Wait => {
-                        blocked.insert(method);
+                        blocked.insert(head.method);
                     }
                 }
             }
@@ -106,10 +107,10 @@
         replica_set: ReplicaSetId,
         stage: AttemptStage,
         blocked: &BTreeSet<MethodId>,
-    ) -> Option<(MethodId, QueueEntry)> {
+    ) -> Option<QueueHead> {
         let heads = self.replica_sets.get(&replica_set)?.queue.heads(stage);
-        let heads = heads.filter(|(method, _)| !blocked.contains(method));
-        heads.max_by_key(|(method, entry)| (self.rank(*method), *entry))
+        let heads = heads.filter(|head| !blocked.contains(&head.method));
+        heads.max_by_key(|head| (self.rank(head.method), head.entry))
     }
 
     /// A method's value for its work, in steps of two: methods of about equal value go by time left.
@@ -126,7 +127,7 @@
         if now >= next {
             return self.finish(id, self.config.max_retry_after);
         }
-        self.due.insert((next, id));
+        self.due.insert(DueTime { at: next, rpc: id });
         self.dispatch(now, request.rpc.replica_set);
     }
 }
--- a/src/attempt_check.rs
+++ b/src/attempt_check.rs
@@ -9,6 +9,7 @@
 use std::time::Duration;
 
 use crate::host::{AttemptNumber, Host, NodeId, RpcId};
+use crate::maintenance::DueTime;
 use crate::method::{Consistency, Idempotency};
 use crate::node_state::{InFlightAttempt, NodeState};
 use crate::pending_request::{Attempt, PendingRequest};
@@ -146,7 +147,7 @@
         let (node_started, replica_set) = (state.started, state.replica_set);
         request.attempts.push(Attempt { node, sent: now, outcome: None, required, node_started });
         let ends_at = request.deadline.saturating_sub(self.config.tick);
-        self.due.insert((ends_at, id));
+        self.due.insert(DueTime { at: ends_at, rpc: id });
         self.spend_primary_quota(replica_set, node, is_write);
         self.host.attempt(id, node, timeout);
     }
--- a/src/maintenance.rs
+++ b/src/maintenance.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use crate::host::{Host, ReplicaSetId};
+use crate::host::{Host, ReplicaSetId, RpcId};
 use crate::router::Router;
 
 /// Periodic work is done so often in the tightest staleness bound: a health check is then late by little.
@@ -11,6 +11,13 @@
 /// The least time between two rounds of maintenance for each node that they go through.
 const MIN_MAINTENANCE_PER_NODE: Duration = Duration::from_millis(1);
 
+/// When a pending request is to be looked at. Those that are over stay until their time comes.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub(crate) struct DueTime {
+    pub at: Duration,
+    pub rpc: RpcId,
+}
+
 /// When the periodic work was last done.
 pub(crate) struct Maintenance {
     /// Maintenance of all nodes.
@@ -50,9 +57,9 @@
 
     /// Looks at each request whose due time has come.
     pub(crate) fn run_due_requests(&mut self, now: Duration) {
-        while let Some((at, id)) = self.due.first().copied().filter(|(at, _)| *at <= now) {
-            self.due.remove(&(at, id));
-            self.request_due(now, id);
+        while let Some(due) = self.due.first().copied().filter(|due| due.at <= now) {
+            self.due.remove(&due);
+            self.request_due(now, due.rpc);
         }
     }
 
@@ -89,7 +96,7 @@
         let rounds = self.next_rounds();
         let round =
             if self.pending.is_empty() { rounds.nodes_at } else { rounds.nodes_at.min(rounds.dispatch_at) };
-        let next = self.due.first().map_or(round, |(at, _)| round.min(*at)).max(now);
+        let next = self.due.first().map_or(round, |due| round.min(due.at)).max(now);
         if self.maintenance.timer_at.is_none_or(|at| at > next) {
             self.maintenance.timer_at = Some(next);
             self.host.set_timer(next - now);
--- a/src/router.rs
+++ b/src/router.rs
@@ -17,7 +17,7 @@
     AttemptEnd, AttemptNumber, Endpoint, EndpointUpdate, Host, LoadReport, NodeId, Outcome, PeerObservation,
     ReplicaSetId, Rpc, RpcId, ValueMap,
 };
-use crate::maintenance::Maintenance;
+use crate::maintenance::{DueTime, Maintenance};
 use crate::method::{Consistency, Method};
 use crate::node_state::{NodeState, ReplicaSet};
 use crate::pending_request::PendingRequest;
@@ -35,7 +35,7 @@
     /// The requests without a final answer.
     pub(crate) pending: BTreeMap<RpcId, PendingRequest>,
     /// When each pending request is to be looked at, at the latest.
-    pub(crate) due: BTreeSet<(Duration, RpcId)>,
+    pub(crate) due: BTreeSet<DueTime>,
     pub(crate) session_tokens: SessionTokens,
     /// What nodes report to have in flight against their limits: the mean of square roots, 0 where none reports it.
     pub(crate) fleet_utilization: f64,
@@ -163,7 +163,7 @@
     pub fn set_shutdown_deadline(&mut self, now: Duration, end: Duration) {
         for (id, request) in &mut self.pending {
             request.deadline = request.deadline.min(end);
-            self.due.insert((now, *id));
+            self.due.insert(DueTime { at: now, rpc: *id });
         }
         self.schedule_timer(now);
     }
--- a/src/session_tokens.rs
+++ b/src/session_tokens.rs
@@ -14,7 +14,11 @@
 const MAX_ANSWER_DELAY: Duration = Duration::from_millis(100);
 
 /// A session within a replica set.
-pub(crate) type SessionInSet = (ReplicaSetId, SessionKey);
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub(crate) struct SessionInSet {
+    pub replica_set: ReplicaSetId,
+    pub session: SessionKey,
+}
 
 /// The newest commit of each session that wrote through this router.
 pub(crate) type SessionTokens = BTreeMap<SessionInSet, Duration>;
@@ -28,7 +32,7 @@
         let mut in_flight = replica_set.nodes.iter().flat_map(|node| &self.nodes[node].in_flight);
         let may_be_lost = in_flight
             .any(|attempt| attempt.writes_for == Some(session) && attempt.sent + MAX_ANSWER_DELAY <= now);
-        let token = self.session_tokens.get(&(rpc.replica_set, session)).copied();
+        let token = self.session_tokens.get(&SessionInSet { replica_set: rpc.replica_set, session }).copied();
         let lost_commit = may_be_lost.then(|| now - MAX_ANSWER_DELAY);
         token.or(replica_set.passed_commit).max(lost_commit)
     }
@@ -42,8 +46,9 @@
             return;
         }
         if let Some(session) = session {
+            let key = SessionInSet { replica_set: node.replica_set, session };
             let commit = end.position.filter(|_| end.outcome == Outcome::Ok).unwrap_or(now);
-            let token = self.session_tokens.entry((node.replica_set, session)).or_default();
+            let token = self.session_tokens.entry(key).or_default();
             *token = commit.max(*token);
         }
     }
@@ -54,12 +59,12 @@
         let nodes = &self.nodes;
         let replica_sets = &mut self.replica_sets;
         let has_capacity = self.session_tokens.len() <= MAX_TOKENS;
-        self.session_tokens.retain(|(id, _), token| {
+        self.session_tokens.retain(|key, token| {
             let is_behind = |node: &NodeState| {
-                node.replica_set == *id && !node.draining && node.log.position < Some(*token)
+                node.replica_set == key.replica_set && !node.draining && node.log.position < Some(*token)
             };
             let keep = has_capacity && nodes.values().any(is_behind);
-            let replica_set = replica_sets.entry(*id).or_default();
+            let replica_set = replica_sets.entry(key.replica_set).or_default();
             if !keep {
                 replica_set.passed_commit = replica_set.passed_commit.max(Some(*token));
             }
--- a/src/wait_queue.rs
+++ b/src/wait_queue.rs
@@ -40,6 +40,13 @@
     }
 }
 
+/// The request of a method that is served first.
+#[derive(Clone, Copy)]
+pub(crate) struct QueueHead {
+    pub method: MethodId,
+    pub entry: QueueEntry,
+}
+
 /// The requests that wait in one replica set.
 #[derive(Default)]
 pub(crate) struct WaitQueue {
@@ -59,9 +66,12 @@
     }
 
     /// The request of each method that is served first at this stage.
-    pub fn heads(&self, stage: AttemptStage) -> impl Iterator<Item = (MethodId, QueueEntry)> {
+    pub fn heads(&self, stage: AttemptStage) -> impl Iterator<Item = QueueHead> {
         let first = Line { stage, method: MethodId(0) };
         let last = Line { stage, method: MethodId(usize::MAX) };
-        self.lines.range(first..=last).filter_map(|(line, entries)| Some((line.method, *entries.last()?)))
+        self.lines.range(first..=last).filter_map(|(line, entries)| {
+            let entry = *entries.last()?;
+            Some(QueueHead { method: line.method, entry })
+        })
     }
 }
