--- a/crates/control-plane/src/fleet_member.rs
+++ b/crates/control-plane/src/fleet_member.rs
@@ -57,7 +57,7 @@
     fn observation_received(&mut self, evidence: DatedObservation) {
         self.0.wishes.borrow_mut().push(Wish::Hear(evidence));
     }
-    fn tell(&mut self, event: Event) {
+    fn report_event(&mut self, event: Event) {
         self.0.wishes.borrow_mut().push(Wish::Tell(event));
     }
 }
@@ -92,9 +92,9 @@
         let wire = Wire::bind(part.listen, Rc::clone(&around), part.letters)?;
         let (now, desk) = (around.now(), Rc::new(Desk::default()));
         let start = Incarnation(now.as_micros() as u64);
-        let life = MemberVersion { incarnation: start, version: 0 };
+        let version = MemberVersion { incarnation: start, revision: 0 };
         let MemberConfig { name, advertise: address, zone, weight, .. } = part;
-        let me = MemberRecord { name, life, address, zone, weight, state: MemberState::Joining };
+        let me = MemberRecord { name, version, address, zone, weight, state: MemberState::Joining };
         // A port that the system chooses is known only now.
         let me = if address.port() == 0 { MemberRecord { address: wire.local_addr()?, ..me } } else { me };
         let post = Post::new(wire, part.keys, Opener::default(), NAMES);
@@ -144,9 +144,9 @@
 
     /// Takes letters as long as the process runs.
     pub async fn listen(self: Rc<Self>) {
-        let own = || self.fleet.borrow().members().me().life.incarnation;
+        let own = || self.fleet.borrow().members().own_record().version.incarnation;
         let take = |_: SocketAddr, waited: Duration, letter: GossipMessage| {
-            self.call(|fleet, now| fleet.message_arrived(now, letter.waited(waited)));
+            self.call(|fleet, now| fleet.message_arrived(now, letter.aged_by(waited)));
         };
         self.post.listen(own, take).await;
     }
@@ -155,7 +155,7 @@
     pub async fn keep_time(self: Rc<Self>) {
         let mut counted = Instant::now();
         loop {
-            let after = self.desk.wake.take().unwrap_or(quillpoint_membership::fleet::TICK);
+            let after = self.desk.wake.take().unwrap_or(quillpoint_membership::fleet::TICK_INTERVAL);
             Timer::after(after).await;
             self.call(|fleet, now| fleet.timer_fired(now));
             if counted.elapsed() >= COUNTS_EVERY {
@@ -197,7 +197,7 @@
                 let duty = fleet.health_check_task(news.node);
                 fleet.task_ended(now, duty);
             }
-            fleet.found(now, asked, news);
+            fleet.record_own_observation(now, asked, news);
         });
     }
 
@@ -239,17 +239,17 @@
 fn tell(event: &Event) {
     match event {
         Event::Joined { alone } => log::info!(event = "fleet_joined", alone; "takes part in the fleet"),
-        Event::Stopped(span) => {
+        Event::ProcessPaused(span) => {
             let ms = span.as_millis() as u64;
             log::warn!(event = "fleet_process_paused", ms; "this router stood still for {ms} ms and joins anew");
         }
-        Event::PeerChanged { peer, life, was, state } => {
-            let (start, version) = (life.incarnation.0, life.version);
+        Event::PeerChanged { peer, version: life, previous: was, state } => {
+            let (start, version) = (life.incarnation.0, life.revision);
             let (was, state) =
                 (was.map_or("unknown".to_string(), |was| format!("{was:?}")), format!("{state:?}"));
             log::info!(event = "fleet_peer", peer:% = peer, start, version, was, state; "peer {peer}: {state}");
         }
-        Event::Contradicted(state) => {
+        Event::SuspicionRefuted(state) => {
             log::warn!(event = "fleet_suspicion_refuted", state:? = state; "others took this router for {state:?}");
         }
         Event::Displaced(address) => {
@@ -262,13 +262,13 @@
         Event::TooManyPeers(peer) => {
             log::warn!(event = "fleet_too_many_peers", peer:% = peer; "no more peers are kept");
         }
-        Event::Liar { peer, node } => {
+        Event::PeerContradicted { peer, node } => {
             log::warn!(
                 event = "fleet_peer_contradicted", peer:% = peer, node:% = node;
                 "node {node} itself contradicts what {peer} told: {peer} is not believed for a minute"
             );
         }
-        Event::TasksAssigned { owned, all, routers } => {
+        Event::TasksAssigned { owned, total: all, routers } => {
             log::info!(event = "fleet_tasks", owned, all, routers; "owns {owned} of {all} duties, among {routers}");
         }
     }
--- a/crates/control-plane/tests/queue.rs
+++ b/crates/control-plane/tests/queue.rs
@@ -85,13 +85,19 @@
     let probe = TaskParams {
         kind: TaskKind(0),
         period: Duration::from_secs(60),
-        grace: Duration::from_secs(60),
-        floor: Duration::from_secs(60),
-        longest: Duration::from_secs(1),
+        takeover_delay: Duration::from_secs(60),
+        min_interval: Duration::from_secs(60),
+        max_duration: Duration::from_secs(1),
         priority: Priority(0),
         cost: 1.0,
     };
-    let plans = FleetParams { probe, work_rate: 100.0, work_burst: 100.0, news_rate: 1e6, grows: false };
+    let plans = FleetParams {
+        health_check: probe,
+        work_rate: 100.0,
+        work_burst: 100.0,
+        gossip_bytes_per_second: 1e6,
+        budgets_grow_with_nodes: false,
+    };
     let port = UdpSocket::bind(local()).unwrap();
     let listen = port.local_addr().unwrap();
     drop(port);
@@ -108,14 +114,14 @@
     };
     let peers = FleetMember::new(part, Rc::<Books>::clone(&books), 1).unwrap();
     peers.listed();
-    let start = peers.fleet().members().me().life.incarnation;
+    let start = peers.fleet().members().own_record().version.incarnation;
     let other = UdpSocket::bind(local()).unwrap();
     let (mut sealer, keys) = (Sealer::default(), keys());
     let mut tell = |position: u64| {
-        let life = MemberVersion { incarnation: Incarnation(5), version: 0 };
+        let version = MemberVersion { incarnation: Incarnation(5), revision: 0 };
         let address = other.local_addr().unwrap();
         let from =
-            MemberRecord { name: name("r2"), life, address, zone: 0, weight: 1, state: MemberState::Up };
+            MemberRecord { name: name("r2"), version, address, zone: 0, weight: 1, state: MemberState::Up };
         let news = Observation {
             node: node(),
             age: Duration::from_millis(10),
@@ -125,7 +131,7 @@
             started: None,
             failed: false,
         };
-        let letter = GossipMessage { from, body: GossipBody::Observations(vec![news]), cards: Vec::new() };
+        let letter = GossipMessage { from, body: GossipBody::Observations(vec![news]), records: Vec::new() };
         let bytes = sealer.seal(&keys, Some(start), &letter).unwrap();
         other.send_to(&bytes, listen).unwrap();
     };
--- a/crates/datagram/src/payload.rs
+++ b/crates/datagram/src/payload.rs
@@ -22,7 +22,7 @@
     const KIND: u8 = b'P';
     const LATEST_START_ONLY: bool = true;
     fn sender(&self) -> (&PeerName, Incarnation) {
-        (&self.from.name, self.from.life.incarnation)
+        (&self.from.name, self.from.version.incarnation)
     }
     fn only_asks(&self) -> bool {
         self.body == GossipBody::JoinRequest
--- a/crates/datagram/tests/datagrams.rs
+++ b/crates/datagram/tests/datagrams.rs
@@ -3,8 +3,8 @@
 use quickcheck::{Gen, QuickCheck};
 use quillpoint_datagram::keys::{BadKeys, Keyring};
 use quillpoint_datagram::{LONGEST, Opener, Refusal, Sealer};
-use quillpoint_membership::ids::{LONGEST_NAME, PingNumber};
-use quillpoint_membership::message::{CARDS_ALONG, CARDS_WHOLE, NEWS_ALONG};
+use quillpoint_membership::ids::{MAX_PEER_NAME_BYTES, PingNumber};
+use quillpoint_membership::message::{MAX_JOIN_REPLY_RECORDS, MAX_PIGGYBACKED_RECORDS, OBSERVATION_BATCH};
 use quillpoint_membership::{
     GossipBody, GossipMessage, Incarnation, MemberRecord, MemberState, MemberVersion, Observation, PeerName,
 };
@@ -20,7 +20,7 @@
 fn card(name: &str, incarnation: u64) -> MemberRecord {
     MemberRecord {
         name: PeerName::new(name).unwrap(),
-        life: MemberVersion { incarnation: Incarnation(incarnation), version: u32::MAX },
+        version: MemberVersion { incarnation: Incarnation(incarnation), revision: u32::MAX },
         address: "[2001:db8:ffff:ffff:ffff:ffff:ffff:ffff]:65535".parse().unwrap(),
         zone: u16::MAX,
         weight: u8::MAX,
@@ -29,7 +29,7 @@
 }
 
 fn letter(body: GossipBody) -> GossipMessage {
-    GossipMessage { from: card("n1", 5), body, cards: Vec::new() }
+    GossipMessage { from: card("n1", 5), body, records: Vec::new() }
 }
 
 fn ping() -> GossipMessage {
@@ -46,7 +46,7 @@
 
 #[test]
 fn the_largest_letters_fit_a_datagram() {
-    let name = "n".repeat(LONGEST_NAME);
+    let name = "n".repeat(MAX_PEER_NAME_BYTES);
     let card = card(&name, u64::MAX);
     let news = Observation {
         node: card.address,
@@ -59,11 +59,14 @@
     };
     let along = GossipMessage {
         from: card.clone(),
-        body: GossipBody::Observations(vec![news; NEWS_ALONG]),
-        cards: vec![card.clone(); CARDS_ALONG + 1],
+        body: GossipBody::Observations(vec![news; OBSERVATION_BATCH]),
+        records: vec![card.clone(); MAX_PIGGYBACKED_RECORDS + 1],
+    };
+    let whole = GossipMessage {
+        from: card.clone(),
+        body: GossipBody::JoinReply,
+        records: vec![card; MAX_JOIN_REPLY_RECORDS + 1],
     };
-    let whole =
-        GossipMessage { from: card.clone(), body: GossipBody::JoinReply, cards: vec![card; CARDS_WHOLE + 1] };
     for letter in [along, whole] {
         assert!(Sealer::default().seal(&keys("a"), Some(OWN), &letter).unwrap().len() <= LONGEST);
     }
--- a/crates/datagram/tests/envelopes.rs
+++ b/crates/datagram/tests/envelopes.rs
@@ -6,7 +6,7 @@
 use quickcheck::{Gen, QuickCheck};
 use quillpoint_datagram::keys::Keyring;
 use quillpoint_datagram::{LONGEST, Opener, Refusal, Sealer};
-use quillpoint_membership::ids::LONGEST_NAME;
+use quillpoint_membership::ids::MAX_PEER_NAME_BYTES;
 use quillpoint_membership::{
     GossipBody, GossipMessage, Incarnation, MemberRecord, MemberState, MemberVersion, PeerName,
 };
@@ -60,7 +60,7 @@
 
 #[test]
 fn the_largest_envelopes_fit_a_datagram() {
-    let name = "n".repeat(LONGEST_NAME);
+    let name = "n".repeat(MAX_PEER_NAME_BYTES);
     // As much as is reckoned to go along, of addresses of either length.
     for node in ["[2001:db8:ffff:ffff:ffff:ffff:ffff:ffff]:65535", "255.255.255.255:65535", "1.1.1.1:1"] {
         let node: SocketAddr = node.parse().unwrap();
@@ -128,13 +128,13 @@
 fn neither_kind_passes_for_the_other() {
     let card = MemberRecord {
         name: PeerName::new("c1").unwrap(),
-        life: MemberVersion { incarnation: Incarnation(5), version: 0 },
+        version: MemberVersion { incarnation: Incarnation(5), revision: 0 },
         address: "127.0.0.1:1".parse().unwrap(),
         zone: 0,
         weight: 1,
         state: MemberState::Up,
     };
-    let letter = GossipMessage { from: card, body: GossipBody::JoinRequest, cards: Vec::new() };
+    let letter = GossipMessage { from: card, body: GossipBody::JoinRequest, records: Vec::new() };
     let (mut sealer, keys) = (Sealer::default(), keys("a"));
     let mut letter = sealer.seal(&keys, None, &letter).unwrap();
     let mut asking = sealer.seal(&keys, None, &envelope("r1", 5, Message::Subscribe)).unwrap();
--- a/crates/datagram/tests/letters.rs
+++ b/crates/datagram/tests/letters.rs
@@ -5,8 +5,8 @@
 
 use quillpoint_datagram::keys::Keyring;
 use quillpoint_datagram::{LONGEST, Sealer};
-use quillpoint_membership::ids::LONGEST_NAME;
-use quillpoint_membership::message::{CARDS_ALONG, NEWS_ALONG, NEWS_ROOM};
+use quillpoint_membership::ids::MAX_PEER_NAME_BYTES;
+use quillpoint_membership::message::{MAX_OBSERVATION_BYTES, MAX_PIGGYBACKED_RECORDS, OBSERVATION_BATCH};
 use quillpoint_membership::observation_store::ObservationStore;
 use quillpoint_membership::{
     GossipBody, GossipMessage, Incarnation, MemberRecord, MemberState, MemberVersion, Observation, PeerName,
@@ -24,8 +24,8 @@
 
 fn card(address: SocketAddr) -> MemberRecord {
     MemberRecord {
-        name: PeerName::new(&"n".repeat(LONGEST_NAME)).unwrap(),
-        life: MemberVersion { incarnation: Incarnation(u64::MAX), version: u32::MAX },
+        name: PeerName::new(&"n".repeat(MAX_PEER_NAME_BYTES)).unwrap(),
+        version: MemberVersion { incarnation: Incarnation(u64::MAX), revision: u32::MAX },
         address,
         zone: u16::MAX,
         weight: u8::MAX,
@@ -39,8 +39,8 @@
 
 fn sealed(news: Vec<Observation>) -> usize {
     let card = card("[2001:db8:ffff:ffff:ffff:ffff:ffff:ffff]:65535".parse().unwrap());
-    let cards = vec![card.clone(); CARDS_ALONG + 1];
-    let letter = GossipMessage { from: card, body: GossipBody::Observations(news), cards };
+    let cards = vec![card.clone(); MAX_PIGGYBACKED_RECORDS + 1];
+    let letter = GossipMessage { from: card, body: GossipBody::Observations(news), records: cards };
     Sealer::default().seal(&keys(), Some(Incarnation(1)), &letter).map_or(usize::MAX, |bytes| bytes.len())
 }
 
@@ -50,7 +50,7 @@
     for node in ["[2001:db8:ffff:ffff:ffff:ffff:ffff:ffff]:65535", "255.255.255.255:65535", "1.1.1.1:1"] {
         for long in [true, false] {
             let news = news(node.parse().unwrap(), long);
-            let bytes = news.bytes();
+            let bytes = news.encoded_bytes();
             assert!(sealed(vec![news]) - empty <= bytes && bytes < 70, "{node}: {bytes}");
         }
     }
@@ -67,15 +67,17 @@
             let now = LONG_AGO.unwrap();
             let mut book = ObservationStore::new(PeerName::new("r1").unwrap(), 1e9, now);
             book.nodes_changed(&(0..200).map(node).collect());
-            (0..200).for_each(|port| _ = book.found(now, now, news(node(port), long)));
-            let letters = book.outgoing(now, 3);
+            (0..200).for_each(|port| _ = book.record_own(now, now, news(node(port), long)));
+            let letters = book.take_outgoing(now, 3);
             assert_eq!(letters.concat().len(), 200, "all of them, each once");
             for letter in &letters {
-                assert!(letter.iter().map(Observation::bytes).sum::<usize>() <= NEWS_ROOM);
+                assert!(
+                    letter.iter().map(Observation::encoded_bytes).sum::<usize>() <= MAX_OBSERVATION_BYTES
+                );
                 assert!(sealed(letter.clone()) <= LONGEST);
             }
             // All but the last are full, so that there are fewer of them than of ten each.
-            assert!(letters.len() < 200 / NEWS_ALONG || (!v4 && long), "{}", letters.len());
+            assert!(letters.len() < 200 / OBSERVATION_BATCH || (!v4 && long), "{}", letters.len());
         }
     }
 }
--- a/crates/membership/src/fleet.rs
+++ b/crates/membership/src/fleet.rs
@@ -1,253 +1,251 @@
-//! A router's part in its fleet: one method for each thing that can happen.
+//! A router as a member of its fleet: one method for each thing that can happen.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::time::Duration;
 
+use crate::fleet_params::{Budgets, FleetParams};
 use crate::host::{DatedObservation, Event, Host};
 use crate::ids::{PeerName, Subject, TaskId};
 use crate::membership::Membership;
 use crate::message::{GossipBody, GossipMessage, MemberRecord, MemberState, Observation};
-use crate::observation_store::{NEWS_BYTES, ObservationStore, Verdict};
+use crate::observation_store::{Assessment, ObservationStore};
 use crate::rendezvous::Candidate;
-use crate::sharded_tasks::{ShardedTasks, TaskParams};
-
-/// Periodic work is looked at so often.
-pub const TICK: Duration = Duration::from_millis(20);
-/// News is sent so often, and with more than twenty peers once a millisecond for each: a router then sends about a
-/// thousand letters a second at the most.
-const FLUSH: Duration = TICK;
-const FLUSH_PER_PEER: Duration = Duration::from_millis(1);
-/// So many letters of a record go out in one tick, so that nobody's receive buffer is flooded.
-const RECORD_A_TICK: usize = 8;
-
-/// What a fleet is told at its start.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub struct FleetParams {
-    /// The probing of nodes.
-    pub probe: TaskParams,
-    /// The budget of background work, in cost units a second, and the most that is saved of it.
-    pub work_rate: f64,
-    pub work_burst: f64,
-    /// The budget of news to peers, in bytes a second.
-    pub news_rate: f64,
-    /// Probing is what this member is for, as of a control instance: neither budget is below what the listed nodes
-    /// take by [`HEADROOM`]. One that is short leaves the same nodes unprobed, or untold, ever.
-    pub grows: bool,
-}
-
-/// So many times what probing all nodes takes, and telling the others of it: the rest of the fleet may be gone.
-const HEADROOM: f64 = 2.0;
-
-impl FleetParams {
-    /// With the budgets that so many nodes take, where those are larger and may grow.
-    fn for_nodes(&self, nodes: usize) -> Self {
-        let probes = if self.grows { nodes as f64 / self.probe.period.as_secs_f64() } else { 0.0 };
-        let work_rate = self.work_rate.max(probes * self.probe.cost * HEADROOM);
-        let work_burst = self.work_burst * (work_rate / self.work_rate);
-        let news_rate = self.news_rate.max(probes * NEWS_BYTES * HEADROOM);
-        Self { work_rate, work_burst, news_rate, ..*self }
-    }
+use crate::sharded_tasks::{ShardedTasks, TaskCounts};
+
+/// The interval of periodic work.
+pub const TICK_INTERVAL: Duration = Duration::from_millis(20);
+/// The interval at which observations are sent, with few peers.
+const FLUSH_INTERVAL: Duration = TICK_INTERVAL;
+/// With many peers the interval is this for each of them, so that a router sends about a thousand messages a second.
+const FLUSH_INTERVAL_PER_PEER: Duration = Duration::from_millis(1);
+/// The most messages of a snapshot that go to one peer in a tick: more would overflow its receive buffer.
+const SNAPSHOT_MESSAGES_PER_TICK: usize = 8;
+
+/// The assignment of tasks that was last reported.
+#[derive(Clone, Copy, PartialEq, Eq)]
+struct Assignment {
+    counts: TaskCounts,
+    routers: usize,
 }
 
+/// A router's view of its fleet, its tasks, and the observations that it shares.
 pub struct Fleet<H: Host> {
     host: H,
     members: Membership,
-    duties: ShardedTasks,
-    book: ObservationStore,
-    plans: FleetParams,
-    /// What is left to be sent of the record, by who asked.
-    records: BTreeMap<PeerName, Vec<Vec<Observation>>>,
+    tasks: ShardedTasks,
+    observations: ObservationStore,
+    params: FleetParams,
+    /// What is still to be sent of the snapshots for peers that have joined, the last batch first.
+    snapshots: BTreeMap<PeerName, Vec<Vec<Observation>>>,
     next_flush: Duration,
-    told: (usize, usize, usize),
-    /// The nodes have changed since the duties were last counted.
-    recount: bool,
+    assignment: Assignment,
+    /// The nodes are others since the tasks were last counted.
+    have_nodes_changed: bool,
 }
 
 impl<H: Host> Fleet<H> {
-    /// `me` names this router, its start and its address; `seeds` are where others may be found.
+    /// A router that joins its fleet. `own_record` has its name, incarnation and address; `seeds` are addresses where other
+    /// members may be found.
     pub fn new(
         host: H,
-        me: MemberRecord,
+        own_record: MemberRecord,
         seeds: Vec<SocketAddr>,
-        plans: FleetParams,
-        seed: u64,
+        params: FleetParams,
+        rng_seed: u64,
         now: Duration,
     ) -> Self {
-        let name = me.name.clone();
+        let own_name = own_record.name.clone();
         let mut fleet = Self {
             host,
-            members: Membership::new(me, seeds, seed, now),
-            duties: ShardedTasks::new(name.clone(), plans.work_rate, plans.work_burst, now),
-            book: ObservationStore::new(name, plans.news_rate, now),
-            plans,
-            records: BTreeMap::new(),
+            members: Membership::new(own_record, seeds, rng_seed, now),
+            tasks: ShardedTasks::new(own_name.clone(), params.work_rate, params.work_burst, now),
+            observations: ObservationStore::new(own_name, params.gossip_bytes_per_second, now),
+            params,
+            snapshots: BTreeMap::new(),
             next_flush: now,
-            told: (0, 0, 0),
-            recount: true,
+            assignment: Assignment { counts: TaskCounts { owned: 0, total: 0 }, routers: 0 },
+            have_nodes_changed: true,
         };
         fleet.host.set_timer(Duration::ZERO);
         fleet
     }
 
-    /// A letter that is authentic and not one that came before.
-    pub fn message_arrived(&mut self, now: Duration, letter: GossipMessage) {
-        self.members.ran(now, &mut self.host);
-        let GossipMessage { from, body, cards } = letter;
-        if self.members.message_arrived(now, &from, &body, &cards, &mut self.host) {
-            self.records.insert(from.name.clone(), self.book.record(now));
+    /// Takes a message that is authentic and no replay.
+    pub fn message_arrived(&mut self, now: Duration, message: GossipMessage) {
+        self.members.rejoin_after_pause(now, &mut self.host);
+        if self.members.message_arrived(now, &message, &mut self.host) {
+            let snapshot = self.observations.snapshot(now);
+            self.snapshots.insert(message.from.name.clone(), snapshot);
         }
-        if let GossipBody::Observations(news) = body
-            && self.members.is_current(&from)
+        if let GossipBody::Observations(observations) = message.body
+            && self.members.is_current(&message.from)
         {
-            news.into_iter().for_each(|news| self.observation_received(now, &from.name, news));
+            for observation in observations {
+                self.peer_observed(now, &message.from.name, observation);
+            }
         }
     }
 
-    fn observation_received(&mut self, now: Duration, by: &PeerName, news: Observation) {
-        let (id, at) = (self.health_check_task(news.node), now.saturating_sub(news.age));
-        match self.book.told(now, by, news) {
-            Verdict::Believed(evidence) => {
-                self.duties.done(id, at);
-                self.host.observation_received(evidence);
+    fn peer_observed(&mut self, now: Duration, peer: &PeerName, observation: Observation) {
+        let task = self.health_check_task(observation.node);
+        let observed_at = now.saturating_sub(observation.age);
+        match self.observations.record_from_peer(now, peer, observation) {
+            Assessment::Believed(dated) => {
+                self.tasks.done(task, observed_at);
+                self.host.observation_received(dated);
             }
-            Verdict::Doubt => {
-                self.duties.done(id, at);
-                self.duties.doubted(now, id);
+            Assessment::Unconfirmed => {
+                self.tasks.done(task, observed_at);
+                self.tasks.expedite(now, task);
             }
-            Verdict::Dropped => {}
+            Assessment::Rejected => {}
         }
     }
 
+    /// Does the periodic work, and asks for the next call.
     pub fn timer_fired(&mut self, now: Duration) {
-        if self.members.ran(now, &mut self.host) {
-            self.records.clear();
+        if self.members.rejoin_after_pause(now, &mut self.host) {
+            self.snapshots.clear();
         }
         self.members.tick(now, &mut self.host);
-        self.look_around(now);
-        while let Some(duty) = self.duties.next(now) {
-            self.host.run_task(duty);
+        self.assign_tasks(now);
+        while let Some(task) = self.tasks.next(now) {
+            self.host.run_task(task);
         }
         if now >= self.next_flush {
-            self.flush(now);
+            self.flush_observations(now);
         }
-        self.send_records();
-        self.host.set_timer(TICK);
+        self.send_snapshots();
+        self.host.set_timer(TICK_INTERVAL);
     }
 
-    /// The nodes there are, with their zones.
+    /// Takes all nodes of the endpoint list, with the indexes of their zones.
     pub fn nodes_changed(&mut self, now: Duration, nodes: &BTreeMap<SocketAddr, u16>) {
-        let all: BTreeSet<SocketAddr> = nodes.keys().copied().collect();
-        self.book.nodes_changed(&all);
+        let addresses: BTreeSet<SocketAddr> = nodes.keys().copied().collect();
+        self.observations.nodes_changed(&addresses);
         let subjects = nodes.iter().map(|(node, zone)| (Subject::Node(*node), *zone)).collect();
-        self.duties.subjects_changed(now, self.plans.probe, &subjects);
-        let FleetParams { work_rate, work_burst, news_rate, .. } = self.plans.for_nodes(nodes.len());
-        self.duties.budget_changed(work_rate, work_burst);
-        self.book.budget_changed(news_rate);
-        self.recount = true;
+        self.tasks.subjects_changed(now, self.params.health_check, &subjects);
+        let Budgets { work_rate, work_burst, gossip_bytes_per_second } = self.params.budgets(nodes.len());
+        self.tasks.set_budget(work_rate, work_burst);
+        self.observations.set_budget(gossip_bytes_per_second);
+        self.have_nodes_changed = true;
     }
 
+    /// Takes the seeds as configured from now on.
     pub fn seeds_changed(&mut self, now: Duration, seeds: Vec<SocketAddr>) {
         self.members.seeds_changed(now, seeds);
     }
 
-    /// This router has found out something about a node, by a probe or an attempt that it sent at `asked`.
-    pub fn found(&mut self, now: Duration, asked: Duration, news: Observation) {
-        let (node, id, failed) = (news.node, self.health_check_task(news.node), news.failed);
-        if let Some(peer) = self.book.found(now, asked, news) {
-            self.host.tell(Event::Liar { peer, node });
+    /// Records what this router has observed of a node itself, by a health check or an attempt that it sent at `sent_at`.
+    pub fn record_own_observation(&mut self, now: Duration, sent_at: Duration, observation: Observation) {
+        let (node, failed) = (observation.node, observation.failed);
+        if let Some(peer) = self.observations.record_own(now, sent_at, observation) {
+            self.host.report_event(Event::PeerContradicted { peer, node });
         }
         if !failed {
-            // Any answer tells what a probe would.
-            self.duties.done(id, now);
+            // Any answer shows what a health check would.
+            self.tasks.done(self.health_check_task(node), now);
         }
     }
 
-    /// Whether this router may probe a node now, out of turn: `alone` where no other's probe is of use to it.
-    pub fn claim_health_check(&mut self, now: Duration, node: SocketAddr, alone: bool) -> bool {
-        let id = self.health_check_task(node);
-        self.duties.claim(now, id, alone)
+    /// Whether this router may check a node now, out of turn. `only_own_run_helps` if no other router's check would do.
+    pub fn claim_health_check(&mut self, now: Duration, node: SocketAddr, only_own_run_helps: bool) -> bool {
+        let task = self.health_check_task(node);
+        self.tasks.claim(now, task, only_own_run_helps)
     }
 
-    /// What peers have told of a node last, where that is of use yet: for who does not take it as it comes.
+    /// What peers have last observed of a node, unless it is too old.
     pub fn latest_observation(&self, now: Duration, node: SocketAddr) -> Option<DatedObservation> {
-        self.book.latest_observation(now, node)
+        self.observations.latest_from_peers(now, node)
     }
 
-    pub fn task_ended(&mut self, now: Duration, duty: TaskId) {
-        self.duties.ended(now, duty);
+    /// Records that a task which the host was asked to run has ended.
+    pub fn task_ended(&mut self, now: Duration, task: TaskId) {
+        self.tasks.ended(now, task);
     }
 
-    /// Hands over and says goodbye. Nothing is performed from then on.
+    /// Sends the last observations and announces that this router leaves. It runs no tasks from then on.
     pub fn leave(&mut self, now: Duration) {
-        if self.members.me().state == MemberState::Left {
+        if self.members.own_record().state == MemberState::Left {
             return;
         }
-        self.flush(now);
+        self.flush_observations(now);
         self.members.leave(&mut self.host);
-        self.duties.view_changed(now, Vec::new());
+        self.tasks.view_changed(now, Vec::new());
     }
 
+    /// The members.
     pub fn members(&self) -> &Membership {
         &self.members
     }
 
-    pub fn duties(&self) -> &ShardedTasks {
-        &self.duties
+    /// The tasks that the members divide.
+    pub fn tasks(&self) -> &ShardedTasks {
+        &self.tasks
     }
 
-    /// What is kept of routers, nodes and duties, in bytes: by count and size of the entries, without what an
-    /// allocator adds.
+    /// The size of the tables of routers, nodes and tasks in bytes: by count and size of the entries, without the overhead of
+    /// the allocator.
     pub fn state_bytes(&self) -> usize {
-        self.members.state_bytes() + self.duties.state_bytes() + self.book.state_bytes()
+        self.members.state_bytes() + self.tasks.state_bytes() + self.observations.state_bytes()
     }
 
+    /// The task of checking this node.
     pub fn health_check_task(&self, node: SocketAddr) -> TaskId {
-        TaskId { kind: self.plans.probe.kind, subject: Subject::Node(node) }
-    }
-
-    /// Who may own duties by now.
-    fn look_around(&mut self, now: Duration) {
-        let owns = |card: &MemberRecord| matches!(card.state, MemberState::Up | MemberState::Suspect);
-        let candidate =
-            |card: &MemberRecord| Candidate { name: card.name.clone(), zone: card.zone, weight: card.weight };
-        let mut view: Vec<Candidate> =
-            self.members.peers().filter(|card| owns(card)).map(candidate).collect();
-        if self.members.takes_part() {
-            view.push(candidate(self.members.me()));
-        } else {
-            view.clear();
-        }
-        let routers = view.len();
-        // Looked at each tick, counted only when something has changed: there may be thousands of duties.
-        if !(self.duties.view_changed(now, view) | std::mem::take(&mut self.recount)) {
+        TaskId { kind: self.params.health_check.kind, subject: Subject::Node(node) }
+    }
+
+    /// Divides the tasks among the routers that may own some by now.
+    fn assign_tasks(&mut self, now: Duration) {
+        let candidates = self.candidates();
+        let routers = candidates.len();
+        let has_view_changed = self.tasks.view_changed(now, candidates);
+        let have_nodes_changed = std::mem::take(&mut self.have_nodes_changed);
+        // There may be thousands of tasks: they are not counted at each tick.
+        if !has_view_changed && !have_nodes_changed {
             return;
         }
-        let (owned, all) = self.duties.owned();
-        if self.told != (owned, all, routers) {
-            self.told = (owned, all, routers);
-            self.host.tell(Event::TasksAssigned { owned, all, routers });
+        let assignment = Assignment { counts: self.tasks.counts(), routers };
+        if self.assignment != assignment {
+            self.assignment = assignment;
+            let TaskCounts { owned, total } = assignment.counts;
+            self.host.report_event(Event::TasksAssigned { owned, total, routers });
+        }
+    }
+
+    /// The routers that may own tasks; none while this one may not.
+    fn candidates(&self) -> Vec<Candidate> {
+        if !self.members.may_own_tasks() {
+            return Vec::new();
         }
+        let peers = self.members.peers();
+        let owners = peers.filter(|record| matches!(record.state, MemberState::Up | MemberState::Suspect));
+        owners.chain([self.members.own_record()]).map(candidate).collect()
     }
 
-    fn flush(&mut self, now: Duration) {
-        let peers: Vec<PeerName> = self.members.there().map(|card| card.name.clone()).collect();
-        self.next_flush = now + FLUSH.max(FLUSH_PER_PEER * peers.len() as u32);
-        for letter in self.book.outgoing(now, peers.len()) {
+    fn flush_observations(&mut self, now: Duration) {
+        let peers: Vec<PeerName> = self.members.active_peers().map(|record| record.name.clone()).collect();
+        self.next_flush = now + FLUSH_INTERVAL.max(FLUSH_INTERVAL_PER_PEER * peers.len() as u32);
+        for batch in self.observations.take_outgoing(now, peers.len()) {
             for peer in &peers {
-                self.members.send_to(peer, GossipBody::Observations(letter.clone()), &mut self.host);
+                self.members.send_to(peer, GossipBody::Observations(batch.clone()), &mut self.host);
             }
         }
     }
 
-    fn send_records(&mut self) {
-        let Self { records, members, host, .. } = self;
-        records.retain(|peer, letters| {
-            for _ in 0..RECORD_A_TICK {
-                let Some(news) = letters.pop() else { break };
-                members.send_to(peer, GossipBody::Observations(news), host);
+    fn send_snapshots(&mut self) {
+        let Self { snapshots, members, host, .. } = self;
+        snapshots.retain(|peer, batches| {
+            for _ in 0..SNAPSHOT_MESSAGES_PER_TICK {
+                let Some(batch) = batches.pop() else { break };
+                members.send_to(peer, GossipBody::Observations(batch), host);
             }
-            !letters.is_empty()
+            !batches.is_empty()
         });
     }
 }
+
+fn candidate(record: &MemberRecord) -> Candidate {
+    Candidate { name: record.name.clone(), zone: record.zone, weight: record.weight }
+}
--- a/crates/membership/src/host.rs
+++ b/crates/membership/src/host.rs
@@ -1,4 +1,4 @@
-//! What a fleet asks of its host, and the plain data that passes.
+//! What a [`Fleet`](crate::Fleet) asks of the process that it runs in, and what it reports.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -6,66 +6,83 @@
 use crate::ids::{Incarnation, MemberVersion, PeerName, TaskId};
 use crate::message::{GossipMessage, MemberState};
 
-/// What a fleet may do. Everything takes effect at once, in the order of the calls.
+/// The effects of a fleet. Each takes place at once, in the order of the calls.
 pub trait Host {
-    /// Sends a datagram that may be lost. `session` is the receiver's start, where it is known: a receiver
-    /// takes nothing but a hello that does not name its own.
-    fn send(&mut self, to: SocketAddr, session: Option<Incarnation>, letter: GossipMessage);
-    /// Asks for one call of `timer_fired` after this span.
+    /// Sends a datagram, which may be lost. `session` is the incarnation of the receiver, where it is known: a receiver
+    /// accepts nothing but a join request that does not name its own.
+    fn send(&mut self, to: SocketAddr, session: Option<Incarnation>, message: GossipMessage);
+    /// Asks for one call of `timer_fired` after this time.
     fn set_timer(&mut self, after: Duration);
-    /// Does the duty once; its end is told by `task_ended`.
-    fn run_task(&mut self, duty: TaskId);
-    /// What peers found out about a node.
-    fn observation_received(&mut self, evidence: DatedObservation);
-    fn tell(&mut self, event: Event);
+    /// Runs the task once. Its end is reported by `task_ended`.
+    fn run_task(&mut self, task: TaskId);
+    /// Takes what peers have observed of a node.
+    fn observation_received(&mut self, observation: DatedObservation);
+    /// Reports a change that operators want to know of.
+    fn report_event(&mut self, event: Event);
 }
 
-/// News that may be believed, dated on this router's clock.
+/// A peer's observation that is believed, with its age turned into a time on this router's clock.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct DatedObservation {
+    /// The node that was observed.
     pub node: SocketAddr,
-    /// When it was found out, at the latest: the flight is not counted.
+    /// When it was observed, at the latest: the time on the network is not counted.
     pub at: Duration,
+    /// The log position of the node: a time up to which all commits are applied there.
     pub position: Option<Duration>,
+    /// Whether the node said that it is the primary.
     pub primary: Option<bool>,
+    /// How many requests were queued there.
     pub waiting: Option<u32>,
+    /// When the node started.
     pub started: Option<Duration>,
-    /// Several routers' probes have failed of late, each by itself.
+    /// Several routers have lately failed to reach it, each by a health check of its own.
     pub failed: bool,
 }
 
-/// What people may want to know. Names are stable: docs/on-call.md lists them.
+/// A change that is logged; docs/on-call.md lists the names of the log events.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// This router takes part from now on; whether it heard from peers first.
+    /// This router is a member from now on.
     Joined {
+        /// No peer has answered its join requests.
         alone: bool,
     },
-    /// It was stopped for so long, and joins anew.
-    Stopped(Duration),
+    /// The process has not run for this long, and joins again.
+    ProcessPaused(Duration),
+    /// A peer has become known, or its state is another.
     PeerChanged {
+        /// The peer.
         peer: PeerName,
-        life: MemberVersion,
-        was: Option<MemberState>,
+        /// The version of its record.
+        version: MemberVersion,
+        /// Its state before; none if it was unknown.
+        previous: Option<MemberState>,
+        /// Its state now.
         state: MemberState,
     },
-    /// Others said this of us, which is contradicted.
-    Contradicted(MemberState),
-    /// A later process of our name runs at that address: this one takes no duties.
+    /// Peers had this router in that state, which it has refuted.
+    SuspicionRefuted(MemberState),
+    /// A later process of the same name runs at this address: this one owns no tasks.
     Displaced(SocketAddr),
-    /// The other one is gone.
+    /// The later process of the same name is gone.
     Restored,
-    /// No more peers are kept.
+    /// The table of peers is full: this one is not recorded.
     TooManyPeers(PeerName),
-    /// A node's own answer contradicts what this peer told, who is not believed for a while.
-    Liar {
+    /// A node's own answer contradicts what this peer has told of it. The peer is not believed for a while.
+    PeerContradicted {
+        /// The peer.
         peer: PeerName,
+        /// The node.
         node: SocketAddr,
     },
-    /// So many duties are owned here now, of so many, among so many routers.
+    /// The tasks that this router owns, or the routers that share them, are others.
     TasksAssigned {
+        /// Tasks that this router owns.
         owned: usize,
-        all: usize,
+        /// All tasks.
+        total: usize,
+        /// Routers among which the tasks are divided.
         routers: usize,
     },
 }
--- a/crates/membership/src/ids.rs
+++ b/crates/membership/src/ids.rs
@@ -1,40 +1,54 @@
-//! The kinds of id of a fleet, each a type of its own.
+//! The identifiers of members, their versions, and tasks, each a type of its own.
 
 use std::fmt;
 use std::net::SocketAddr;
 
 use serde::{Deserialize, Serialize};
 
-/// Longer names would crowd out what datagrams are for.
-pub const LONGEST_NAME: usize = 32;
+/// The longest name of a router. The sizes of datagrams are computed with it.
+pub const MAX_PEER_NAME_BYTES: usize = 32;
 
+/// The text is not the name of a router.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
-#[error("a name has 1 to {LONGEST_NAME} letters, digits, dots, dashes and underscores")]
-pub struct InvalidPeerName;
+#[error(
+    "a name has 1 to {MAX_PEER_NAME_BYTES} letters, digits, dots, dashes and underscores, found {found:?}"
+)]
+pub struct InvalidPeerName {
+    /// The text that was given.
+    pub found: String,
+}
 
-/// The name of a router, the same after a restart. Held in place: names are compared at each piece of news, and a look
-/// elsewhere in memory would cost more than all else that is done with one. In the order of their letters.
+/// The name of a router, which is the same after a restart. Names are ordered by their bytes.
+///
+/// The bytes are stored in place: names are compared for each observation, where a heap allocation would cost more than
+/// the comparison.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct PeerName {
-    /// Zero from the name's end on.
-    letters: [u8; LONGEST_NAME],
+    /// Zero from the end of the name on.
+    bytes: [u8; MAX_PEER_NAME_BYTES],
     length: u8,
 }
 
 impl PeerName {
+    /// The name with this text.
+    ///
+    /// # Errors
+    /// The text is empty, too long, or has other characters than ASCII letters, digits, dots, dashes and underscores.
     pub fn new(name: &str) -> Result<Self, InvalidPeerName> {
-        let fits = |byte: u8| byte.is_ascii_alphanumeric() || b".-_".contains(&byte);
-        if !(1..=LONGEST_NAME).contains(&name.len()) || !name.bytes().all(fits) {
-            return Err(InvalidPeerName);
+        let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || b".-_".contains(&byte);
+        if !(1..=MAX_PEER_NAME_BYTES).contains(&name.len()) || !name.bytes().all(is_allowed) {
+            return Err(InvalidPeerName { found: name.to_string() });
         }
-        let mut letters = [0; LONGEST_NAME];
-        letters[..name.len()].copy_from_slice(name.as_bytes());
-        Ok(Self { letters, length: name.len() as u8 })
+        let mut bytes = [0; MAX_PEER_NAME_BYTES];
+        bytes[..name.len()].copy_from_slice(name.as_bytes());
+        Ok(Self { bytes, length: name.len() as u8 })
     }
+
+    /// The text of the name.
     pub fn as_str(&self) -> &str {
-        // Letters of ASCII alone are taken.
-        str::from_utf8(&self.letters[..usize::from(self.length)]).unwrap_or_default()
+        // `new` has accepted ASCII alone.
+        str::from_utf8(&self.bytes[..usize::from(self.length)]).unwrap_or_default()
     }
 }
 
@@ -63,36 +77,41 @@
     }
 }
 
-/// Which start of a router: microseconds of Unix time at that start, or more where a peer remembers a later one.
+/// One start of a router: microseconds of Unix time at that start, or more where a peer remembers a later one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Incarnation(pub u64);
 
-/// Orders what is said of a router: a later start wins, and within one the later word of the router itself.
+/// The version of a member's record: a later incarnation wins, and within one the later revision.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct MemberVersion {
+    /// The start of the router that the record is about.
     pub incarnation: Incarnation,
-    /// Grows each time the router contradicts what others say of it.
-    pub version: u32,
+    /// Raised by the router itself each time it refutes a suspicion, joins again or leaves.
+    pub revision: u32,
 }
 
-/// Number of a ping, of the router that sent it.
+/// The number of a ping, chosen by the router that sent it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct PingNumber(pub u32);
 
-/// Place of a kind of duty in the plans.
+/// A kind of sharded task. Routers that share tasks number the kinds alike.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TaskKind(pub u8);
 
-/// What a duty is about.
+/// What a sharded task is about.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Subject {
+    /// One node.
     Node(SocketAddr),
     /// The whole installation, as for a comparison of lists or a report.
     Installation,
 }
 
+/// A sharded task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TaskId {
+    /// What is done.
     pub kind: TaskKind,
+    /// What it is done to.
     pub subject: Subject,
 }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,11 +1,15 @@
-//! The routers of one installation: who is there, who owns which periodic duty, and what they tell each other.
+//! Membership of the routers of one installation: which of them are alive, which of them owns a periodic task, and the
+//! observations of nodes that they share by gossip.
 //!
-//! No I/O, no clock, no threads: [`Fleet`] has one method for each thing that can happen and acts by calling its
-//! [`Host`]. Time is handed in as a span on a clock of the router's own that only goes forward; chance comes from
-//! the given seed. Start reading at `fleet.rs`; docs/duties.md says why things are as they are.
+//! No I/O, no clock, no threads. [`Fleet`] has one method for each thing that can happen, and acts by calling its
+//! [`Host`]. Time is handed in as a [`Duration`](std::time::Duration) since a fixed moment, on a clock of the router's own
+//! that never goes back; randomness comes from the given seed. Start reading at `fleet.rs`; docs/duties.md has the reasons.
+
+#![warn(missing_docs)]
 
 pub mod fast_hash_map;
 pub mod fleet;
+pub mod fleet_params;
 pub mod host;
 pub mod ids;
 pub mod membership;
@@ -15,7 +19,11 @@
 pub mod scheduler;
 pub mod sharded_tasks;
 
-pub use fleet::{Fleet, FleetParams};
+mod node_observations;
+mod token_bucket;
+
+pub use fleet::Fleet;
+pub use fleet_params::FleetParams;
 pub use host::{DatedObservation, Event, Host};
 pub use ids::{Incarnation, MemberVersion, PeerName};
 pub use message::{GossipBody, GossipMessage, MemberRecord, MemberState, Observation};
--- a/crates/membership/src/observation_store.rs
+++ b/crates/membership/src/observation_store.rs
@@ -1,9 +1,9 @@
-//! What has been found out about nodes: own findings on their way to the peers, and what peers have told.
+//! The observations of nodes: this router's own on their way to the peers, and what peers have sent.
 //!
-//! What a peer's word may do is settled here. A position in it lets a read try a replica, no more: the answer's own
-//! position then decides (the decision module's matter). A role in it says where to look. A failure is a reason to
-//! look for oneself, and counts only once several routers have failed by themselves. A peer whose word a node's
-//! own answer contradicts is not believed for a while.
+//! What a peer's observation may do is decided here. A position in it lets a read try a replica, no more: the position in the
+//! answer then decides, in the `quillpoint` package. A role in it says where to look. A failure is a reason for a health
+//! check of one's own, and is believed only once several routers have failed by themselves. A peer that a node's own
+//! answer contradicts is not believed for a while.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -12,247 +12,195 @@
 use crate::fast_hash_map::FastHashMap;
 use crate::host::DatedObservation;
 use crate::ids::PeerName;
-use crate::message::{NEWS_ALONG, NEWS_ROOM, Observation};
-
-/// Older news than this is of no use to anybody.
-pub const OLDEST: Duration = Duration::from_secs(10);
-/// Failures count together that lie no further apart.
-const VOICES_WITHIN: Duration = Duration::from_secs(2);
-/// So many routers must have failed by themselves.
-const VOICES: usize = 2;
-/// How long a peer is not believed that a node has contradicted.
-const DISTRUST: Duration = Duration::from_secs(60);
-/// A position is rounded to the millisecond by some and not by others.
-const ROUNDING: Duration = Duration::from_millis(2);
-/// About the bytes of a letter, and of each piece of news in it.
-const LETTER_BYTES: f64 = 160.0;
-pub const NEWS_BYTES: f64 = 40.0;
-/// So many seconds of the budget may be saved up.
-const SAVED: f64 = 0.25;
-
-/// A finding, dated on this router's clock.
-#[derive(Clone, Debug, PartialEq)]
-struct Found {
-    at: Duration,
-    news: Observation,
-}
-
-#[derive(Default)]
-struct Known {
-    /// The newest finding of this router.
-    own: Option<Found>,
-    /// The newest word of a peer that was an answer.
-    told: Option<Found>,
-    /// Whose word brought the highest position told, that, and when it was found out at the latest.
-    highest: Option<(PeerName, Duration, Duration)>,
-    /// Who has failed to reach it of late, this router too.
-    failures: BTreeMap<PeerName, Duration>,
-}
-
-/// What is to be done about a piece of news.
+use crate::message::{MAX_OBSERVATION_BYTES, OBSERVATION_BATCH, Observation};
+use crate::node_observations::{NodeObservations, TimedObservation};
+use crate::token_bucket::TokenBucket;
+
+/// An older observation is neither sent nor accepted.
+pub const MAX_OBSERVATION_AGE: Duration = Duration::from_secs(10);
+/// About the bytes of an observation in a message.
+pub const OBSERVATION_BYTES: f64 = 40.0;
+/// About the bytes of a message without its observations.
+const MESSAGE_OVERHEAD_BYTES: f64 = 160.0;
+/// How long a peer that a node has contradicted is not believed.
+const DISTRUST_PERIOD: Duration = Duration::from_secs(60);
+/// How many seconds of the budget can be saved up.
+const BURST_SECONDS: f64 = 0.25;
+
+/// What a peer's observation is worth.
 #[derive(Debug, PartialEq)]
-pub enum Verdict {
-    /// It is of use, for the record.
+pub enum Assessment {
+    /// It is believed.
     Believed(DatedObservation),
-    /// A reason to look for oneself.
-    Doubt,
-    /// Old, of an unknown node, or from one who is not believed.
-    Dropped,
+    /// A failure that no other router has met yet: a reason for a health check of one's own.
+    Unconfirmed,
+    /// It is too old, of a node that is not listed, outweighed by a later answer, or from a peer that is not believed.
+    Rejected,
 }
 
+/// The observations of all listed nodes.
 pub struct ObservationStore {
-    me: PeerName,
-    /// By hash, as each piece of news looks one up; the record goes by address.
-    nodes: FastHashMap<SocketAddr, Known>,
-    /// Own findings that have not been sent.
-    fresh: BTreeSet<SocketAddr>,
-    distrusted: BTreeMap<PeerName, Duration>,
-    /// The budget in bytes a second, what is saved of it, and when that was counted.
-    rate: f64,
-    saved: f64,
-    counted: Duration,
-}
-
-/// What an answer that a peer tells of shows; what lies ahead of this router's clock shows nothing.
-fn evidence(now: Duration, at: Duration, news: &Observation) -> DatedObservation {
-    let &Observation { node, position, primary, waiting, started, .. } = news;
-    let past = |time: &Duration| *time <= now;
-    let (position, started) = (position.filter(past), started.filter(past));
-    DatedObservation { node, at, position, primary, waiting, started, failed: false }
+    own_name: PeerName,
+    /// Iterated only in the order of addresses.
+    nodes: FastHashMap<SocketAddr, NodeObservations>,
+    /// Nodes with an own observation that has not been sent.
+    unsent: BTreeSet<SocketAddr>,
+    /// Until when a peer is not believed.
+    distrusted_until: BTreeMap<PeerName, Duration>,
+    budget: TokenBucket,
 }
 
 impl ObservationStore {
-    /// `rate` is in bytes a second, to all peers together.
-    pub fn new(me: PeerName, rate: f64, now: Duration) -> Self {
+    /// No nodes, with a budget of so many bytes a second to all peers together.
+    pub fn new(own_name: PeerName, bytes_per_second: f64, now: Duration) -> Self {
         Self {
-            me,
+            own_name,
             nodes: FastHashMap::default(),
-            fresh: BTreeSet::new(),
-            distrusted: BTreeMap::new(),
-            rate,
-            saved: rate * SAVED,
-            counted: now,
+            unsent: BTreeSet::new(),
+            distrusted_until: BTreeMap::new(),
+            budget: TokenBucket::new(bytes_per_second, bytes_per_second * BURST_SECONDS, now),
         }
     }
 
-    /// From now on so many bytes a second may be told.
-    pub fn budget_changed(&mut self, rate: f64) {
-        self.rate = rate;
+    /// Changes the budget, in bytes a second to all peers together.
+    pub fn set_budget(&mut self, bytes_per_second: f64) {
+        self.budget.set_limits(bytes_per_second, bytes_per_second * BURST_SECONDS);
     }
 
-    /// The nodes there are. Nothing is kept of any other.
+    /// Takes all listed nodes. Nothing is kept of any other.
     pub fn nodes_changed(&mut self, nodes: &BTreeSet<SocketAddr>) {
         self.nodes.retain(|node, _| nodes.contains(node));
-        self.fresh.retain(|node| nodes.contains(node));
+        self.unsent.retain(|node| nodes.contains(node));
         for node in nodes {
             self.nodes.entry(*node).or_default();
         }
     }
 
-    /// This router found this out itself, by what it asked at `asked`. Names the peer whose word it contradicts,
-    /// if it does.
-    pub fn found(&mut self, now: Duration, asked: Duration, news: Observation) -> Option<PeerName> {
-        let known = self.nodes.get_mut(&news.node)?;
-        if news.failed {
-            known.failures.insert(self.me.clone(), now);
-        } else {
-            known.failures.clear();
-        }
-        self.fresh.insert(news.node);
-        let said = news.position;
-        known.own = Some(Found { at: now, news });
-        // A log position never falls, so one that was told before the node was asked, and lies above what it then
-        // said, was made up. Without the former an answer that is long in coming would make liars.
-        let lied = |(_, told, at): &mut (PeerName, Duration, Duration)| {
-            *at <= asked && said.is_some_and(|said| said + ROUNDING < *told)
-        };
-        let (liar, _, _) = known.highest.take_if(lied)?;
-        // Whoever asks what was told last must not hear it again.
-        known.told = None;
-        self.distrusted.insert(liar.clone(), now + DISTRUST);
-        Some(liar)
+    /// Records what this router has observed now, by a request sent at `sent_at`. Returns the peer that the node's answer
+    /// contradicts, if there is one. It is not believed for a while.
+    pub fn record_own(
+        &mut self,
+        now: Duration,
+        sent_at: Duration,
+        observation: Observation,
+    ) -> Option<PeerName> {
+        let known = self.nodes.get_mut(&observation.node)?;
+        self.unsent.insert(observation.node);
+        let peer = known.record_own(now, sent_at, &self.own_name, observation)?;
+        self.distrusted_until.insert(peer.clone(), now + DISTRUST_PERIOD);
+        Some(peer)
     }
 
-    /// A peer says this.
-    pub fn told(&mut self, now: Duration, by: &PeerName, news: Observation) -> Verdict {
-        if self.distrusted.get(by).is_some_and(|until| *until > now) || news.age > OLDEST {
-            return Verdict::Dropped;
-        }
-        self.distrusted.remove(by);
-        let at = now.saturating_sub(news.age);
-        let Some(known) = self.nodes.get_mut(&news.node) else { return Verdict::Dropped };
-        let mut evidence = evidence(now, at, &news);
-        if news.failed {
-            // What was heard of the node since outweighs it.
-            let heard = known.own.iter().chain(&known.told).any(|found| found.at > at && !found.news.failed);
-            if heard {
-                return Verdict::Dropped;
-            }
-            known.failures.insert(by.clone(), at);
-            known.failures.retain(|_, failed| *failed + VOICES_WITHIN >= now);
-            evidence.failed = known.failures.len() >= VOICES;
-            return if evidence.failed { Verdict::Believed(evidence) } else { Verdict::Doubt };
-        }
-        if let Some(position) = evidence.position {
-            match &mut known.highest {
-                Some((_, highest, _)) if *highest >= position => {}
-                // Mostly it is the one who told the one before: no other name is made for each piece of news.
-                Some((teller, highest, since)) if teller == by => (*highest, *since) = (position, at),
-                highest => *highest = Some((by.clone(), position, at)),
-            }
-        }
-        known.failures.retain(|_, failed| *failed > at);
-        if known.told.as_ref().is_none_or(|told| told.at <= at) {
-            known.told = Some(Found { at, news });
+    /// Records what a peer has observed, as far as it is to be believed.
+    pub fn record_from_peer(
+        &mut self,
+        now: Duration,
+        peer: &PeerName,
+        observation: Observation,
+    ) -> Assessment {
+        let is_distrusted = self.distrusted_until.get(peer).is_some_and(|until| *until > now);
+        if is_distrusted || observation.age > MAX_OBSERVATION_AGE {
+            return Assessment::Rejected;
         }
-        Verdict::Believed(evidence)
+        self.distrusted_until.remove(peer);
+        let Some(known) = self.nodes.get_mut(&observation.node) else { return Assessment::Rejected };
+        let at = now.saturating_sub(observation.age);
+        known.record_from_peer(now, peer, TimedObservation { at, observation })
     }
 
-    /// What peers have told of a node last, where that is of use yet.
-    pub fn latest_observation(&self, now: Duration, node: SocketAddr) -> Option<DatedObservation> {
-        let Found { at, news } = self.nodes.get(&node)?.told.as_ref()?;
-        (now.saturating_sub(*at) <= OLDEST).then(|| evidence(now, *at, news))
+    /// What peers have last observed of a node, unless it is too old.
+    pub fn latest_from_peers(&self, now: Duration, node: SocketAddr) -> Option<DatedObservation> {
+        let latest = self.nodes.get(&node)?.latest_from_peers()?;
+        (now.saturating_sub(latest.at) <= MAX_OBSERVATION_AGE).then(|| latest.dated(now))
     }
 
-    /// Own findings that are due to be sent to so many peers, newest first, in letters; what the budget does not
-    /// allow now waits, and what is too old by then is never sent.
-    pub fn outgoing(&mut self, now: Duration, peers: usize) -> Vec<Vec<Observation>> {
-        let passed = now.saturating_sub(self.counted).as_secs_f64();
-        (self.saved, self.counted) = ((self.saved + self.rate * passed).min(self.rate * SAVED), now);
+    /// Takes the own observations that are to be sent to so many peers now, the latest first, a batch for each message.
+    ///
+    /// What the budget does not allow now stays, and is dropped when it is too old.
+    pub fn take_outgoing(&mut self, now: Duration, peers: usize) -> Vec<Vec<Observation>> {
+        self.budget.refill(now);
         if peers == 0 {
-            // Whoever comes is told the record.
-            self.fresh.clear();
+            // A peer that joins is sent a snapshot.
+            self.unsent.clear();
             return Vec::new();
         }
-        self.fresh.retain(|node| self.nodes[node].own.as_ref().is_some_and(|found| found.at + OLDEST > now));
-        let mut due: Vec<(Duration, SocketAddr)> = Vec::new();
-        for node in &self.fresh {
-            due.extend(self.nodes[node].own.as_ref().map(|found| (found.at, *node)));
-        }
-        due.sort_by(|one, other| other.cmp(one));
-        let (mut letters, mut room): (Vec<Vec<Observation>>, usize) = (Vec::new(), 0);
-        for part in due.chunks(NEWS_ALONG) {
-            let bytes = (LETTER_BYTES + NEWS_BYTES * part.len() as f64) * peers as f64;
-            // A budget too small for one letter would send none ever.
-            if self.saved < bytes.min(self.rate * SAVED) {
+        let mut batches = Batches::default();
+        for nodes in self.unsent_latest_first(now).chunks(OBSERVATION_BATCH) {
+            let message_bytes = MESSAGE_OVERHEAD_BYTES + OBSERVATION_BYTES * nodes.len() as f64;
+            if !self.budget.try_take_in_full(message_bytes * peers as f64) {
                 break;
             }
-            self.saved -= bytes;
-            part.iter().for_each(|(_, node)| _ = self.fresh.remove(node));
-            for news in self.letter(now, part.iter().map(|(_, node)| *node), false) {
-                // Each letter costs its sender a call of the system for each peer, and each receiver another.
-                let bytes = news.bytes();
-                match letters.last_mut() {
-                    Some(last) if bytes <= room => last.push(news),
-                    _ => {
-                        letters.push(vec![news]);
-                        room = NEWS_ROOM;
-                    }
+            for node in nodes {
+                self.unsent.remove(node);
+                if let Some(observation) = self.nodes[node].own().and_then(|own| own.aged(now)) {
+                    batches.push(observation);
                 }
-                room = room.saturating_sub(bytes);
             }
         }
-        letters
+        batches.batches
     }
 
-    /// All that is known and not too old, for one who starts or comes back, in letters. Failures are not told:
-    /// only who has failed itself may say so.
-    pub fn record(&self, now: Duration) -> Vec<Vec<Observation>> {
-        let mut nodes: Vec<SocketAddr> = self.nodes.keys().copied().collect();
-        nodes.sort_unstable();
-        let letters = nodes.chunks(NEWS_ALONG).map(|part| self.letter(now, part.iter().copied(), true));
-        letters.filter(|letter| !letter.is_empty()).collect()
+    /// The nodes whose own observation is to be sent. Drops those that are too old.
+    fn unsent_latest_first(&mut self, now: Duration) -> Vec<SocketAddr> {
+        let mut unsent: Vec<(Duration, SocketAddr)> = Vec::new();
+        self.unsent.retain(|node| {
+            let observed_at = self.nodes[node].own().map(|own| own.at);
+            let recent = observed_at.filter(|at| *at + MAX_OBSERVATION_AGE > now);
+            unsent.extend(recent.map(|at| (at, *node)));
+            recent.is_some()
+        });
+        unsent.sort_by(|one, other| other.cmp(one));
+        unsent.into_iter().map(|(_, node)| node).collect()
     }
 
-    fn letter(
-        &self,
-        now: Duration,
-        nodes: impl Iterator<Item = SocketAddr>,
-        whole: bool,
-    ) -> Vec<Observation> {
-        let pick = |known: &Known| -> Option<Observation> {
-            let told = known.told.as_ref().filter(|_| whole);
-            let all = known.own.iter().chain(told).filter(|found| !whole || !found.news.failed);
-            let Found { at, news } = all.max_by_key(|found| found.at)?;
-            let age = now.saturating_sub(*at);
-            (age <= OLDEST).then(|| Observation { age, ..news.clone() })
-        };
-        nodes.filter_map(|node| pick(&self.nodes[&node])).collect()
+    /// All that is known and not too old, for a peer that joins, a batch for each message. Failures are left out: only a
+    /// router that has failed itself may say so.
+    pub fn snapshot(&self, now: Duration) -> Vec<Vec<Observation>> {
+        let mut nodes: Vec<SocketAddr> = self.nodes.keys().copied().collect();
+        nodes.sort_unstable();
+        let latest = |node: &SocketAddr| self.nodes[node].latest_answer()?.aged(now);
+        let batches = nodes.chunks(OBSERVATION_BATCH).map(|nodes| nodes.iter().filter_map(latest).collect());
+        batches.filter(|batch: &Vec<Observation>| !batch.is_empty()).collect()
     }
 
-    /// In bytes, without what an allocator adds.
+    /// The size of the tables in bytes, without the overhead of the allocator.
     pub fn state_bytes(&self) -> usize {
-        let voices: usize = self.nodes.values().map(|known| known.failures.len()).sum();
-        self.nodes.len() * size_of::<(SocketAddr, Known)>()
-            + self.fresh.len() * size_of::<SocketAddr>()
-            + (voices + self.distrusted.len()) * size_of::<(PeerName, Duration)>()
+        let failures: usize = self.nodes.values().map(NodeObservations::failure_count).sum();
+        self.nodes.len() * size_of::<(SocketAddr, NodeObservations)>()
+            + self.unsent.len() * size_of::<SocketAddr>()
+            + (failures + self.distrusted_until.len()) * size_of::<(PeerName, Duration)>()
     }
 
+    /// The number of nodes.
     pub fn len(&self) -> usize {
         self.nodes.len()
     }
 
+    /// Whether there are no nodes.
     pub fn is_empty(&self) -> bool {
         self.nodes.is_empty()
     }
 }
+
+/// Observations packed into as few messages as hold them: a message costs its sender a system call for each peer, and each
+/// receiver another.
+#[derive(Default)]
+struct Batches {
+    batches: Vec<Vec<Observation>>,
+    /// What is left of the last batch.
+    bytes_left: usize,
+}
+
+impl Batches {
+    fn push(&mut self, observation: Observation) {
+        let bytes = observation.encoded_bytes();
+        match self.batches.last_mut() {
+            Some(last) if bytes <= self.bytes_left => last.push(observation),
+            _ => {
+                self.batches.push(vec![observation]);
+                self.bytes_left = MAX_OBSERVATION_BYTES;
+            }
+        }
+        self.bytes_left = self.bytes_left.saturating_sub(bytes);
+    }
+}
--- a/crates/membership/src/rendezvous.rs
+++ b/crates/membership/src/rendezvous.rs
@@ -1,53 +1,57 @@
-//! Rendezvous hashing (Thaler and Ravishankar, 1998) with weights: who stands where in line for a duty.
+//! Weighted rendezvous hashing (Thaler and Ravishankar, 1998): the order in which routers stand in for each other at a task.
 //!
-//! Each router gets a score for each duty from its name and the duty's subject alone. The order of the scores is
-//! the line. When a router comes or goes, only its own places in lines change.
+//! Each candidate gets a score for each task, from its name, the task, their zones and its weight alone. Ranks follow the
+//! scores, the highest first; rank 0 owns the task. When a router comes or goes, only its own ranks change.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use crate::ids::{PeerName, Subject, TaskId};
 
-/// A prober in the node's own zone is so many times as likely to own the duty: probes across zones cost.
-const SAME_ZONE: f64 = 4.0;
+/// How much more likely a router owns a task in its own zone than in another: health checks across zones cost.
+const SAME_ZONE_FACTOR: f64 = 4.0;
 
-/// A router that may own duties.
+/// A router that may own tasks.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Candidate {
+    /// Its name.
     pub name: PeerName,
+    /// The index of its zone.
     pub zone: u16,
+    /// Its share of the tasks, relative to that of the others. Zero for none.
     pub weight: u8,
 }
 
-/// The higher, the nearer to the head of the line. `zone` is the subject's.
-pub fn score(duty: TaskId, zone: u16, candidate: &Candidate) -> f64 {
-    let part = part(xxh3_64_with_seed(candidate.name.as_str().as_bytes(), key(duty)));
-    let near = if zone == candidate.zone { SAME_ZONE } else { 1.0 };
-    f64::from(candidate.weight) * near / -part.ln()
+/// The score of a candidate for a task whose subject is in `zone`. The highest score owns the task.
+pub fn score(task: TaskId, zone: u16, candidate: &Candidate) -> f64 {
+    let uniform = unit_interval(xxh3_64_with_seed(candidate.name.as_str().as_bytes(), task_hash(task)));
+    let zone_factor = if zone == candidate.zone { SAME_ZONE_FACTOR } else { 1.0 };
+    f64::from(candidate.weight) * zone_factor / -uniform.ln()
 }
 
-/// How many candidates stand before `me` for the duty; `None` if it is not among them or takes no duties.
-pub fn place(duty: TaskId, zone: u16, me: &PeerName, candidates: &[Candidate]) -> Option<u32> {
-    let mine = candidates.iter().find(|candidate| candidate.name == *me && candidate.weight > 0)?;
-    let own = (score(duty, zone, mine), &mine.name);
-    let before = candidates.iter().filter(|other| (score(duty, zone, other), &other.name) > own).count();
-    Some(before as u32)
+/// The rank of the router `own_name` at the task: how many candidates precede it. `None` if it is no candidate or has no
+/// weight.
+pub fn rank(task: TaskId, zone: u16, own_name: &PeerName, candidates: &[Candidate]) -> Option<u32> {
+    let own = candidates.iter().find(|candidate| candidate.name == *own_name && candidate.weight > 0)?;
+    let own_key = (score(task, zone, own), &own.name);
+    let precedes = |other: &&Candidate| (score(task, zone, other), &other.name) > own_key;
+    Some(candidates.iter().filter(precedes).count() as u32)
 }
 
-/// A part from 0 to 1 of the duty's period at which a router starts it: neither do all duties of one router come at
-/// once, nor do routers that know nothing of each other do the same one at the same time.
-pub fn phase(duty: TaskId, me: &PeerName) -> f64 {
-    part(xxh3_64_with_seed(me.as_str().as_bytes(), !key(duty)))
+/// The fraction of the task's period, from 0 to 1, after which a router first runs it. It spreads the tasks of one router
+/// over the period, and keeps routers that do not know of each other from running the same task together.
+pub fn phase(task: TaskId, own_name: &PeerName) -> f64 {
+    unit_interval(xxh3_64_with_seed(own_name.as_str().as_bytes(), !task_hash(task)))
 }
 
-fn key(duty: TaskId) -> u64 {
-    let subject = match duty.subject {
+fn task_hash(task: TaskId) -> u64 {
+    let subject = match task.subject {
         Subject::Node(address) => address.to_string(),
         Subject::Installation => String::new(),
     };
-    xxh3_64_with_seed(subject.as_bytes(), u64::from(duty.kind.0))
+    xxh3_64_with_seed(subject.as_bytes(), u64::from(task.kind.0))
 }
 
 /// A hash as a number in the open interval from 0 to 1.
-fn part(hash: u64) -> f64 {
+fn unit_interval(hash: u64) -> f64 {
     ((hash >> 11) as f64 + 0.5) / (1u64 << 53) as f64
 }
--- a/crates/membership/src/scheduler.rs
+++ b/crates/membership/src/scheduler.rs
@@ -1,20 +1,21 @@
-//! Background work by priority within a budget.
+//! Background jobs by priority, within a budget.
 //!
-//! Jobs have a time from which on they may run, a priority and a cost. Of those that may run, the one with the
-//! highest priority goes first, and of equals the one that has waited longest. Costs are paid from a budget that
-//! fills evenly and saves up no more than a short burst, so that many jobs due at once are spread out.
+//! A job has a due time, a priority and a cost. Of the jobs that are due, the one with the highest priority runs first, and
+//! of equals the one that has been due longest. Costs are paid from a token bucket, which spreads out jobs that become due
+//! together.
 //!
-//! Most jobs are put off again and again before they are ever due, as somebody else has done them. One that is put off
-//! stays where it is queued, and goes to its own time when that place comes up: thousands are put off a second, and
-//! each would else cost a removal and an insertion.
+//! Most jobs are postponed again and again before they are due, since another router has done them. A postponed job stays
+//! where it is queued and is queued anew when that time comes: thousands are postponed a second, and each would else cost
+//! a removal and an insertion.
 
 use std::collections::BTreeSet;
 use std::hash::Hash;
 use std::time::Duration;
 
 use crate::fast_hash_map::FastHashMap;
+use crate::token_bucket::TokenBucket;
 
-/// Lower numbers go first.
+/// The priority of a job. Lower numbers run first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Priority(pub u8);
 
@@ -23,125 +24,144 @@
     due: Duration,
     priority: Priority,
     cost: f64,
-    queued: Queued,
+    queue: Queue,
 }
 
-/// Where a job is: in `due`, at no later a time than its own, or in `ready`, at just that.
+/// The queue that a job is in.
 #[derive(Clone, Copy, PartialEq)]
-enum Queued {
-    Due(Duration),
+enum Queue {
+    /// In `pending`, under this time, which is no later than the job's own.
+    Pending(Duration),
+    /// In `ready`, under the job's own time.
     Ready,
 }
 
+/// A queue of jobs of type `J`, each of which is in it once.
 pub struct Scheduler<J> {
-    /// Looked up, never gone through: nothing hangs on its order.
     jobs: FastHashMap<J, Job>,
-    /// All jobs that are not ready, by a time before which they are not due.
-    due: BTreeSet<(Duration, J)>,
-    /// Those whose time has come.
+    /// The jobs that are not ready, by a time before which they are not due.
+    pending: BTreeSet<(Duration, J)>,
+    /// The jobs whose time has come.
     ready: BTreeSet<(Priority, Duration, J)>,
-    /// Cost units a second, the most that is saved up, what is there, and when it was counted.
-    rate: f64,
-    burst: f64,
-    saved: f64,
-    counted: Duration,
+    budget: TokenBucket,
 }
 
 impl<J: Copy + Ord + Hash> Scheduler<J> {
-    /// A budget of `rate` cost units a second, of which `burst` may be saved up.
+    /// An empty queue with a budget of `rate` cost units a second, of which `burst` can be saved up.
     pub fn new(rate: f64, burst: f64, now: Duration) -> Self {
-        let (jobs, due, ready) = (FastHashMap::default(), BTreeSet::new(), BTreeSet::new());
-        Self { jobs, due, ready, rate, burst, saved: burst, counted: now }
+        Self {
+            jobs: FastHashMap::default(),
+            pending: BTreeSet::new(),
+            ready: BTreeSet::new(),
+            budget: TokenBucket::new(rate, burst, now),
+        }
     }
 
-    /// From now on the budget is this one. What has been saved stays, as far as it may be.
-    pub fn budget_changed(&mut self, rate: f64, burst: f64) {
-        (self.rate, self.burst) = (rate, burst);
+    /// Changes the budget. What has been saved up stays, as far as the new burst allows.
+    pub fn set_budget(&mut self, rate: f64, burst: f64) {
+        self.budget.set_limits(rate, burst);
     }
 
-    /// Enters the job, or moves it to another time.
-    pub fn set(&mut self, job: J, due: Duration, priority: Priority, cost: f64) {
-        if let Some(known) = self.jobs.get_mut(&job) {
-            match known.queued {
-                Queued::Due(at) if at <= due => {
-                    (known.due, known.priority, known.cost) = (due, priority, cost);
-                    return;
-                }
-                Queued::Due(at) => _ = self.due.remove(&(at, job)),
-                Queued::Ready => _ = self.ready.remove(&(known.priority, known.due, job)),
-            }
-            *known = Job { due, priority, cost, queued: Queued::Due(due) };
-        } else {
-            self.jobs.insert(job, Job { due, priority, cost, queued: Queued::Due(due) });
+    /// Queues the job, or moves it to another time.
+    pub fn schedule(&mut self, job: J, due: Duration, priority: Priority, cost: f64) {
+        let entry = Job { due, priority, cost, queue: Queue::Pending(due) };
+        let Some(known) = self.jobs.get_mut(&job) else {
+            self.jobs.insert(job, entry);
+            self.pending.insert((due, job));
+            return;
+        };
+        if let Queue::Pending(queued_at) = known.queue
+            && queued_at <= due
+        {
+            *known = Job { queue: known.queue, ..entry };
+            return;
         }
-        self.due.insert((due, job));
+        let previous = std::mem::replace(known, entry);
+        self.dequeue(job, previous);
+        self.pending.insert((due, job));
     }
 
+    /// Removes the job, if it is there.
     pub fn remove(&mut self, job: J) {
-        if let Some(Job { due, priority, queued, .. }) = self.jobs.remove(&job) {
-            match queued {
-                Queued::Due(at) => _ = self.due.remove(&(at, job)),
-                Queued::Ready => _ = self.ready.remove(&(priority, due, job)),
-            }
+        if let Some(entry) = self.jobs.remove(&job) {
+            self.dequeue(job, entry);
         }
     }
 
-    /// The next job that may run now. It is out of the schedule until it is set anew.
-    pub fn take(&mut self, now: Duration) -> Option<J> {
-        self.take_but(now, |_| None)
+    fn dequeue(&mut self, job: J, entry: Job) {
+        match entry.queue {
+            Queue::Pending(queued_at) => self.pending.remove(&(queued_at, job)),
+            Queue::Ready => self.ready.remove(&(entry.priority, entry.due, job)),
+        };
     }
 
-    /// The same where whoever owns the jobs puts them off without a word: `put_off` is asked, once a job's time has
-    /// come, for a later one. Nearly all that is put off is put off again before that.
-    pub fn take_but(&mut self, now: Duration, put_off: impl Fn(J) -> Option<Duration>) -> Option<J> {
-        let passed = now.saturating_sub(self.counted).as_secs_f64();
-        (self.saved, self.counted) =
-            ((self.saved + self.rate * passed).min(self.burst), now.max(self.counted));
-        while let Some((at, job)) = self.due.first().copied().filter(|(at, _)| *at <= now) {
-            self.due.remove(&(at, job));
-            let Some(known) = self.jobs.get_mut(&job) else { continue };
-            known.due = known.due.max(put_off(job).unwrap_or_default());
-            if known.due <= now {
-                known.queued = Queued::Ready;
-                self.ready.insert((known.priority, known.due, job));
-            } else {
-                known.queued = Queued::Due(known.due);
-                self.due.insert((known.due, job));
-            }
-        }
+    /// Removes and returns the next job that may run now, if there is one that the budget allows.
+    pub fn pop(&mut self, now: Duration) -> Option<J> {
+        self.pop_unless_postponed(now, |_| None)
+    }
+
+    /// As [`pop`](Self::pop), for an owner that postpones jobs without telling: `postponed_until` is asked for the later time
+    /// of a job, if it has one, once the job's queued time has come.
+    pub fn pop_unless_postponed(
+        &mut self,
+        now: Duration,
+        postponed_until: impl Fn(J) -> Option<Duration>,
+    ) -> Option<J> {
+        self.budget.refill(now);
+        self.move_due_to_ready(now, &postponed_until);
         loop {
-            let (priority, due, job) = *self.ready.first()?;
-            // It may have been put off while it waited for the budget.
-            if let Some(later) = put_off(job).filter(|later| *later > now) {
-                self.ready.remove(&(priority, due, job));
-                self.due.insert((later, job));
-                self.jobs.get_mut(&job).into_iter().for_each(|known| {
-                    (known.due, known.queued) = (later, Queued::Due(later));
-                });
+            let (_, _, job) = *self.ready.first()?;
+            // It may have been postponed while it waited for the budget.
+            if let Some(later) = postponed_until(job).filter(|later| *later > now) {
+                self.move_to_pending(job, later);
                 continue;
             }
-            // A job dearer than the burst would never run; it then takes all that can be saved.
-            let cost = self.jobs[&job].cost.min(self.burst);
-            if self.saved < cost {
+            if !self.budget.try_take(self.jobs[&job].cost) {
                 return None;
             }
-            self.saved -= cost;
             self.remove(job);
             return Some(job);
         }
     }
 
-    /// In bytes, without what an allocator adds.
+    fn move_due_to_ready(&mut self, now: Duration, postponed_until: &impl Fn(J) -> Option<Duration>) {
+        while let Some((queued_at, job)) = self.pending.first().copied()
+            && queued_at <= now
+        {
+            self.pending.remove(&(queued_at, job));
+            let Some(entry) = self.jobs.get_mut(&job) else { continue };
+            entry.due = entry.due.max(postponed_until(job).unwrap_or_default());
+            if entry.due <= now {
+                entry.queue = Queue::Ready;
+                self.ready.insert((entry.priority, entry.due, job));
+            } else {
+                entry.queue = Queue::Pending(entry.due);
+                self.pending.insert((entry.due, job));
+            }
+        }
+    }
+
+    fn move_to_pending(&mut self, job: J, due: Duration) {
+        let Some(entry) = self.jobs.get_mut(&job) else { return };
+        let postponed = Job { due, queue: Queue::Pending(due), ..*entry };
+        let previous = std::mem::replace(entry, postponed);
+        self.dequeue(job, previous);
+        self.pending.insert((due, job));
+    }
+
+    /// The size of the queue in bytes, without the overhead of the allocator.
     pub fn state_bytes(&self) -> usize {
         self.jobs.len() * size_of::<(J, Job)>()
-            + self.due.len() * size_of::<(Duration, J)>()
+            + self.pending.len() * size_of::<(Duration, J)>()
             + self.ready.len() * size_of::<(Priority, Duration, J)>()
     }
 
+    /// The number of jobs.
     pub fn len(&self) -> usize {
         self.jobs.len()
     }
 
+    /// Whether there are no jobs.
     pub fn is_empty(&self) -> bool {
         self.jobs.is_empty()
     }
--- a/crates/membership/src/sharded_tasks.rs
+++ b/crates/membership/src/sharded_tasks.rs
@@ -1,11 +1,11 @@
-//! Periodic duties: who does each of them when.
+//! Periodic tasks that the routers divide among them: which router runs which task when.
 //!
-//! Every router knows of each duty when it was last done by anybody. The router at place r in the duty's line
-//! (see `rendezvous`) does it once it is overdue by r graces. So in calm times only the head of the line acts; a
-//! duty that its owner leaves undone is done by the next in line one grace later, whether or not anybody has
-//! noticed by then that the owner is dead. Two who both think that they own a duty hear of each other's doing and
-//! so do it no more often together than one alone, as long as their letters arrive. Whatever the views and letters
-//! say, a router does a duty no more often than once in its floor.
+//! Every router knows of each task when any router last ran it. The router with rank r at a task (see
+//! [`rendezvous`]) runs it once it is overdue by r takeover delays. So in calm times only the owner, of
+//! rank 0, runs it; a task that its owner leaves undone is run by the next rank one delay later, whether or not anybody has
+//! noticed by then that the owner is dead. Two routers that both take themselves for the owner hear of each other's runs, and
+//! together run the task hardly more often than one alone, as long as their messages arrive. Whatever the views and messages
+//! say, a router runs a task no more often than once in its minimum interval.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -15,218 +15,267 @@
 use crate::rendezvous::{self, Candidate};
 use crate::scheduler::{Priority, Scheduler};
 
-/// What holds for all duties of a kind.
+/// The ranks that run a task at once where there is reason to: the owner and the next.
+const EXPEDITING_RANKS: u32 = 2;
+
+/// What holds for all tasks of a kind.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TaskParams {
+    /// The kind.
     pub kind: TaskKind,
-    /// How often it is to be done, by all routers together.
+    /// How often a task is to be run, by all routers together.
     pub period: Duration,
-    /// How much later each further one in line picks it up.
-    pub grace: Duration,
-    /// The least time between two beginnings at one router, whatever happens: its own ceiling.
-    pub floor: Duration,
-    /// How long one may be under way; a host that says nothing of its end is not waited for longer.
-    pub longest: Duration,
+    /// How much later each further rank takes a task over.
+    pub takeover_delay: Duration,
+    /// The least time between two starts at one router, whatever happens.
+    pub min_interval: Duration,
+    /// The longest that a run is waited for, where the host reports no end of it.
+    pub max_duration: Duration,
+    /// The priority among background jobs.
     pub priority: Priority,
-    /// In units of the budget.
+    /// The cost of a run, in units of the budget.
     pub cost: f64,
 }
 
-struct ShardedTask {
-    plan: TaskParams,
-    zone: u16,
-    /// When anybody last did it, as far as is known.
-    done: Option<Duration>,
-    /// When this router last began it, and whether it is at it.
-    begun: Option<Duration>,
-    running: bool,
-    /// Who stands before this router in line; `None` while it owns no duties.
-    place: Option<u32>,
-    /// From when on it is owed where nobody has done it yet.
-    since: Duration,
-    /// There is reason to do it then, sooner than it is due.
-    hurried: Option<Duration>,
+/// How many tasks there are.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct TaskCounts {
+    /// Tasks that this router owns.
+    pub owned: usize,
+    /// All tasks.
+    pub total: usize,
 }
 
-/// The rule of hand-over, all of it: when the router that so many stand before would do a duty, by what it knows of
-/// when anybody last did it (or since when it is owed), and from when on its own last beginning lets it.
-pub fn due(
-    plan: &TaskParams,
-    done: Option<Duration>,
-    since: Duration,
-    rested: Duration,
-    place: u32,
-) -> Duration {
-    let owed = done.map_or(since, |done| done + plan.period);
-    (owed + plan.grace * place).max(rested)
+/// What one router knows of a task when it decides by [`due_at`] when to run it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct TakeoverInputs {
+    /// When any router last ran it.
+    pub last_done: Option<Duration>,
+    /// Since when it is due where nobody has run it yet.
+    pub due_since: Duration,
+    /// From when on this router may start it again.
+    pub earliest_start: Duration,
+    /// This router's rank at the task: how many others precede it.
+    pub rank: u32,
+}
+
+/// The rule of takeover, all of it: when a router runs a task.
+pub fn due_at(params: &TaskParams, inputs: TakeoverInputs) -> Duration {
+    let due = inputs.last_done.map_or(inputs.due_since, |done| done + params.period);
+    (due + params.takeover_delay * inputs.rank).max(inputs.earliest_start)
+}
+
+struct ShardedTask {
+    params: TaskParams,
+    zone: u16,
+    /// When any router last ran it, as far as is known.
+    last_done: Option<Duration>,
+    /// When this router last started it.
+    last_started: Option<Duration>,
+    is_running: bool,
+    /// `None` while this router owns no tasks.
+    rank: Option<u32>,
+    /// Since when it is due where nobody has run it yet.
+    due_since: Duration,
+    /// When to run it instead of when it is due.
+    expedited_to: Option<Duration>,
 }
 
 impl ShardedTask {
-    /// When this router would do it; never while it owns no duties.
+    /// When this router would run it; never while it owns no tasks.
     fn due(&self) -> Option<Duration> {
-        let rested = self.begun.map_or(Duration::ZERO, |begun| {
-            begun + if self.running { self.plan.longest.max(self.plan.floor) } else { self.plan.floor }
-        });
-        Some(due(&self.plan, self.done, self.since, rested, self.place?))
+        let inputs = TakeoverInputs {
+            last_done: self.last_done,
+            due_since: self.due_since,
+            earliest_start: self.earliest_start(),
+            rank: self.rank?,
+        };
+        Some(due_at(&self.params, inputs))
+    }
+
+    fn earliest_start(&self) -> Duration {
+        let Some(started) = self.last_started else { return Duration::ZERO };
+        let TaskParams { min_interval, max_duration, .. } = self.params;
+        started + if self.is_running { max_duration.max(min_interval) } else { min_interval }
     }
 
-    /// The same, with what there is reason to do sooner.
-    fn wanted(&self) -> Option<Duration> {
-        self.hurried.or_else(|| self.due())
+    /// From when on the minimum interval allows a start.
+    fn min_interval_ends(&self) -> Duration {
+        self.last_started.map_or(Duration::ZERO, |started| started + self.params.min_interval)
+    }
+
+    /// When this router would run it, expedited or not.
+    fn planned(&self) -> Option<Duration> {
+        self.expedited_to.or_else(|| self.due())
+    }
+
+    fn is_overdue(&self, now: Duration) -> bool {
+        let TaskParams { period, takeover_delay, .. } = self.params;
+        self.last_done.is_none_or(|done| done + period + takeover_delay <= now)
     }
 }
 
+/// The tasks of an installation, as one router sees them.
 pub struct ShardedTasks {
-    me: PeerName,
-    /// By hash, as each piece of news looks one up; whoever goes through all of them does the same to each.
-    duties: FastHashMap<TaskId, ShardedTask>,
+    own_name: PeerName,
+    /// Iterated only where the order does not matter.
+    tasks: FastHashMap<TaskId, ShardedTask>,
     candidates: Vec<Candidate>,
     scheduler: Scheduler<TaskId>,
 }
 
 impl ShardedTasks {
-    /// With a budget in cost units a second and the most that may be saved of it.
-    pub fn new(me: PeerName, rate: f64, burst: f64, now: Duration) -> Self {
+    /// No tasks, with a budget of `rate` cost units a second, of which `burst` can be saved up.
+    pub fn new(own_name: PeerName, rate: f64, burst: f64, now: Duration) -> Self {
         let scheduler = Scheduler::new(rate, burst, now);
-        Self { me, duties: FastHashMap::default(), candidates: Vec::new(), scheduler }
+        Self { own_name, tasks: FastHashMap::default(), candidates: Vec::new(), scheduler }
     }
 
-    /// The routers that own duties by now. This one owns none while it is not among them. Whether they are others
-    /// than before.
+    /// Takes the routers that own tasks from now on, and says whether they are others than before. This router owns none
+    /// while it is not among them.
     pub fn view_changed(&mut self, now: Duration, candidates: Vec<Candidate>) -> bool {
         if candidates == self.candidates {
             return false;
         }
         self.candidates = candidates;
-        for (id, duty) in &mut self.duties {
-            let place = rendezvous::place(*id, duty.zone, &self.me, &self.candidates);
-            if duty.place.is_none() && duty.done.is_none() {
-                // Only now does anybody here owe it.
-                duty.since = now + duty.plan.period.mul_f64(rendezvous::phase(*id, &self.me));
+        for (id, task) in &mut self.tasks {
+            if task.rank.is_none() && task.last_done.is_none() {
+                // Nobody here has been responsible for it before.
+                task.due_since = first_due(now, &task.params, *id, &self.own_name);
             }
-            duty.place = place;
-            schedule(&mut self.scheduler, *id, duty);
+            task.rank = rendezvous::rank(*id, task.zone, &self.own_name, &self.candidates);
+            schedule(&mut self.scheduler, *id, task);
         }
         true
     }
 
-    /// The subjects of a kind, with their zones: those that are not named are forgotten.
-    pub fn subjects_changed(&mut self, now: Duration, plan: TaskParams, subjects: &BTreeMap<Subject, u16>) {
-        let gone = |id: &TaskId| id.kind == plan.kind && !subjects.contains_key(&id.subject);
-        for id in self.duties.keys().copied().filter(gone).collect::<Vec<_>>() {
-            self.duties.remove(&id);
+    /// Takes all subjects of the kind, with their zones. Tasks of the kind with other subjects are removed.
+    pub fn subjects_changed(&mut self, now: Duration, params: TaskParams, subjects: &BTreeMap<Subject, u16>) {
+        let is_gone = |id: &TaskId| id.kind == params.kind && !subjects.contains_key(&id.subject);
+        for id in self.tasks.keys().copied().filter(is_gone).collect::<Vec<_>>() {
+            self.tasks.remove(&id);
             self.scheduler.remove(id);
         }
         for (subject, zone) in subjects {
-            let id = TaskId { kind: plan.kind, subject: *subject };
-            let since = now + plan.period.mul_f64(rendezvous::phase(id, &self.me));
-            let place = rendezvous::place(id, *zone, &self.me, &self.candidates);
-            let duty = self.duties.entry(id).or_insert(ShardedTask {
-                plan,
+            let id = TaskId { kind: params.kind, subject: *subject };
+            let rank = rendezvous::rank(id, *zone, &self.own_name, &self.candidates);
+            let task = self.tasks.entry(id).or_insert_with(|| ShardedTask {
+                params,
                 zone: *zone,
-                done: None,
-                begun: None,
-                running: false,
-                place,
-                since,
-                hurried: None,
+                last_done: None,
+                last_started: None,
+                is_running: false,
+                rank,
+                due_since: first_due(now, &params, id, &self.own_name),
+                expedited_to: None,
             });
-            (duty.plan, duty.zone, duty.place) = (plan, *zone, place);
-            schedule(&mut self.scheduler, id, duty);
+            task.params = params;
+            task.zone = *zone;
+            task.rank = rank;
+            schedule(&mut self.scheduler, id, task);
         }
     }
 
-    /// From now on the budget is this one.
-    pub fn budget_changed(&mut self, rate: f64, burst: f64) {
-        self.scheduler.budget_changed(rate, burst);
+    /// Changes the budget, in cost units a second and the most that can be saved up.
+    pub fn set_budget(&mut self, rate: f64, burst: f64) {
+        self.scheduler.set_budget(rate, burst);
     }
 
-    /// Somebody did it then, or something else made it needless.
+    /// Records that a router ran the task at that time, or that something else made a run needless.
     pub fn done(&mut self, id: TaskId, at: Duration) {
-        if let Some(duty) = self.duties.get_mut(&id)
-            && duty.done < Some(at)
-        {
-            // Later than before, unless nobody had done it: the scheduler asks for that when its time comes up. Each
-            // piece of news would else cost a look at the schedule, thousands of times a second.
-            let is_first = duty.done.replace(at).is_none();
-            duty.hurried = None;
-            if is_first {
-                schedule(&mut self.scheduler, id, duty);
-            }
+        let Some(task) = self.tasks.get_mut(&id) else { return };
+        if task.last_done >= Some(at) {
+            return;
+        }
+        let is_first = task.last_done.replace(at).is_none();
+        task.expedited_to = None;
+        // A task that was done before is only postponed by this, and the scheduler asks for that when the queued time
+        // comes: there are thousands of observations a second.
+        if is_first {
+            schedule(&mut self.scheduler, id, task);
         }
     }
 
-    /// This router's own doing has ended; how long it takes does not matter to the next.
+    /// Records that this router's own run has ended. The next is due a period after the start of this one.
     pub fn ended(&mut self, now: Duration, id: TaskId) {
-        if let Some(duty) = self.duties.get_mut(&id) {
-            duty.running = false;
-            duty.done = duty.done.max(Some(duty.begun.unwrap_or(now)));
-            schedule(&mut self.scheduler, id, duty);
+        if let Some(task) = self.tasks.get_mut(&id) {
+            task.is_running = false;
+            task.last_done = task.last_done.max(Some(task.last_started.unwrap_or(now)));
+            schedule(&mut self.scheduler, id, task);
         }
     }
 
-    /// There is reason to do it sooner: to the next two in line it is owed at once.
-    pub fn doubted(&mut self, now: Duration, id: TaskId) {
-        if let Some(duty) = self.duties.get_mut(&id)
-            && duty.place.is_some_and(|place| place <= 1)
-            && let Some(due) = duty.due()
+    /// There is reason to run the task at once: the two lowest ranks run it, within their minimum interval.
+    pub fn expedite(&mut self, now: Duration, id: TaskId) {
+        if let Some(task) = self.tasks.get_mut(&id)
+            && task.rank.is_some_and(|rank| rank < EXPEDITING_RANKS)
+            && let Some(due) = task.due()
         {
-            let floor = duty.begun.map_or(Duration::ZERO, |begun| begun + duty.plan.floor);
-            let at = now.max(floor).min(due);
-            duty.hurried = Some(at);
-            self.scheduler.set(id, at, duty.plan.priority, duty.plan.cost);
+            let start = now.max(task.min_interval_ends()).min(due);
+            task.expedited_to = Some(start);
+            self.scheduler.schedule(id, start, task.params.priority, task.params.cost);
         }
     }
 
-    /// Whether it may be done here out of turn, for one who needs it now; it then counts as begun. Only what is
-    /// overdue is, or what nobody else's doing could stand in for (`alone`), and never below the floor.
-    pub fn claim(&mut self, now: Duration, id: TaskId, alone: bool) -> bool {
-        let Some(duty) = self.duties.get_mut(&id) else { return false };
-        let overdue = duty.done.is_none_or(|done| done + duty.plan.period + duty.plan.grace <= now);
-        let rested = duty.begun.is_none_or(|begun| begun + duty.plan.floor <= now);
-        let takes = rested && !duty.running && (alone || (duty.place.is_some() && overdue));
-        if takes {
-            begin(&mut self.scheduler, now, id, duty);
+    /// Whether the task may be run here out of turn, for a request that needs it now. If so, it counts as started.
+    ///
+    /// An overdue task may, and one where no other router's run would help (`only_own_run_helps`), but never within the
+    /// minimum interval.
+    pub fn claim(&mut self, now: Duration, id: TaskId, only_own_run_helps: bool) -> bool {
+        let Some(task) = self.tasks.get_mut(&id) else { return false };
+        let may_start = !task.is_running && task.min_interval_ends() <= now;
+        let is_wanted = only_own_run_helps || (task.rank.is_some() && task.is_overdue(now));
+        if !may_start || !is_wanted {
+            return false;
         }
-        takes
+        start(&mut self.scheduler, now, id, task);
+        true
     }
 
-    /// What is to be done now, one at a time until nothing is.
+    /// Starts the next task that is due and returns it. Called until there is none.
     pub fn next(&mut self, now: Duration) -> Option<TaskId> {
-        let put_off = |id| self.duties.get(&id).and_then(ShardedTask::wanted);
-        let id = self.scheduler.take_but(now, put_off)?;
-        let duty = self.duties.get_mut(&id)?;
-        begin(&mut self.scheduler, now, id, duty);
+        let postponed_until = |id| self.tasks.get(&id).and_then(ShardedTask::planned);
+        let id = self.scheduler.pop_unless_postponed(now, postponed_until)?;
+        let task = self.tasks.get_mut(&id)?;
+        start(&mut self.scheduler, now, id, task);
         Some(id)
     }
 
-    /// How many duties this router heads the line for, and how many there are.
-    pub fn owned(&self) -> (usize, usize) {
-        (self.duties.values().filter(|duty| duty.place == Some(0)).count(), self.duties.len())
+    /// How many tasks there are, and how many of them this router owns.
+    pub fn counts(&self) -> TaskCounts {
+        let owned = self.tasks.values().filter(|task| task.rank == Some(0)).count();
+        TaskCounts { owned, total: self.tasks.len() }
     }
 
-    /// In bytes, without what an allocator adds.
+    /// The size of the tables in bytes, without the overhead of the allocator.
     pub fn state_bytes(&self) -> usize {
-        self.duties.len() * size_of::<(TaskId, ShardedTask)>()
+        self.tasks.len() * size_of::<(TaskId, ShardedTask)>()
             + self.candidates.len() * size_of::<Candidate>()
             + self.scheduler.state_bytes()
     }
 
-    pub fn is_known(&self, id: TaskId) -> bool {
-        self.duties.contains_key(&id)
+    /// Whether there is such a task.
+    pub fn contains(&self, id: TaskId) -> bool {
+        self.tasks.contains_key(&id)
     }
 }
 
-/// The one place where a duty is begun, so that its floor holds on every way.
-fn begin(scheduler: &mut Scheduler<TaskId>, now: Duration, id: TaskId, duty: &mut ShardedTask) {
-    (duty.begun, duty.running) = (Some(now), true);
-    schedule(scheduler, id, duty);
+/// When a task that nobody is known to have run is due at this router.
+fn first_due(now: Duration, params: &TaskParams, id: TaskId, own_name: &PeerName) -> Duration {
+    now + params.period.mul_f64(rendezvous::phase(id, own_name))
+}
+
+/// The one place where a task is started, so that its minimum interval holds on every way.
+fn start(scheduler: &mut Scheduler<TaskId>, now: Duration, id: TaskId, task: &mut ShardedTask) {
+    task.last_started = Some(now);
+    task.is_running = true;
+    schedule(scheduler, id, task);
 }
 
-fn schedule(scheduler: &mut Scheduler<TaskId>, id: TaskId, duty: &mut ShardedTask) {
-    duty.hurried = None;
-    match duty.due() {
-        Some(due) => scheduler.set(id, due, duty.plan.priority, duty.plan.cost),
+fn schedule(scheduler: &mut Scheduler<TaskId>, id: TaskId, task: &mut ShardedTask) {
+    task.expedited_to = None;
+    match task.due() {
+        Some(due) => scheduler.schedule(id, due, task.params.priority, task.params.cost),
         None => scheduler.remove(id),
     }
 }
--- a/crates/membership/tests/budgets.rs
+++ b/crates/membership/tests/budgets.rs
@@ -1,4 +1,4 @@
-//! What a member may spend on probing and on telling of it: a fixed sum, or by the nodes that are listed.
+//! The budgets of a member for health checks and for sending observations: fixed, or by the number of listed nodes.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use quillpoint_membership::fleet::TICK;
+use quillpoint_membership::fleet::TICK_INTERVAL;
 use quillpoint_membership::ids::{Subject, TaskId, TaskKind};
 use quillpoint_membership::scheduler::Priority;
 use quillpoint_membership::sharded_tasks::TaskParams;
@@ -17,9 +17,9 @@
 
 const NODES: u16 = 3000;
 const PERIOD: Duration = Duration::from_millis(150);
-/// What a member has that is told nothing: a tenth of what the nodes take.
-const WORK: f64 = 2000.0;
-const NEWS: f64 = 80_000.0;
+/// The budgets of a member that is configured with none: a tenth of what the nodes take.
+const WORK_RATE: f64 = 2000.0;
+const GOSSIP_RATE: f64 = 80_000.0;
 
 fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
@@ -29,66 +29,77 @@
     SocketAddr::from(([10, 2, 0, 1], number))
 }
 
-fn card(name: &str, state: MemberState) -> MemberRecord {
-    let life = MemberVersion { incarnation: Incarnation(1), version: 0 };
+fn record(name: &str, state: MemberState) -> MemberRecord {
+    let version = MemberVersion { incarnation: Incarnation(1), revision: 0 };
     let address = SocketAddr::from(([10, 1, 0, name.as_bytes()[1]], 7400));
-    MemberRecord { name: PeerName::new(name).unwrap(), life, address, zone: 0, weight: 1, state }
+    MemberRecord { name: PeerName::new(name).unwrap(), version, address, zone: 0, weight: 1, state }
 }
 
-/// What the member asked for since it was last looked at.
+/// What the member has asked its host for since the last look.
 #[derive(Default)]
-struct Asked {
+struct Effects {
     sent: Vec<GossipMessage>,
-    performed: Vec<TaskId>,
+    tasks: Vec<TaskId>,
 }
 
-struct Hand(Rc<RefCell<Asked>>);
+struct TestHost(Rc<RefCell<Effects>>);
 
-impl Host for Hand {
-    fn send(&mut self, _: SocketAddr, _: Option<Incarnation>, letter: GossipMessage) {
-        self.0.borrow_mut().sent.push(letter);
+impl Host for TestHost {
+    fn send(&mut self, _: SocketAddr, _: Option<Incarnation>, message: GossipMessage) {
+        self.0.borrow_mut().sent.push(message);
     }
     fn set_timer(&mut self, _: Duration) {}
-    fn run_task(&mut self, duty: TaskId) {
-        self.0.borrow_mut().performed.push(duty);
+    fn run_task(&mut self, task: TaskId) {
+        self.0.borrow_mut().tasks.push(task);
     }
     fn observation_received(&mut self, _: DatedObservation) {}
-    fn tell(&mut self, _: Event) {}
+    fn report_event(&mut self, _: Event) {}
 }
 
-/// How often each node was probed, and how many findings were told, in two seconds of a member whose one peer answers
-/// its pings and does nothing else.
-fn two_seconds(grows: bool) -> (BTreeMap<SocketAddr, usize>, usize) {
-    let probe = TaskParams {
+fn params(budgets_grow_with_nodes: bool) -> FleetParams {
+    let health_check = TaskParams {
         kind: TaskKind(0),
         period: PERIOD,
-        grace: PERIOD,
-        floor: PERIOD,
-        longest: Duration::from_secs(1),
+        takeover_delay: PERIOD,
+        min_interval: PERIOD,
+        max_duration: Duration::from_secs(1),
         priority: Priority(0),
         cost: 1.0,
     };
-    let plans = FleetParams { probe, work_rate: WORK, work_burst: WORK / 10.0, news_rate: NEWS, grows };
-    let asked = Rc::new(RefCell::new(Asked::default()));
-    let mut fleet =
-        Fleet::new(Hand(Rc::clone(&asked)), card("r1", MemberState::Joining), Vec::new(), plans, 1, ms(0));
+    FleetParams {
+        health_check,
+        work_rate: WORK_RATE,
+        work_burst: WORK_RATE / 10.0,
+        gossip_bytes_per_second: GOSSIP_RATE,
+        budgets_grow_with_nodes,
+    }
+}
+
+/// How often each node was checked, and how many observations were sent, in two seconds of a member whose one peer answers
+/// its pings and does nothing else.
+fn two_seconds(budgets_grow_with_nodes: bool) -> (BTreeMap<SocketAddr, usize>, usize) {
+    let params = params(budgets_grow_with_nodes);
+    let effects = Rc::new(RefCell::new(Effects::default()));
+    let own_record = record("r1", MemberState::Joining);
+    let mut fleet = Fleet::new(TestHost(Rc::clone(&effects)), own_record, Vec::new(), params, 1, ms(0));
     fleet.nodes_changed(ms(0), &(0..NODES).map(|number| (node(number), 0)).collect());
-    let peer = card("r2", MemberState::Up);
-    let (mut probes, mut told) = (BTreeMap::new(), 0);
+    let peer = record("r2", MemberState::Up);
+    let mut checks = BTreeMap::new();
+    let mut observations_sent = 0;
     let mut now = ms(0);
     let counted = ms(8000);
     while now < ms(10_000) {
-        now += TICK;
+        now += TICK_INTERVAL;
         fleet.timer_fired(now);
-        if now == TICK {
-            let hello =
-                GossipMessage { from: peer.clone(), body: GossipBody::JoinRequest, cards: Vec::new() };
-            fleet.message_arrived(now, hello);
+        if now == TICK_INTERVAL {
+            let join_request =
+                GossipMessage { from: peer.clone(), body: GossipBody::JoinRequest, records: Vec::new() };
+            fleet.message_arrived(now, join_request);
         }
-        let Asked { sent, performed } = std::mem::take(&mut *asked.borrow_mut());
-        for duty in performed {
-            let Subject::Node(node) = duty.subject else { continue };
-            let news = Observation {
+        let Effects { sent, tasks } = std::mem::take(&mut *effects.borrow_mut());
+        for task in tasks {
+            let Subject::Node(node) = task.subject else { continue };
+            let observation = Observation {
                 node,
                 age: ms(0),
                 position: Some(now),
@@ -97,49 +108,51 @@
                 started: None,
                 failed: false,
             };
-            fleet.task_ended(now, duty);
-            fleet.found(now, now, news);
+            fleet.task_ended(now, task);
+            fleet.record_own_observation(now, now, observation);
             if now > counted {
-                *probes.entry(node).or_default() += 1;
+                *checks.entry(node).or_default() += 1;
             }
         }
-        for letter in sent {
-            match letter.body {
+        for message in sent {
+            match message.body {
                 GossipBody::Ping(number) => {
                     let ack = GossipMessage {
                         from: peer.clone(),
                         body: GossipBody::Ack(number),
-                        cards: Vec::new(),
+                        records: Vec::new(),
                     };
                     fleet.message_arrived(now, ack);
                 }
-                GossipBody::Observations(news) if now > counted => told += news.len(),
+                GossipBody::Observations(observations) if now > counted => {
+                    observations_sent += observations.len()
+                }
                 _ => {}
             }
         }
     }
-    (probes, told)
+    (checks, observations_sent)
 }
 
-/// Guards against a control instance that is told no budgets and has more databases than the usual ones bear: the same
-/// of them were told of ever, as the newest go first, and nobody followed it any more.
+/// Guards against a control instance with default budgets and more databases than those bear: the same ones were
+/// reported for good, since the latest go first, and no router followed it any more.
 #[test]
 fn budgets_that_grow_bear_all_the_nodes_there_are() {
-    let (probes, told) = two_seconds(true);
-    assert_eq!(probes.len(), usize::from(NODES));
-    // Each period is a tick longer at the most, and where the peer heads the line a grace.
-    let least = (2000 / (2 * PERIOD + TICK).as_millis()) as usize - 1;
-    assert!(probes.values().all(|count| *count >= least), "{:?} of {least}", probes.values().min());
-    let findings: usize = probes.values().sum();
-    assert!(told * 100 >= findings * 97, "{told} of {findings}");
+    let (checks, observations_sent) = two_seconds(true);
+    assert_eq!(checks.len(), usize::from(NODES));
+    // Each period is a tick longer at the most, and where the peer owns the task a takeover delay.
+    let least = (2000 / (2 * PERIOD + TICK_INTERVAL).as_millis()) as usize - 1;
+    assert!(checks.values().all(|count| *count >= least), "{:?} of {least}", checks.values().min());
+    let observations_made: usize = checks.values().sum();
+    assert!(observations_sent * 100 >= observations_made * 97, "{observations_sent} of {observations_made}");
 }
 
 #[test]
 fn budgets_that_are_fixed_hold_however_many_nodes_there_are() {
-    let (probes, told) = two_seconds(false);
-    let findings: usize = probes.values().sum();
-    // Two seconds of it, and what was saved.
-    assert!(findings as f64 <= WORK * 2.1 + 1.0, "{findings}");
-    assert!(told as f64 * 40.0 <= NEWS * 2.25, "{told}");
-    assert!(findings as f64 >= WORK * 1.8, "{findings}: it is spent");
+    let (checks, observations_sent) = two_seconds(false);
+    let observations_made: usize = checks.values().sum();
+    // Two seconds of the budget, and what was saved up.
+    assert!(observations_made as f64 <= WORK_RATE * 2.1 + 1.0, "{observations_made}");
+    assert!(observations_sent as f64 * 40.0 <= GOSSIP_RATE * 2.25, "{observations_sent}");
+    assert!(observations_made as f64 >= WORK_RATE * 1.8, "{observations_made}: it is spent");
 }
--- a/crates/membership/tests/handover.rs
+++ b/crates/membership/tests/handover.rs
@@ -1,5 +1,5 @@
-//! The hand-over of one duty among three routers, model-checked: the rule itself ([`sharded_tasks::due`]) and the lines of
-//! rendezvous hashing as they are, in every order in which letters come or are lost, routers die and come back, and
+//! The takeover of one task among three routers, model-checked: the rule itself ([`due_at`]) and the ranks of
+//! rendezvous hashing, in every order in which messages arrive or are lost, routers die and come back, and
 //! views change. Time goes in ticks.
 //!
 //! What holds, and for which faults, stands at each test; docs/duties.md has the table.
@@ -8,26 +8,26 @@
 
 use quillpoint_membership::PeerName;
 use quillpoint_membership::ids::{Subject, TaskId, TaskKind};
-use quillpoint_membership::rendezvous::{Candidate, place};
+use quillpoint_membership::rendezvous::{Candidate, rank};
 use quillpoint_membership::scheduler::Priority;
-use quillpoint_membership::sharded_tasks::{TaskParams, due};
+use quillpoint_membership::sharded_tasks::{TakeoverInputs, TaskParams, due_at};
 use stateright::{Checker, Model, Property};
 
 const ROUTERS: usize = 3;
 const PERIOD: u64 = 3;
-const GRACE: u64 = 2;
-const FLOOR: u64 = 2;
-/// The run begins here, so that there is a time before it.
-const BEGIN: u64 = 10;
+const TAKEOVER_DELAY: u64 = 2;
+const MIN_INTERVAL: u64 = 2;
+/// The run starts here, so that there is a time before it.
+const START: u64 = 10;
 
-/// What may happen besides time and letters that come.
+/// What may happen besides the passing of time and the arrival of messages.
 #[derive(Clone, Copy)]
 struct Faults {
     losses: u8,
     kills: u8,
-    /// Views that turn to anything that has the router itself in it.
-    views: u8,
-    /// The rule is broken on purpose: everybody takes itself for the head of the line.
+    /// Views that change to any set of routers that has the router itself in it.
+    wrong_views: u8,
+    /// The rule is broken on purpose: every router takes itself for the owner.
     broken: bool,
     ends: u64,
 }
@@ -35,32 +35,48 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Router {
     alive: bool,
-    /// Routers that it takes to be there, a bit for each.
+    /// The routers that it takes for active, a bit for each.
     view: u8,
-    done: Option<u64>,
-    begun: Option<u64>,
-    since: u64,
+    last_done: Option<u64>,
+    last_started: Option<u64>,
+    due_since: u64,
     process: u8,
 }
 
+/// One run of the task.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+struct TaskRun {
+    at: u64,
+    router: usize,
+    /// Which process of that router.
+    process: u8,
+}
+
+/// Tells a router that the task was run.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+struct Message {
+    to: usize,
+    run_at: u64,
+}
+
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct World {
     now: u64,
     routers: [Router; ROUTERS],
-    /// News under way: to whom, and when it was done.
-    letters: Vec<(usize, u64)>,
-    /// When it was done, by whom, and by which process of that router; as far back as matters.
-    acts: Vec<(u64, usize, u8)>,
+    /// Messages under way.
+    messages: Vec<Message>,
+    /// The runs of the task, as far back as matters.
+    runs: Vec<TaskRun>,
     losses: u8,
     kills: u8,
-    views: u8,
+    wrong_views: u8,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Step {
-    /// All that is due is done, all that is under way has come: time goes on.
+    /// All due runs have been made and all messages have arrived: time goes on.
     Tick,
-    Act(usize),
+    Run(usize),
     Arrive(usize),
     Lose(usize),
     Kill(usize),
@@ -72,13 +88,13 @@
     Duration::from_secs(count)
 }
 
-fn plan() -> TaskParams {
+fn params() -> TaskParams {
     TaskParams {
         kind: TaskKind(0),
         period: ticks(PERIOD),
-        grace: ticks(GRACE),
-        floor: ticks(FLOOR),
-        longest: ticks(FLOOR),
+        takeover_delay: ticks(TAKEOVER_DELAY),
+        min_interval: ticks(MIN_INTERVAL),
+        max_duration: ticks(MIN_INTERVAL),
         priority: Priority(0),
         cost: 1.0,
     }
@@ -89,19 +105,23 @@
 }
 
 impl Faults {
-    /// When this router would act next.
+    /// When this router would run the task next.
     fn due(&self, world: &World, router: usize) -> Option<u64> {
         let own = world.routers[router];
         if !own.alive {
             return None;
         }
-        let there = (0..ROUTERS).filter(|other| own.view & (1 << other) != 0);
+        let active = (0..ROUTERS).filter(|other| own.view & (1 << other) != 0);
         let candidates: Vec<Candidate> =
-            there.map(|other| Candidate { name: name(other), zone: 0, weight: 1 }).collect();
-        let duty = TaskId { kind: TaskKind(0), subject: Subject::Installation };
-        let place = if self.broken { 0 } else { place(duty, 0, &name(router), &candidates)? };
-        let rested = own.begun.map_or(Duration::ZERO, |begun| ticks(begun + FLOOR));
-        Some(due(&plan(), own.done.map(ticks), ticks(own.since), rested, place).as_secs())
+            active.map(|other| Candidate { name: name(other), zone: 0, weight: 1 }).collect();
+        let task = TaskId { kind: TaskKind(0), subject: Subject::Installation };
+        let inputs = TakeoverInputs {
+            last_done: own.last_done.map(ticks),
+            due_since: ticks(own.due_since),
+            earliest_start: own.last_started.map_or(Duration::ZERO, |started| ticks(started + MIN_INTERVAL)),
+            rank: if self.broken { 0 } else { rank(task, 0, &name(router), &candidates)? },
+        };
+        Some(due_at(&params(), inputs).as_secs())
     }
 
     fn is_due(&self, world: &World, router: usize) -> bool {
@@ -114,21 +134,33 @@
     type Action = Step;
 
     fn init_states(&self) -> Vec<World> {
-        let router =
-            Router { alive: true, view: 0b111, done: Some(BEGIN - 1), begun: None, since: BEGIN, process: 0 };
-        let (losses, kills, views) = (self.losses, self.kills, self.views);
-        let acts = vec![(BEGIN - 1, 0, u8::MAX)];
-        vec![World { now: BEGIN, routers: [router; ROUTERS], letters: vec![], acts, losses, kills, views }]
+        let router = Router {
+            alive: true,
+            view: 0b111,
+            last_done: Some(START - 1),
+            last_started: None,
+            due_since: START,
+            process: 0,
+        };
+        vec![World {
+            now: START,
+            routers: [router; ROUTERS],
+            messages: vec![],
+            runs: vec![TaskRun { at: START - 1, router: 0, process: u8::MAX }],
+            losses: self.losses,
+            kills: self.kills,
+            wrong_views: self.wrong_views,
+        }]
     }
 
     fn actions(&self, world: &World, steps: &mut Vec<Step>) {
         let due: Vec<usize> = (0..ROUTERS).filter(|router| self.is_due(world, *router)).collect();
-        // A letter takes less than a tick, and so does what is due.
-        if due.is_empty() && world.letters.is_empty() && world.now < self.ends {
+        // A message takes less than a tick, and so does a run.
+        if due.is_empty() && world.messages.is_empty() && world.now < self.ends {
             steps.push(Step::Tick);
         }
-        steps.extend(due.into_iter().map(Step::Act));
-        for place in 0..world.letters.len() {
+        steps.extend(due.into_iter().map(Step::Run));
+        for place in 0..world.messages.len() {
             steps.push(Step::Arrive(place));
             if world.losses > 0 {
                 steps.push(Step::Lose(place));
@@ -142,7 +174,7 @@
             if !world.routers[router].alive {
                 steps.push(Step::Start(router));
             }
-            if world.routers[router].alive && world.views > 0 {
+            if world.routers[router].alive && world.wrong_views > 0 {
                 let own = 1 << router;
                 let others = (0..8_u8).filter(|view| view & own != 0 && *view != world.routers[router].view);
                 steps.extend(others.map(|view| Step::View(router, view)));
@@ -156,21 +188,26 @@
             Step::Tick => {
                 world.now += 1;
                 let now = world.now;
-                world.acts.retain(|(at, _, _)| at + 2 * (PERIOD + 2 * GRACE) > now);
+                world.runs.retain(|run| run.at + 2 * (PERIOD + 2 * TAKEOVER_DELAY) > now);
             }
-            Step::Act(router) => {
+            Step::Run(router) => {
                 let now = world.now;
-                world.acts.push((now, router, world.routers[router].process));
-                (world.routers[router].begun, world.routers[router].done) = (Some(now), Some(now));
-                world.letters.extend((0..ROUTERS).filter(|other| *other != router).map(|other| (other, now)));
+                let process = world.routers[router].process;
+                world.runs.push(TaskRun { at: now, router, process });
+                world.routers[router].last_started = Some(now);
+                world.routers[router].last_done = Some(now);
+                let others = (0..ROUTERS).filter(|other| *other != router);
+                world.messages.extend(others.map(|to| Message { to, run_at: now }));
             }
             Step::Arrive(place) => {
-                let (to, at) = world.letters.remove(place);
+                let Message { to, run_at } = world.messages.remove(place);
                 let router = &mut world.routers[to];
-                router.done = if router.alive { router.done.max(Some(at)) } else { router.done };
+                if router.alive {
+                    router.last_done = router.last_done.max(Some(run_at));
+                }
             }
             Step::Lose(place) => {
-                world.letters.remove(place);
+                world.messages.remove(place);
                 world.losses -= 1;
             }
             Step::Kill(router) => {
@@ -178,65 +215,72 @@
                 world.kills -= 1;
             }
             Step::Start(router) => {
-                // It knows nothing but what its peers' record says, and takes part when it has that.
-                let known =
-                    world.routers.iter().filter(|other| other.alive).filter_map(|other| other.done).max();
-                let since = world.now;
-                let process = world.routers[router].process + 1;
-                world.routers[router] =
-                    Router { alive: true, view: 0b111, done: known, begun: None, since, process };
+                // It knows only what the snapshots of its peers say, and runs tasks when it has those.
+                let alive = world.routers.iter().filter(|other| other.alive);
+                world.routers[router] = Router {
+                    alive: true,
+                    view: 0b111,
+                    last_done: alive.filter_map(|other| other.last_done).max(),
+                    last_started: None,
+                    due_since: world.now,
+                    process: world.routers[router].process + 1,
+                };
             }
             Step::View(router, view) => {
                 world.routers[router].view = view;
-                world.views -= 1;
+                world.wrong_views -= 1;
             }
         }
-        world.letters.sort_unstable();
-        world.acts.sort_unstable();
+        world.messages.sort_unstable();
+        world.runs.sort_unstable();
         Some(world)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("each router keeps its floor", |_, world: &World| {
-                let mut acts = world.acts.clone();
-                acts.sort_by_key(|(at, router, process)| (*router, *process, *at));
-                acts.windows(2).all(|pair| {
-                    let ((before, one, earlier), (at, other, later)) = (pair[0], pair[1]);
-                    (one, earlier) != (other, later) || before + FLOOR <= at
+            Property::always("each router keeps its minimum interval", |_, world: &World| {
+                let mut runs = world.runs.clone();
+                runs.sort_by_key(|run| (run.router, run.process, run.at));
+                runs.windows(2).all(|pair| {
+                    let (earlier, later) = (pair[0], pair[1]);
+                    let is_same_process = (earlier.router, earlier.process) == (later.router, later.process);
+                    !is_same_process || earlier.at + MIN_INTERVAL <= later.at
                 })
             }),
-            Property::always("one owner acts in a period", |model: &Self, world: &World| {
-                most_in_a_period(world) <= model.owners()
-            }),
-            Property::always("nobody waits longer than the line is long", |model: &Self, world: &World| {
-                let last = world.acts.iter().map(|(at, _, _)| *at).max().unwrap_or(0);
-                world.now <= last + PERIOD + model.longest_line() * GRACE
+            Property::always("one owner runs it in a period", |model: &Self, world: &World| {
+                most_runs_in_a_period(world) <= model.owners()
             }),
+            Property::always(
+                "nobody waits longer than all takeover delays",
+                |model: &Self, world: &World| {
+                    let last = world.runs.iter().map(|run| run.at).max().unwrap_or(0);
+                    world.now <= last + PERIOD + model.most_takeovers() * TAKEOVER_DELAY
+                },
+            ),
             Property::sometimes("it is done again and again", |model: &Self, world: &World| {
-                world.now == model.ends && world.acts.len() > 1
+                world.now == model.ends && world.runs.len() > 1
             }),
         ]
     }
 }
 
-fn most_in_a_period(world: &World) -> usize {
-    let within =
-        |from: u64| world.acts.iter().filter(|(at, _, _)| (from..from + PERIOD).contains(at)).count();
-    world.acts.iter().map(|(at, _, _)| within(*at)).max().unwrap_or(0)
+fn most_runs_in_a_period(world: &World) -> usize {
+    let runs_from =
+        |from: u64| world.runs.iter().filter(|run| (from..from + PERIOD).contains(&run.at)).count();
+    world.runs.iter().map(|run| runs_from(run.at)).max().unwrap_or(0)
 }
 
 impl Faults {
-    /// How many routers may do the duty within one period.
+    /// How many runs there may be within one period.
     fn owners(&self) -> usize {
-        // One letter lost leaves one other in the dark; one changed view makes one other the head; one that starts
-        // before its own last news has come to anybody knows nothing of it.
-        1 + usize::from(self.losses) + usize::from(self.views) + usize::from(self.kills)
+        // One lost message leaves one other uninformed; one wrong view makes one other the owner; one that starts
+        // before its last message has arrived anywhere does not know of its own run.
+        1 + usize::from(self.losses) + usize::from(self.wrong_views) + usize::from(self.kills)
     }
 
-    /// How many graces pass at the most before somebody acts: each router before the first living one.
-    fn longest_line(&self) -> u64 {
-        u64::from(self.kills).min(ROUTERS as u64 - 1) + u64::from(self.views > 0) * 2
+    /// How many takeover delays pass at the most before somebody runs it: one for each dead router that precedes.
+    fn most_takeovers(&self) -> u64 {
+        u64::from(self.kills).min(ROUTERS as u64 - 1) + u64::from(self.wrong_views > 0) * 2
     }
 }
 
@@ -246,35 +290,35 @@
     checker.unique_state_count()
 }
 
-const NONE: Faults = Faults { losses: 0, kills: 0, views: 0, broken: false, ends: BEGIN + 12 };
+const NONE: Faults = Faults { losses: 0, kills: 0, wrong_views: 0, broken: false, ends: START + 12 };
 
 #[test]
-fn without_faults_one_owner_acts_once_a_period() {
+fn without_faults_one_owner_runs_the_task_once_a_period() {
     assert!(holds(NONE) > 10);
 }
 
 #[test]
-fn after_any_two_deaths_and_starts_one_owner_acts_and_the_line_takes_over() {
-    assert!(holds(Faults { kills: 2, ends: BEGIN + 10, ..NONE }) > 500);
+fn after_any_two_deaths_and_starts_one_owner_runs_the_task_and_the_next_ranks_take_over() {
+    assert!(holds(Faults { kills: 2, ends: START + 10, ..NONE }) > 500);
 }
 
 #[test]
-fn a_lost_letter_costs_one_act_too_many_at_the_most() {
-    assert!(holds(Faults { losses: 1, ends: BEGIN + 9, ..NONE }) > 50);
+fn a_lost_message_costs_one_run_too_many_at_the_most() {
+    assert!(holds(Faults { losses: 1, ends: START + 9, ..NONE }) > 50);
 }
 
 #[test]
-fn with_a_lost_letter_and_a_death_it_is_still_taken_over() {
-    assert!(holds(Faults { losses: 1, kills: 1, ends: BEGIN + 8, ..NONE }) > 1000);
+fn with_a_lost_message_and_a_death_it_is_still_taken_over() {
+    assert!(holds(Faults { losses: 1, kills: 1, ends: START + 8, ..NONE }) > 1000);
 }
 
 #[test]
-fn a_view_that_is_wrong_in_any_way_costs_one_act_too_many_at_the_most() {
-    assert!(holds(Faults { views: 1, ends: BEGIN + 9, ..NONE }) > 500);
+fn a_view_that_is_wrong_in_any_way_costs_one_run_too_many_at_the_most() {
+    assert!(holds(Faults { wrong_views: 1, ends: START + 9, ..NONE }) > 500);
 }
 
 #[test]
-fn a_rule_that_knows_no_line_is_caught() {
+fn a_rule_without_ranks_is_caught() {
     let checker = Faults { broken: true, ..NONE }.checker().spawn_bfs().join();
-    assert!(checker.discovery("one owner acts in a period").is_some());
+    assert!(checker.discovery("one owner runs it in a period").is_some());
 }
--- /dev/null
+++ b/crates/membership/tests/rendezvous.rs
@@ -0,0 +1,77 @@
+//! Which router owns a task, and in what order the others follow.
+
+use std::collections::BTreeSet;
+use std::net::SocketAddr;
+
+use quillpoint_membership::PeerName;
+use quillpoint_membership::ids::{Subject, TaskId, TaskKind};
+use quillpoint_membership::rendezvous::{Candidate, phase, rank};
+
+fn name(number: usize) -> PeerName {
+    PeerName::new(&format!("r{number}")).unwrap()
+}
+
+fn node(number: u16) -> SocketAddr {
+    SocketAddr::from(([10, 2, 0, 1], number))
+}
+
+fn task(number: u16) -> TaskId {
+    TaskId { kind: TaskKind(0), subject: Subject::Node(node(number)) }
+}
+
+fn candidates(count: usize) -> Vec<Candidate> {
+    (0..count).map(|number| Candidate { name: name(number), zone: (number % 2) as u16, weight: 1 }).collect()
+}
+
+/// The owner of each of so many tasks, all in zone 0.
+fn owners(candidates: &[Candidate], tasks: u16) -> Vec<PeerName> {
+    let owner = |number: u16| {
+        let is_owner = |candidate: &&Candidate| rank(task(number), 0, &candidate.name, candidates) == Some(0);
+        candidates.iter().find(is_owner).unwrap().name.clone()
+    };
+    (0..tasks).map(owner).collect()
+}
+
+#[test]
+fn each_rank_is_taken_once() {
+    let all = candidates(7);
+    for number in 0..200 {
+        let ranks: BTreeSet<u32> =
+            all.iter().map(|candidate| rank(task(number), 0, &candidate.name, &all).unwrap()).collect();
+        assert_eq!(ranks, (0..7).collect());
+    }
+}
+
+#[test]
+fn a_router_that_goes_moves_only_its_own_tasks() {
+    let all = candidates(10);
+    let before = owners(&all, 500);
+    let after = owners(&all[..9], 500);
+    for (before, after) in before.iter().zip(&after) {
+        assert!(*before == name(9) || before == after, "{before} to {after}");
+    }
+}
+
+#[test]
+fn the_zone_of_the_node_is_preferred_and_weight_counts() {
+    let near = owners(&candidates(10), 1000)
+        .iter()
+        .filter(|owner| owner.as_str().ends_with(['0', '2', '4', '6', '8']))
+        .count();
+    assert!((700..900).contains(&near), "four to one: {near}");
+    let mut weighted = candidates(4);
+    weighted.iter_mut().for_each(|candidate| candidate.zone = 0);
+    weighted[1].weight = 3;
+    weighted[2].weight = 0;
+    let owners = owners(&weighted, 1000);
+    let of = |number: usize| owners.iter().filter(|owner| **owner == name(number)).count();
+    assert_eq!(of(2), 0, "no weight, no tasks");
+    assert!((500..700).contains(&of(1)), "three in five: {}", of(1));
+}
+
+#[test]
+fn phases_spread_over_the_period_and_differ_between_routers() {
+    let early = (0..1000).filter(|number| phase(task(*number), &name(0)) < 0.25).count();
+    assert!((200..300).contains(&early), "{early}");
+    assert_ne!(phase(task(1), &name(0)), phase(task(1), &name(1)));
+}
--- a/crates/router/src/instance.rs
+++ b/crates/router/src/instance.rs
@@ -44,7 +44,7 @@
         loop {
             if let Some(peers) = self.peers.get() {
                 let fleet = peers.fleet();
-                let others = fleet.members().peers().filter(|card| card.state.is_there()).count();
+                let others = fleet.members().peers().filter(|card| card.state.is_active()).count();
                 self.publication.instances_changed(others + 1);
             }
             Timer::after(COUNTED_EVERY).await;
--- a/crates/router/src/part.rs
+++ b/crates/router/src/part.rs
@@ -90,12 +90,12 @@
         keys: keys(conf, "fleet")?,
         seeds: conf.titles("peer").filter_map(|peer| conf.address("peer", peer, "address")).collect(),
         plans: FleetParams {
-            probe: plan(conf, "probe", TaskKind(0), usual(launch))?,
+            health_check: plan(conf, "probe", TaskKind(0), usual(launch))?,
             work_rate: rate,
             // A tenth of a second's work may come at once.
             work_burst: (rate / 10.0).max(1.0),
-            news_rate: count("news-budget")? as f64,
-            grows: conf.has_section("publish"),
+            gossip_bytes_per_second: count("news-budget")? as f64,
+            budgets_grow_with_nodes: conf.has_section("publish"),
         },
         letters: count("letters")?,
     }))
@@ -116,7 +116,7 @@
         listen,
         keys: keys(conf, "publish")?,
         plan: publisher::PublisherParams {
-            period: fleet.plans.probe.period,
+            period: fleet.plans.health_check.period,
             every: DIGESTS,
             copy_rate: count("copy-budget")? as f64,
             most_subscribers: count("subscribers")? as usize,
@@ -166,9 +166,9 @@
     Ok(TaskParams {
         kind,
         period,
-        grace: span("grace").unwrap_or(period),
-        floor: span("floor").unwrap_or(period),
-        longest: span("longest").ok_or(BadPart::Missing("duty", "longest"))?,
+        takeover_delay: span("grace").unwrap_or(period),
+        min_interval: span("floor").unwrap_or(period),
+        max_duration: span("longest").ok_or(BadPart::Missing("duty", "longest"))?,
         priority: Priority(count("priority")? as u8),
         cost: count("cost")? as f64,
     })
--- a/crates/router/tests/instance.rs
+++ b/crates/router/tests/instance.rs
@@ -74,8 +74,22 @@
         engine.endpoints_changed(EndpointUpdate::Snapshot, &[listed(0), listed(1)]);
         let period = Duration::from_secs(60);
         let (kind, longest, priority) = (TaskKind(0), Duration::from_secs(1), Priority(0));
-        let probe = TaskParams { kind, period, grace: period, floor: period, longest, priority, cost: 1.0 };
-        let plans = FleetParams { probe, work_rate: 100.0, work_burst: 100.0, news_rate: 1e6, grows: true };
+        let probe = TaskParams {
+            kind,
+            period,
+            takeover_delay: period,
+            min_interval: period,
+            max_duration: longest,
+            priority,
+            cost: 1.0,
+        };
+        let plans = FleetParams {
+            health_check: probe,
+            work_rate: 100.0,
+            work_burst: 100.0,
+            gossip_bytes_per_second: 1e6,
+            budgets_grow_with_nodes: true,
+        };
         let name = PeerName::new("c1").unwrap();
         let plan = publisher::PublisherParams {
             period,
@@ -100,7 +114,7 @@
 
     /// Another instance has just seen this, or failed to; it has been taken in when this is over.
     fn told(&self, by: &str, at: NodeId, failed: bool) {
-        let card = self.peers.fleet().members().me().clone();
+        let card = self.peers.fleet().members().own_record().clone();
         let now = self.engine.clock.now();
         let news = Observation {
             node: at.0,
@@ -111,12 +125,12 @@
             started: None,
             failed,
         };
-        let life = MemberVersion { incarnation: Incarnation(5), version: 0 };
+        let version = MemberVersion { incarnation: Incarnation(5), revision: 0 };
         let (name, address) = (PeerName::new(by).unwrap(), self.other.local_addr().unwrap());
-        let from = MemberRecord { name, life, address, zone: 0, weight: 1, state: MemberState::Up };
-        let letter = GossipMessage { from, body: GossipBody::Observations(vec![news]), cards: Vec::new() };
+        let from = MemberRecord { name, version, address, zone: 0, weight: 1, state: MemberState::Up };
+        let letter = GossipMessage { from, body: GossipBody::Observations(vec![news]), records: Vec::new() };
         let mut sealer = self.sealer.take();
-        let bytes = sealer.seal(&keys(), Some(card.life.incarnation), &letter).unwrap();
+        let bytes = sealer.seal(&keys(), Some(card.version.incarnation), &letter).unwrap();
         self.sealer.set(sealer);
         let before = self.peers.counts().taken;
         self.other.send_to(&bytes, card.address).unwrap();
--- a/crates/simulator/src/feed_run.rs
+++ b/crates/simulator/src/feed_run.rs
@@ -126,7 +126,7 @@
     fn shape(&self) -> Shape {
         let mut plans = plans(self.period, self.period, self.period);
         // As of the program's control instances.
-        plans.grows = true;
+        plans.budgets_grow_with_nodes = true;
         Shape {
             routers: self.routers,
             control: self.control,
--- a/crates/simulator/src/feed_world.rs
+++ b/crates/simulator/src/feed_world.rs
@@ -75,7 +75,7 @@
     fn observation_received(&mut self, evidence: DatedObservation) {
         self.0.borrow_mut().heard.push(evidence);
     }
-    fn tell(&mut self, event: Event) {
+    fn report_event(&mut self, event: Event) {
         if let Event::TasksAssigned { routers, .. } = event {
             self.0.borrow_mut().instances = Some(routers);
         }
@@ -246,7 +246,7 @@
         let start = Incarnation(now.as_micros() as u64);
         let me = MemberRecord {
             name: control_name(place),
-            life: MemberVersion { incarnation: start, version: 0 },
+            version: MemberVersion { incarnation: start, revision: 0 },
             address: control_address(place),
             zone: self.region(place) as u16,
             weight: 1,
@@ -259,7 +259,7 @@
             (0..self.nodes.len()).map(|node| (node_address(node), self.region(node) as u16)).collect();
         fleet.nodes_changed(now, &zones);
         let plan = publisher::PublisherParams {
-            period: self.shape.plans.probe.period,
+            period: self.shape.plans.health_check.period,
             every: Duration::from_millis(100),
             copy_rate: self.shape.copy_rate,
             most_subscribers: 100_000,
@@ -284,7 +284,7 @@
         let plan = subscriber::SubscriberParams {
             region: region(place),
             every: Duration::from_millis(100),
-            period: self.shape.plans.probe.period,
+            period: self.shape.plans.health_check.period,
             routers: self.shape.routers as u32,
         };
         let seed = self.shape.seed ^ ((place as u64) << 20) ^ self.routers[place].life;
@@ -518,7 +518,7 @@
         self.control[place].costs.fleet_bytes += bytes as u64;
         let Some(other) = (0..self.control.len()).find(|other| control_address(*other) == to) else { return };
         let Some(process) = &self.control[other].process else { return };
-        let current = process.fleet.members().me().life.incarnation;
+        let current = process.fleet.members().own_record().version.incarnation;
         let taken = session.map_or(letter.body == GossipBody::JoinRequest, |session| {
             session == process.start || session == current
         });
@@ -608,7 +608,11 @@
     let Subject::Node(node) = duty.subject else { return };
     let (position, primary) = (found.map(|(position, _)| position), found.map(|(_, primary)| primary));
     let (age, failed, waiting, started) = (Duration::ZERO, found.is_none(), None, None);
-    instance.fleet.found(now, asked, Observation { node, age, position, primary, waiting, started, failed });
+    instance.fleet.record_own_observation(
+        now,
+        asked,
+        Observation { node, age, position, primary, waiting, started, failed },
+    );
     // An own failure is one voice; the fleet tells of it when there are two.
     if !failed {
         let evidence = DatedObservation { node, at: now, position, primary, waiting, started, failed };
--- a/crates/simulator/src/world.rs
+++ b/crates/simulator/src/world.rs
@@ -48,13 +48,19 @@
     let probe = TaskParams {
         kind: TaskKind(0),
         period,
-        grace,
-        floor,
-        longest: Duration::from_secs(1),
+        takeover_delay: grace,
+        min_interval: floor,
+        max_duration: Duration::from_secs(1),
         priority: Priority(0),
         cost: 1.0,
     };
-    FleetParams { probe, work_rate: 20_000.0, work_burst: 2_000.0, news_rate: 4e6, grows: false }
+    FleetParams {
+        health_check: probe,
+        work_rate: 20_000.0,
+        work_burst: 2_000.0,
+        gossip_bytes_per_second: 4e6,
+        budgets_grow_with_nodes: false,
+    }
 }
 
 /// What a router asked for during one call, and the evidence it was given.
@@ -83,7 +89,7 @@
     fn observation_received(&mut self, evidence: DatedObservation) {
         self.0.borrow_mut().heard.push(evidence);
     }
-    fn tell(&mut self, event: Event) {
+    fn report_event(&mut self, event: Event) {
         self.0.borrow_mut().events.push(event);
     }
 }
@@ -233,7 +239,7 @@
         let zone = (place % self.shape.zones) as u16;
         let me = MemberRecord {
             name: PeerName::new(&format!("r{}", self.routers[place].name)).expect("a good name"),
-            life: MemberVersion { incarnation: start, version: 0 },
+            version: MemberVersion { incarnation: start, revision: 0 },
             address: router_address(place),
             zone,
             weight: 1,
@@ -307,15 +313,16 @@
     pub fn view(&self, place: usize) -> Vec<String> {
         let Some(process) = &self.routers[place].process else { return Vec::new() };
         let members = process.fleet.members();
-        let own = members.takes_part().then(|| members.me().name.to_string());
-        let mut names: Vec<String> = members.there().map(|card| card.name.to_string()).chain(own).collect();
+        let own = members.may_own_tasks().then(|| members.own_record().name.to_string());
+        let mut names: Vec<String> =
+            members.active_peers().map(|card| card.name.to_string()).chain(own).collect();
         names.sort();
         names
     }
 
     /// How many duties the router heads the line for.
     pub fn owned(&self, place: usize) -> usize {
-        self.routers[place].process.as_ref().map_or(0, |process| process.fleet.duties().owned().0)
+        self.routers[place].process.as_ref().map_or(0, |process| process.fleet.tasks().counts().owned)
     }
 
     pub fn probes(&self, node: usize) -> &[(Duration, usize)] {
@@ -346,7 +353,8 @@
 
     fn forge_letter(&mut self, from: usize, to: usize, body: GossipBody, cards: Vec<MemberRecord>) {
         let Some(process) = &self.routers[from].process else { return };
-        let letter = GossipMessage { from: process.fleet.members().me().clone(), body, cards };
+        let letter =
+            GossipMessage { from: process.fleet.members().own_record().clone(), body, records: cards };
         let life = self.routers[to].life;
         self.queue.enter(self.now, Due::Router { place: to, life, what: Happening::GossipMessage(letter) });
     }
@@ -408,7 +416,7 @@
                     let news =
                         Observation { node, age, position, primary, waiting: None, started: None, failed };
                     let asked = asked + router.ahead - router.behind;
-                    process.fleet.found(now, asked, news);
+                    process.fleet.record_own_observation(now, asked, news);
                     router.heard.insert(place_of(node), self.now);
                 }
             }
@@ -451,10 +459,9 @@
             // What the package of datagrams refuses: a letter to another start that does not say hello.
             let taken = session.is_none_or(|session| {
                 own == Some(session)
-                    || other
-                        .process
-                        .as_ref()
-                        .is_some_and(|process| process.fleet.members().me().life.incarnation == session)
+                    || other.process.as_ref().is_some_and(|process| {
+                        process.fleet.members().own_record().version.incarnation == session
+                    })
             });
             if !taken || (session.is_none() && letter.body != GossipBody::JoinRequest) {
                 continue;
--- a/crates/simulator/tests/fleet.rs
+++ b/crates/simulator/tests/fleet.rs
@@ -204,7 +204,7 @@
     world.go_on(1);
     let on = world.now;
     run(&mut world, ms(3000));
-    assert!(world.events(1).iter().any(|(_, event)| matches!(event, Event::Stopped(_))));
+    assert!(world.events(1).iter().any(|(_, event)| matches!(event, Event::ProcessPaused(_))));
     assert!(agree(&world), "{:?}", [0, 1, 2].map(|place| world.view(place)));
     assert!(longest_gap(&world, from) <= PERIOD + GRACE + SLACK);
     // What it still thought to own when it went on, it has not done a second time.
@@ -329,8 +329,9 @@
         (1..3).for_each(|to| world.forge(0, to, GossipBody::Observations(vec![lie.clone()])));
     }
     run(&mut world, ms(1000));
-    let found =
-        |place: usize| world.events(place).iter().any(|(_, event)| matches!(event, Event::Liar { .. }));
+    let found = |place: usize| {
+        world.events(place).iter().any(|(_, event)| matches!(event, Event::PeerContradicted { .. }))
+    };
     assert!(found(1) && found(2));
 }
 
@@ -341,9 +342,9 @@
         // A holder of the key who makes up names.
         let mut card = quillpoint_membership::MemberRecord {
             name: quillpoint_membership::PeerName::new(&format!("x{number}")).unwrap(),
-            life: quillpoint_membership::MemberVersion {
+            version: quillpoint_membership::MemberVersion {
                 incarnation: quillpoint_membership::Incarnation(number),
-                version: 0,
+                revision: 0,
             },
             address: node_address(0),
             zone: 0,
@@ -354,7 +355,7 @@
         world.forge_cards(0, 1, vec![card]);
     }
     run(&mut world, ms(100));
-    assert!(world.fleet_size(1).unwrap() <= quillpoint_membership::membership::MOST_PEERS);
+    assert!(world.fleet_size(1).unwrap() <= quillpoint_membership::membership::MAX_PEERS);
 }
 
 /// Any schedule of faults; then the network is whole, all run, and the fleet must settle within a bound.
--- a/crates/testbed/src/capacity/asks.rs
+++ b/crates/testbed/src/capacity/asks.rs
@@ -3,8 +3,8 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use quillpoint_membership::membership::MOST_PEERS;
-use quillpoint_membership::message::CARDS_WHOLE;
+use quillpoint_membership::membership::MAX_PEERS;
+use quillpoint_membership::message::MAX_JOIN_REPLY_RECORDS;
 use quillpoint_observation_feed::health_check_quota::{CROWD, TIMES};
 
 use crate::listing;
@@ -143,7 +143,7 @@
 pub fn asks(section: &str) -> Vec<Ask> {
     let both = || vec![Over::Size(Axis::Routers, ROUTERS), Over::Size(Axis::Databases, DATABASES)];
     // In the lab all know each other, which more than these never do.
-    let known = || vec![Over::Size(Axis::Routers, MOST_PEERS as f64), Over::Size(Axis::Databases, DATABASES)];
+    let known = || vec![Over::Size(Axis::Routers, MAX_PEERS as f64), Over::Size(Axis::Databases, DATABASES)];
     let calm = |record, mode, figure, over| Source::Calm { record, mode, figure, over };
     let ask =
         |role, what, side, budget, source, mechanism| Ask { role, what, side, budget, source, mechanism };
@@ -232,7 +232,11 @@
                     "others that it never knows",
                     shared,
                     Budget::None,
-                    computed(&[ROUTERS - MOST_PEERS as f64], 1.0, "crates/membership/src/membership.rs"),
+                    computed(
+                        &[ROUTERS - MAX_PEERS as f64],
+                        1.0,
+                        "crates/membership/src/membership/peer_table.rs",
+                    ),
                     "none: fleet keeps 256 peers",
                 ),
                 ask(
@@ -240,7 +244,11 @@
                     "probes a second, if views of 256 divide the routers",
                     shared,
                     Budget::Most(PROBES_S),
-                    computed(&[ROUTERS, PROBES_S], MOST_PEERS as f64, "crates/membership/src/membership.rs"),
+                    computed(
+                        &[ROUTERS, PROBES_S],
+                        MAX_PEERS as f64,
+                        "crates/membership/src/membership/peer_table.rs",
+                    ),
                     "none: fleet keeps 256 peers",
                 ),
                 ask(
@@ -448,12 +456,12 @@
                 computed(
                     &[
                         ZONE_ROUTERS,
-                        MOST_PEERS as f64,
-                        (MOST_PEERS as f64 / CARDS_WHOLE as f64).ceil(),
+                        MAX_PEERS as f64,
+                        (MAX_PEERS as f64 / MAX_JOIN_REPLY_RECORDS as f64).ceil(),
                         LETTER,
                     ],
                     1.0,
-                    "crates/membership/src/membership.rs, letter.rs",
+                    "crates/membership/src/membership/join.rs, message.rs",
                 ),
                 "none: fleet greets all that it knows",
             ),
@@ -463,9 +471,9 @@
                 shared,
                 Budget::None,
                 computed(
-                    &[ROUTERS - 1.0, ((ROUTERS - 1.0) / CARDS_WHOLE as f64).ceil()],
+                    &[ROUTERS - 1.0, ((ROUTERS - 1.0) / MAX_JOIN_REPLY_RECORDS as f64).ceil()],
                     1.0,
-                    "crates/membership/src/membership.rs, letter.rs",
+                    "crates/membership/src/membership/join.rs, message.rs",
                 ),
                 "none: fleet greets all that it knows",
             ),
@@ -859,7 +867,7 @@
         ("time until a change is known to all, s", "change_known_max_s", Budget::Most(CHANGE_S)),
     ];
     // Members of a fleet know so many at the most, and cost one another no more.
-    let routers = if mode == Mode::Shared { MOST_PEERS as f64 } else { ROUTERS };
+    let routers = if mode == Mode::Shared { MAX_PEERS as f64 } else { ROUTERS };
     let over = || vec![Over::Size(Axis::Routers, routers), Over::Size(Axis::Databases, DATABASES)];
     let ask = |(what, figure, budget)| Ask {
         role: "router",
--- a/crates/testbed/src/scale/sizes.rs
+++ b/crates/testbed/src/scale/sizes.rs
@@ -7,9 +7,9 @@
 /// No run has more processes, and none takes more memory than this, or than half of what the machine has.
 pub const MOST_PROCESSES: usize = 300;
 pub const MOST_MEMORY: u64 = 12 << 30;
-/// A fleet in which all are members keeps no more peers than this (`quillpoint_membership::membership::MOST_PEERS`), and so
+/// A fleet in which all are members keeps no more peers than this (`quillpoint_membership::membership::MAX_PEERS`), and so
 /// is none beyond: each would know another part of it.
-pub const MOST_SHARED: usize = quillpoint_membership::membership::MOST_PEERS - 6;
+pub const MOST_SHARED: usize = quillpoint_membership::membership::MAX_PEERS - 6;
 /// Databases a process, and about how many connections to each are open at once.
 pub const DATABASES_A_PROCESS: usize = 2000;
 const CONNECTIONS_EACH: usize = 6;
