--- a/crates/testbed/src/capacity/asks.rs
+++ b/crates/testbed/src/capacity/asks.rs
@@ -3,8 +3,8 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use quillpoint_membership::membership::MOST_PEERS;
-use quillpoint_membership::message::CARDS_WHOLE;
+use quillpoint_membership::membership::MAX_PEERS;
+use quillpoint_membership::message::MAX_JOIN_REPLY_RECORDS;
 use quillpoint_observation_feed::health_check_quota::{
     ISOLATED_RATE_MULTIPLE, MAX_ROUTERS_PER_NODE_AND_PERIOD,
 };
@@ -145,7 +145,7 @@
 pub fn asks(section: &str) -> Vec<Ask> {
     let both = || vec![Over::Size(Axis::Routers, ROUTERS), Over::Size(Axis::Databases, DATABASES)];
     // In the lab all know each other, which more than these never do.
-    let known = || vec![Over::Size(Axis::Routers, MOST_PEERS as f64), Over::Size(Axis::Databases, DATABASES)];
+    let known = || vec![Over::Size(Axis::Routers, MAX_PEERS as f64), Over::Size(Axis::Databases, DATABASES)];
     let calm = |record, mode, figure, over| Source::Calm { record, mode, figure, over };
     let ask =
         |role, what, side, budget, source, mechanism| Ask { role, what, side, budget, source, mechanism };
@@ -195,7 +195,7 @@
                     shared,
                     Budget::Most(ROUTER_BYTES_S),
                     calm(SIMULATED, Mode::Shared, "router_bytes_out_s", known()),
-                    "fleet",
+                    "membership",
                 ),
                 ask(
                     router,
@@ -203,7 +203,7 @@
                     shared,
                     Budget::None,
                     calm(SIMULATED, Mode::Shared, "router_messages_out_s", known()),
-                    "fleet",
+                    "membership",
                 ),
                 ask(
                     router,
@@ -211,7 +211,7 @@
                     shared,
                     Budget::Most(ROUTER_CPU),
                     calm(SIMULATED, Mode::Shared, "router_cpu_part", known()),
-                    "fleet",
+                    "membership",
                 ),
                 ask(
                     router,
@@ -219,7 +219,7 @@
                     shared,
                     Budget::Most(AGE_S),
                     calm(SIMULATED, Mode::Shared, "age_p99_s", known()),
-                    "fleet",
+                    "membership",
                 ),
                 ask(
                     database,
@@ -227,14 +227,18 @@
                     shared,
                     Budget::Most(PROBES_S),
                     calm(SIMULATED, Mode::Shared, "database_probes_s", known()),
-                    "fleet",
+                    "membership",
                 ),
                 ask(
                     router,
                     "others that it never knows",
                     shared,
                     Budget::None,
-                    computed(&[ROUTERS - MOST_PEERS as f64], 1.0, "crates/membership/src/membership.rs"),
+                    computed(
+                        &[ROUTERS - MAX_PEERS as f64],
+                        1.0,
+                        "crates/membership/src/membership/peer_table.rs",
+                    ),
                     "none: fleet keeps 256 peers",
                 ),
                 ask(
@@ -242,7 +246,11 @@
                     "probes a second, if views of 256 divide the routers",
                     shared,
                     Budget::Most(PROBES_S),
-                    computed(&[ROUTERS, PROBES_S], MOST_PEERS as f64, "crates/membership/src/membership.rs"),
+                    computed(
+                        &[ROUTERS, PROBES_S],
+                        MAX_PEERS as f64,
+                        "crates/membership/src/membership/peer_table.rs",
+                    ),
                     "none: fleet keeps 256 peers",
                 ),
                 ask(
@@ -251,14 +259,14 @@
                     shared,
                     Budget::None,
                     computed(&[ROUTERS, DATABASES], 1.0, "crates/membership/src/rendezvous.rs"),
-                    "fleet",
+                    "membership",
                 ),
             ];
-            rows.extend(of_a_router(Mode::Shared, shared, "fleet"));
+            rows.extend(of_a_router(Mode::Shared, shared, "membership"));
             rows
         }
         "calm-feed" => {
-            let mut rows = of_a_router(Mode::Feed, feed, "feed, control");
+            let mut rows = of_a_router(Mode::Feed, feed, "observation-feed, control-plane");
             let of_control = [
                 ("bytes in and out a second", CONTROL_BYTES, Budget::Most(CONTROL_BYTES_S)),
                 ("messages in and out a second", CONTROL_MESSAGES, Budget::None),
@@ -268,14 +276,14 @@
             ];
             rows.extend(of_control.map(|(what, figure, budget)| {
                 let source = calm(PLAYED, Mode::Feed, figure, shares());
-                ask(control, what, feed, budget, source, "feed, fleet, control")
+                ask(control, what, feed, budget, source, "observation-feed, membership, control-plane")
             }));
             for (what, figure) in [
                 ("bytes a second, of one that watches it", "discovery_bytes_s"),
                 ("calls a second, of one that watches it", "discovery_calls_s"),
             ] {
                 let source = calm(PLAYED, Mode::Feed, figure, both());
-                rows.push(ask(discovery, what, any, Budget::None, source, "watch"));
+                rows.push(ask(discovery, what, any, Budget::None, source, "discovery-watch"));
             }
             rows.push(ask(
                 database,
@@ -283,7 +291,7 @@
                 feed,
                 Budget::Most(PROBES_S),
                 calm(PLAYED, Mode::Feed, "database_probes_s", both()),
-                "fleet among control instances",
+                "membership among control instances",
             ));
             let at_connections = || vec![Over::Size(Axis::Connections, CONNECTIONS)];
             let at_statements = || vec![Over::Size(Axis::Statements, STATEMENTS)];
@@ -322,12 +330,12 @@
                 ),
             ]);
             for (role, what, by) in [
-                (discovery, "calls and bytes a second, of all 7,908 that watch it", "watch"),
-                (discovery, "processor time, cores", "watch"),
-                (discovery, "memory, bytes", "watch"),
-                (database, "bytes of probes a second", "fleet among control instances"),
-                (database, "processor time of probes, cores", "fleet among control instances"),
-                (database, "memory and state of probes, bytes", "fleet among control instances"),
+                (discovery, "calls and bytes a second, of all 7,908 that watch it", "discovery-watch"),
+                (discovery, "processor time, cores", "discovery-watch"),
+                (discovery, "memory, bytes", "discovery-watch"),
+                (database, "bytes of probes a second", "membership among control instances"),
+                (database, "processor time of probes, cores", "membership among control instances"),
+                (database, "memory and state of probes, bytes", "membership among control instances"),
                 (connection, "state of one, bytes", "router"),
                 (connection, "bytes a second of one", "router"),
             ] {
@@ -339,7 +347,7 @@
                 any,
                 Budget::None,
                 computed(&[entry, DATABASES], 1.0, "crates/testbed/src/listing.rs"),
-                "watch",
+                "discovery-watch",
             ));
             rows.push(ask(
                 connection,
@@ -358,7 +366,7 @@
                 any,
                 Budget::None,
                 computed(&[entry, DATABASES], 1.0, "crates/testbed/src/listing.rs"),
-                "watch: whole lists",
+                "discovery-watch: whole lists",
             ),
             ask(
                 discovery,
@@ -366,7 +374,7 @@
                 any,
                 Budget::None,
                 computed(&[entry, DATABASES], RESTART_EVERY_S, "crates/testbed/src/listing.rs"),
-                "watch: whole lists",
+                "discovery-watch: whole lists",
             ),
             ask(
                 router,
@@ -374,7 +382,7 @@
                 feed,
                 Budget::Most(ROUTER_MEMORY),
                 fault(RESTART, "peak_router_memory_bytes"),
-                "feed, control",
+                "observation-feed, control-plane",
             ),
             ask(
                 router,
@@ -382,7 +390,7 @@
                 feed,
                 Budget::Most(ROUTER_MEMORY),
                 fault(RESTART, "peak_router_state_bytes"),
-                "feed, control",
+                "observation-feed, control-plane",
             ),
             ask(
                 control,
@@ -390,7 +398,7 @@
                 feed,
                 Budget::None,
                 Source::Nothing,
-                "feed: paced copies",
+                "observation-feed: paced copies",
             ),
             ask(
                 database,
@@ -398,7 +406,7 @@
                 feed,
                 Budget::None,
                 Source::Nothing,
-                "fleet among control instances",
+                "membership among control instances",
             ),
             ask(
                 connection,
@@ -416,7 +424,7 @@
                 shared,
                 Budget::None,
                 fault(RESTART, "peak_router_bytes_s"),
-                "fleet",
+                "membership",
             ),
             ask(
                 router,
@@ -424,7 +432,7 @@
                 shared,
                 Budget::None,
                 fault(RESTART, "calm_after_s"),
-                "fleet",
+                "membership",
             ),
             ask(
                 router,
@@ -432,7 +440,7 @@
                 shared,
                 Budget::None,
                 fault(STOP, "peak_router_bytes_s"),
-                "fleet",
+                "membership",
             ),
             ask(
                 router,
@@ -440,7 +448,7 @@
                 shared,
                 Budget::None,
                 fault(STOP, "calm_after_s"),
-                "fleet",
+                "membership",
             ),
             ask(
                 router,
@@ -450,12 +458,12 @@
                 computed(
                     &[
                         ZONE_ROUTERS,
-                        MOST_PEERS as f64,
-                        (MOST_PEERS as f64 / CARDS_WHOLE as f64).ceil(),
+                        MAX_PEERS as f64,
+                        (MAX_PEERS as f64 / MAX_JOIN_REPLY_RECORDS as f64).ceil(),
                         LETTER,
                     ],
                     1.0,
-                    "crates/membership/src/membership.rs, letter.rs",
+                    "crates/membership/src/membership/join.rs, message.rs",
                 ),
                 "none: fleet greets all that it knows",
             ),
@@ -465,9 +473,9 @@
                 shared,
                 Budget::None,
                 computed(
-                    &[ROUTERS - 1.0, ((ROUTERS - 1.0) / CARDS_WHOLE as f64).ceil()],
+                    &[ROUTERS - 1.0, ((ROUTERS - 1.0) / MAX_JOIN_REPLY_RECORDS as f64).ceil()],
                     1.0,
-                    "crates/membership/src/membership.rs, letter.rs",
+                    "crates/membership/src/membership/join.rs, message.rs",
                 ),
                 "none: fleet greets all that it knows",
             ),
@@ -485,7 +493,7 @@
                 feed,
                 Budget::Most(FOLLOW_S),
                 fault(RESTART, "follow_max_s"),
-                "feed",
+                "observation-feed",
             ),
             ask(
                 router,
@@ -493,7 +501,7 @@
                 feed,
                 Budget::None,
                 fault(RESTART, "peak_router_bytes_s"),
-                "feed",
+                "observation-feed",
             ),
             ask(
                 control,
@@ -501,7 +509,7 @@
                 feed,
                 Budget::TimesCalm(5.0, CONTROL_BYTES),
                 fault(RESTART, "peak_control_bytes_s"),
-                "feed: paced copies",
+                "observation-feed: paced copies",
             ),
             ask(
                 control,
@@ -509,7 +517,7 @@
                 feed,
                 Budget::Most(1.0),
                 fault(RESTART, "peak_control_cpu_part"),
-                "feed: paced copies",
+                "observation-feed: paced copies",
             ),
             ask(
                 router,
@@ -517,7 +525,7 @@
                 feed,
                 Budget::None,
                 fault(RESTART, "calm_after_s"),
-                "feed",
+                "observation-feed",
             ),
             ask(
                 router,
@@ -525,7 +533,7 @@
                 feed,
                 Budget::None,
                 fault(STOP, "follow_max_s"),
-                "feed",
+                "observation-feed",
             ),
             ask(
                 control,
@@ -533,7 +541,7 @@
                 feed,
                 Budget::None,
                 fault(STOP, "peak_control_bytes_s"),
-                "feed: paced copies",
+                "observation-feed: paced copies",
             ),
             ask(
                 router,
@@ -541,7 +549,7 @@
                 feed,
                 Budget::None,
                 fault(STOP, "calm_after_s"),
-                "feed",
+                "observation-feed",
             ),
             ask(
                 router,
@@ -549,7 +557,7 @@
                 feed,
                 Budget::Most(CHANGE_S),
                 fault(PRIMARY, "change_known_max_s"),
-                "feed",
+                "observation-feed",
             ),
             ask(
                 router,
@@ -557,7 +565,7 @@
                 feed,
                 Budget::Most(FOLLOW_S),
                 fault(RESTART, "real_follow_max_s"),
-                "feed",
+                "observation-feed",
             ),
             ask(
                 discovery,
@@ -565,7 +573,7 @@
                 any,
                 Budget::None,
                 fault(RESTART, "fault_discovery_calls"),
-                "watch",
+                "discovery-watch",
             ),
             ask(
                 discovery,
@@ -573,7 +581,7 @@
                 any,
                 Budget::None,
                 fault(RESTART, "fault_discovery_bytes_out"),
-                "watch: whole lists",
+                "discovery-watch: whole lists",
             ),
             ask(
                 database,
@@ -581,7 +589,7 @@
                 feed,
                 Budget::None,
                 Source::Nothing,
-                "fleet among control instances",
+                "membership among control instances",
             ),
             ask(
                 connection,
@@ -599,7 +607,7 @@
                 shared,
                 Budget::None,
                 fault(CUT, "calm_after_s"),
-                "fleet",
+                "membership",
             ),
             ask(
                 control,
@@ -607,7 +615,7 @@
                 feed,
                 Budget::Most(CONTROL_BYTES_S),
                 calm(PLAYED, Mode::Feed, CONTROL_BYTES, followed(ROUTERS / 2.0, CONTROL_MACHINES / 2.0)),
-                "feed, fleet, control",
+                "observation-feed, membership, control-plane",
             ),
             ask(
                 control,
@@ -615,7 +623,7 @@
                 feed,
                 Budget::Most(1.0),
                 calm(PLAYED, Mode::Feed, "control_cpu_part", followed(ROUTERS / 2.0, CONTROL_MACHINES / 2.0)),
-                "feed, fleet, control",
+                "observation-feed, membership, control-plane",
             ),
             ask(
                 router,
@@ -623,7 +631,7 @@
                 feed,
                 Budget::None,
                 fault(CUT, "fault_age_max_s"),
-                "feed",
+                "observation-feed",
             ),
             ask(
                 router,
@@ -631,7 +639,7 @@
                 feed,
                 Budget::Most(5.0),
                 fault(CUT, AGREE),
-                "feed",
+                "observation-feed",
             ),
             ask(
                 router,
@@ -639,7 +647,7 @@
                 feed,
                 Budget::None,
                 fault(CUT, "calm_after_s"),
-                "feed",
+                "observation-feed",
             ),
             ask(
                 control,
@@ -647,7 +655,7 @@
                 feed,
                 Budget::None,
                 fault(CUT, "peak_control_bytes_s"),
-                "feed: paced copies",
+                "observation-feed: paced copies",
             ),
             ask(
                 database,
@@ -659,7 +667,7 @@
                     1.0,
                     "crates/observation-feed/src/health_check_quota.rs",
                 ),
-                "feed: paced share",
+                "observation-feed: paced share",
             ),
             ask(
                 database,
@@ -671,7 +679,7 @@
                     1.0,
                     "crates/observation-feed/src/health_check_quota.rs",
                 ),
-                "feed: paced share",
+                "observation-feed: paced share",
             ),
             // Each probes it once before its floor has passed, and nothing but chance keeps them from the same second.
             ask(
@@ -680,9 +688,16 @@
                 feed,
                 Budget::None,
                 computed(&[ROUTERS, 1.0], 1.0, "crates/observation-feed/src/health_check_quota.rs"),
-                "feed: paced share",
+                "observation-feed: paced share",
+            ),
+            ask(
+                discovery,
+                "calls a second, a region alone",
+                any,
+                Budget::None,
+                Source::Nothing,
+                "discovery-watch",
             ),
-            ask(discovery, "calls a second, a region alone", any, Budget::None, Source::Nothing, "watch"),
             ask(
                 connection,
                 "share of statements answered in a region alone",
@@ -699,7 +714,7 @@
                 feed,
                 Budget::Most(CONTROL_BYTES_S),
                 calm(PLAYED, Mode::Feed, CONTROL_BYTES, followed(ROUTERS, CONTROL_MACHINES - 1.0)),
-                "feed, fleet, control",
+                "observation-feed, membership, control-plane",
             ),
             ask(
                 control,
@@ -707,7 +722,7 @@
                 feed,
                 Budget::Most(1.0),
                 calm(PLAYED, Mode::Feed, "control_cpu_part", followed(ROUTERS, CONTROL_MACHINES - 1.0)),
-                "feed, fleet, control",
+                "observation-feed, membership, control-plane",
             ),
             ask(
                 router,
@@ -715,7 +730,7 @@
                 feed,
                 Budget::Most(1.0),
                 fault(KILL, "fault_age_max_s"),
-                "feed",
+                "observation-feed",
             ),
             ask(
                 router,
@@ -723,7 +738,7 @@
                 feed,
                 Budget::None,
                 fault(KILL, "follow_max_s"),
-                "feed",
+                "observation-feed",
             ),
             ask(
                 control,
@@ -731,7 +746,7 @@
                 feed,
                 Budget::None,
                 fault(KILL, "peak_control_bytes_s"),
-                "feed: paced copies",
+                "observation-feed: paced copies",
             ),
             ask(
                 router,
@@ -739,13 +754,15 @@
                 feed,
                 Budget::Most(ROUTER_BYTES_S),
                 fault(KILL_ALL, "alone_router_bytes_out_s"),
-                "feed",
+                "observation-feed",
             ),
         ],
         "burst" => {
             let burst = || vec![Over::Size(Axis::Changes, BURST)];
             let mut rows = Vec::new();
-            for (mode, side, by) in [(Mode::Shared, shared, "fleet"), (Mode::Feed, feed, "feed")] {
+            for (mode, side, by) in
+                [(Mode::Shared, shared, "membership"), (Mode::Feed, feed, "observation-feed")]
+            {
                 rows.extend([
                     ask(
                         router,
@@ -771,7 +788,7 @@
                 feed,
                 Budget::Most(CONTROL_BYTES_S),
                 calm(PLAYED, Mode::Feed, CONTROL_BYTES, burst()),
-                "feed",
+                "observation-feed",
             ));
             rows.extend([
                 ask(
@@ -780,7 +797,7 @@
                     any,
                     Budget::None,
                     Source::Nothing,
-                    "watch",
+                    "discovery-watch",
                 ),
                 ask(
                     database,
@@ -788,7 +805,7 @@
                     feed,
                     Budget::Most(PROBES_S),
                     calm(PLAYED, Mode::Feed, "database_probes_s", burst()),
-                    "fleet among control instances",
+                    "membership among control instances",
                 ),
                 ask(
                     connection,
@@ -869,7 +886,7 @@
         ("time until a change is known to all, s", "change_known_max_s", Budget::Most(CHANGE_S)),
     ];
     // Members of a fleet know so many at the most, and cost one another no more.
-    let routers = if mode == Mode::Shared { MOST_PEERS as f64 } else { ROUTERS };
+    let routers = if mode == Mode::Shared { MAX_PEERS as f64 } else { ROUTERS };
     let over = || vec![Over::Size(Axis::Routers, routers), Over::Size(Axis::Databases, DATABASES)];
     let ask = |(what, figure, budget)| Ask {
         role: "router",
