--- a/crates/control-plane/src/control_host.rs
+++ b/crates/control-plane/src/control_host.rs
@@ -1,27 +1,30 @@
-//! What a control side needs of the process that it stands in.
+//! What the control side needs of the process around it.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A router's engine, or a hollow router's books.
+use quillpoint_membership::DatedObservation;
+use quillpoint_observation_feed::FeedObservation;
+
+/// The process around the control side: a router's engine or a hollow router.
 pub trait ControlHost {
     /// Unix time at the start, plus what a monotonic clock has counted since.
     fn now(&self) -> Duration;
-    /// The databases on the list, with the places of their zones.
+    /// The databases on the endpoint list, with the indices of their zones.
     fn nodes(&self) -> BTreeMap<SocketAddr, u16>;
-    /// What another router has found out: hearsay.
-    fn observation_received(&self, evidence: quillpoint_membership::DatedObservation);
-    /// What a control instance tells by name: hearsay.
-    fn learnt(&self, word: quillpoint_observation_feed::FeedObservation);
-    /// A probe in turn, whose end is told by `found`, once this call is over. False if one is out there already.
-    fn probe(&self, node: SocketAddr) -> bool;
-    /// Whether only an own probe tells this router anything of the node.
-    fn is_shut(&self, node: SocketAddr) -> bool;
-    /// A digest has come: what is known of all databases may be newer.
-    fn refreshed(&self) {}
-    /// Whether datagrams pass to and from there. They always do, but where a measurement cuts routers off.
-    fn reaches(&self, _other: SocketAddr) -> bool {
+    /// Takes what another member of the fleet has observed; unverified.
+    fn observation_received(&self, observation: DatedObservation);
+    /// Takes what a control instance has published by name; unverified.
+    fn feed_observation_received(&self, observation: FeedObservation);
+    /// Starts an assigned health check, whose end is reported after this call. False if one is under way already.
+    fn start_health_check(&self, node: SocketAddr) -> bool;
+    /// Whether the node is ejected here, so that only an own health check tells this router anything of it.
+    fn is_ejected(&self, node: SocketAddr) -> bool;
+    /// A digest has been received: what is known of all databases may be newer.
+    fn digest_received(&self) {}
+    /// Whether datagrams pass to and from this address. They always do, except where a measurement cuts routers off.
+    fn can_reach(&self, _other: SocketAddr) -> bool {
         true
     }
 }
--- /dev/null
+++ b/crates/control-plane/src/fleet_commands.rs
@@ -0,0 +1,60 @@
+//! The host of the fleet. It only queues commands, which are run when the call is over, so that nothing calls the fleet
+//! from inside one of its own calls.
+
+use std::cell::{Cell, RefCell};
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+
+use quillpoint_membership::ids::TaskId;
+use quillpoint_membership::{DatedObservation, Event, GossipMessage, Host, Incarnation};
+
+/// What the fleet has asked for during a call.
+pub(crate) enum Command {
+    Send { to: SocketAddr, session: Option<Incarnation>, message: GossipMessage },
+    RunTask(TaskId),
+    ReceiveObservation(DatedObservation),
+    LogEvent(Event),
+}
+
+/// The commands of a call in their order, and the delay of the timer that was set last.
+#[derive(Default)]
+pub(crate) struct CommandQueue {
+    commands: RefCell<Vec<Command>>,
+    timer: Cell<Option<Duration>>,
+}
+
+impl CommandQueue {
+    pub(crate) fn take(&self) -> Vec<Command> {
+        std::mem::take(&mut *self.commands.borrow_mut())
+    }
+
+    pub(crate) fn take_timer(&self) -> Option<Duration> {
+        self.timer.take()
+    }
+
+    fn push(&self, command: Command) {
+        self.commands.borrow_mut().push(command);
+    }
+}
+
+/// The fleet's handle of the queue.
+pub(crate) struct QueueHandle(pub(crate) Rc<CommandQueue>);
+
+impl Host for QueueHandle {
+    fn send(&mut self, to: SocketAddr, session: Option<Incarnation>, message: GossipMessage) {
+        self.0.push(Command::Send { to, session, message });
+    }
+    fn set_timer(&mut self, after: Duration) {
+        self.0.timer.set(Some(after));
+    }
+    fn run_task(&mut self, task: TaskId) {
+        self.0.push(Command::RunTask(task));
+    }
+    fn observation_received(&mut self, observation: DatedObservation) {
+        self.0.push(Command::ReceiveObservation(observation));
+    }
+    fn report_event(&mut self, event: Event) {
+        self.0.push(Command::LogEvent(event));
+    }
+}
--- a/crates/control-plane/src/lib.rs
+++ b/crates/control-plane/src/lib.rs
@@ -1,24 +1,33 @@
-//! The control side of a router: the packages that decide, and the code that puts their letters on sockets.
+//! The control side of a router: the owners of the fleet member and of the feed's two ends, each with its socket and its
+//! timer.
 //!
-//! One part with one face, [`ControlHost`], which a router's engine gives as well as the books of a hollow router: many of
-//! these in a process have no clients and no statements, and serve measurements. It decides nothing and knows nothing
-//! of clients.
+//! All that it needs of the process around it is [`ControlHost`], which a router's engine provides as well as a hollow
+//! router: many of those run in one process without clients and statements, for measurements. The decisions are those of
+//! `quillpoint-membership` and `quillpoint-observation-feed`.
+
+#![warn(missing_docs)]
 
-pub mod alarm;
 pub mod control_host;
-pub mod feed;
+pub mod datagram_socket;
+mod deadline_timer;
+mod feed_commands;
+pub mod feed_config;
+mod feed_log;
+mod fleet_commands;
+mod fleet_log;
 pub mod fleet_member;
 pub mod log_rate_limiter;
 pub mod member_config;
-pub mod post;
-pub mod publisher;
-pub mod subscriber;
-pub mod wire;
+pub mod publisher_service;
+mod read_pacer;
+pub mod sealed_transport;
+pub mod subscriber_service;
 
 pub use control_host::ControlHost;
-pub use feed::{PublisherConfig, SubscriberConfig};
-pub use fleet_member::{Counts, FleetMember};
+pub use datagram_socket::{DatagramSocket, Traffic};
+pub use feed_config::{PublisherConfig, SubscriberConfig};
+pub use fleet_member::FleetMember;
+pub use log_rate_limiter::LogRateLimiter;
 pub use member_config::MemberConfig;
-pub use publisher::PublisherService;
-pub use subscriber::SubscriberService;
-pub use wire::{Traffic, Wire};
+pub use publisher_service::PublisherService;
+pub use subscriber_service::SubscriberService;
--- a/crates/control-plane/src/log_rate_limiter.rs
+++ b/crates/control-plane/src/log_rate_limiter.rs
@@ -3,19 +3,21 @@
 use std::cell::Cell;
 use std::time::{Duration, Instant};
 
-const EVERY: Duration = Duration::from_secs(1);
+const MIN_INTERVAL: Duration = Duration::from_secs(1);
 
-/// One kind of line, told once a second at most.
+/// Limits one kind of line to one a second.
 #[derive(Default)]
-pub struct LogRateLimiter(Cell<Option<Instant>>);
+pub struct LogRateLimiter {
+    last_logged: Cell<Option<Instant>>,
+}
 
 impl LogRateLimiter {
-    /// Whether the line may be told now.
-    pub fn is_due(&self) -> bool {
-        let due = self.0.get().is_none_or(|told| told.elapsed() >= EVERY);
-        if due {
-            self.0.set(Some(Instant::now()));
+    /// Whether a line may be logged now; if so, it counts as logged.
+    pub fn try_acquire(&self) -> bool {
+        let is_free = self.last_logged.get().is_none_or(|last| last.elapsed() >= MIN_INTERVAL);
+        if is_free {
+            self.last_logged.set(Some(Instant::now()));
         }
-        due
+        is_free
     }
 }
--- /dev/null
+++ b/crates/control-plane/src/publisher_service.rs
@@ -0,0 +1,169 @@
+//! A control instance's end of the feed: the owner of the publisher's state machine, its socket and its timer. The
+//! decisions are those of [`Publisher`].
+
+use std::cell::RefCell;
+use std::io;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::{Duration, Instant};
+
+use quillpoint_datagram::Opener;
+use quillpoint_membership::{DatedObservation, Incarnation, PeerName};
+use quillpoint_observation_feed::{Envelope, Publisher};
+
+use crate::control_host::ControlHost;
+use crate::datagram_socket::{DatagramSocket, Traffic};
+use crate::feed_commands::{Command, CommandQueue, QueueHandle};
+use crate::feed_config::PublisherConfig;
+use crate::feed_log::{COUNTS_INTERVAL, EVENT_NAMES, log_event};
+use crate::log_rate_limiter::LogRateLimiter;
+use crate::sealed_transport::{SealedTransport, TransportCounts};
+
+/// Replay windows are kept of this many times as many routers as may subscribe: routers that have restarted, or follow
+/// another control instance now, leave theirs behind.
+const REPLAY_WINDOWS_PER_SUBSCRIBER: usize = 2;
+
+/// A publisher on its socket.
+pub struct PublisherService {
+    host: Rc<dyn ControlHost>,
+    name: PeerName,
+    incarnation: Incarnation,
+    publisher: RefCell<Publisher<QueueHandle>>,
+    queue: Rc<CommandQueue>,
+    transport: SealedTransport<Envelope>,
+    per_router_limiter: LogRateLimiter,
+}
+
+impl PublisherService {
+    /// Opens the socket. Routers may subscribe from then on.
+    ///
+    /// # Errors
+    /// The address cannot be bound.
+    pub fn new(config: PublisherConfig, host: Rc<dyn ControlHost>, seed: u64) -> io::Result<Rc<Self>> {
+        let PublisherConfig { name, listen, keys, params, max_datagrams_per_second } = config;
+        let socket = DatagramSocket::bind(listen, Rc::clone(&host), max_datagrams_per_second)?;
+        let opener = Opener::of(params.max_subscribers.saturating_mul(REPLAY_WINDOWS_PER_SUBSCRIBER));
+        let now = host.now();
+        let queue = Rc::new(CommandQueue::default());
+        let publisher = Publisher::new(QueueHandle(Rc::clone(&queue)), params, seed, now);
+        Ok(Rc::new(Self {
+            host,
+            name,
+            incarnation: Incarnation(now.as_micros() as u64),
+            publisher: RefCell::new(publisher),
+            queue,
+            transport: SealedTransport::new(socket, keys, opener, EVENT_NAMES),
+            per_router_limiter: LogRateLimiter::default(),
+        }))
+    }
+
+    /// The one way to the publisher. Its commands are run when the call is over.
+    fn call<T>(&self, operation: impl FnOnce(&mut Publisher<QueueHandle>, Duration) -> T) -> T {
+        let result = operation(&mut self.publisher.borrow_mut(), self.host.now());
+        for command in self.queue.take() {
+            match command {
+                Command::Send { to, session, message } => {
+                    let from = self.name.clone();
+                    let envelope = Envelope { from, incarnation: self.incarnation, message };
+                    self.transport.send(to, session, &envelope);
+                }
+                // Of a subscriber alone.
+                Command::ReceiveObservation(_) => {}
+                Command::LogEvent(event) => log_event(&event, &self.per_router_limiter),
+            }
+        }
+        result
+    }
+
+    /// Receives the messages of routers as long as the process runs.
+    pub async fn receive(self: Rc<Self>) {
+        let handle = |address: SocketAddr, _: Duration, envelope: Envelope| {
+            let Envelope { from, incarnation, message } = envelope;
+            self.call(|publisher, now| publisher.message_arrived(now, address, &from, incarnation, message));
+        };
+        self.transport.receive(|| self.incarnation, handle).await;
+    }
+
+    /// Runs the publisher's timer as long as the process runs.
+    pub async fn run_timer(self: Rc<Self>) {
+        let mut counts_logged = Instant::now();
+        loop {
+            self.queue.timer.expired().await;
+            self.call(|publisher, now| publisher.timer_fired(now));
+            if counts_logged.elapsed() >= COUNTS_INTERVAL {
+                counts_logged = Instant::now();
+                self.log_counts();
+            }
+        }
+    }
+
+    fn log_counts(&self) {
+        let counts = self.counts();
+        let Traffic { sent, sent_bytes, read, read_bytes } = counts.traffic;
+        let taken = counts.accepted;
+        let subscribers = self.subscriber_count();
+        let state = self.state_bytes();
+        let refused = counts.rejected_by_kind();
+        log::info!(
+            event = "feed_counts", sent, sent_bytes, taken, read, read_bytes, subscribers, state, refused;
+            "datagrams to and from routers since the start"
+        );
+    }
+
+    /// This control instance, or another of its fleet as far as that is believed, has made an observation.
+    pub fn observe(&self, observation: DatedObservation) {
+        self.call(|publisher, now| publisher.observe(now, observation));
+    }
+
+    /// The endpoint list has changed.
+    pub fn nodes_changed(&self) {
+        let nodes = self.host.nodes().into_keys().collect();
+        self.call(|publisher, now| publisher.nodes_changed(now, &nodes));
+    }
+
+    /// How many control instances divide the health checks now, this one included.
+    pub fn instance_count_changed(&self, instance_count: usize) {
+        self.call(|publisher, _| publisher.instance_count_changed(instance_count));
+    }
+
+    /// Applies what takes effect at once of a changed configuration.
+    pub fn reload(&self, config: &PublisherConfig) {
+        self.transport.keys_changed(&config.keys);
+        self.log_counts();
+    }
+
+    /// Tells all subscribers that this control instance shuts down.
+    pub fn leave(&self) {
+        self.call(|publisher, now| publisher.leave(now));
+        self.log_counts();
+        log::info!(event = "feed_left"; "the subscribers are told that this control instance shuts down");
+    }
+
+    /// Where routers reach it.
+    ///
+    /// # Errors
+    /// The system does not tell.
+    pub fn address(&self) -> io::Result<SocketAddr> {
+        self.transport.socket().local_addr()
+    }
+
+    /// What the socket has sent and read since the start.
+    pub fn traffic(&self) -> Traffic {
+        self.transport.traffic()
+    }
+
+    /// The counts since the start.
+    pub fn counts(&self) -> TransportCounts {
+        self.transport.counts()
+    }
+
+    /// How many routers are subscribed.
+    pub fn subscriber_count(&self) -> usize {
+        self.publisher.borrow().subscriber_count()
+    }
+
+    /// About the bytes that the publisher takes.
+    pub fn state_bytes(&self) -> usize {
+        self.publisher.borrow().state_bytes()
+    }
+}
--- /dev/null
+++ b/crates/control-plane/src/sealed_transport.rs
@@ -0,0 +1,152 @@
+//! Sealed datagrams on a socket: sealed when they are sent, opened when they arrive, counted and rejected by kind.
+
+use std::cell::RefCell;
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+use std::time::Duration;
+
+use quillpoint_datagram::keys::Keyring;
+use quillpoint_datagram::{LONGEST, Opener, Payload, Refusal, Sealer};
+use quillpoint_membership::Incarnation;
+
+use crate::datagram_socket::{Arrival, DatagramSocket, Traffic};
+use crate::log_rate_limiter::LogRateLimiter;
+
+/// Counts since the start.
+#[derive(Clone, Debug, Default)]
+pub struct TransportCounts {
+    /// What the socket has sent and read.
+    pub traffic: Traffic,
+    /// Datagrams that were accepted.
+    pub accepted: u64,
+    /// Datagrams that were rejected, by kind.
+    pub rejected: BTreeMap<Refusal, u64>,
+}
+
+impl TransportCounts {
+    /// The rejected datagrams as text for the log: `kind:count`, separated by commas.
+    pub fn rejected_by_kind(&self) -> String {
+        let kinds: Vec<String> =
+            self.rejected.iter().map(|(kind, count)| format!("{kind:?}:{count}")).collect();
+        kinds.join(",")
+    }
+}
+
+/// The names under which a transport's events are logged.
+pub struct TransportEventNames {
+    /// A datagram was rejected.
+    pub rejected: &'static str,
+    /// A datagram could not be sent.
+    pub send_failed: &'static str,
+    /// Other keys hold from now on.
+    pub keys_changed: &'static str,
+}
+
+/// A socket whose datagrams are sealed payloads.
+pub struct SealedTransport<P> {
+    socket: DatagramSocket,
+    keys: RefCell<Keyring>,
+    sealer: RefCell<Sealer>,
+    opener: RefCell<Opener<P>>,
+    counts: RefCell<TransportCounts>,
+    event_names: TransportEventNames,
+    rejected_limiter: LogRateLimiter,
+    send_failed_limiter: LogRateLimiter,
+}
+
+impl<P: Payload> SealedTransport<P> {
+    /// A transport on this socket.
+    pub fn new(
+        socket: DatagramSocket,
+        keys: Keyring,
+        opener: Opener<P>,
+        event_names: TransportEventNames,
+    ) -> Self {
+        Self {
+            socket,
+            keys: RefCell::new(keys),
+            sealer: RefCell::default(),
+            opener: RefCell::new(opener),
+            counts: RefCell::default(),
+            event_names,
+            rejected_limiter: LogRateLimiter::default(),
+            send_failed_limiter: LogRateLimiter::default(),
+        }
+    }
+
+    /// The socket.
+    pub fn socket(&self) -> &DatagramSocket {
+        &self.socket
+    }
+
+    /// What the socket has sent and read since the start.
+    pub fn traffic(&self) -> Traffic {
+        self.socket.traffic()
+    }
+
+    /// The counts since the start.
+    pub fn counts(&self) -> TransportCounts {
+        TransportCounts { traffic: self.socket.traffic(), ..self.counts.borrow().clone() }
+    }
+
+    /// Sends a payload. One that cannot be sent at once is lost: every message is repeated.
+    pub fn send(&self, to: SocketAddr, session: Option<Incarnation>, payload: &P) {
+        let sealed = self.sealer.borrow_mut().seal(&self.keys.borrow(), session, payload);
+        let sent = match &sealed {
+            Ok(bytes) => self.socket.send(bytes, to).map_err(|error| error.to_string()),
+            Err(error) => Err(error.to_string()),
+        };
+        if let Err(error) = sent
+            && self.send_failed_limiter.try_acquire()
+        {
+            let event = self.event_names.send_failed;
+            log::warn!(event = event, to:% = to, error; "a datagram could not be sent");
+        }
+    }
+
+    /// Receives payloads as long as the process runs, and hands each over with its sender's address and how long it has
+    /// waited in the socket. `own_incarnation` is asked for at each datagram.
+    pub async fn receive(
+        &self,
+        own_incarnation: impl Fn() -> Incarnation,
+        handle: impl Fn(SocketAddr, Duration, P),
+    ) {
+        let mut bytes = [0; LONGEST + 1];
+        loop {
+            let Arrival { length, from, socket_delay } = self.socket.read(&mut bytes).await;
+            if let Some(payload) = self.open(own_incarnation(), &bytes[..length]) {
+                handle(from, socket_delay, payload);
+            }
+        }
+    }
+
+    fn open(&self, own_incarnation: Incarnation, bytes: &[u8]) -> Option<P> {
+        let opened = self.opener.borrow_mut().open(&self.keys.borrow(), own_incarnation, bytes);
+        let mut counts = self.counts.borrow_mut();
+        match opened {
+            Ok(payload) => {
+                counts.accepted += 1;
+                Some(payload)
+            }
+            Err(refusal) => {
+                *counts.rejected.entry(refusal).or_default() += 1;
+                if self.rejected_limiter.try_acquire() {
+                    let kind = format!("{refusal:?}");
+                    let event = self.event_names.rejected;
+                    log::warn!(event = event, kind; "a datagram was rejected: {refusal}");
+                }
+                None
+            }
+        }
+    }
+
+    /// Seals and opens by these keys from now on.
+    pub fn keys_changed(&self, keys: &Keyring) {
+        if *self.keys.borrow() != *keys {
+            *self.keys.borrow_mut() = keys.clone();
+            let ids: Vec<String> = keys.ids().map(|id| id.to_string()).collect();
+            let event = self.event_names.keys_changed;
+            log::info!(event = event, keys = ids.join(","); "other keys hold");
+        }
+    }
+}
--- a/crates/control-plane/tests/queue.rs
+++ b/crates/control-plane/tests/socket_delay.rs
@@ -21,44 +21,43 @@
 use quillpoint_observation_feed::message::{
     Digest, DigestNumber, LAG_CLASSES, LagClass, PARTITIONS, PartitionId, Revision, SnapshotChunk,
 };
-use quillpoint_observation_feed::{
-    ControlInstance, Entry, Envelope, FeedObservation, Message, NodeStatus, subscriber,
-};
+use quillpoint_observation_feed::subscriber::SubscriberParams;
+use quillpoint_observation_feed::{ControlInstance, Entry, Envelope, FeedObservation, Message, NodeStatus};
 
 const STALL: Duration = Duration::from_millis(400);
 /// Between the sending and the queue, and for clocks that are read one after the other.
 const SLACK: Duration = Duration::from_millis(100);
 const PAUSE: Duration = Duration::from_millis(20);
 
-/// The process around: its clock, one database, and what it is told.
-struct Books {
+/// The process around: its clock, one database, and the observations that it receives.
+struct TestHost {
     unix: Duration,
     since: Instant,
-    heard: RefCell<Vec<DatedObservation>>,
+    received: RefCell<Vec<DatedObservation>>,
 }
 
-impl Books {
+impl TestHost {
     fn new() -> Rc<Self> {
         let unix = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap();
-        Rc::new(Self { unix, since: Instant::now(), heard: RefCell::default() })
+        Rc::new(Self { unix, since: Instant::now(), received: RefCell::default() })
     }
 }
 
-impl ControlHost for Books {
+impl ControlHost for TestHost {
     fn now(&self) -> Duration {
         self.unix + self.since.elapsed()
     }
     fn nodes(&self) -> BTreeMap<SocketAddr, u16> {
         BTreeMap::from([(node(), 0)])
     }
-    fn observation_received(&self, evidence: DatedObservation) {
-        self.heard.borrow_mut().push(evidence);
+    fn observation_received(&self, observation: DatedObservation) {
+        self.received.borrow_mut().push(observation);
     }
-    fn learnt(&self, _: FeedObservation) {}
-    fn probe(&self, _: SocketAddr) -> bool {
+    fn feed_observation_received(&self, _: FeedObservation) {}
+    fn start_health_check(&self, _: SocketAddr) -> bool {
         false
     }
-    fn is_shut(&self, _: SocketAddr) -> bool {
+    fn is_ejected(&self, _: SocketAddr) -> bool {
         false
     }
 }
@@ -80,8 +79,8 @@
 }
 
 #[test]
-fn news_that_waited_for_a_process_that_stood_still_is_as_much_older() {
-    let books = Books::new();
+fn gossip_that_waited_for_a_process_that_stood_still_is_as_much_older() {
+    let host = TestHost::new();
     let probe = TaskParams {
         kind: TaskKind(0),
         period: Duration::from_secs(60),
@@ -91,7 +90,7 @@
         priority: Priority(0),
         cost: 1.0,
     };
-    let plans = FleetParams {
+    let fleet_params = FleetParams {
         health_check: probe,
         work_rate: 100.0,
         work_burst: 100.0,
@@ -101,7 +100,7 @@
     let port = UdpSocket::bind(local()).unwrap();
     let listen = port.local_addr().unwrap();
     drop(port);
-    let part = MemberConfig {
+    let config = MemberConfig {
         name: name("r1"),
         listen,
         advertise: listen,
@@ -109,12 +108,12 @@
         weight: 1,
         keys: keys(),
         seeds: Vec::new(),
-        plans,
-        letters: 20_000,
+        fleet_params,
+        max_datagrams_per_second: 20_000,
     };
-    let peers = FleetMember::new(part, Rc::<Books>::clone(&books), 1).unwrap();
-    peers.listed();
-    let start = peers.fleet().members().own_record().version.incarnation;
+    let member = FleetMember::new(config, Rc::<TestHost>::clone(&host), 1).unwrap();
+    member.nodes_changed();
+    let start = member.fleet().members().own_record().version.incarnation;
     let other = UdpSocket::bind(local()).unwrap();
     let (mut sealer, keys) = (Sealer::default(), keys());
     let mut tell = |position: u64| {
@@ -139,50 +138,50 @@
     let script = async {
         // What is read at once is as old as it says, however long nothing has come before it.
         Timer::after(STALL).await;
-        sent.push(books.now());
+        sent.push(host.now());
         tell(100);
         Timer::after(PAUSE).await;
         // The process stands still.
         for position in [101, 102] {
-            sent.push(books.now());
+            sent.push(host.now());
             tell(position);
             std::thread::sleep(STALL / 2);
         }
         Timer::after(PAUSE).await;
     };
-    future::block_on(future::or(async { Rc::clone(&peers).listen().await }, script));
-    let heard = books.heard.borrow();
-    assert_eq!(heard.len(), 3, "{heard:?}");
-    for (evidence, sent) in heard.iter().zip(&sent) {
+    future::block_on(future::or(async { Rc::clone(&member).receive().await }, script));
+    let received = host.received.borrow();
+    assert_eq!(received.len(), 3, "{received:?}");
+    for (observation, sent) in received.iter().zip(&sent) {
         let seen = *sent - Duration::from_millis(10);
-        assert!(evidence.at <= seen + SLACK, "dated {:?} after it was seen", evidence.at - seen);
-        assert!(evidence.at + SLACK >= seen, "dated {:?} before it was seen", seen - evidence.at);
+        assert!(observation.at <= seen + SLACK, "dated {:?} after it was seen", observation.at - seen);
+        assert!(observation.at + SLACK >= seen, "dated {:?} before it was seen", seen - observation.at);
     }
 }
 
 #[test]
 fn digests_that_waited_for_a_router_that_stood_still_are_as_much_older() {
-    let books = Books::new();
+    let host = TestHost::new();
     let control = UdpSocket::bind(local()).unwrap();
     control.set_read_timeout(Some(Duration::from_secs(10))).unwrap();
-    let plan = subscriber::SubscriberParams {
+    let params = SubscriberParams {
         region: None,
         digest_interval: Duration::from_millis(100),
         health_check_period: Duration::from_millis(150),
         router_count: 1,
     };
-    let line =
+    let control_instances =
         vec![ControlInstance { name: name("c0"), address: control.local_addr().unwrap(), region: None }];
-    let part = SubscriberConfig {
+    let config = SubscriberConfig {
         name: name("r1"),
         listen: local(),
         keys: keys(),
-        plan,
-        control: line,
-        letters: 20_000,
+        params,
+        control_instances,
+        max_datagrams_per_second: 20_000,
     };
-    let subscription = SubscriberService::new(part, Rc::<Books>::clone(&books), 1).unwrap();
-    subscription.listed();
+    let subscription = SubscriberService::new(config, Rc::<TestHost>::clone(&host), 1).unwrap();
+    subscription.nodes_changed();
     let (mut sealer, mut opener, keys) = (Sealer::default(), Opener::<Envelope>::of(4), keys());
     let mut address = None;
     let mut tell = |message: Message, address: Option<(SocketAddr, Incarnation)>| {
@@ -225,21 +224,29 @@
             if number == 2 {
                 tell(Message::Chunk(chunk.clone()), address);
             }
-            let sent = books.now();
+            let sent = host.now();
             tell(digest(number, sent), address);
             std::thread::sleep(Duration::from_millis(200));
             Timer::after(PAUSE).await;
-            if let Some(word) = subscription.known(node()) {
+            if let Some(observation) = subscription.observation(node()) {
                 let seen = sent - Duration::from_millis(10);
-                assert!(word.seen_at <= seen + SLACK, "dated {:?} after it was seen", word.seen_at - seen);
-                assert!(word.seen_at + SLACK >= seen, "dated {:?} before it was seen", seen - word.seen_at);
+                assert!(
+                    observation.seen_at <= seen + SLACK,
+                    "dated {:?} after it was seen",
+                    observation.seen_at - seen
+                );
+                assert!(
+                    observation.seen_at + SLACK >= seen,
+                    "dated {:?} before it was seen",
+                    seen - observation.seen_at
+                );
             }
         }
-        assert!(subscription.known(node()).is_some(), "the first measure only");
+        assert!(subscription.observation(node()).is_some(), "the first measure only");
     };
     let keeps = async {
         let (one, other) = (Rc::clone(&subscription), Rc::clone(&subscription));
-        future::zip(one.listen(), other.keep_time()).await;
+        future::zip(one.receive(), other.run_timer()).await;
     };
     future::block_on(future::or(keeps, script));
 }
--- a/crates/observation-feed/src/host.rs
+++ b/crates/observation-feed/src/host.rs
@@ -18,7 +18,7 @@
     /// next request.
     fn observation_changed(&mut self, observation: FeedObservation);
     /// Reports an event for the log.
-    fn emit_event(&mut self, event: Event);
+    fn report_event(&mut self, event: Event);
 }
 
 /// What a router knows of a database from the feed, dated on the router's clock. Unverified until the database's own
--- a/crates/observation-feed/src/message.rs
+++ b/crates/observation-feed/src/message.rs
@@ -136,7 +136,7 @@
 
     /// The digest after it has waited for `socket_delay` in the receiver's socket: as if sent later by that, and older by
     /// that. `None` if it waited too long to be of use.
-    pub fn delayed_by(self, socket_delay: Duration) -> Option<Self> {
+    pub fn aged_by(self, socket_delay: Duration) -> Option<Self> {
         if socket_delay > MAX_SOCKET_DELAY {
             return None;
         }
@@ -171,9 +171,9 @@
 
 impl Message {
     /// The message after it has waited for `socket_delay` in the receiver's socket. `None` if it is of no use any more.
-    pub fn delayed_by(self, socket_delay: Duration) -> Option<Self> {
+    pub fn aged_by(self, socket_delay: Duration) -> Option<Self> {
         match self {
-            Self::Digest(digest) => digest.delayed_by(socket_delay).map(Self::Digest),
+            Self::Digest(digest) => digest.aged_by(socket_delay).map(Self::Digest),
             other => Some(other),
         }
     }
--- a/crates/observation-feed/src/publisher.rs
+++ b/crates/observation-feed/src/publisher.rs
@@ -141,7 +141,7 @@
             self.reported_routers = routers;
             self.counts_reported_at = now;
             let pending_snapshots = self.pending_snapshots();
-            self.host.emit_event(Event::SubscriberCounts { routers, pending_snapshots });
+            self.host.report_event(Event::SubscriberCounts { routers, pending_snapshots });
         }
     }
 
--- a/crates/observation-feed/src/publisher/subscriptions.rs
+++ b/crates/observation-feed/src/publisher/subscriptions.rs
@@ -138,7 +138,7 @@
     fn reject(&mut self, now: Duration, from: SocketAddr, router: &PeerName, incarnation: Incarnation) {
         if self.rejection_reported_at.is_none_or(|reported_at| reported_at + REPORT_INTERVAL <= now) {
             self.rejection_reported_at = Some(now);
-            self.host.emit_event(Event::SubscriberRejected(router.clone()));
+            self.host.report_event(Event::SubscriberRejected(router.clone()));
         }
         self.host.send(from, Some(incarnation), Message::SubscriptionRejected);
     }
--- a/crates/observation-feed/src/subscriber.rs
+++ b/crates/observation-feed/src/subscriber.rs
@@ -151,7 +151,7 @@
         if followed.digest_heard(now) {
             let name = followed.instance.name.clone();
             self.backoffs.remove(&name);
-            self.host.emit_event(Event::Following(name));
+            self.host.report_event(Event::Following(name));
             self.renew_subscriptions(now);
         }
         self.isolation.last_digest_at = now;
--- a/crates/observation-feed/src/subscriber/following.rs
+++ b/crates/observation-feed/src/subscriber/following.rs
@@ -106,7 +106,7 @@
         let multiple = self.backoffs.get(name).map_or(1, |backoff| backoff.multiple);
         self.backoffs.insert(name.clone(), InstanceBackoff { until, multiple });
         if self.stop_following(name) {
-            self.host.emit_event(Event::Lost(name.clone()));
+            self.host.report_event(Event::Lost(name.clone()));
         }
         self.update_isolation(now);
     }
--- a/crates/observation-feed/src/subscriber/isolation.rs
+++ b/crates/observation-feed/src/subscriber/isolation.rs
@@ -34,7 +34,7 @@
         let was_isolated = self.isolation.is_isolated;
         if was_isolated && !is_isolated && self.isolation.is_reported {
             self.isolation.is_reported = false;
-            self.host.emit_event(Event::Reconnected);
+            self.host.report_event(Event::Reconnected);
         }
         if !was_isolated && is_isolated {
             self.quota.begin_isolation(now, &mut self.rng);
@@ -43,7 +43,7 @@
         let is_over_limit = self.isolation.last_digest_at + OBSERVATION_CURRENT_FOR < now;
         if is_isolated && !self.isolation.is_reported && is_over_limit {
             self.isolation.is_reported = true;
-            self.host.emit_event(Event::Isolated);
+            self.host.report_event(Event::Isolated);
         }
     }
 
--- a/crates/observation-feed/tests/snapshot_pulls.rs
+++ b/crates/observation-feed/tests/snapshot_pulls.rs
@@ -23,7 +23,7 @@
     }
     fn set_timer(&mut self, _after: Duration) {}
     fn observation_changed(&mut self, _observation: FeedObservation) {}
-    fn emit_event(&mut self, _event: Event) {}
+    fn report_event(&mut self, _event: Event) {}
 }
 
 fn ms(ms: u64) -> Duration {
--- a/crates/observation-feed/tests/units/fixtures.rs
+++ b/crates/observation-feed/tests/units/fixtures.rs
@@ -87,7 +87,7 @@
     fn observation_changed(&mut self, observation: FeedObservation) {
         self.0.borrow_mut().changed.push(observation);
     }
-    fn emit_event(&mut self, event: Event) {
+    fn report_event(&mut self, event: Event) {
         self.0.borrow_mut().events.push(event);
     }
 }
--- a/crates/observation-feed/tests/world/network.rs
+++ b/crates/observation-feed/tests/world/network.rs
@@ -45,7 +45,7 @@
         }
         let InFlightMessage { from, start, sent, arrives, message, .. } = message_in_flight;
         // What the socket's owner does.
-        let Some(message) = message.delayed_by(self.now.saturating_sub(arrives)) else { return };
+        let Some(message) = message.aged_by(self.now.saturating_sub(arrives)) else { return };
         if matches!(message, Message::Digest(_)) && process.side.follows(&from) {
             let by: usize = from.as_str().strip_prefix("control-").unwrap().parse().unwrap();
             note_delay(&mut self.delay_bounds, (index, by), start, self.now, arrives.saturating_sub(sent));
--- a/crates/router/src/client/listener.rs
+++ b/crates/router/src/client/listener.rs
@@ -21,7 +21,7 @@
 
 impl Clients {
     async fn accept_failed(&self, error: &io::Error) {
-        if self.told.is_due() {
+        if self.told.try_acquire() {
             log::warn!("accept failed: {error}");
         }
         Timer::after(ACCEPT_AGAIN).await;
@@ -74,7 +74,7 @@
     }
 
     fn welcome(self: &Rc<Self>, stream: Async<TcpStream>, slot: Slot) {
-        if slot.side == Side::TurnedAway && self.told.is_due() {
+        if slot.side == Side::TurnedAway && self.told.try_acquire() {
             log::warn!("no socket left for more clients: some are turned away");
         }
         let clients = Rc::clone(self);
--- a/crates/router/src/command.rs
+++ b/crates/router/src/command.rs
@@ -76,7 +76,7 @@
         if let Some(part) = &briefing.parts.fleet {
             // What follows from the deployment stands in neither file.
             let span = quillpoint_conf::value::span;
-            let plan = &part.plans.health_check;
+            let plan = &part.fleet_params.health_check;
             let (every, grace, floor) =
                 (span(plan.period), span(plan.takeover_delay), span(plan.min_interval));
             println!("# duty probe: every {every}, grace {grace}, floor {floor}");
--- a/crates/router/src/instance.rs
+++ b/crates/router/src/instance.rs
@@ -36,7 +36,7 @@
     }
 
     fn seen(&self, evidence: DatedObservation) {
-        self.publication.seen(evidence);
+        self.publication.observe(evidence);
     }
 
     /// Counts the members of its fleet as long as the process runs.
@@ -45,7 +45,7 @@
             if let Some(peers) = self.peers.get() {
                 let fleet = peers.fleet();
                 let others = fleet.members().peers().filter(|card| card.state.is_active()).count();
-                self.publication.instances_changed(others + 1);
+                self.publication.instance_count_changed(others + 1);
             }
             Timer::after(COUNTED_EVERY).await;
         }
@@ -71,16 +71,16 @@
         }
     }
 
-    fn learnt(&self, word: FeedObservation) {
-        self.engine.learnt(word);
+    fn feed_observation_received(&self, word: FeedObservation) {
+        self.engine.feed_observation_received(word);
     }
 
-    fn probe(&self, node: SocketAddr) -> bool {
-        self.engine.probe(node)
+    fn start_health_check(&self, node: SocketAddr) -> bool {
+        self.engine.start_health_check(node)
     }
 
-    fn is_shut(&self, node: SocketAddr) -> bool {
-        ControlHost::is_shut(&*self.engine, node)
+    fn is_ejected(&self, node: SocketAddr) -> bool {
+        ControlHost::is_ejected(&*self.engine, node)
     }
 }
 
@@ -99,14 +99,14 @@
     }
 
     fn listed(&self) {
-        self.publication.listed();
+        self.publication.nodes_changed();
         if let Some(peers) = self.peers.get() {
-            peers.listed();
+            peers.nodes_changed();
         }
     }
 
     fn may_probe(&self, node: NodeId) -> bool {
-        self.peers.get().is_none_or(|peers| peers.may_probe(node.0))
+        self.peers.get().is_none_or(|peers| peers.claim_health_check(node.0))
     }
 
     fn news_of(&self, node: NodeId) -> Option<PeerObservation> {
--- a/crates/router/src/part.rs
+++ b/crates/router/src/part.rs
@@ -89,7 +89,7 @@
         weight: count("weight")? as u8,
         keys: keys(conf, "fleet")?,
         seeds: conf.titles("peer").filter_map(|peer| conf.address("peer", peer, "address")).collect(),
-        plans: FleetParams {
+        fleet_params: FleetParams {
             health_check: plan(conf, "probe", TaskKind(0), usual(launch))?,
             work_rate: rate,
             // A tenth of a second's work may come at once.
@@ -97,7 +97,7 @@
             gossip_bytes_per_second: count("news-budget")? as f64,
             budgets_grow_with_nodes: conf.has_section("publish"),
         },
-        letters: count("letters")?,
+        max_datagrams_per_second: count("letters")?,
     }))
 }
 
@@ -115,13 +115,13 @@
         name: fleet.name.clone(),
         listen,
         keys: keys(conf, "publish")?,
-        plan: publisher::PublisherParams {
-            health_check_period: fleet.plans.health_check.period,
+        params: publisher::PublisherParams {
+            health_check_period: fleet.fleet_params.health_check.period,
             digest_interval: DIGESTS,
             snapshot_bytes_per_second: count("copy-budget")? as f64,
             max_subscribers: count("subscribers")? as usize,
         },
-        letters: LETTERS,
+        max_datagrams_per_second: LETTERS,
     }))
 }
 
@@ -142,14 +142,14 @@
         name: PeerName::new(&launch.name)?,
         listen,
         keys: keys(conf, "subscribe")?,
-        plan: subscriber::SubscriberParams {
+        params: subscriber::SubscriberParams {
             region: conf.word("subscribe", "", "region").map(str::to_string),
             digest_interval: DIGESTS,
             health_check_period: usual(launch),
             router_count: launch.deployment.values.number("routers").unwrap_or(1.0).max(1.0) as u32,
         },
-        control: conf.titles("control").map(control).collect::<Result<_, _>>()?,
-        letters: LETTERS,
+        control_instances: conf.titles("control").map(control).collect::<Result<_, _>>()?,
+        max_datagrams_per_second: LETTERS,
     }))
 }
 
--- a/crates/router/src/peers.rs
+++ b/crates/router/src/peers.rs
@@ -44,34 +44,37 @@
         self.peer_observed(heard_word(evidence));
     }
 
-    fn learnt(&self, word: FeedObservation) {
+    fn feed_observation_received(&self, word: FeedObservation) {
         self.peer_observed(peer_word(word));
     }
 
-    fn refreshed(&self) {
+    fn digest_received(&self) {
         self.catch_up_held();
     }
 
-    fn probe(&self, node: SocketAddr) -> bool {
+    fn start_health_check(&self, node: SocketAddr) -> bool {
         self.begin_assigned_health_check(NodeId(node))
     }
 
-    fn is_shut(&self, node: SocketAddr) -> bool {
+    fn is_ejected(&self, node: SocketAddr) -> bool {
         Engine::is_shut(self, NodeId(node))
     }
 }
 
 impl Sharing for FleetMember {
     fn found(&self, finding: Finding) {
-        self.found(finding.asked, finding.probe, news(&finding));
+        match finding.probe {
+            true => self.health_check_observed(finding.asked, news(&finding)),
+            false => self.attempt_observed(finding.asked, news(&finding)),
+        }
     }
 
     fn listed(&self) {
-        self.listed();
+        self.nodes_changed();
     }
 
     fn may_probe(&self, node: NodeId) -> bool {
-        self.may_probe(node.0)
+        self.claim_health_check(node.0)
     }
 }
 
@@ -80,14 +83,14 @@
     fn found(&self, _finding: Finding) {}
 
     fn listed(&self) {
-        self.listed();
+        self.nodes_changed();
     }
 
     fn may_probe(&self, node: NodeId) -> bool {
-        self.may_probe(node.0)
+        self.claim_health_check(node.0)
     }
 
     fn news_of(&self, node: NodeId) -> Option<PeerObservation> {
-        self.news_of(node.0).map(peer_word)
+        self.newer_observation(node.0).map(peer_word)
     }
 }
--- a/crates/router/src/pool.rs
+++ b/crates/router/src/pool.rs
@@ -261,7 +261,7 @@
         };
         let mut nodes = self.nodes.borrow_mut();
         let entry = nodes.entry(node).or_default();
-        if out_of_reach == entry.out_of_reach || !entry.told.is_due() {
+        if out_of_reach == entry.out_of_reach || !entry.told.try_acquire() {
             return;
         }
         entry.out_of_reach = out_of_reach;
--- a/crates/router/src/ties.rs
+++ b/crates/router/src/ties.rs
@@ -80,19 +80,19 @@
             engine.share_with(sharing);
         }
         if let Some(peers) = &self.peers {
-            executor.spawn(Rc::clone(peers).listen()).detach();
-            executor.spawn(Rc::clone(peers).keep_time()).detach();
+            executor.spawn(Rc::clone(peers).receive()).detach();
+            executor.spawn(Rc::clone(peers).run_timer()).detach();
         }
         if let Some(instance) = &self.instance {
             executor.spawn(Rc::clone(instance).count()).detach();
         }
         if let Some(publication) = &self.publication {
-            executor.spawn(Rc::clone(publication).listen()).detach();
-            executor.spawn(Rc::clone(publication).keep_time()).detach();
+            executor.spawn(Rc::clone(publication).receive()).detach();
+            executor.spawn(Rc::clone(publication).run_timer()).detach();
         }
         if let Some(subscription) = &self.subscription {
-            executor.spawn(Rc::clone(subscription).listen()).detach();
-            executor.spawn(Rc::clone(subscription).keep_time()).detach();
+            executor.spawn(Rc::clone(subscription).receive()).detach();
+            executor.spawn(Rc::clone(subscription).run_timer()).detach();
         }
     }
 
--- a/crates/router/tests/instance.rs
+++ b/crates/router/tests/instance.rs
@@ -83,7 +83,7 @@
             priority,
             cost: 1.0,
         };
-        let plans = FleetParams {
+        let fleet_params = FleetParams {
             health_check: probe,
             work_rate: 100.0,
             work_burst: 100.0,
@@ -91,20 +91,34 @@
             budgets_grow_with_nodes: true,
         };
         let name = PeerName::new("c1").unwrap();
-        let plan = publisher::PublisherParams {
+        let params = publisher::PublisherParams {
             health_check_period: period,
             digest_interval: Duration::from_millis(100),
             snapshot_bytes_per_second: 1e6,
             max_subscribers: 10,
         };
-        let publish =
-            PublisherConfig { name: name.clone(), listen: local(), keys: keys(), plan, letters: 20_000 };
+        let publish = PublisherConfig {
+            name: name.clone(),
+            listen: local(),
+            keys: keys(),
+            params,
+            max_datagrams_per_second: 20_000,
+        };
         let publication =
             PublisherService::new(publish, Rc::clone(&engine) as Rc<dyn ControlHost>, 1).unwrap();
         let instance = Instance::new(Rc::clone(&engine), publication);
-        let (listen, advertise, seeds, letters) = (local(), local(), Vec::new(), 20_000);
-        let part =
-            MemberConfig { name, listen, advertise, zone: 0, weight: 1, keys: keys(), seeds, plans, letters };
+        let (listen, advertise, seeds, max_datagrams_per_second) = (local(), local(), Vec::new(), 20_000);
+        let part = MemberConfig {
+            name,
+            listen,
+            advertise,
+            zone: 0,
+            weight: 1,
+            keys: keys(),
+            seeds,
+            fleet_params,
+            max_datagrams_per_second,
+        };
         let peers = FleetMember::new(part, Rc::clone(&instance) as Rc<dyn ControlHost>, 1).unwrap();
         instance.takes_part(Rc::clone(&peers));
         engine.share_with(Rc::clone(&instance) as Rc<dyn Sharing>);
@@ -132,16 +146,16 @@
         let mut sealer = self.sealer.take();
         let bytes = sealer.seal(&keys(), Some(card.version.incarnation), &letter).unwrap();
         self.sealer.set(sealer);
-        let before = self.peers.counts().taken;
+        let before = self.peers.counts().transport.accepted;
         self.other.send_to(&bytes, card.address).unwrap();
         let taken = async {
             let since = Instant::now();
-            while self.peers.counts().taken == before {
+            while self.peers.counts().transport.accepted == before {
                 assert!(since.elapsed() < NEVER, "never taken");
                 Timer::after(Duration::from_millis(1)).await;
             }
         };
-        future::block_on(future::or(async { Rc::clone(&self.peers).listen().await }, taken));
+        future::block_on(future::or(async { Rc::clone(&self.peers).receive().await }, taken));
     }
 
     fn arrive(&self) -> Owed {
@@ -179,9 +193,10 @@
 fn a_node_that_several_do_not_reach_is_shut_at_once() {
     let world = World::new();
     world.told("c2", node(1), true);
-    assert!(!ControlHost::is_shut(&*world.engine, node(1).0), "one voice alone");
+    assert!(!ControlHost::is_ejected(&*world.engine, node(1).0), "one voice alone");
     world.told("c3", node(1), true);
     assert!(
-        ControlHost::is_shut(&*world.engine, node(1).0) && !ControlHost::is_shut(&*world.engine, node(0).0)
+        ControlHost::is_ejected(&*world.engine, node(1).0)
+            && !ControlHost::is_ejected(&*world.engine, node(0).0)
     );
 }
--- a/crates/router/tests/told.rs
+++ b/crates/router/tests/told.rs
@@ -106,21 +106,21 @@
 #[test]
 fn what_is_held_goes_on_when_a_digest_comes_and_nothing_else_is_asked() {
     let (engine, _work, teller) = engine();
-    engine.refreshed();
+    engine.digest_received();
     assert_eq!(asked(&teller), [], "nothing is held");
     let owed = arrive(&engine, 2);
     assert!(owed.ordered().is_none(), "nobody says that any replica is up to date");
     asked(&teller);
-    engine.refreshed();
+    engine.digest_received();
     assert_eq!(asked(&teller), [node(2, 0), node(2, 1)]);
     assert!(owed.ordered().is_none());
     teller.has_news.set(true);
-    engine.refreshed();
+    engine.digest_received();
     assert!(matches!(owed.ordered(), Some(Order::Attempt(_))));
     // One that has ended is not held any more.
     drop(arrive(&engine, 0));
     asked(&teller);
-    engine.refreshed();
+    engine.digest_received();
     assert_eq!(asked(&teller), [node(2, 0), node(2, 1)], "the one that is out may need another attempt");
 }
 
@@ -136,7 +136,7 @@
         started: None,
         failed: true,
     };
-    engine.learnt(word);
+    engine.feed_observation_received(word);
     assert!(engine.is_shut(node(0, 1)) && !engine.is_shut(node(0, 0)));
     assert_eq!(asked(&teller), [], "nobody needs to ask for it");
 }
--- a/crates/simulator/src/feed_world.rs
+++ b/crates/simulator/src/feed_world.rs
@@ -90,7 +90,7 @@
         self.0.borrow_mut().feed_wake = Some(after);
     }
     fn observation_changed(&mut self, _: FeedObservation) {}
-    fn emit_event(&mut self, _: quillpoint_observation_feed::Event) {}
+    fn report_event(&mut self, _: quillpoint_observation_feed::Event) {}
 }
 
 /// What a process has cost.
--- a/crates/testbed/src/scale/books.rs
+++ b/crates/testbed/src/scale/books.rs
@@ -94,7 +94,10 @@
         let come = (self.ran().as_secs_f64() * *a_second) as u64;
         while *asked < come && !groups.is_empty() {
             let group = &groups[(*asked % groups.len() as u64) as usize];
-            group.iter().filter_map(|node| subscription.news_of(*node)).for_each(|word| self.learnt(word));
+            group
+                .iter()
+                .filter_map(|node| subscription.newer_observation(*node))
+                .for_each(|word| self.feed_observation_received(word));
             *asked += 1;
         }
     }
@@ -159,21 +162,21 @@
             self.note(node, at, primary);
         }
     }
-    fn learnt(&self, word: FeedObservation) {
+    fn feed_observation_received(&self, word: FeedObservation) {
         if !word.failed {
             self.note(word.node, word.seen_at, word.primary);
         }
     }
-    fn refreshed(&self) {
+    fn digest_received(&self) {
         self.catch_up();
     }
-    fn probe(&self, node: SocketAddr) -> bool {
+    fn start_health_check(&self, node: SocketAddr) -> bool {
         self.asked.borrow_mut().insert(node) && self.probes.try_send(node).is_ok()
     }
-    fn is_shut(&self, _node: SocketAddr) -> bool {
+    fn is_ejected(&self, _node: SocketAddr) -> bool {
         false
     }
-    fn reaches(&self, other: SocketAddr) -> bool {
+    fn can_reach(&self, other: SocketAddr) -> bool {
         !self.cut.get() || side(other) == self.side
     }
 }
--- a/crates/testbed/src/scale/hollow.rs
+++ b/crates/testbed/src/scale/hollow.rs
@@ -90,14 +90,14 @@
     fn traffic(&self) -> Traffic {
         match self {
             Self::Member(peers) => peers.traffic(),
-            Self::Subscriber(subscription) => subscription.counts().passed.traffic,
+            Self::Subscriber(subscription) => subscription.traffic(),
         }
     }
 
     fn probes(&self) -> u64 {
         match self {
-            Self::Member(peers) => peers.counts().probes,
-            Self::Subscriber(subscription) => subscription.counts().probes,
+            Self::Member(peers) => peers.counts().health_checks,
+            Self::Subscriber(subscription) => subscription.counts().health_checks,
         }
     }
 
@@ -155,22 +155,22 @@
             Role::Member(part) => {
                 let part = MemberConfig { name, listen: self.listen, advertise: self.listen, ..part.clone() };
                 let peers = FleetMember::new(part, around, seed)?;
-                peers.listed();
+                peers.nodes_changed();
                 let (one, other) = (Rc::clone(&peers), Rc::clone(&peers));
-                let tasks = vec![spawn(Box::pin(one.listen())), spawn(Box::pin(other.keep_time()))];
+                let tasks = vec![spawn(Box::pin(one.receive())), spawn(Box::pin(other.run_timer()))];
                 (Control::Member(peers), tasks)
             }
             Role::Subscriber(part) => {
                 let mut part = SubscriberConfig { name, listen: self.listen, ..part.clone() };
-                part.plan.region = Some(region(self.listen).to_string());
+                part.params.region = Some(region(self.listen).to_string());
                 let subscription = SubscriberService::new(part, around, seed)?;
-                subscription.listed();
+                subscription.nodes_changed();
                 books.asks(Asks::new(&subscription, Rc::clone(&common.groups), common.statements));
                 let (one, other) = (Rc::clone(&subscription), Rc::clone(&subscription));
                 let uses = common.nodes.keys().skip(self.place % common.uses_one_in.max(1));
                 let uses = uses.step_by(common.uses_one_in.max(1)).copied().collect();
                 let alone = ask_alone(Rc::clone(&subscription), Rc::clone(&books), uses);
-                let mut tasks = vec![spawn(Box::pin(one.listen())), spawn(Box::pin(other.keep_time()))];
+                let mut tasks = vec![spawn(Box::pin(one.receive())), spawn(Box::pin(other.run_timer()))];
                 if !common.bare {
                     tasks.push(spawn(Box::pin(alone)));
                 }
@@ -230,8 +230,8 @@
         let Some(Running { control, books, .. }) = &self.running else { return Default::default() };
         if let Control::Subscriber(subscription) = control {
             for node in books.sampled() {
-                if let Some(word) = subscription.known(node) {
-                    books.learnt(word);
+                if let Some(word) = subscription.observation(node) {
+                    books.feed_observation_received(word);
                 }
             }
         }
@@ -252,8 +252,8 @@
             continue;
         }
         for node in &uses {
-            if subscription.may_probe(*node) {
-                books.probe(*node);
+            if subscription.claim_health_check(*node) {
+                books.start_health_check(*node);
             }
         }
     }
@@ -300,7 +300,7 @@
                     started: None,
                     failed,
                 };
-                peers.found(at, true, news);
+                peers.health_check_observed(at, news);
             }
         };
         executor.spawn(Rc::clone(&still).hold(task)).detach();
