--- a/src/concurrency_limit.rs
+++ b/src/concurrency_limit.rs
@@ -22,7 +22,7 @@
 const UNQUEUED_LATENCY_TOLERANCE: f64 = 2.0;
 /// The limit shrinks by half at the most for one answer, before the answer's weight.
 const MIN_LIMIT_RATIO: f64 = 0.5;
-/// Guards the ratio against division by zero.
+/// The least relative latency that is reckoned with: answers that take no time would divide by zero.
 const MIN_RELATIVE_LATENCY: f64 = 0.1;
 /// The part of a limit that must be in use for it to grow.
 const GROWTH_UTILIZATION: f64 = 0.7;
@@ -32,7 +32,7 @@
 const REJECTED_REST: Duration = Duration::from_millis(50);
 /// So many rests may be saved up, as requests come in clumps.
 const SAVED_RESTS: u32 = 3;
-/// The longest rest after one answer: after a jam, a rest must not outlast it by much.
+/// The longest rest after one answer: after an overload, a rest must not outlast it by much.
 const MAX_REST: Duration = Duration::from_millis(10_000);
 /// A latency of all zones past this lengthens the rests, by its square.
 const CROWDED_LATENCY: f64 = 1.5;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -22,6 +22,8 @@
 //! | `endpoints` | the endpoint list: nodes added, draining, removed; polling it |
 //! | `maintenance` | the periodic work and the one timer |
 //!
+//! What they share is in `config` (the settings), `method`, `node_state` and `pending_request`.
+//!
 //! Why each rule exists is in docs/design.md; the terms are in docs/glossary.md.
 
 #![warn(missing_docs)]
