--- a/src/attempt_check.rs
+++ b/src/attempt_check.rs
@@ -1,4 +1,5 @@
-//! The attempt check: the five rules that every attempt passes when it is ordered, and again right before its first byte.
+//! The attempt check: the five rules that every attempt passes when it is ordered, and again right before its first
+//! byte.
 //!
 //! 1. Only a request without a final answer is sent, and only while the answer is of use.
 //! 2. What may have run is sent again only as its method allows.
@@ -18,7 +19,7 @@
 /// Present answer times after which an attempt counts as lost: by chance 1 in 33. A node that loses some attempts would
 /// else have its limit filled by them until they time out.
 const LOST_ANSWER_TIMES: f64 = 3.5;
-/// The least present answer time that is reckoned with, in seconds.
+/// The least present answer time that is used, in seconds.
 const MIN_ANSWER_TIME_S: f64 = 1e-3;
 /// The least timeout of an attempt.
 const MIN_TIMEOUT: Duration = Duration::from_millis(1);
--- a/src/balancing.rs
+++ b/src/balancing.rs
@@ -146,8 +146,8 @@
         available.retain(|candidate| Some(&candidate.node) > unknown.last());
     }
 
-    /// Free capacity at a node as a weight of the draw. It falls with the square of the part of its answers that failed:
-    /// what fails everywhere alike costs no node its share. It falls with the latency of the node's zone.
+    /// Free capacity at a node as a weight of the draw. It falls with the square of the part of its answers that
+    /// failed: what fails everywhere alike costs no node its share. It falls with the latency of the node's zone.
     fn balancing_weight(&self, now: Duration, node: &NodeState) -> f64 {
         let success_rate = node.health.success_rate;
         let locality = self.zones.locality(node.zone).powi(LOCALITY_POWER);
--- a/src/concurrency_limit.rs
+++ b/src/concurrency_limit.rs
@@ -5,11 +5,11 @@
 
 use std::time::Duration;
 
+use crate::attempt_evidence::AttemptEvidence;
 use crate::connection_shortage::ConnectResult;
 use crate::host::{AttemptEnd, Host, Outcome};
 use crate::moving_average::SAMPLE_WEIGHT;
 use crate::node_state::NodeState;
-use crate::outlier_detection::AttemptEvidence;
 use crate::router::Router;
 
 /// Limit at a node until answers tell, of all routers together.
@@ -22,7 +22,7 @@
 const UNQUEUED_LATENCY_TOLERANCE: f64 = 2.0;
 /// The limit shrinks by half at the most for one answer, before the answer's weight.
 const MIN_LIMIT_RATIO: f64 = 0.5;
-/// The least relative latency that is reckoned with: answers that take no time would divide by zero.
+/// The least relative latency that is used: answers that take no time would divide by zero.
 const MIN_RELATIVE_LATENCY: f64 = 0.1;
 /// The part of a limit that must be in use for it to grow.
 const GROWTH_UTILIZATION: f64 = 0.7;
--- a/src/config.rs
+++ b/src/config.rs
@@ -27,9 +27,9 @@
     pub only_listed_draining: bool,
     /// Load reports come with health checks alone, and not with answers.
     pub reports_by_health_checks_only: bool,
-    /// The longest Retry-After that clients can be told: zero where they get none.
-    pub retry_after_limit: Duration,
-    /// The Retry-After of overload.
+    /// Whether clients are told a Retry-After.
+    pub tells_retry_after: bool,
+    /// The Retry-After that is told in an overload.
     pub max_retry_after: Duration,
     /// The nodes themselves see to it that no read is stale.
     pub nodes_check_reads: bool,
@@ -52,7 +52,6 @@
 impl Config {
     pub fn new(values: &ValueMap, methods: &[Method]) -> Self {
         let has_session_reads = methods.iter().any(|method| method.consistency == Consistency::Session);
-        let retry_after = !values.denies("allowed.retry_after");
         Self {
             tick: values.span("tick").unwrap_or(Duration::from_millis(1)),
             max_attempts: values.number("allowed.attempts").unwrap_or(1.0) as usize,
@@ -62,7 +61,7 @@
             watches_endpoints: values.text("discovery") == "subscribe",
             only_listed_draining: values.flag("rules.only_listed_draining"),
             reports_by_health_checks_only: values.text("reports.source") == "probe",
-            retry_after_limit: if retry_after { Duration::MAX } else { Duration::ZERO },
+            tells_retry_after: !values.denies("allowed.retry_after"),
             max_retry_after: values.span("allowed.max_retry_after").unwrap_or_default(),
             nodes_check_reads: values.text("replication.read_check") != "none",
             remembers_session_tokens: values.text("replication.session_tokens") == "remembered"
--- a/src/endpoints.rs
+++ b/src/endpoints.rs
@@ -6,7 +6,8 @@
 
 use crate::health_checks::MAX_FAILURES;
 use crate::host::{Endpoint, EndpointStatus, EndpointUpdate, Host};
-use crate::node_state::{NodeState, ReplicaSet};
+use crate::node_state::NodeState;
+use crate::replica_set::ReplicaSet;
 use crate::router::Router;
 
 /// Delay of the next poll after a failed one; it doubles with each further failure.
@@ -79,8 +80,8 @@
         }
     }
 
-    /// Takes in one entry. A node that is new or has started anew begins its slow start. A new replica set has a part of
-    /// one read in its primary's quota, drawn by chance: no single router of many would ever earn a whole one.
+    /// Takes in one entry. A node that is new or has started anew begins its slow start. A new replica set has a part
+    /// of one read in its primary's quota, drawn by chance: no single router of many would ever earn a whole one.
     fn apply_endpoint(&mut self, endpoint: &Endpoint, assumed_start: Option<Duration>) {
         let routers = self.config.routers;
         let new_node = || NodeState::new(endpoint, assumed_start, routers);
--- a/src/health_checks.rs
+++ b/src/health_checks.rs
@@ -13,7 +13,7 @@
 
 /// Part of the result that is spent on health checks, in its own unit.
 const SPEND_PER_RPC: f64 = 0.006;
-/// The least price that is reckoned with: nothing may be earned without bound.
+/// The least price that is used: nothing may be earned without bound.
 const MIN_PRICE: f64 = 1e-3;
 /// So many times more is earned where only health checks tell what nodes have in flight.
 const LOAD_REPORT_FACTOR: f64 = 3.3;
@@ -85,7 +85,7 @@
 
 impl HealthCheckState {
     /// An error is an answer too. A check that fails at once is made again, up to three times in a row: a link that
-    /// loses some of all, or a router that alone fails to reach a node, would else eject nodes that serve.
+    /// loses some of all, or a router that alone fails to reach a node, would otherwise eject nodes that serve.
     fn result(&self, outcome: Outcome) -> CheckResult {
         match outcome {
             Outcome::Ok | Outcome::Error | Outcome::Rejected => CheckResult::Answered,
@@ -174,8 +174,8 @@
     }
 
     /// Periodic: ejected nodes are checked again, at a pace that halves with each failure past the second, and only
-    /// once an RPC has looked for a node in their replica set since the last check: hundreds of routers would else keep
-    /// asking a dead node for which none of them has an RPC.
+    /// once an RPC has looked for a node in their replica set since the last check: hundreds of routers would otherwise
+    /// keep asking a dead node for which none of them has an RPC.
     pub(crate) fn check_ejected_nodes(&mut self, now: Duration) {
         let is_due = |node: &NodeState| {
             let check = &node.health_check;
--- a/src/host.rs
+++ b/src/host.rs
@@ -43,7 +43,7 @@
     fn reject(&mut self, rpc: RpcId, retry_after: Duration);
     /// Final answer that promises nothing about the effect.
     fn abort(&mut self, rpc: RpcId);
-    /// Asks the node how it is, without an RPC.
+    /// Asks the node how it is, without an RPC; `health_check_ended` has to be called when that ends.
     fn health_check(&mut self, node: NodeId);
     /// Closes this router's idle connections to the node.
     fn close_idle(&mut self, node: NodeId);
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -22,7 +22,8 @@
 //! | `endpoints` | the endpoint list: nodes added, draining, removed; polling it |
 //! | `maintenance` | the periodic work and the one timer |
 //!
-//! What they share is in `config` (the settings), `method`, `node_state` and `pending_request`.
+//! What they share is in `config` (the settings), `method`, `node_state`, `replica_set`,
+//! `pending_request`, `attempt_evidence` and `moving_average`.
 //!
 //! Why each rule exists is in docs/design.md; the terms are in docs/glossary.md.
 
@@ -31,6 +32,7 @@
 mod accessors;
 mod admission;
 mod attempt_check;
+mod attempt_evidence;
 mod balancing;
 mod concurrency_limit;
 mod config;
@@ -47,6 +49,7 @@
 mod outlier_detection;
 mod pending_request;
 mod primary;
+mod replica_set;
 mod retry_policy;
 mod router;
 mod session_tokens;
--- a/src/load_reports.rs
+++ b/src/load_reports.rs
@@ -14,7 +14,7 @@
 const NO_CAPACITY: Option<f64> = Some(f64::INFINITY);
 /// From this many queued requests a node that does not report what is in flight has no capacity.
 const QUEUED: f64 = 0.5;
-/// The most that one report adds to the fleet's utilization, as a root: a malformed one would else count for ever.
+/// The most that one report adds to the fleet's utilization, as a root: a malformed one would otherwise count for ever.
 const MAX_REPORTED_UTILIZATION: f64 = 3.0;
 /// From this utilization of the fleet, as a root, nodes are checked before they are sent to.
 const CHECK_FIRST_UTILIZATION: f64 = 0.5;
--- a/src/node_state.rs
+++ b/src/node_state.rs
@@ -1,17 +1,14 @@
-//! What this router knows of one node, and of one replica set: a struct for each concern, whose module owns its rules.
+//! What this router knows of one node: a struct for each concern, whose module owns its rules.
 
-use std::collections::BTreeSet;
 use std::time::Duration;
 
 use crate::concurrency_limit::ConcurrencyLimit;
 use crate::freshness::LogPosition;
 use crate::health_checks::HealthCheckState;
-use crate::host::{AttemptNumber, Endpoint, NodeId, ReplicaSetId, RpcId, SessionKey, ZoneId};
+use crate::host::{AttemptNumber, Endpoint, ReplicaSetId, RpcId, SessionKey, ZoneId};
 use crate::load_reports::DatedLoadReport;
 use crate::outlier_detection::Health;
-use crate::primary::KnownPrimary;
 use crate::slow_start::SlowStart;
-use crate::wait_queue::WaitQueue;
 
 /// What this router knows of a node.
 pub(crate) struct NodeState {
@@ -88,19 +85,3 @@
         self.lost_at <= now
     }
 }
-
-/// One primary and its replicas.
-#[derive(Default)]
-pub(crate) struct ReplicaSet {
-    pub nodes: BTreeSet<NodeId>,
-    pub primary: Option<KnownPrimary>,
-    /// When the last primary was lost: nodes that have answered as replicas since then are left out of the search.
-    pub primary_lost_at: Duration,
-    /// Reads that may still go to the primary.
-    pub primary_quota: f64,
-    /// When a node was last looked for here on behalf of an RPC.
-    pub last_wanted: Duration,
-    /// The newest remembered commit that was dropped because all nodes had passed it.
-    pub passed_commit: Option<Duration>,
-    pub queue: WaitQueue,
-}
--- a/src/outlier_detection.rs
+++ b/src/outlier_detection.rs
@@ -6,7 +6,6 @@
 use crate::connection_shortage::ConnectResult;
 use crate::host::{AttemptEnd, Host, NodeId, Outcome};
 use crate::moving_average::add_sample;
-use crate::node_state::InFlightAttempt;
 use crate::router::Router;
 
 /// A node is silent after so many due answers have stayed away: by chance alone once in about 8,000 (e^9) times.
@@ -28,42 +27,7 @@
     }
 }
 
-/// What is known when an attempt ends, as of before anything is learned from it.
-pub(crate) struct AttemptEvidence {
-    /// None where it was no longer in flight.
-    pub attempt: Option<InFlightAttempt>,
-    /// It was given up before its end came, so its time says nothing.
-    pub lost: bool,
-    pub connect: ConnectResult,
-    /// Requests queued at the node by its last report.
-    pub queued_before: Option<f64>,
-    /// The relative latency of the zone whose answers are least delayed.
-    pub lowest_zone_latency: f64,
-    /// Nodes report what they have in flight.
-    pub load_is_known: bool,
-}
-
 impl<H: Host> Router<H> {
-    /// Takes the attempt off its node and notes what is known at its end. None for an unknown node.
-    pub(crate) fn take_attempt_evidence(
-        &mut self,
-        now: Duration,
-        end: &AttemptEnd,
-    ) -> Option<AttemptEvidence> {
-        let queued_before = self.nodes.get(&end.node).and_then(|node| self.current_report(now, node)?.queued);
-        let node = self.nodes.get_mut(&end.node)?;
-        let is_ended = |out: &mut InFlightAttempt| out.rpc == end.rpc && out.attempt == end.attempt;
-        let attempt = node.in_flight.extract_if(.., is_ended).next();
-        Some(AttemptEvidence {
-            lost: attempt.as_ref().is_none_or(|attempt| attempt.is_lost(now)),
-            connect: self.connect_result(now, end, attempt.as_ref()),
-            queued_before,
-            lowest_zone_latency: self.zones.lowest(),
-            load_is_known: self.fleet_utilization > 0.0,
-            attempt,
-        })
-    }
-
     /// Any answer clears a node. A failed connect ejects it, and a health check decides: the process may be dead or the
     /// link cut. A reset does not, as it may be one lost answer, nor does a refusal in a shortage of connections.
     pub(crate) fn update_ejection(&mut self, end: &AttemptEnd, connect: ConnectResult) {
--- a/src/primary.rs
+++ b/src/primary.rs
@@ -4,7 +4,7 @@
 
 use crate::balancing::{Candidates, RoutingChoice};
 use crate::host::{AttemptEnd, Endpoint, Host, NodeId, Outcome, ReplicaSetId, Role, RpcId};
-use crate::node_state::{NodeState, ReplicaSet};
+use crate::node_state::NodeState;
 use crate::router::Router;
 
 /// Part of a replica set's reads that may go to its primary.
@@ -35,13 +35,6 @@
     pub proven: bool,
 }
 
-impl ReplicaSet {
-    /// The node that is known as the primary.
-    pub fn primary_node(&self) -> Option<NodeId> {
-        self.primary.map(|primary| primary.node)
-    }
-}
-
 impl<H: Host> Router<H> {
     /// Each read earns a part of a read at the primary, so that reads go there at a tenth at the most.
     pub(crate) fn earn_primary_quota(&mut self, replica_set: ReplicaSetId, is_write: bool) {
--- a/src/retry_policy.rs
+++ b/src/retry_policy.rs
@@ -11,8 +11,8 @@
 const MAX_ERRORS: usize = 2;
 /// A request is sent only if so many present answer times are left to it.
 const ANSWER_TIMES_NEEDED: f64 = 2.0;
-/// These are at most this part of its whole time: a method with slow answers would else never be sent again, and its
-/// answer time never be seen to fall.
+/// These are at most this part of its whole time: a method with slow answers would otherwise never be sent again, and
+/// its answer time never be seen to fall.
 const MAX_NEEDED_PART: f64 = 0.75;
 /// A request that no node was sent is given up after this part of its time: its client then has time for a further try.
 const UNSENT_PART: f64 = 0.45;
@@ -72,7 +72,8 @@
 
     /// Rejects with a Retry-After, where clients get one.
     pub(crate) fn reject(&mut self, id: RpcId, retry_after: Duration) {
-        self.host.reject(id, retry_after.min(self.config.retry_after_limit));
+        let told = if self.config.tells_retry_after { retry_after } else { Duration::ZERO };
+        self.host.reject(id, told);
     }
 
     /// Drops a request that is over.
--- a/src/router.rs
+++ b/src/router.rs
@@ -19,8 +19,9 @@
 };
 use crate::maintenance::{DueTime, Maintenance};
 use crate::method::{Consistency, Method};
-use crate::node_state::{NodeState, ReplicaSet};
+use crate::node_state::NodeState;
 use crate::pending_request::PendingRequest;
+use crate::replica_set::ReplicaSet;
 use crate::session_tokens::SessionTokens;
 use crate::zone_latency::ZoneLatencies;
 
--- a/src/session_tokens.rs
+++ b/src/session_tokens.rs
@@ -3,9 +3,9 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
+use crate::attempt_evidence::AttemptEvidence;
 use crate::host::{AttemptEnd, Host, Outcome, ReplicaSetId, Rpc, SessionKey};
 use crate::node_state::NodeState;
-use crate::outlier_detection::AttemptEvidence;
 use crate::router::Router;
 
 /// Past this many tokens none is kept: the newest stands in for all, so that memory has a bound.
--- a/src/zone_latency.rs
+++ b/src/zone_latency.rs
@@ -1,5 +1,5 @@
-//! The latency of each zone as seen from this router: a slow or lossy link makes all nodes beyond it look slow from here
-//! alone.
+//! The latency of each zone as seen from this router: a slow or lossy link makes all nodes beyond it look slow from
+//! here alone.
 
 use std::collections::BTreeMap;
 
--- a/tests/decisions/main.rs
+++ b/tests/decisions/main.rs
@@ -1,5 +1,5 @@
-//! The decisions, by concern: what docs/design.md claims, and each failure that was found, as plain cases; in `rules` random
-//! runs.
+//! The decisions, by concern: what docs/design.md claims, and each failure that was found, as plain cases; in `rules`
+//! random runs.
 
 mod admission;
 mod attempt_check;
--- a/tests/decisions/session_tokens.rs
+++ b/tests/decisions/session_tokens.rs
@@ -26,8 +26,8 @@
     assert!(sent(&mut simulation, 2, None, 20).iter().all(|at| *at == node(1)));
 }
 
-/// A primary and two replicas that stood at the moment just past, as health checks have shown, and sessions whose writes
-/// are remembered. No answer tells a position.
+/// A primary and two replicas that stood at the moment just past, as health checks have shown, and sessions whose
+/// writes are remembered. No answer tells a position.
 fn with_remembered_tokens() -> Simulation {
     let change = [
         ("replication.session_tokens", Value::Text("remembered".into())),
--- a/tests/decisions/slow_start.rs
+++ b/tests/decisions/slow_start.rs
@@ -51,9 +51,9 @@
             simulation.advance(ms(100));
         }
     }
-    // Warm it carried so many a second; just started, a quarter of that and more with time, three times over at most, and
-    // what chance adds, for all of them together. After ten seconds it is warm, and all that no other node is
-    // fresh for may go there.
+    // Warm it carried so many a second; just started, a quarter of that and more with time, three times over at most,
+    // and what chance adds, for all of them together. After ten seconds it is warm, and all that no other node is fresh
+    // for may go there.
     for start in 200..until {
         let sent = sends.iter().filter(|at| (start..start + 10).contains(*at)).count() as f64;
         let progress = 0.25 + 0.75 * (start - 200) as f64 / 100.0;
