--- a/crates/adapter/src/main.rs
+++ b/crates/adapter/src/main.rs
@@ -3,31 +3,44 @@
 use std::io::{self, BufRead, Write};
 use std::process::ExitCode;
 
-use quillpoint_adapter::Bench;
+use quillpoint_adapter::{BatchProcessor, WireError};
+
+/// Why the program ends before its input does.
+#[derive(Debug, thiserror::Error)]
+enum ServeError {
+    #[error("{0}")]
+    Io(#[from] io::Error),
+    #[error("line {line_number}: {error}")]
+    Line { line_number: u64, error: WireError },
+    #[error("after line {line_number}: {error}")]
+    EndOfInput { line_number: u64, error: WireError },
+}
 
 fn main() -> ExitCode {
     // A panic is told on the wire, as its instance's last word; the default message would only repeat it.
     std::panic::set_hook(Box::new(|_| {}));
     match serve(&mut io::stdin().lock(), &mut io::stdout().lock()) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(fault) => {
-            eprintln!("quillpoint-adapter: {fault}");
+        Err(error) => {
+            eprintln!("quillpoint-adapter: {error}");
             ExitCode::FAILURE
         }
     }
 }
 
-fn serve(input: &mut impl BufRead, output: &mut impl Write) -> Result<(), Box<dyn std::error::Error>> {
-    let mut bench = Bench::default();
-    let (mut line, mut number) = (String::new(), 0u64);
+fn serve(input: &mut impl BufRead, output: &mut impl Write) -> Result<(), ServeError> {
+    let mut batches = BatchProcessor::default();
+    let mut line = String::new();
+    let mut line_number = 0;
     loop {
         line.clear();
         if input.read_line(&mut line)? == 0 {
-            return bench.end_of_input().map_err(|fault| format!("after line {number}: {fault}").into());
+            return batches.end_of_input().map_err(|error| ServeError::EndOfInput { line_number, error });
         }
-        number += 1;
+        line_number += 1;
         let text = line.trim_end_matches(['\n', '\r']);
-        if let Some(reply) = bench.line(text).map_err(|fault| format!("line {number}: {fault}"))? {
+        let reply = batches.process_line(text).map_err(|error| ServeError::Line { line_number, error })?;
+        if let Some(reply) = reply {
             output.write_all(reply.as_bytes())?;
             output.flush()?;
         }
--- a/crates/adapter/tests/wire.rs
+++ b/crates/adapter/tests/wire.rs
@@ -1,27 +1,27 @@
 //! The wire's framing, its numbered lists and what is malformed.
 
-use quillpoint_adapter::Bench;
+use quillpoint_adapter::BatchProcessor;
 
 const SETTINGS: &str = r#"{"Classes":[{"GoalTimeMs":150.0,"GiveUpMs":600.0,"Semantics":"free","Value":1.0},
 {"GoalTimeMs":300.0,"GiveUpMs":900.0,"Semantics":"single_shot"}],"Allowed":{"MaxAttempts":4,"Probes":true,
 "NotKnown":[1,2]},"Extra":{"NeedsByClass":["loose","update"],"Checks":"none"},"Discovery":"subscribe","StepMs":2}"#;
 
-fn feed(bench: &mut Bench, lines: &[&str]) -> Result<String, String> {
+fn feed(batches: &mut BatchProcessor, lines: &[&str]) -> Result<String, String> {
     let mut all = String::new();
     for line in lines {
-        all.push_str(&bench.line(line).map_err(|fault| fault.to_string())?.unwrap_or_default());
+        all.push_str(&batches.process_line(line).map_err(|fault| fault.to_string())?.unwrap_or_default());
     }
     Ok(all)
 }
 
-fn started(who: &[u64]) -> Bench {
-    let mut bench = Bench::default();
-    feed(&mut bench, &["BATCH AtTimeMs=8412.25"]).unwrap();
+fn started(who: &[u64]) -> BatchProcessor {
+    let mut batches = BatchProcessor::default();
+    feed(&mut batches, &["BATCH AtTimeMs=8412.25"]).unwrap();
     for who in who {
         let boot = format!("POWER_ON Who={who} Nonce64=5 BootInfo={}", SETTINGS.replace('\n', " "));
-        feed(&mut bench, &[&boot]).unwrap();
+        feed(&mut batches, &[&boot]).unwrap();
     }
-    bench
+    batches
 }
 
 const ONE: [&str; 2] =
@@ -30,16 +30,16 @@
 
 #[test]
 fn an_empty_batch_has_an_empty_reply() {
-    assert_eq!(feed(&mut Bench::default(), &["BATCH AtTimeMs=1", "FLUSH"]).unwrap(), "EOR\n");
+    assert_eq!(feed(&mut BatchProcessor::default(), &["BATCH AtTimeMs=1", "FLUSH"]).unwrap(), "EOR\n");
 }
 
 #[test]
 fn an_rpc_is_sent_and_its_ids_come_back_as_they_were() {
-    let mut bench = started(&[3]);
-    feed(&mut bench, &ONE).unwrap();
+    let mut batches = started(&[3]);
+    feed(&mut batches, &ONE).unwrap();
     let lines =
         ["DIRECTORY_UPDATE Who=3 Sheet=0 Version=41 Form=cached", &format!("INGRESS {WRITE}"), "FLUSH"];
-    let reply = feed(&mut bench, &lines).unwrap();
+    let reply = feed(&mut batches, &lines).unwrap();
     assert!(reply.starts_with("LISTEN Who=3 Want=1\nNOTIFY_ME Who=3 "), "{reply}");
     assert!(
         reply.contains("\nCALL_OUT Who=3 OpId=00e5dd145d3a91c4 Node=10.18.74.7:7003 TimeoutMs="),
@@ -47,18 +47,18 @@
     );
     assert!(reply.ends_with("\nEOR\n") && reply.matches("EOR").count() == 1);
     let outcome = "OUTCOME Who=3 OpId=00e5dd145d3a91c4 SeqNo=0 Node=10.18.74.7:7003 Verdict=reset TookMs=3";
-    let reply = feed(&mut bench, &["BATCH AtTimeMs=8420", outcome, "FLUSH"]).unwrap();
+    let reply = feed(&mut batches, &["BATCH AtTimeMs=8420", outcome, "FLUSH"]).unwrap();
     assert!(reply.contains("END_FAILED Who=3 OpId=00e5dd145d3a91c4\n"), "{reply}");
 }
 
 #[test]
 fn a_list_number_is_reused_within_a_batch() {
-    let mut bench = started(&[3, 4]);
-    feed(&mut bench, &ONE).unwrap();
+    let mut batches = started(&[3, 4]);
+    feed(&mut batches, &ONE).unwrap();
     let second =
         ["MANIFEST Sheet=0 MembersList=1", "ENTRY Node=10.0.0.9:1 Shard=11 Primary=1 Condition=healthy"];
-    feed(&mut bench, &["DIRECTORY_UPDATE Who=3 Sheet=0 Version=1 Form=cached"]).unwrap();
-    feed(&mut bench, &second).unwrap();
+    feed(&mut batches, &["DIRECTORY_UPDATE Who=3 Sheet=0 Version=1 Form=cached"]).unwrap();
+    feed(&mut batches, &second).unwrap();
     let other = WRITE.replace("Who=3", "Who=4");
     let lines = [
         "DIRECTORY_UPDATE Who=4 Sheet=0 Version=2 Form=cached",
@@ -66,7 +66,7 @@
         &format!("INGRESS {WRITE}"),
         "FLUSH",
     ];
-    let reply = feed(&mut bench, &lines).unwrap();
+    let reply = feed(&mut batches, &lines).unwrap();
     let sent = |who: u64, node: &str| {
         reply.contains(&format!("CALL_OUT Who={who} OpId=00e5dd145d3a91c4 Node={node} "))
     };
@@ -75,9 +75,9 @@
 
 #[test]
 fn a_killed_instance_starts_anew_in_the_same_batch() {
-    let mut bench = started(&[3]);
+    let mut batches = started(&[3]);
     let boot = format!("POWER_ON Who=3 Nonce64=6 BootInfo={}", SETTINGS.replace('\n', " "));
-    let reply = feed(&mut bench, &["DETACH Who=3", &boot, "FLUSH"]).unwrap();
+    let reply = feed(&mut batches, &["DETACH Who=3", &boot, "FLUSH"]).unwrap();
     assert_eq!(reply.matches("LISTEN Who=3").count(), 2);
 }
 
@@ -95,10 +95,10 @@
         (&["BATCH"], "lacks the field AtTimeMs"),
     ];
     for (lines, told) in cases {
-        let fault = feed(&mut Bench::default(), lines).unwrap_err();
+        let fault = feed(&mut BatchProcessor::default(), lines).unwrap_err();
         assert!(fault.contains(told), "{fault}");
     }
-    let mut bench = Bench::default();
-    feed(&mut bench, &["BATCH AtTimeMs=1"]).unwrap();
-    assert!(bench.end_of_input().unwrap_err().to_string().contains("ends inside a batch"));
+    let mut batches = BatchProcessor::default();
+    feed(&mut batches, &["BATCH AtTimeMs=1"]).unwrap();
+    assert!(batches.end_of_input().unwrap_err().to_string().contains("ends inside a batch"));
 }
--- a/crates/conf/src/grammar.rs
+++ b/crates/conf/src/grammar.rs
@@ -1,4 +1,4 @@
-//! The text of one file to its lines. What the words mean is settled elsewhere.
+//! The text of one line to its words. What the words mean is settled elsewhere.
 //!
 //! ```text
 //! line    = [ word *( blank word ) [ blank "{" ] / "}" ] [ "#" comment ]
@@ -24,56 +24,87 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Line {
     Empty,
-    /// A directive, or the head of a section.
-    Words {
-        words: Vec<Word>,
-        opens: bool,
+    /// A directive's name and what follows it.
+    Directive {
+        name: Word,
+        arguments: Vec<Word>,
     },
-    /// The end of a section.
-    Closes {
+    /// A section's name and what stands between it and the opening brace.
+    SectionStart {
+        name: Word,
+        titles: Vec<Word>,
+    },
+    SectionEnd {
         column: usize,
     },
 }
 
-/// The line, or the column from which on it is not one.
-pub fn line(text: &str) -> Result<Line, usize> {
+/// The column from which on a text is no line, from 1 on.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct SyntaxError {
+    pub column: usize,
+}
+
+/// # Errors
+/// A text that is no line, with the column of the first character that has no place in it.
+pub fn parse_line(text: &str) -> Result<Line, SyntaxError> {
     let mut input = LocatingSlice::new(text);
-    let parsed = whole.parse_next(&mut input);
+    let parsed = line.parse_next(&mut input);
     let column = |offset: usize| text[..offset].chars().count() + 1;
     match parsed {
-        Ok(raw) if input.is_empty() => Ok(match raw {
-            Raw::Empty => Line::Empty,
-            Raw::Closes(at) => Line::Closes { column: column(at) },
-            Raw::Words(words, opens) => {
-                let word = |(text, at): (String, usize)| Word { text, column: column(at) };
-                Line::Words { words: words.into_iter().map(word).collect(), opens }
+        Ok(parsed) if input.is_empty() => Ok(located(parsed, column)),
+        _ => Err(SyntaxError { column: column(input.current_token_start()) }),
+    }
+}
+
+fn located(parsed: ParsedLine, column: impl Fn(usize) -> usize) -> Line {
+    let word = |parsed: ParsedWord| Word { text: parsed.text, column: column(parsed.offset) };
+    match parsed {
+        ParsedLine::Empty => Line::Empty,
+        ParsedLine::SectionEnd { offset } => Line::SectionEnd { column: column(offset) },
+        ParsedLine::Words { first, others, opens_section } => {
+            let name = word(first);
+            let others = others.into_iter().map(word).collect();
+            if opens_section {
+                Line::SectionStart { name, titles: others }
+            } else {
+                Line::Directive { name, arguments: others }
             }
-        }),
-        _ => Err(column(input.current_token_start())),
+        }
     }
 }
 
-enum Raw {
+/// A line whose places are offsets in bytes.
+enum ParsedLine {
     Empty,
-    Words(Vec<(String, usize)>, bool),
-    Closes(usize),
+    Words { first: ParsedWord, others: Vec<ParsedWord>, opens_section: bool },
+    SectionEnd { offset: usize },
+}
+
+struct ParsedWord {
+    text: String,
+    offset: usize,
 }
 
-fn whole(input: &mut Input<'_>) -> Result<Raw, ContextError> {
-    let body = alt((
-        preceded(space0, '}').span().map(|span| Raw::Closes(span.end - 1)),
-        (repeat(1.., preceded(space0, word)), opt(preceded(space0, '{')))
-            .map(|(words, brace): (Vec<_>, Option<char>)| Raw::Words(words, brace.is_some())),
-    ));
-    let raw = opt(body).parse_next(input)?;
+fn line(input: &mut Input<'_>) -> Result<ParsedLine, ContextError> {
+    let section_end =
+        preceded(space0, '}').span().map(|span| ParsedLine::SectionEnd { offset: span.end - 1 });
+    let parsed = opt(alt((section_end, words))).parse_next(input)?;
     (space0, opt(('#', take_while(0.., |_| true)))).parse_next(input)?;
-    Ok(raw.unwrap_or(Raw::Empty))
+    Ok(parsed.unwrap_or(ParsedLine::Empty))
+}
+
+fn words(input: &mut Input<'_>) -> Result<ParsedLine, ContextError> {
+    let first = preceded(space0, word).parse_next(input)?;
+    let others = repeat(0.., preceded(space0, word)).parse_next(input)?;
+    let opens_section = opt(preceded(space0, '{')).parse_next(input)?.is_some();
+    Ok(ParsedLine::Words { first, others, opens_section })
 }
 
-fn word(input: &mut Input<'_>) -> Result<(String, usize), ContextError> {
-    let at = input.current_token_start();
+fn word(input: &mut Input<'_>) -> Result<ParsedWord, ContextError> {
+    let offset = input.current_token_start();
     let text = alt((quoted, bare)).parse_next(input)?;
-    Ok((text, at))
+    Ok(ParsedWord { text, offset })
 }
 
 fn bare(input: &mut Input<'_>) -> Result<String, ContextError> {
--- a/crates/conf/src/value.rs
+++ b/crates/conf/src/value.rs
@@ -1,29 +1,40 @@
-//! Words to typed values, by the kind that a directive wants.
+//! Words to typed values, by the kind that a directive takes.
 
+use std::fmt;
 use std::net::SocketAddr;
+use std::ops::RangeInclusive;
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// What a directive takes, with its bounds.
+const NAME_LETTERS: RangeInclusive<usize> = 1..=64;
+
+/// What a directive takes, with its bounds, which are allowed themselves.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Kind {
     /// A whole number and a unit: `us`, `ms`, `s`, `min`, `h`.
-    Span {
-        least: Duration,
-        most: Duration,
+    Duration {
+        /// The shortest.
+        min: Duration,
+        /// The longest.
+        max: Duration,
     },
     /// A whole number and a unit: `B`, `KiB`, `MiB`, `GiB`.
     Size {
-        least: u64,
-        most: u64,
+        /// The smallest, in bytes.
+        min: u64,
+        /// The largest, in bytes.
+        max: u64,
     },
+    /// A whole number.
     Count {
-        least: u64,
-        most: u64,
+        /// The smallest.
+        min: u64,
+        /// The largest.
+        max: u64,
     },
     /// An address and a port.
     Address,
-    /// Relative to the file that says it.
+    /// Relative to the file that has it.
     Path,
     /// One of these.
     Word(&'static [&'static str]),
@@ -31,27 +42,34 @@
     Name,
 }
 
+/// A value of a directive.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Value {
-    Span(Duration),
+    /// Of [`Kind::Duration`].
+    Duration(Duration),
+    /// Of [`Kind::Size`], in bytes.
     Size(u64),
+    /// Of [`Kind::Count`].
     Count(u64),
+    /// Of [`Kind::Address`].
     Address(SocketAddr),
+    /// Of [`Kind::Path`].
     Path(PathBuf),
+    /// Of [`Kind::Word`] or [`Kind::Name`].
     Word(String),
 }
 
 impl Kind {
     /// What is expected, in words.
-    pub fn wanted(&self) -> String {
+    pub fn expected(&self) -> String {
         match self {
-            Self::Span { least, most } => {
-                format!("a time from {} to {}, as 250ms", span(*least), span(*most))
+            Self::Duration { min, max } => {
+                format!("a time from {} to {}, as 250ms", format_duration(*min), format_duration(*max))
             }
-            Self::Size { least, most } => {
-                format!("a size from {} to {}, as 16MiB", size(*least), size(*most))
+            Self::Size { min, max } => {
+                format!("a size from {} to {}, as 16MiB", format_size(*min), format_size(*max))
             }
-            Self::Count { least, most } => format!("a whole number from {least} to {most}"),
+            Self::Count { min, max } => format!("a whole number from {min} to {max}"),
             Self::Address => "an address and a port, as 127.0.0.1:7400".to_string(),
             Self::Path => "a path".to_string(),
             Self::Word(words) => format!("one of: {}", words.join(", ")),
@@ -60,61 +78,85 @@
     }
 
     /// The value, if the word is one of this kind and within bounds.
-    pub fn value(&self, word: &str) -> Option<Value> {
+    pub fn parse(&self, word: &str) -> Option<Value> {
         match self {
-            Self::Span { least, most } => {
-                let (number, unit) = split(word)?;
-                let micros = SPANS.iter().find(|(name, _)| *name == unit)?.1.checked_mul(number)?;
-                let span = Duration::from_micros(micros);
-                (*least..=*most).contains(&span).then_some(Value::Span(span))
+            Self::Duration { min, max } => {
+                let duration = Duration::from_micros(parse_with_unit(word, &DURATION_UNITS)?);
+                (*min..=*max).contains(&duration).then_some(Value::Duration(duration))
             }
-            Self::Size { least, most } => {
-                let (number, unit) = split(word)?;
-                let bytes = SIZES.iter().find(|(name, _)| *name == unit)?.1.checked_mul(number)?;
-                (*least..=*most).contains(&bytes).then_some(Value::Size(bytes))
+            Self::Size { min, max } => {
+                let bytes = parse_with_unit(word, &SIZE_UNITS)?;
+                (*min..=*max).contains(&bytes).then_some(Value::Size(bytes))
             }
-            Self::Count { least, most } => {
+            Self::Count { min, max } => {
                 let count = word.parse().ok().filter(|_| word.bytes().all(|byte| byte.is_ascii_digit()))?;
-                (*least..=*most).contains(&count).then_some(Value::Count(count))
+                (*min..=*max).contains(&count).then_some(Value::Count(count))
             }
             Self::Address => word.parse().ok().map(Value::Address),
             Self::Path => (!word.is_empty()).then(|| Value::Path(PathBuf::from(word))),
             Self::Word(words) => words.contains(&word).then(|| Value::Word(word.to_string())),
-            Self::Name => (1..=64).contains(&word.chars().count()).then(|| Value::Word(word.to_string())),
+            Self::Name => is_name(word).then(|| Value::Word(word.to_string())),
         }
     }
 }
 
-/// The unit is never left out: a bare number would mean something else to each reader.
-fn split(word: &str) -> Option<(u64, &str)> {
-    let digits = word.bytes().take_while(u8::is_ascii_digit).count();
-    Some((word[..digits].parse().ok()?, &word[digits..]))
+pub(crate) fn is_name(word: &str) -> bool {
+    NAME_LETTERS.contains(&word.chars().count())
+}
+
+struct Unit {
+    name: &'static str,
+    /// How many of the smallest unit it is.
+    factor: u64,
 }
 
-const SPANS: [(&str, u64); 5] =
-    [("us", 1), ("ms", 1000), ("s", 1_000_000), ("min", 60_000_000), ("h", 3_600_000_000)];
-const SIZES: [(&str, u64); 4] = [("B", 1), ("KiB", 1 << 10), ("MiB", 1 << 20), ("GiB", 1 << 30)];
+/// From the smallest on: microseconds.
+const DURATION_UNITS: [Unit; 5] = [
+    Unit { name: "us", factor: 1 },
+    Unit { name: "ms", factor: 1000 },
+    Unit { name: "s", factor: 1_000_000 },
+    Unit { name: "min", factor: 60_000_000 },
+    Unit { name: "h", factor: 3_600_000_000 },
+];
+/// From the smallest on: bytes.
+const SIZE_UNITS: [Unit; 4] = [
+    Unit { name: "B", factor: 1 },
+    Unit { name: "KiB", factor: 1 << 10 },
+    Unit { name: "MiB", factor: 1 << 20 },
+    Unit { name: "GiB", factor: 1 << 30 },
+];
+
+/// A whole number and its unit, in the smallest unit. The unit is never left out: a bare number would mean something
+/// else to each reader.
+fn parse_with_unit(word: &str, units: &[Unit]) -> Option<u64> {
+    let digits = word.bytes().take_while(u8::is_ascii_digit).count();
+    let (number, name) = word.split_at(digits);
+    let number: u64 = number.parse().ok()?;
+    let unit = units.iter().find(|unit| unit.name == name)?;
+    unit.factor.checked_mul(number)
+}
 
 /// As it would be written: in the largest unit of which it is a whole number.
-pub fn span(span: Duration) -> String {
-    written(span.as_micros() as u64, &SPANS)
+pub fn format_duration(duration: Duration) -> String {
+    format_with_unit(duration.as_micros() as u64, &DURATION_UNITS)
 }
 
-pub fn size(bytes: u64) -> String {
-    written(bytes, &SIZES)
+/// A size in bytes, as it would be written: in the largest unit of which it is a whole number.
+pub fn format_size(bytes: u64) -> String {
+    format_with_unit(bytes, &SIZE_UNITS)
 }
 
-fn written(number: u64, units: &[(&str, u64)]) -> String {
-    let fits = |(_, of): &&(&str, u64)| number > 0 && number.is_multiple_of(*of);
-    let (name, of) = units.iter().rev().find(fits).unwrap_or(&units[0]);
-    format!("{}{name}", number / of)
+fn format_with_unit(number: u64, units: &[Unit]) -> String {
+    let divides = |unit: &&Unit| number > 0 && number.is_multiple_of(unit.factor);
+    let unit = units.iter().rev().find(divides).unwrap_or(&units[0]);
+    format!("{}{}", number / unit.factor, unit.name)
 }
 
-impl std::fmt::Display for Value {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
+impl fmt::Display for Value {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Span(value) => f.write_str(&span(*value)),
-            Self::Size(bytes) => f.write_str(&size(*bytes)),
+            Self::Duration(duration) => f.write_str(&format_duration(*duration)),
+            Self::Size(bytes) => f.write_str(&format_size(*bytes)),
             Self::Count(count) => write!(f, "{count}"),
             Self::Address(address) => write!(f, "{address}"),
             Self::Path(path) => write!(f, "{}", path.display()),
--- a/crates/conf/tests/conf.rs
+++ b/crates/conf/tests/conf.rs
@@ -5,23 +5,22 @@
 use std::time::Duration;
 
 use quickcheck::{Gen, QuickCheck};
-use quillpoint_conf::check::{Conf, Fault, read_with};
-use quillpoint_conf::directives::{DIRECTIVES, Default, SECTIONS, section};
-use quillpoint_conf::page;
+use quillpoint_conf::directives::{DIRECTIVES, DefaultValue, SECTIONS, section};
+use quillpoint_conf::{Conf, ConfError, read_with, reference};
 
-fn read(files: &[(&str, &str)]) -> Result<Conf, Vec<Fault>> {
+fn read(files: &[(&str, &str)]) -> Result<Conf, Vec<ConfError>> {
     let files: BTreeMap<PathBuf, String> =
         files.iter().map(|(path, text)| (PathBuf::from(path), (*text).to_string())).collect();
     let missing = || std::io::Error::new(std::io::ErrorKind::NotFound, "no such file");
     read_with(Path::new("/etc/q/top.conf"), |path| files.get(path).cloned().ok_or_else(missing))
 }
 
-fn one(text: &str) -> Result<Conf, Vec<Fault>> {
+fn one(text: &str) -> Result<Conf, Vec<ConfError>> {
     read(&[("/etc/q/top.conf", text)])
 }
 
-/// The faults of a text, each as people see it.
-fn faults(text: &str) -> Vec<String> {
+/// The errors of a text, each as people see it.
+fn errors(text: &str) -> Vec<String> {
     one(text).unwrap_err().iter().map(ToString::to_string).collect()
 }
 
@@ -32,8 +31,8 @@
     let conf = one("# nothing\n\n").unwrap();
     assert!(!conf.has_section("fleet"));
     assert_eq!(conf.word("", "", "log"), Some("text"));
-    assert_eq!(conf.span("duty", "probe", "longest"), Some(Duration::from_secs(2)));
-    assert_eq!(conf.span("duty", "probe", "every"), None, "the deployment decides");
+    assert_eq!(conf.duration("duty", "probe", "longest"), Some(Duration::from_secs(2)));
+    assert_eq!(conf.duration("duty", "probe", "every"), None, "the deployment decides");
     assert_eq!(conf.path("", "", "platform"), None);
 }
 
@@ -46,7 +45,7 @@
     assert_eq!(conf.path("fleet", "", "keys"), Some(Path::new("/etc/q/sub/fleet.keys")));
     assert_eq!(conf.titles("peer").collect::<Vec<_>>(), ["n2"]);
     assert_eq!(conf.address("peer", "n2", "address"), Some("[::1]:7402".parse().unwrap()));
-    assert_eq!(conf.span("duty", "probe", "every"), Some(Duration::from_secs(1)));
+    assert_eq!(conf.duration("duty", "probe", "every"), Some(Duration::from_secs(1)));
     assert_eq!(conf.count("fleet", "", "news-budget"), Some(2 << 20));
 }
 
@@ -96,28 +95,28 @@
             "/etc/q/top.conf:1:1: file: expected to read /etc/q/none.conf, found no such file",
         ),
     ];
-    for (text, fault) in cases {
-        assert_eq!(faults(text), [fault], "{text:?}");
+    for (text, error) in cases {
+        assert_eq!(errors(text), [error], "{text:?}");
     }
 }
 
 #[test]
 fn all_faults_are_told_at_once() {
-    let told = faults("lgo json\nfleet {\n listen x\n zone a b\n}\nduty probe {\n cost 0\n}");
+    let told = errors("lgo json\nfleet {\n listen x\n zone a b\n}\nduty probe {\n cost 0\n}");
     assert_eq!(told.len(), 5, "the wrong name, three values, and the keys that are missing: {told:#?}");
 }
 
 #[test]
 fn a_file_that_includes_itself_ends() {
-    let told = faults("include top.conf");
-    assert!(told.iter().any(|fault| fault.contains("no more than 8 files")), "{told:?}");
+    let told = errors("include top.conf");
+    assert!(told.iter().any(|error| error.contains("no more than 8 files")), "{told:?}");
 }
 
 #[test]
 fn what_is_written_reads_as_the_same() {
     let conf = one(&format!("{FLEET}platform \"a b \\\" \\\\ # {{\"\npeer n1 {{\n address 127.0.0.1:1\n}}"))
         .unwrap();
-    assert_eq!(one(&conf.written()).unwrap(), conf);
+    assert_eq!(one(&conf.to_text()).unwrap(), conf);
 }
 
 #[test]
@@ -126,8 +125,8 @@
     let after =
         one(&format!("{FLEET}peer a {{\n address 127.0.0.1:2\n}}\nduty probe {{\n every 1s\n}}\nlog json"))
             .unwrap();
-    assert_eq!(before.held_back(&after), ["duty probe every", "log"], "peers hold at once");
-    assert_eq!(before.held_back(&one("").unwrap()).last().unwrap(), "fleet work-budget");
+    assert_eq!(before.restart_required(&after), ["duty probe every", "log"], "peers hold at once");
+    assert_eq!(before.restart_required(&one("").unwrap()).last().unwrap(), "fleet work-budget");
 }
 
 const PUBLISH: &str = "publish {\n    listen 127.0.0.1:7500\n    keys feed.keys\n}\n";
@@ -146,8 +145,8 @@
     // Where control instances are, and the keys, hold at once; whether it follows any, from the next start on.
     let elsewhere =
         one(&[SUBSCRIBE, &CONTROL.replace("7500", "7501"), "control c2 {\n address 127.0.0.1:1\n}"].concat());
-    assert_eq!(router.held_back(&elsewhere.unwrap()), Vec::<String>::new());
-    assert!(router.held_back(&one("").unwrap()).contains(&"subscribe".to_string()));
+    assert_eq!(router.restart_required(&elsewhere.unwrap()), Vec::<String>::new());
+    assert!(router.restart_required(&one("").unwrap()).contains(&"subscribe".to_string()));
 }
 
 #[test]
@@ -167,10 +166,10 @@
             "/etc/q/top.conf:8:1: subscribe: expected no section fleet beside it, found both",
         ),
     ];
-    for (text, fault) in cases {
-        assert_eq!(faults(&text.concat()), [fault], "{text:?}");
+    for (text, error) in cases {
+        assert_eq!(errors(&text.concat()), [error], "{text:?}");
     }
-    let all = faults(&[FLEET, PUBLISH, SUBSCRIBE, CONTROL].concat());
+    let all = errors(&[FLEET, PUBLISH, SUBSCRIBE, CONTROL].concat());
     assert_eq!(all.len(), 2, "neither end of the feed is the other: {all:?}");
 }
 
@@ -185,13 +184,13 @@
         ("control c1", "address c1:7500", "an address and a port"),
     ];
     for (section, line, expected) in cases {
-        let told = faults(&format!("{section} {{\n{line}\n}}"));
-        let at = |fault: &String| fault.starts_with("/etc/q/top.conf:2:") && fault.contains(expected);
+        let told = errors(&format!("{section} {{\n{line}\n}}"));
+        let at = |error: &String| error.starts_with("/etc/q/top.conf:2:") && error.contains(expected);
         assert!(told.iter().any(at), "{line}: {told:?}");
     }
     let many: String = (0..65).map(|place| CONTROL.replace("c1", &format!("c{place}"))).collect();
     assert_eq!(
-        faults(&[SUBSCRIBE, &many].concat()),
+        errors(&[SUBSCRIBE, &many].concat()),
         ["/etc/q/top.conf:197:1: control: expected no more than 64, found c64"]
     );
 }
@@ -199,8 +198,8 @@
 #[test]
 fn every_default_is_of_its_kind_and_every_section_is_known() {
     for directive in DIRECTIVES {
-        if let Default::Is(word) = directive.default {
-            let value = directive.kind.value(word).unwrap_or_else(|| panic!("{}: {word}", directive.name));
+        if let DefaultValue::Word(word) = directive.default {
+            let value = directive.kind.parse(word).unwrap_or_else(|| panic!("{}: {word}", directive.name));
             assert_eq!(value.to_string(), word, "{}", directive.name);
         }
         assert!(
@@ -218,14 +217,14 @@
 fn the_operators_page_is_what_the_table_says() {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs/operators/conf.md");
     let page = std::fs::read_to_string(path).unwrap();
-    assert_eq!(page, page::reference(), "print it anew: quillpoint reference > docs/operators/conf.md");
+    assert_eq!(page, reference::markdown(), "print it anew: quillpoint reference > docs/operators/conf.md");
 }
 
 #[test]
 fn the_examples_are_in_order_and_say_what_differs_between_their_kinds() {
     let read = |name: &str| {
         let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy").join(name);
-        quillpoint_conf::read(&path).unwrap_or_else(|faults| panic!("{name}: {faults:?}"))
+        quillpoint_conf::read(&path).unwrap_or_else(|errors| panic!("{name}: {errors:?}"))
     };
     let (member, control, router) = (read("fleet.conf"), read("feed-control.conf"), read("feed-router.conf"));
     assert!(member.has_section("fleet") && !member.has_section("publish"));
@@ -238,7 +237,7 @@
 #[test]
 fn no_text_makes_it_panic_and_faults_stay_within_a_bound() {
     fn any(text: String) -> bool {
-        one(&text).err().is_none_or(|faults| (1..=50).contains(&faults.len()))
+        one(&text).err().is_none_or(|errors| (1..=50).contains(&errors.len()))
     }
     QuickCheck::new().rng(Gen::from_size_and_seed(200, 3)).tests(2000).quickcheck(any as fn(String) -> bool);
     // Texts of the right letters, which get further.
--- a/crates/control-plane/src/fleet_member.rs
+++ b/crates/control-plane/src/fleet_member.rs
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant};
 
 use async_io::Timer;
-use quillpoint_datagram::{Opener, Refusal};
+use quillpoint_datagram::{OpenError, Opener};
 use quillpoint_membership::ids::{Subject, TaskId};
 use quillpoint_membership::{
     DatedObservation, Event, Fleet, GossipMessage, Host, Incarnation, MemberRecord, MemberState,
@@ -71,7 +71,7 @@
     /// Probes that were made as a duty or claimed, and those that another router's word made needless.
     pub probes: u64,
     pub spared: u64,
-    pub refused: BTreeMap<Refusal, u64>,
+    pub refused: BTreeMap<OpenError, u64>,
 }
 
 pub struct FleetMember {
--- a/crates/control-plane/src/post.rs
+++ b/crates/control-plane/src/post.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use quillpoint_datagram::keys::Keyring;
-use quillpoint_datagram::{LONGEST, Opener, Payload, Refusal, Sealer};
+use quillpoint_datagram::{MAX_DATAGRAM_BYTES, OpenError, Opener, Payload, Sealer};
 use quillpoint_membership::Incarnation;
 
 use crate::log_rate_limiter::LogRateLimiter;
@@ -18,7 +18,7 @@
     pub traffic: Traffic,
     /// Datagrams that were taken, and how many were not, by kind.
     pub taken: u64,
-    pub refused: BTreeMap<Refusal, u64>,
+    pub refused: BTreeMap<OpenError, u64>,
 }
 
 /// What the events of a socket are called.
@@ -83,7 +83,7 @@
     /// Takes what comes as long as the process runs, with how long it has waited in the socket. `own` is the start of
     /// this process by now.
     pub async fn listen(&self, own: impl Fn() -> Incarnation, take: impl Fn(SocketAddr, Duration, P)) {
-        let mut bytes = [0; LONGEST + 1];
+        let mut bytes = [0; MAX_DATAGRAM_BYTES + 1];
         loop {
             let Arrival { length, from, waited } = self.wire.read(&mut bytes).await;
             if let Some(payload) = self.opened(own(), &bytes[..length]) {
--- a/crates/control-plane/src/publisher.rs
+++ b/crates/control-plane/src/publisher.rs
@@ -39,7 +39,7 @@
     pub fn new(part: PublisherConfig, around: Rc<dyn ControlHost>, seed: u64) -> io::Result<Rc<Self>> {
         let PublisherConfig { name, listen, keys, plan, letters } = part;
         let wire = Wire::bind(listen, Rc::clone(&around), letters)?;
-        let opener = Opener::of(plan.most_subscribers.saturating_mul(WINDOWS));
+        let opener = Opener::new(plan.most_subscribers.saturating_mul(WINDOWS));
         let post = Post::new(wire, keys, opener, NAMES);
         let (now, desk) = (around.now(), Rc::new(Desk::default()));
         let publisher = Publisher::new(Hand(Rc::clone(&desk)), plan, seed, now);
--- a/crates/control-plane/src/subscriber.rs
+++ b/crates/control-plane/src/subscriber.rs
@@ -57,7 +57,7 @@
     pub fn new(part: SubscriberConfig, around: Rc<dyn ControlHost>, seed: u64) -> io::Result<Rc<Self>> {
         let SubscriberConfig { name, listen, keys, plan, control, letters } = part;
         let wire = Wire::bind(listen, Rc::clone(&around), letters)?;
-        let post = Post::new(wire, keys, Opener::of(WINDOWS), NAMES);
+        let post = Post::new(wire, keys, Opener::new(WINDOWS), NAMES);
         let (now, desk) = (around.now(), Rc::new(Desk::default()));
         let subscriber = Subscriber::new(Hand(Rc::clone(&desk)), name.clone(), plan, control, seed, now);
         Ok(Rc::new(Self {
--- a/crates/control-plane/tests/queue.rs
+++ b/crates/control-plane/tests/queue.rs
@@ -177,7 +177,7 @@
     };
     let subscription = SubscriberService::new(part, Rc::<Books>::clone(&books), 1).unwrap();
     subscription.listed();
-    let (mut sealer, mut opener, keys) = (Sealer::default(), Opener::<Envelope>::of(4), keys());
+    let (mut sealer, mut opener, keys) = (Sealer::default(), Opener::<Envelope>::new(4), keys());
     let mut address = None;
     let mut tell = |message: Message, address: Option<(SocketAddr, Incarnation)>| {
         let (to, session) = address.unwrap();
--- a/crates/datagram/src/payload.rs
+++ b/crates/datagram/src/payload.rs
@@ -5,26 +5,37 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
+/// The process that a payload is from.
+pub struct Sender<'a> {
+    /// The same after a restart.
+    pub name: &'a PeerName,
+    /// Which start of that process.
+    pub incarnation: Incarnation,
+}
+
+/// A message that datagrams of one kind carry.
 pub trait Payload: Serialize + DeserializeOwned {
-    /// The second byte of the head, under the hash, so that nothing can pass for a payload of another kind.
+    /// The second byte of the header, under the hash, so that nothing can pass for a payload of another kind.
     const KIND: u8;
-    /// Whether a sender's later start ends what its earlier ones sent. Where it does not, each start has a window of
-    /// its own, so that a sender whose clock went back over a restart is heard.
-    const LATEST_START_ONLY: bool;
-    /// Whom it is from, and which start of that process.
-    fn sender(&self) -> (&PeerName, Incarnation);
-    /// Whether it does no more than ask, so that it may leave the receiver's start open.
-    fn only_asks(&self) -> bool;
+    /// Whether a sender's later incarnation ends what its earlier ones sent. Where it does not, each incarnation has a
+    /// window of its own, so that a sender whose clock went back over a restart is heard.
+    const LATEST_INCARNATION_ONLY: bool;
+    /// Whom it is from.
+    fn sender(&self) -> Sender<'_>;
+    /// Whether it does no more than ask, so that it may leave the receiver's incarnation open.
+    fn is_request(&self) -> bool;
 }
 
 /// Between members of a fleet.
 impl Payload for GossipMessage {
     const KIND: u8 = b'P';
-    const LATEST_START_ONLY: bool = true;
-    fn sender(&self) -> (&PeerName, Incarnation) {
-        (&self.from.name, self.from.life.incarnation)
+    const LATEST_INCARNATION_ONLY: bool = true;
+
+    fn sender(&self) -> Sender<'_> {
+        Sender { name: &self.from.name, incarnation: self.from.life.incarnation }
     }
-    fn only_asks(&self) -> bool {
+
+    fn is_request(&self) -> bool {
         self.body == GossipBody::JoinRequest
     }
 }
@@ -32,11 +43,13 @@
 /// Between a control instance and a router.
 impl Payload for Envelope {
     const KIND: u8 = b'F';
-    const LATEST_START_ONLY: bool = false;
-    fn sender(&self) -> (&PeerName, Incarnation) {
-        (&self.from, self.start)
+    const LATEST_INCARNATION_ONLY: bool = false;
+
+    fn sender(&self) -> Sender<'_> {
+        Sender { name: &self.from, incarnation: self.start }
     }
-    fn only_asks(&self) -> bool {
+
+    fn is_request(&self) -> bool {
         self.message == Message::Subscribe
     }
 }
--- a/crates/datagram/tests/datagrams.rs
+++ b/crates/datagram/tests/datagrams.rs
@@ -1,8 +1,8 @@
 //! What is taken and what is refused, by kind; nothing that arrives may panic or pass twice.
 
 use quickcheck::{Gen, QuickCheck};
-use quillpoint_datagram::keys::{BadKeys, Keyring};
-use quillpoint_datagram::{LONGEST, Opener, Refusal, Sealer};
+use quillpoint_datagram::keys::{KeyFileError, Keyring};
+use quillpoint_datagram::{MAX_DATAGRAM_BYTES, OpenError, Opener, Sealer};
 use quillpoint_membership::ids::{LONGEST_NAME, PingNumber};
 use quillpoint_membership::message::{CARDS_ALONG, CARDS_WHOLE, NEWS_ALONG};
 use quillpoint_membership::{
@@ -17,7 +17,7 @@
     Keyring::parse(&lines.join("\n")).unwrap()
 }
 
-fn card(name: &str, incarnation: u64) -> MemberRecord {
+fn member_record(name: &str, incarnation: u64) -> MemberRecord {
     MemberRecord {
         name: PeerName::new(name).unwrap(),
         life: MemberVersion { incarnation: Incarnation(incarnation), version: u32::MAX },
@@ -28,12 +28,12 @@
     }
 }
 
-fn letter(body: GossipBody) -> GossipMessage {
-    GossipMessage { from: card("n1", 5), body, cards: Vec::new() }
+fn gossip(body: GossipBody) -> GossipMessage {
+    GossipMessage { from: member_record("n1", 5), body, cards: Vec::new() }
 }
 
 fn ping() -> GossipMessage {
-    letter(GossipBody::Ping(PingNumber(7)))
+    gossip(GossipBody::Ping(PingNumber(7)))
 }
 
 #[test]
@@ -41,13 +41,13 @@
     let (keys, mut sealer, mut opener) = (keys("a"), Sealer::default(), Opener::default());
     let bytes = sealer.seal(&keys, Some(OWN), &ping()).unwrap();
     assert_eq!(opener.open(&keys, OWN, &bytes), Ok(ping()));
-    assert_eq!(opener.open(&keys, OWN, &bytes), Err(Refusal::Replayed));
+    assert_eq!(opener.open(&keys, OWN, &bytes), Err(OpenError::Replayed));
 }
 
 #[test]
 fn the_largest_letters_fit_a_datagram() {
     let name = "n".repeat(LONGEST_NAME);
-    let card = card(&name, u64::MAX);
+    let card = member_record(&name, u64::MAX);
     let news = Observation {
         node: card.address,
         age: Duration::new(10, 999_999_999),
@@ -64,8 +64,8 @@
     };
     let whole =
         GossipMessage { from: card.clone(), body: GossipBody::JoinReply, cards: vec![card; CARDS_WHOLE + 1] };
-    for letter in [along, whole] {
-        assert!(Sealer::default().seal(&keys("a"), Some(OWN), &letter).unwrap().len() <= LONGEST);
+    for message in [along, whole] {
+        assert!(Sealer::default().seal(&keys("a"), Some(OWN), &message).unwrap().len() <= MAX_DATAGRAM_BYTES);
     }
 }
 
@@ -76,24 +76,24 @@
     let good = sealer.seal(&ours, Some(OWN), &ping()).unwrap();
     let mut opener = Opener::default();
     let mut open = |bytes: &[u8]| opener.open(&ours, OWN, bytes).unwrap_err();
-    assert_eq!(open(b""), Refusal::Truncated);
-    assert_eq!(open(b"Q"), Refusal::Truncated);
-    assert_eq!(open(&good[..40]), Refusal::Truncated);
-    assert_eq!(open(&good[..good.len() - 1]), Refusal::Forged);
-    assert_eq!(open(b"GET / HTTP/1.1"), Refusal::Foreign);
-    assert_eq!(open(&[good.clone(), vec![0; LONGEST]].concat()), Refusal::TooLong);
+    assert_eq!(open(b""), OpenError::Truncated);
+    assert_eq!(open(b"Q"), OpenError::Truncated);
+    assert_eq!(open(&good[..40]), OpenError::Truncated);
+    assert_eq!(open(&good[..good.len() - 1]), OpenError::Forged);
+    assert_eq!(open(b"GET / HTTP/1.1"), OpenError::Foreign);
+    assert_eq!(open(&[good.clone(), vec![0; MAX_DATAGRAM_BYTES]].concat()), OpenError::TooLong);
     let mut later = good.clone();
     later[2] = 2;
-    assert_eq!(open(&later), Refusal::Version);
-    assert_eq!(open(&sealer.seal(&theirs, Some(OWN), &ping()).unwrap()), Refusal::UnknownKey);
+    assert_eq!(open(&later), OpenError::Version);
+    assert_eq!(open(&sealer.seal(&theirs, Some(OWN), &ping()).unwrap()), OpenError::UnknownKey);
     let other = sealer.seal(&ours, Some(Incarnation(78)), &ping()).unwrap();
-    assert_eq!(open(&other), Refusal::OtherSession);
-    // Even a hello, which may leave the start open, may not name another.
-    let other = sealer.seal(&ours, Some(Incarnation(78)), &letter(GossipBody::JoinRequest)).unwrap();
-    assert_eq!(open(&other), Refusal::OtherSession);
+    assert_eq!(open(&other), OpenError::OtherSession);
+    // Even a join request, which may leave the start open, may not name another.
+    let other = sealer.seal(&ours, Some(Incarnation(78)), &gossip(GossipBody::JoinRequest)).unwrap();
+    assert_eq!(open(&other), OpenError::OtherSession);
     let unknown = sealer.seal(&ours, None, &ping()).unwrap();
-    assert_eq!(open(&unknown), Refusal::OtherSession, "only a hello may leave it open");
-    // Of all these, none spoilt the window.
+    assert_eq!(open(&unknown), OpenError::OtherSession, "only a join request may leave it open");
+    // Of all these, none changed the window.
     assert!(opener.open(&ours, OWN, &good).is_ok());
 }
 
@@ -118,7 +118,7 @@
         .rng(Gen::from_size_and_seed(1500, 1))
         .tests(2000)
         .quickcheck(noise as fn(Vec<u8>) -> bool);
-    // What a holder of the key sends is not trusted to be well formed: any bytes in place of the letter.
+    // What a holder of the key sends is not trusted to be well formed: any bytes in place of the payload.
     fn sealed(mut noise: Vec<u8>) -> bool {
         let key = [0xaa; 32];
         let keys = keys("a");
@@ -128,7 +128,7 @@
         bytes.extend(blake3::keyed_hash(&key, &bytes).as_bytes());
         matches!(
             Opener::default().open(&keys, OWN, &bytes),
-            Ok(_) | Err(Refusal::Garbled | Refusal::OtherSession)
+            Ok(_) | Err(OpenError::Garbled | OpenError::OtherSession)
         )
     }
     QuickCheck::new()
@@ -143,29 +143,29 @@
     let all: Vec<Vec<u8>> = (0..600).map(|_| sealer.seal(&keys, Some(OWN), &ping()).unwrap()).collect();
     assert!(opener.open(&keys, OWN, &all[300]).is_ok());
     assert!((45..300).rev().all(|at| opener.open(&keys, OWN, &all[at]).is_ok()));
-    assert_eq!(opener.open(&keys, OWN, &all[44]), Err(Refusal::Replayed), "too old to tell");
+    assert_eq!(opener.open(&keys, OWN, &all[44]), Err(OpenError::Replayed), "too old to tell");
     assert!(opener.open(&keys, OWN, &all[599]).is_ok());
-    assert_eq!(opener.open(&keys, OWN, &all[300]), Err(Refusal::Replayed));
+    assert_eq!(opener.open(&keys, OWN, &all[300]), Err(OpenError::Replayed));
     assert!(opener.open(&keys, OWN, &all[400]).is_ok(), "a leap clears what it passes");
-    assert_eq!(opener.open(&keys, OWN, &all[400]), Err(Refusal::Replayed));
+    assert_eq!(opener.open(&keys, OWN, &all[400]), Err(OpenError::Replayed));
 }
 
 #[test]
 fn what_was_recorded_before_a_restart_is_worth_nothing_after_it() {
     let (keys, mut sealer) = (keys("a"), Sealer::default());
     let old = sealer.seal(&keys, Some(OWN), &ping()).unwrap();
-    assert_eq!(Opener::default().open(&keys, Incarnation(78), &old), Err(Refusal::OtherSession));
+    assert_eq!(Opener::default().open(&keys, Incarnation(78), &old), Err(OpenError::OtherSession));
     // An earlier start of the sender turns no window back.
     let mut opener = Opener::default();
-    let new = GossipMessage { from: card("n1", 6), ..ping() };
+    let new = GossipMessage { from: member_record("n1", 6), ..ping() };
     assert!(opener.open(&keys, OWN, &Sealer::default().seal(&keys, Some(OWN), &new).unwrap()).is_ok());
     assert_eq!(
         opener.open(&keys, OWN, &sealer.seal(&keys, Some(OWN), &ping()).unwrap()),
-        Err(Refusal::Replayed)
+        Err(OpenError::Replayed)
     );
     assert_eq!(
         opener.open(&keys, OWN, &Sealer::default().seal(&keys, Some(OWN), &new).unwrap()),
-        Err(Refusal::Replayed)
+        Err(OpenError::Replayed)
     );
 }
 
@@ -186,15 +186,17 @@
 #[test]
 fn windows_of_ever_new_senders_are_bounded() {
     let (keys, mut sealer, mut opener) = (keys("a"), Sealer::default(), Opener::default());
-    let hello =
-        |place: u64| GossipMessage { from: card(&format!("n{place}"), 5), ..letter(GossipBody::JoinRequest) };
-    let first = sealer.seal(&keys, None, &hello(0)).unwrap();
+    let join = |place: u64| GossipMessage {
+        from: member_record(&format!("n{place}"), 5),
+        ..gossip(GossipBody::JoinRequest)
+    };
+    let first = sealer.seal(&keys, None, &join(0)).unwrap();
     assert!(opener.open(&keys, OWN, &first).is_ok());
     for place in 1..600 {
-        let bytes = sealer.seal(&keys, None, &hello(place)).unwrap();
+        let bytes = sealer.seal(&keys, None, &join(place)).unwrap();
         assert!(opener.open(&keys, OWN, &bytes).is_ok());
     }
-    // The silent one was forgotten, so its hello counts anew; the last one is remembered.
+    // The silent one was forgotten, so its join request counts anew; the last one is remembered.
     assert!(opener.open(&keys, OWN, &first).is_ok());
 }
 
@@ -202,10 +204,10 @@
 fn a_key_file_names_the_line_at_fault_and_not_the_key() {
     let line = |text: &str| Keyring::parse(text).unwrap_err();
     let [a, b, c] = ["a", "b", "c"].map(|digit| digit.repeat(64));
-    assert_eq!(line("# none\n\n"), BadKeys::None);
-    assert_eq!(line(&format!("# one\n{a}\nshort")), BadKeys::NoKey { line: 3 });
-    assert_eq!(line(&format!("{a}\n{a}")), BadKeys::Twice { line: 2 });
-    assert_eq!(line(&format!("{a}\n{b}\n{c}")), BadKeys::TooMany { line: 3 });
+    assert_eq!(line("# none\n\n"), KeyFileError::NoKey);
+    assert_eq!(line(&format!("# one\n{a}\nshort")), KeyFileError::InvalidKey { line: 3 });
+    assert_eq!(line(&format!("{a}\n{a}")), KeyFileError::DuplicateKey { line: 2 });
+    assert_eq!(line(&format!("{a}\n{b}\n{c}")), KeyFileError::TooManyKeys { line: 3 });
     let ring = Keyring::parse(&format!("{a} # the old one")).unwrap();
     assert!(!format!("{ring:?}").contains("aaaa"));
 }
--- a/crates/datagram/tests/envelopes.rs
+++ b/crates/datagram/tests/envelopes.rs
@@ -5,7 +5,7 @@
 
 use quickcheck::{Gen, QuickCheck};
 use quillpoint_datagram::keys::Keyring;
-use quillpoint_datagram::{LONGEST, Opener, Refusal, Sealer};
+use quillpoint_datagram::{MAX_DATAGRAM_BYTES, OpenError, Opener, Sealer};
 use quillpoint_membership::ids::LONGEST_NAME;
 use quillpoint_membership::{
     GossipBody, GossipMessage, Incarnation, MemberRecord, MemberState, MemberVersion, PeerName,
@@ -45,17 +45,17 @@
     })
 }
 
-fn taken(opener: &mut Opener<Envelope>, bytes: &[u8]) -> Result<Envelope, Refusal> {
+fn taken(opener: &mut Opener<Envelope>, bytes: &[u8]) -> Result<Envelope, OpenError> {
     opener.open(&keys("a"), OWN, bytes)
 }
 
 #[test]
 fn an_envelope_passes_once() {
-    let (mut sealer, mut opener) = (Sealer::default(), Opener::of(4));
+    let (mut sealer, mut opener) = (Sealer::default(), Opener::new(4));
     let sent = envelope("c1", 5, digest(2));
     let bytes = sealer.seal(&keys("a"), Some(OWN), &sent).unwrap();
     assert_eq!(taken(&mut opener, &bytes), Ok(sent));
-    assert_eq!(taken(&mut opener, &bytes), Err(Refusal::Replayed));
+    assert_eq!(taken(&mut opener, &bytes), Err(OpenError::Replayed));
 }
 
 #[test]
@@ -85,7 +85,11 @@
             for message in [Message::Digest(digest), Message::Chunk(many), Message::Chunk(single), pull] {
                 let sealed =
                     Sealer::default().seal(&keys("a"), Some(OWN), &envelope(&name, u64::MAX, message));
-                assert!(sealed.as_ref().is_ok_and(|bytes| bytes.len() <= LONGEST), "{:?}", sealed.err());
+                assert!(
+                    sealed.as_ref().is_ok_and(|bytes| bytes.len() <= MAX_DATAGRAM_BYTES),
+                    "{:?}",
+                    sealed.err()
+                );
             }
         }
     }
@@ -96,16 +100,16 @@
     let mut sealer = Sealer::default();
     let sent = envelope("c1", 5, digest(1));
     let good = sealer.seal(&keys("a"), Some(OWN), &sent).unwrap();
-    let mut opener = Opener::of(4);
+    let mut opener = Opener::new(4);
     let of_others = sealer.seal(&keys("b"), Some(OWN), &sent).unwrap();
-    assert_eq!(taken(&mut opener, &of_others), Err(Refusal::UnknownKey));
+    assert_eq!(taken(&mut opener, &of_others), Err(OpenError::UnknownKey));
     // The id of a key is no secret: whoever writes it into a datagram has no key by that.
     let mut forged = of_others;
     forged[3..7].copy_from_slice(&good[3..7]);
-    assert_eq!(taken(&mut opener, &forged), Err(Refusal::Forged));
+    assert_eq!(taken(&mut opener, &forged), Err(OpenError::Forged));
     for session in [Some(Incarnation(78)), None] {
         let bytes = sealer.seal(&keys("a"), session, &sent).unwrap();
-        assert_eq!(taken(&mut opener, &bytes), Err(Refusal::OtherSession), "only asking may leave it open");
+        assert_eq!(taken(&mut opener, &bytes), Err(OpenError::OtherSession), "only asking may leave it open");
     }
     let asking = sealer.seal(&keys("a"), None, &envelope("r1", 5, Message::Subscribe)).unwrap();
     assert!(taken(&mut opener, &asking).is_ok());
@@ -113,7 +117,7 @@
         [Message::Pull(vec![PartitionId(1)]), Message::Unsubscribe, Message::Leaving, Message::Full]
     {
         let bytes = sealer.seal(&keys("a"), None, &envelope("r1", 5, message)).unwrap();
-        assert_eq!(taken(&mut opener, &bytes), Err(Refusal::OtherSession));
+        assert_eq!(taken(&mut opener, &bytes), Err(OpenError::OtherSession));
     }
     for bit in 0..good.len() * 8 {
         let mut bytes = good.clone();
@@ -121,7 +125,7 @@
         assert!(taken(&mut opener, &bytes).is_err(), "bit {bit}");
     }
     assert!((0..good.len()).all(|cut| taken(&mut opener, &good[..cut]).is_err()));
-    assert_eq!(taken(&mut opener, &good), Ok(sent), "none of them spoilt the window");
+    assert_eq!(taken(&mut opener, &good), Ok(sent), "none of them changed the window");
 }
 
 #[test]
@@ -134,21 +138,21 @@
         weight: 1,
         state: MemberState::Up,
     };
-    let letter = GossipMessage { from: card, body: GossipBody::JoinRequest, cards: Vec::new() };
+    let message = GossipMessage { from: card, body: GossipBody::JoinRequest, cards: Vec::new() };
     let (mut sealer, keys) = (Sealer::default(), keys("a"));
-    let mut letter = sealer.seal(&keys, None, &letter).unwrap();
+    let mut gossip = sealer.seal(&keys, None, &message).unwrap();
     let mut asking = sealer.seal(&keys, None, &envelope("r1", 5, Message::Subscribe)).unwrap();
-    assert_eq!(Opener::<Envelope>::of(4).open(&keys, OWN, &letter), Err(Refusal::OtherKind));
-    assert_eq!(Opener::<GossipMessage>::default().open(&keys, OWN, &asking), Err(Refusal::OtherKind));
-    // Nor by another word in its head.
-    (letter[1], asking[1]) = (asking[1], letter[1]);
-    assert_eq!(Opener::<Envelope>::of(4).open(&keys, OWN, &letter), Err(Refusal::Forged));
-    assert_eq!(Opener::<GossipMessage>::default().open(&keys, OWN, &asking), Err(Refusal::Forged));
+    assert_eq!(Opener::<Envelope>::new(4).open(&keys, OWN, &gossip), Err(OpenError::OtherKind));
+    assert_eq!(Opener::<GossipMessage>::default().open(&keys, OWN, &asking), Err(OpenError::OtherKind));
+    // Nor by another word in its header.
+    (gossip[1], asking[1]) = (asking[1], gossip[1]);
+    assert_eq!(Opener::<Envelope>::new(4).open(&keys, OWN, &gossip), Err(OpenError::Forged));
+    assert_eq!(Opener::<GossipMessage>::default().open(&keys, OWN, &asking), Err(OpenError::Forged));
 }
 
 #[test]
 fn a_sender_whose_clock_went_back_over_a_restart_is_heard_and_its_old_words_are_not_again() {
-    let (keys, mut opener) = (keys("a"), Opener::<Envelope>::of(4));
+    let (keys, mut opener) = (keys("a"), Opener::<Envelope>::new(4));
     let sealed = |sealer: &mut Sealer, start| {
         sealer.seal(&keys, Some(OWN), &envelope("c1", start, digest(0))).unwrap()
     };
@@ -157,7 +161,7 @@
     let mut after = Sealer::default();
     for _ in 0..3 {
         assert!(opener.open(&keys, OWN, &sealed(&mut after, 4)).is_ok());
-        assert_eq!(opener.open(&keys, OWN, &old), Err(Refusal::Replayed));
+        assert_eq!(opener.open(&keys, OWN, &old), Err(OpenError::Replayed));
     }
 }
 
@@ -168,14 +172,18 @@
         sealer.seal(&keys, None, &envelope(&format!("r{place}"), 5, Message::Subscribe)).unwrap()
     };
     for most in [1, 3, 2000] {
-        let mut opener = Opener::<Envelope>::of(most);
+        let mut opener = Opener::<Envelope>::new(most);
         let first = asking(0);
         assert!(opener.open(&keys, OWN, &first).is_ok());
         let others: Vec<_> = (1..most).map(&mut asking).collect();
         assert!(others.iter().all(|bytes| opener.open(&keys, OWN, bytes).is_ok()));
         let again = others.last().unwrap_or(&first);
-        assert_eq!(opener.open(&keys, OWN, again), Err(Refusal::Replayed));
-        assert_eq!(opener.open(&keys, OWN, &first), Err(Refusal::Replayed), "all of so many are remembered");
+        assert_eq!(opener.open(&keys, OWN, again), Err(OpenError::Replayed));
+        assert_eq!(
+            opener.open(&keys, OWN, &first),
+            Err(OpenError::Replayed),
+            "all of so many are remembered"
+        );
         // One more, and whoever has been silent longest is forgotten.
         let more: Vec<_> = (most..=most * 2).map(&mut asking).collect();
         assert!(more.iter().all(|bytes| opener.open(&keys, OWN, bytes).is_ok()));
@@ -191,8 +199,8 @@
         let mut bytes = [head[..23].to_vec(), noise].concat();
         bytes.extend(blake3::keyed_hash(&[0xaa; 32], &bytes).as_bytes());
         matches!(
-            Opener::<Envelope>::of(4).open(&keys("a"), OWN, &bytes),
-            Ok(_) | Err(Refusal::Garbled | Refusal::OtherSession)
+            Opener::<Envelope>::new(4).open(&keys("a"), OWN, &bytes),
+            Ok(_) | Err(OpenError::Garbled | OpenError::OtherSession)
         )
     }
     QuickCheck::new()
--- a/crates/datagram/tests/letters.rs
+++ b/crates/datagram/tests/gossip_size.rs
@@ -1,10 +1,10 @@
-//! Letters that carry as much news as there is room for: by count and by bytes, of addresses of either length.
+//! Gossip messages with as many observations as there is room for: by count and by bytes, of addresses of either length.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
 use quillpoint_datagram::keys::Keyring;
-use quillpoint_datagram::{LONGEST, Sealer};
+use quillpoint_datagram::{MAX_DATAGRAM_BYTES, Sealer};
 use quillpoint_membership::ids::LONGEST_NAME;
 use quillpoint_membership::message::{CARDS_ALONG, NEWS_ALONG, NEWS_ROOM};
 use quillpoint_membership::observation_store::ObservationStore;
@@ -14,15 +14,15 @@
 
 const LONG_AGO: Option<Duration> = Some(Duration::new(1 << 34, 999_999_999));
 
-/// Of the longest and of the shortest that is said.
-fn news(node: SocketAddr, long: bool) -> Observation {
+/// The longest or the shortest that is sent.
+fn observation(node: SocketAddr, long: bool) -> Observation {
     let (position, started) = if long { (LONG_AGO, LONG_AGO) } else { (None, None) };
     let waiting = long.then_some(u32::MAX);
     let age = Duration::new(10, 999_999_999);
     Observation { node, age, position, primary: long.then_some(true), waiting, started, failed: false }
 }
 
-fn card(address: SocketAddr) -> MemberRecord {
+fn member_record(address: SocketAddr) -> MemberRecord {
     MemberRecord {
         name: PeerName::new(&"n".repeat(LONGEST_NAME)).unwrap(),
         life: MemberVersion { incarnation: Incarnation(u64::MAX), version: u32::MAX },
@@ -37,21 +37,21 @@
     Keyring::parse(&"a".repeat(64)).unwrap()
 }
 
-fn sealed(news: Vec<Observation>) -> usize {
-    let card = card("[2001:db8:ffff:ffff:ffff:ffff:ffff:ffff]:65535".parse().unwrap());
+fn sealed_bytes(observations: Vec<Observation>) -> usize {
+    let card = member_record("[2001:db8:ffff:ffff:ffff:ffff:ffff:ffff]:65535".parse().unwrap());
     let cards = vec![card.clone(); CARDS_ALONG + 1];
-    let letter = GossipMessage { from: card, body: GossipBody::Observations(news), cards };
-    Sealer::default().seal(&keys(), Some(Incarnation(1)), &letter).map_or(usize::MAX, |bytes| bytes.len())
+    let message = GossipMessage { from: card, body: GossipBody::Observations(observations), cards };
+    Sealer::default().seal(&keys(), Some(Incarnation(1)), &message).map_or(usize::MAX, |bytes| bytes.len())
 }
 
 #[test]
 fn a_piece_of_news_takes_no_more_bytes_than_are_reckoned() {
-    let empty = sealed(Vec::new());
+    let empty = sealed_bytes(Vec::new());
     for node in ["[2001:db8:ffff:ffff:ffff:ffff:ffff:ffff]:65535", "255.255.255.255:65535", "1.1.1.1:1"] {
         for long in [true, false] {
-            let news = news(node.parse().unwrap(), long);
-            let bytes = news.bytes();
-            assert!(sealed(vec![news]) - empty <= bytes && bytes < 70, "{node}: {bytes}");
+            let observation = observation(node.parse().unwrap(), long);
+            let bytes = observation.bytes();
+            assert!(sealed_bytes(vec![observation]) - empty <= bytes && bytes < 70, "{node}: {bytes}");
         }
     }
 }
@@ -65,17 +65,17 @@
                 false => SocketAddr::from(([0xffff; 8], 50_000 + port)),
             };
             let now = LONG_AGO.unwrap();
-            let mut book = ObservationStore::new(PeerName::new("r1").unwrap(), 1e9, now);
-            book.nodes_changed(&(0..200).map(node).collect());
-            (0..200).for_each(|port| _ = book.found(now, now, news(node(port), long)));
-            let letters = book.outgoing(now, 3);
-            assert_eq!(letters.concat().len(), 200, "all of them, each once");
-            for letter in &letters {
-                assert!(letter.iter().map(Observation::bytes).sum::<usize>() <= NEWS_ROOM);
-                assert!(sealed(letter.clone()) <= LONGEST);
+            let mut store = ObservationStore::new(PeerName::new("r1").unwrap(), 1e9, now);
+            store.nodes_changed(&(0..200).map(node).collect());
+            (0..200).for_each(|port| _ = store.found(now, now, observation(node(port), long)));
+            let batches = store.outgoing(now, 3);
+            assert_eq!(batches.concat().len(), 200, "all of them, each once");
+            for batch in &batches {
+                assert!(batch.iter().map(Observation::bytes).sum::<usize>() <= NEWS_ROOM);
+                assert!(sealed_bytes(batch.clone()) <= MAX_DATAGRAM_BYTES);
             }
             // All but the last are full, so that there are fewer of them than of ten each.
-            assert!(letters.len() < 200 / NEWS_ALONG || (!v4 && long), "{}", letters.len());
+            assert!(batches.len() < 200 / NEWS_ALONG || (!v4 && long), "{}", batches.len());
         }
     }
 }
--- a/crates/router/src/briefing.rs
+++ b/crates/router/src/briefing.rs
@@ -2,7 +2,7 @@
 
 use std::path::{Path, PathBuf};
 
-use quillpoint_conf::{Conf, Fault as Line};
+use quillpoint_conf::{Conf, ConfError};
 
 use crate::config::Launch;
 use crate::deployment::Fault;
@@ -12,14 +12,14 @@
 #[derive(Debug, thiserror::Error)]
 pub enum Refusal {
     #[error("{}", lines(.0))]
-    Conf(Vec<Line>),
+    Conf(Vec<ConfError>),
     #[error("{0}")]
     Platform(#[from] Fault),
     #[error("{0}")]
     Part(#[from] BadPart),
 }
 
-fn lines(faults: &[Line]) -> String {
+fn lines(faults: &[ConfError]) -> String {
     faults.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n")
 }
 
@@ -79,7 +79,7 @@
         let mut keys: Vec<String> =
             self.launch.held_back(&other.launch).iter().map(ToString::to_string).collect();
         match (&self.conf, &other.conf) {
-            (Some(conf), Some(other)) => keys.extend(conf.held_back(other)),
+            (Some(conf), Some(other)) => keys.extend(conf.restart_required(other)),
             (None, None) => {}
             _ => keys.push("quillpoint.conf".to_string()),
         }
--- a/crates/router/src/client.rs
+++ b/crates/router/src/client.rs
@@ -26,11 +26,11 @@
 use crate::line::{Answered, Line, Written};
 use crate::log_rate_limiter::LogRateLimiter;
 use crate::open_ids::OpenIds;
-use crate::pg::{self, Asked, Broken, CancelKey, Opening};
+use crate::pg::{self, CancelKey, FrontendMessage, ProtocolViolation, StartupPacket};
 use crate::pool::Pool;
 use crate::presence::{Presence, has_hung_up};
 use crate::socket;
-use crate::statement::{Kept, Statement};
+use crate::statement::{InFlightStatement, Statement};
 
 /// How far a client that sends ahead of its answers is read while something is in line, beyond what is in line.
 const READ_AHEAD: usize = 4 * PIECE;
@@ -58,7 +58,7 @@
     #[error("{0}")]
     Io(#[from] io::Error),
     #[error("{0}")]
-    Broken(#[from] Broken),
+    Broken(#[from] ProtocolViolation),
     #[error("the client left")]
     Left,
     #[error("closed while idle")]
@@ -95,7 +95,7 @@
     /// What the client is told of it, where it is the client's doing.
     fn code(&self) -> Option<&'static str> {
         match self {
-            Self::Broken(broken) => Some(broken.code()),
+            Self::Broken(broken) => Some(broken.sqlstate()),
             Self::Late => Some("57014"),
             Self::Exhausted(_) => Some("53200"),
             Self::Faults => Some("08P01"),
@@ -228,7 +228,7 @@
             while last.is_none()
                 && line.has_room(accounts.look(|ledger| ledger.calls_for(Relief::EndSlowest)))
             {
-                last = match self.incoming.take(pg::asked) {
+                last = match self.incoming.take(pg::decode_frontend_message) {
                     Ok(None) => break,
                     Ok(Some((asked, arrived))) => {
                         (self.opening, whole_by) = (None, None);
@@ -285,7 +285,13 @@
                 Ok(Event::Answered) => {}
                 Ok(Event::Cancelled) => {
                     let mut out = Vec::new();
-                    pg::put_error(&mut out, false, "57014", "cancelled by its client; it may have run", None);
+                    pg::encode_error(
+                        &mut out,
+                        false,
+                        "57014",
+                        "cancelled by its client; it may have run",
+                        None,
+                    );
                     line.cancel(self.clients.ready(out));
                 }
                 Ok(Event::Sent(whole)) => {
@@ -306,25 +312,25 @@
     }
 
     /// Puts a message in line. How the session ends, where it is the last one.
-    fn take(&mut self, asked: Asked, arrived: Instant, line: &mut Line) -> Option<Result<(), End>> {
+    fn take(&mut self, asked: FrontendMessage, arrived: Instant, line: &mut Line) -> Option<Result<(), End>> {
         let mut out = Vec::new();
         match asked {
-            Asked::Terminate => return Some(Ok(())),
-            Asked::Sync => {
+            FrontendMessage::Terminate => return Some(Ok(())),
+            FrontendMessage::Sync => {
                 self.discards = false;
-                pg::put_ready(&mut out);
+                pg::encode_ready_for_query(&mut out);
             }
             _ if self.discards => {}
-            Asked::Extended => {
+            FrontendMessage::ExtendedQuery => {
                 self.discards = true;
-                pg::put_error(&mut out, false, "0A000", "only simple queries are taken", None);
+                pg::encode_error(&mut out, false, "0A000", "only simple queries are taken", None);
             }
-            Asked::Query(_) if !self.slot.is_let_in() => {
+            FrontendMessage::Query(_) if !self.slot.is_let_in() => {
                 put_no_room(&mut out, true, "this router has no socket left for it");
                 line.answer(self.clients.answered(out));
                 return Some(Ok(()));
             }
-            Asked::Query(text) => match self.statement(text, &mut out) {
+            FrontendMessage::Query(text) => match self.statement(text, &mut out) {
                 Ok(Some((method, kept))) => {
                     self.faults = 0;
                     // What was cancelled before anything was under way is over.
@@ -336,11 +342,11 @@
                 }
                 Ok(None) => {
                     self.faults = 0;
-                    pg::put_ready(&mut out);
+                    pg::encode_ready_for_query(&mut out);
                 }
                 Err(Unusable) => {
                     self.faults += 1;
-                    pg::put_ready(&mut out);
+                    pg::encode_ready_for_query(&mut out);
                 }
             },
         }
@@ -360,7 +366,7 @@
         // A client is told why its session ends, if that is its own doing.
         if let Some(code) = end.code() {
             let mut out = Vec::new();
-            pg::put_error(&mut out, true, code, &end.to_string(), None);
+            pg::encode_error(&mut out, true, code, &end.to_string(), None);
             if self.send(out).await.is_err() {
                 return;
             }
@@ -396,13 +402,13 @@
     async fn open(&mut self) -> Result<bool, End> {
         loop {
             let mut out = Vec::new();
-            match self.next(pg::opening).await? {
-                Opening::Cancel(key) => {
+            match self.next(pg::decode_startup_packet).await? {
+                StartupPacket::CancelRequest(key) => {
                     self.clients.cancel(key);
                     return Ok(false);
                 }
-                Opening::Encryption => out.push(b'N'),
-                Opening::Startup => pg::put_welcome(&mut out, Some(self.key)),
+                StartupPacket::EncryptionRequest => out.push(b'N'),
+                StartupPacket::Startup => pg::encode_session_start(&mut out, Some(self.key)),
             }
             let begins = out.len() > 1;
             self.send(out).await?;
@@ -420,7 +426,7 @@
     /// The next message, by the decoder that is due.
     async fn next<T>(
         &mut self,
-        decode: impl Fn(&[u8]) -> Result<Option<(T, usize)>, Broken>,
+        decode: impl Fn(&[u8]) -> Result<Option<(T, usize)>, ProtocolViolation>,
     ) -> Result<T, End> {
         let mut whole_by = self.opening;
         loop {
@@ -484,20 +490,25 @@
     ///
     /// # Errors
     /// It cannot be used, as `out` says.
-    fn statement(&self, text: Vec<u8>, out: &mut Vec<u8>) -> Result<Option<(MethodId, Kept)>, Unusable> {
+    fn statement(
+        &self,
+        text: Vec<u8>,
+        out: &mut Vec<u8>,
+    ) -> Result<Option<(MethodId, InFlightStatement)>, Unusable> {
         let (clients, engine) = (self.clients, &self.clients.engine);
         if text.iter().all(|byte| byte.is_ascii_whitespace() || *byte == b';') {
             match engine.is_ready() {
-                true => pg::put_empty_query(out),
-                false => pg::put_error(out, false, "57P03", "no list of nodes has come yet", None),
+                true => pg::encode_empty_query_response(out),
+                false => pg::encode_error(out, false, "57P03", "no list of nodes has come yet", None),
             }
             return Ok(None);
         }
         let mut refuse = |code, message: &str| {
-            pg::put_error(out, false, code, message, None);
+            pg::encode_error(out, false, code, message, None);
             Unusable
         };
-        let statement = Statement::parse(text).map_err(|fault| refuse(fault.code(), &fault.to_string()))?;
+        let statement =
+            Statement::parse(text).map_err(|fault| refuse(fault.sqlstate(), &fault.to_string()))?;
         let Some(method) = engine.method(&statement.method) else {
             return Err(refuse("22023", &format!("the comment's c names no class: {:?}", statement.method)));
         };
@@ -513,7 +524,7 @@
             return Ok(None);
         };
         let client = Presence::new(Rc::downgrade(&self.stream));
-        Ok(Some((method, Kept { statement, client, _memory: memory, _open: open })))
+        Ok(Some((method, InFlightStatement { statement, client, memory, open_id: open })))
     }
 }
 
@@ -526,7 +537,7 @@
     async fn rpc(
         self: Rc<Self>,
         method: MethodId,
-        kept: Rc<Kept>,
+        kept: Rc<InFlightStatement>,
         arrived: Instant,
         written: Rc<RefCell<Written>>,
     ) -> Answered {
@@ -539,9 +550,15 @@
             put_no_room(&mut out, false, HOLDS_ALL);
             return self.ready(out);
         }
-        let known = statement.session.and_then(|key| written.borrow().last(statement.group, key));
+        let known = statement.session.and_then(|key| written.borrow().last(statement.replica_set, key));
         let Some(owed) = engine.rpc_arrived(method, statement, arrived, known) else {
-            pg::put_error(&mut out, false, "53300", "its time was over before its turn: nothing ran", None);
+            pg::encode_error(
+                &mut out,
+                false,
+                "53300",
+                "its time was over before its turn: nothing ran",
+                None,
+            );
             return self.ready(out);
         };
         loop {
@@ -552,14 +569,14 @@
                 }
                 Some(Order::Answer(answer, position)) => {
                     if let Some(commit) = position.filter(|_| statement.writes) {
-                        written.borrow_mut().note(statement.group, statement.session, commit);
+                        written.borrow_mut().note(statement.replica_set, statement.session, commit);
                     }
-                    pg::put_answer(&mut out, &answer);
+                    pg::encode_result(&mut out, &answer);
                 }
                 Some(Order::PushBack(retry_after)) => {
                     let ms = retry_after.as_millis().to_string();
                     let detail = (!retry_after.is_zero()).then_some(ms.as_str());
-                    pg::put_error(
+                    pg::encode_error(
                         &mut out,
                         false,
                         "53300",
@@ -569,7 +586,7 @@
                 }
                 Some(Order::Abort(last)) => {
                     let (code, message) = cause(last);
-                    pg::put_error(&mut out, false, code, message, None);
+                    pg::encode_error(&mut out, false, code, message, None);
                 }
                 // The engine gives each RPC that it holds its final answer.
                 None => return future::pending().await,
@@ -580,7 +597,7 @@
 
     /// With the end that each answer to a query has.
     fn ready(&self, mut out: Vec<u8>) -> Answered {
-        pg::put_ready(&mut out);
+        pg::encode_ready_for_query(&mut out);
         self.answered(out)
     }
 
@@ -630,5 +647,5 @@
 /// For a client that there is no room for: nothing has run, and soon there may be some.
 fn put_no_room(out: &mut Vec<u8>, fatal: bool, message: &str) {
     let wait = quillpoint::HOLD.as_millis().to_string();
-    pg::put_error(out, fatal, "53300", message, Some(&wait));
+    pg::encode_error(out, fatal, "53300", message, Some(&wait));
 }
--- a/crates/router/src/command.rs
+++ b/crates/router/src/command.rs
@@ -50,7 +50,7 @@
     match deed {
         Deed::Help => print!("{HELP}"),
         Deed::Version => println!("quillpoint {}", env!("CARGO_PKG_VERSION")),
-        Deed::Reference => print!("{}", quillpoint_conf::page::reference()),
+        Deed::Reference => print!("{}", quillpoint_conf::reference::markdown()),
         Deed::Check | Deed::Serve => {
             if let Err(refusal) = run_with(matches!(deed, Deed::Check), files) {
                 return refusal;
@@ -71,11 +71,11 @@
     let briefing = Briefing::read(&files, variable).map_err(misused)?;
     if check {
         if let Some(conf) = &briefing.conf {
-            print!("{}", conf.written());
+            print!("{}", conf.to_text());
         }
         if let Some(part) = &briefing.parts.fleet {
             // What follows from the deployment stands in neither file.
-            let span = quillpoint_conf::value::span;
+            let span = quillpoint_conf::value::format_duration;
             let plan = &part.plans.probe;
             let (every, grace, floor) = (span(plan.period), span(plan.grace), span(plan.floor));
             println!("# duty probe: every {every}, grace {grace}, floor {floor}");
--- a/crates/router/src/config.rs
+++ b/crates/router/src/config.rs
@@ -90,7 +90,7 @@
         if !settings.is_object() {
             return Err(fault("settings", "the deployment's settings as an object", settings));
         }
-        let deployment = Deployment::of(quillpoint_settings::flat_tree(settings))?;
+        let deployment = Deployment::of(quillpoint_settings::settings_from_json(settings))?;
         let known = match &tree["known"] {
             Json::Null => Page::default(),
             page => Page::of(page)
--- a/crates/router/src/engine.rs
+++ b/crates/router/src/engine.rs
@@ -21,7 +21,7 @@
 
 use crate::deployment::Deployment;
 use crate::line::Reach;
-use crate::pg::Answer;
+use crate::pg::QueryResult;
 use crate::statement::Statement;
 
 /// Unix time, read once, with a monotonic clock on top: it never goes back.
@@ -47,7 +47,7 @@
 pub enum Order {
     Attempt(Attempt),
     /// Final answers. A value comes with the position that its node told, of a write its commit.
-    Answer(Answer, Option<Duration>),
+    Answer(QueryResult, Option<Duration>),
     PushBack(Duration),
     /// With how its last attempt ended, if one has.
     Abort(Option<Outcome>),
@@ -103,7 +103,7 @@
 /// What a node's answer told.
 #[derive(Default)]
 pub struct Heard {
-    pub answer: Option<Answer>,
+    pub answer: Option<QueryResult>,
     pub role: Option<Role>,
     pub position: Option<Duration>,
     pub report: Option<LoadReport>,
@@ -418,7 +418,7 @@
     /// What a statement of this method reaches.
     pub fn reach(&self, method: MethodId, statement: &Statement) -> Reach {
         let Known { writes, fresh, .. } = self.methods[method.0];
-        Reach { group: statement.group, key: statement.session, writes, fresh }
+        Reach { group: statement.replica_set, key: statement.session, writes, fresh }
     }
 
     /// The shortest deadline of a method, and the longest.
@@ -448,7 +448,7 @@
         let now = self.clock.now();
         let known = &self.methods[method.0];
         let left = self.ends.get().map_or(Duration::MAX, |end| end.saturating_sub(now));
-        let wait = statement.wait.min(known.deadline).saturating_sub(arrived.elapsed());
+        let wait = statement.remaining.min(known.deadline).saturating_sub(arrived.elapsed());
         let remaining = wait.min(left);
         if wait.is_zero() {
             return None;
@@ -457,11 +457,11 @@
         // Counted here: a client's own id could come twice, and must not mix up two RPCs.
         let id = RpcId(self.next_rpc.get());
         self.next_rpc.set(id.0 + 1);
-        let group = statement.group;
+        let group = statement.replica_set;
         self.catch_up(group);
         let live = Live { mailbox, group, deadline: now + remaining, attempts: 0, last: None };
         self.desk.live.borrow_mut().insert(id, live);
-        let after = statement.after.max(written);
+        let after = statement.last_write.max(written);
         // By the clock that the module reads too: later by a little, the mark would lie past the commit.
         self.tell(|router, now| {
             let rpc = Rpc {
--- a/crates/router/src/incoming.rs
+++ b/crates/router/src/incoming.rs
@@ -11,7 +11,7 @@
 use async_io::Async;
 
 use crate::budget::{Exhausted, Held};
-use crate::pg::Broken;
+use crate::pg::ProtocolViolation;
 use crate::presence::bytes_waiting;
 use crate::socket;
 
@@ -63,8 +63,8 @@
     /// What the decoder says.
     pub fn take<T>(
         &mut self,
-        decode: impl Fn(&[u8]) -> Result<Option<(T, usize)>, Broken>,
-    ) -> Result<Option<(T, Instant)>, Broken> {
+        decode: impl Fn(&[u8]) -> Result<Option<(T, usize)>, ProtocolViolation>,
+    ) -> Result<Option<(T, Instant)>, ProtocolViolation> {
         let Some((message, count)) = decode(&self.unread)? else { return Ok(None) };
         self.unread.drain(..count);
         (self.taken, self.is_full) = (self.taken + count as u64, false);
--- a/crates/router/src/list.rs
+++ b/crates/router/src/list.rs
@@ -100,7 +100,7 @@
                 State::Terminating => EndpointStatus::Draining,
                 State::Terminated => EndpointStatus::Removed,
             },
-            started: Some(target.boot_ms).filter(|ms| *ms > 0.0).map(quillpoint_settings::span),
+            started: Some(target.boot_ms).filter(|ms| *ms > 0.0).map(quillpoint_settings::duration_from_ms),
         }
     }
 }
--- a/crates/router/src/part.rs
+++ b/crates/router/src/part.rs
@@ -7,7 +7,7 @@
 
 use quillpoint_conf::Conf;
 use quillpoint_control_plane::{MemberConfig, PublisherConfig, SubscriberConfig};
-use quillpoint_datagram::keys::{BadKeys, Keyring};
+use quillpoint_datagram::keys::{KeyFileError, Keyring};
 use quillpoint_membership::FleetParams;
 use quillpoint_membership::PeerName;
 use quillpoint_membership::ids::{InvalidPeerName, TaskKind};
@@ -34,7 +34,7 @@
     #[error("{section} keys {}: expected a file that only its owner has rights to (chmod 600), found mode {mode:o}", file.display())]
     Open { section: &'static str, file: PathBuf, mode: u32 },
     #[error("{section} keys {}: {fault}", file.display())]
-    Keys { section: &'static str, file: PathBuf, fault: BadKeys },
+    Keys { section: &'static str, file: PathBuf, fault: KeyFileError },
     #[error("fleet zone: expected one of the deployment's zones ({known}), found {found}")]
     Zone { known: String, found: String },
     #[error("name: to be in a fleet, or told by control instances, {0}")]
@@ -160,7 +160,7 @@
 
 /// `usual` is how often it is done where the configuration does not say.
 fn plan(conf: &Conf, title: &str, kind: TaskKind, usual: Duration) -> Result<TaskParams, BadPart> {
-    let span = |name| conf.span("duty", title, name);
+    let span = |name| conf.duration("duty", title, name);
     let period = span("every").unwrap_or(usual);
     let count = |name| conf.count("duty", title, name).ok_or(BadPart::Missing("duty", name));
     Ok(TaskParams {
--- /dev/null
+++ b/crates/router/src/pg/framing.rs
@@ -0,0 +1,112 @@
+//! What all messages have in common: a type, a length that counts itself, and a body of fields.
+
+use super::{Decoded, ProtocolViolation};
+
+const LENGTH_BYTES: usize = 4;
+
+/// Reads the fields of one message's body.
+pub struct FieldReader<'a> {
+    pub message_type: char,
+    rest: &'a [u8],
+}
+
+impl<'a> FieldReader<'a> {
+    pub fn new(message_type: char, body: &'a [u8]) -> Self {
+        Self { message_type, rest: body }
+    }
+
+    pub fn invalid_fields(&self) -> ProtocolViolation {
+        ProtocolViolation::InvalidFields(self.message_type)
+    }
+
+    pub fn bytes(&mut self, count: usize) -> Result<&'a [u8], ProtocolViolation> {
+        let (taken, rest) = self.rest.split_at_checked(count).ok_or_else(|| self.invalid_fields())?;
+        self.rest = rest;
+        Ok(taken)
+    }
+
+    fn array<const N: usize>(&mut self) -> Result<[u8; N], ProtocolViolation> {
+        let (taken, rest) = self.rest.split_first_chunk().ok_or_else(|| self.invalid_fields())?;
+        self.rest = rest;
+        Ok(*taken)
+    }
+
+    pub fn u16(&mut self) -> Result<u16, ProtocolViolation> {
+        self.array().map(u16::from_be_bytes)
+    }
+
+    pub fn u32(&mut self) -> Result<u32, ProtocolViolation> {
+        self.array().map(u32::from_be_bytes)
+    }
+
+    pub fn u64(&mut self) -> Result<u64, ProtocolViolation> {
+        self.array().map(u64::from_be_bytes)
+    }
+
+    /// What stands before the next zero byte, which is passed over.
+    pub fn zero_terminated(&mut self) -> Result<&'a [u8], ProtocolViolation> {
+        let end = self.rest.iter().position(|byte| *byte == 0).ok_or_else(|| self.invalid_fields())?;
+        let taken = self.bytes(end + 1)?;
+        Ok(&taken[..end])
+    }
+
+    /// The same as text; what is not UTF-8 is replaced.
+    pub fn text(&mut self) -> Result<String, ProtocolViolation> {
+        Ok(String::from_utf8_lossy(self.zero_terminated()?).into_owned())
+    }
+
+    /// A count of columns or fields, which is always one here.
+    pub fn expect_count_of_one(&mut self) -> Result<(), ProtocolViolation> {
+        if self.u16()? == 1 { Ok(()) } else { Err(self.invalid_fields()) }
+    }
+
+    /// A body that goes on behind its last field is as wrong as one that ends early.
+    pub fn expect_end(&self) -> Result<(), ProtocolViolation> {
+        if self.rest.is_empty() { Ok(()) } else { Err(self.invalid_fields()) }
+    }
+}
+
+/// The length field at the start of `bytes`, once it is there.
+pub fn decode_length(bytes: &[u8], max_length: usize) -> Result<Option<usize>, ProtocolViolation> {
+    let Some(field) = bytes.first_chunk() else { return Ok(None) };
+    match u32::from_be_bytes(*field) as usize {
+        length if length < LENGTH_BYTES => Err(ProtocolViolation::InvalidLength(length)),
+        // Rejected by its length, before any memory is taken for it.
+        length if length > max_length => Err(ProtocolViolation::MessageTooLong(length)),
+        length => Ok(Some(length)),
+    }
+}
+
+/// The body of one message of a session, and how many bytes the message takes.
+///
+/// `max_length` is `None` for a type that is not taken. What can be no message is told by its first byte, or by its
+/// first five.
+pub fn decode_message(bytes: &[u8], max_length: impl Fn(u8) -> Option<usize>) -> Decoded<FieldReader<'_>> {
+    let Some((type_byte, rest)) = bytes.split_first() else { return Ok(None) };
+    let message_type = char::from(*type_byte);
+    let max_length = max_length(*type_byte).ok_or(ProtocolViolation::UnexpectedType(message_type))?;
+    let Some(length) = decode_length(rest, max_length)? else { return Ok(None) };
+    let Some(body) = rest.get(LENGTH_BYTES..length) else { return Ok(None) };
+    Ok(Some((FieldReader::new(message_type, body), 1 + length)))
+}
+
+/// Appends one message: its type, its length, and the body that `append_body` appends.
+pub fn encode_message(out: &mut Vec<u8>, message_type: u8, append_body: impl FnOnce(&mut Vec<u8>)) {
+    out.push(message_type);
+    encode_with_length(out, append_body);
+}
+
+/// Appends a body with its length ahead of it.
+pub fn encode_with_length(out: &mut Vec<u8>, append_body: impl FnOnce(&mut Vec<u8>)) {
+    let start = out.len();
+    out.extend([0; LENGTH_BYTES]);
+    append_body(out);
+    let length = (out.len() - start) as u32;
+    out[start..start + LENGTH_BYTES].copy_from_slice(&length.to_be_bytes());
+}
+
+/// Appends text without the zero bytes that it cannot have, and the one that ends it.
+pub fn encode_text(out: &mut Vec<u8>, text: &[u8]) {
+    out.extend(text.iter().filter(|byte| **byte != 0));
+    out.push(0);
+}
--- /dev/null
+++ b/crates/router/src/pg/frontend.rs
@@ -0,0 +1,112 @@
+//! Messages that clients send: the packets ahead of a session, and those within it.
+
+use super::framing::{
+    FieldReader, decode_length, decode_message, encode_message, encode_text, encode_with_length,
+};
+use super::{Decoded, MAX_TEXT_MESSAGE_BYTES, ProtocolViolation};
+
+/// The longest message that a client may send: a statement with a value of 64 KiB in hex, and its comment.
+const MAX_MESSAGE_BYTES: usize = 2 * 65_536 + MAX_TEXT_MESSAGE_BYTES;
+/// As PostgreSQL has it, for the packets ahead of a session.
+const MAX_STARTUP_BYTES: usize = 10_000;
+const MIN_STARTUP_BYTES: usize = 8;
+
+const PROTOCOL_VERSION_3: u32 = 3 << 16;
+const CANCEL_REQUEST: u32 = 80_877_102;
+const SSL_REQUEST: u32 = 80_877_103;
+const GSSENC_REQUEST: u32 = 80_877_104;
+
+/// A packet ahead of a session.
+#[derive(Debug, PartialEq, Eq)]
+pub enum StartupPacket {
+    /// Begins a session.
+    Startup,
+    /// Asks for TLS or GSS encryption.
+    EncryptionRequest,
+    /// Asks that what the session of this key has in flight is cancelled.
+    CancelRequest(CancelKey),
+}
+
+/// The BackendKeyData of a session, by which a later connection can cancel what it has in flight.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct CancelKey(pub u64);
+
+/// A message of a client within its session.
+#[derive(Debug, PartialEq, Eq)]
+pub enum FrontendMessage {
+    /// A simple query, without the zero byte that ends it.
+    Query(Vec<u8>),
+    /// A message of the extended query protocol, which is not spoken here.
+    ExtendedQuery,
+    /// The end of an extended query.
+    Sync,
+    /// The end of the session.
+    Terminate,
+}
+
+/// Decodes the packet at the start of `bytes`.
+///
+/// # Errors
+/// A length that no such packet has, or a version that is not spoken here.
+pub fn decode_startup_packet(bytes: &[u8]) -> Decoded<StartupPacket> {
+    let Some(length) = decode_length(bytes, MAX_STARTUP_BYTES)? else { return Ok(None) };
+    if length < MIN_STARTUP_BYTES {
+        return Err(ProtocolViolation::InvalidLength(length));
+    }
+    let Some(body) = bytes.get(4..length) else { return Ok(None) };
+    let mut body = FieldReader::new('\0', body);
+    let packet = match body.u32()? {
+        version if version & 0xffff_0000 == PROTOCOL_VERSION_3 => StartupPacket::Startup,
+        CANCEL_REQUEST => StartupPacket::CancelRequest(CancelKey(body.u64()?)),
+        SSL_REQUEST | GSSENC_REQUEST => StartupPacket::EncryptionRequest,
+        other => return Err(ProtocolViolation::UnsupportedVersion(other)),
+    };
+    Ok(Some((packet, length)))
+}
+
+/// Decodes the message at the start of `bytes`.
+///
+/// # Errors
+/// A message that a client may not send, or that does not fit its length.
+pub fn decode_frontend_message(bytes: &[u8]) -> Decoded<FrontendMessage> {
+    let Some((mut body, taken)) = decode_message(bytes, max_length)? else { return Ok(None) };
+    let message = match body.message_type {
+        'Q' => {
+            let text = body.zero_terminated()?.to_vec();
+            body.expect_end()?;
+            FrontendMessage::Query(text)
+        }
+        'P' | 'B' | 'D' | 'E' | 'C' | 'F' | 'H' => FrontendMessage::ExtendedQuery,
+        'S' => FrontendMessage::Sync,
+        'X' => FrontendMessage::Terminate,
+        other => return Err(ProtocolViolation::UnexpectedType(other)),
+    };
+    Ok(Some((message, taken)))
+}
+
+fn max_length(message_type: u8) -> Option<usize> {
+    b"QPBDECFHSX".contains(&message_type).then_some(MAX_MESSAGE_BYTES)
+}
+
+/// Appends the packet that begins a session.
+pub fn encode_startup(out: &mut Vec<u8>, user: &str, database: &str) {
+    encode_with_length(out, |out| {
+        out.extend(PROTOCOL_VERSION_3.to_be_bytes());
+        for text in ["user", user, "database", database] {
+            encode_text(out, text.as_bytes());
+        }
+        out.push(0);
+    });
+}
+
+/// Appends a simple query.
+pub fn encode_query(out: &mut Vec<u8>, text: &[u8]) {
+    encode_message(out, b'Q', |out| encode_text(out, text));
+}
+
+/// A simple query as a message of its own.
+pub fn query_message(text: &[u8]) -> Vec<u8> {
+    let mut out = Vec::with_capacity(text.len() + 6);
+    encode_query(&mut out, text);
+    out
+}
--- a/crates/router/src/pool.rs
+++ b/crates/router/src/pool.rs
@@ -21,9 +21,9 @@
 use crate::descriptors::{Descriptors, Parked, Rank, Side, Slot};
 use crate::engine::{Attempt, Chore, Engine, Heard};
 use crate::log_rate_limiter::LogRateLimiter;
-use crate::pg::{self, Broken, Said, Told};
+use crate::pg::{self, BackendMessage, ProtocolViolation, Response};
 use crate::socket;
-use crate::statement::Kept;
+use crate::statement::InFlightStatement;
 
 /// How much is read at once.
 const PIECE: usize = 4096;
@@ -43,7 +43,7 @@
     #[error("{0}")]
     Io(#[from] io::Error),
     #[error("{0}")]
-    Broken(#[from] Broken),
+    Broken(#[from] ProtocolViolation),
     #[error("the connection ended")]
     Ended,
     #[error("it did not come up in time")]
@@ -153,7 +153,8 @@
                     let asked = engine.clock.now();
                     let probe = async move {
                         let until = Instant::now() + pool.connect_timeout;
-                        let (outcome, heard) = pool.exchange(node, until, || Some(pg::query(PROBE))).await;
+                        let (outcome, heard) =
+                            pool.exchange(node, until, || Some(pg::query_message(PROBE))).await;
                         // The row is the report, for a probe.
                         let row = heard.answer.and_then(|answer| answer.value);
                         let row = row.and_then(|bytes| String::from_utf8(bytes).ok());
@@ -181,7 +182,7 @@
     }
 
     /// Makes an attempt; its end is told to the engine, whether or not its RPC is over by then.
-    pub fn attempt(self: &Rc<Self>, engine: Rc<Engine>, attempt: Attempt, statement: Rc<Kept>) {
+    pub fn attempt(self: &Rc<Self>, engine: Rc<Engine>, attempt: Attempt, statement: Rc<InFlightStatement>) {
         let pool = Rc::clone(self);
         let task = async move {
             let until = engine.clock.instant(attempt.until);
@@ -190,7 +191,7 @@
             let query = || {
                 let goes = statement.client.is_there() && engine.permits_attempt(&attempt);
                 let wait = attempt.until.saturating_sub(engine.clock.now());
-                goes.then(|| pg::query(&statement.statement.with_wait(wait)))
+                goes.then(|| pg::query_message(&statement.statement.with_remaining(wait)))
             };
             let (outcome, heard) = pool.exchange(attempt.node, until, query).await;
             pool.tell_reach(attempt.node, outcome);
@@ -280,22 +281,24 @@
         heard: &mut Heard,
     ) -> Result<Outcome, (Option<Outcome>, Fault)> {
         link.write(query).await.map_err(|fault| (None, fault))?;
-        let (mut reading, mut outcome) = (pg::Reading::default(), None);
+        let (mut reading, mut outcome) = (pg::ResponseReader::default(), None);
         loop {
             // What comes behind a whole answer can cost the connection, but no longer the answer.
             let told = link.told().await.map_err(|fault| (outcome, fault))?;
             match told {
-                Told::Parameter { name, value } => self.note(&name, &value, heard),
-                Told::Passing => {}
-                Told::Ready => return outcome.ok_or((None, Broken::Order.into())),
+                BackendMessage::ParameterStatus { name, value } => self.note(&name, &value, heard),
+                BackendMessage::Ignored => {}
+                BackendMessage::ReadyForQuery => {
+                    return outcome.ok_or((None, ProtocolViolation::UnexpectedOrder.into()));
+                }
                 told if outcome.is_none() => {
                     match reading.take(told).map_err(|fault| (None, fault.into()))? {
                         None => {}
-                        Some(Said::Value(answer)) => {
+                        Some(Response::Result(answer)) => {
                             outcome = Some(Outcome::Ok);
                             heard.answer = Some(answer);
                         }
-                        Some(Said::Error { code, message, fatal }) => {
+                        Some(Response::Error { code, message, fatal }) => {
                             log::debug!("a node answered {code}: {message}");
                             outcome = Some(match code.as_str() {
                                 "25006" | "72000" => Outcome::Misrouted,
@@ -311,7 +314,7 @@
                         }
                     }
                 }
-                _ => return Err((outcome, Broken::Order.into())),
+                _ => return Err((outcome, ProtocolViolation::UnexpectedOrder.into())),
             }
         }
     }
@@ -332,7 +335,12 @@
         for (place, pair) in text.split(',').enumerate() {
             let field = self.report_fields.get(place).map_or("", String::as_str);
             let (name, value) = pair.split_once('=').unwrap_or((field, pair));
-            quillpoint_settings::enter(&mut report, name.trim(), value.trim().parse().ok()?, Duration::ZERO);
+            quillpoint_settings::set_report_field(
+                &mut report,
+                name.trim(),
+                value.trim().parse().ok()?,
+                Duration::ZERO,
+            );
         }
         Some(report)
     }
@@ -488,16 +496,16 @@
             _slot: slot,
         };
         let mut startup = Vec::new();
-        pg::put_startup(&mut startup, USER, DATABASE);
+        pg::encode_startup(&mut startup, USER, DATABASE);
         socket::write_all(&link.stream, &startup).await?;
         loop {
             match link.told().await? {
-                Told::Ready => return Ok(link),
-                Told::Error { code, message, .. } => {
+                BackendMessage::ReadyForQuery => return Ok(link),
+                BackendMessage::ErrorResponse { code, message, .. } => {
                     log::debug!("{} turned a connection away with {code}: {message}", node.0);
                     return Err(Fault::Ended);
                 }
-                Told::Authentication(kind) if kind != 0 => {
+                BackendMessage::Authentication(kind) if kind != 0 => {
                     log::debug!("{} asks for a password, which routers have none of", node.0);
                     return Err(Fault::Ended);
                 }
@@ -531,9 +539,9 @@
         Ok(())
     }
 
-    async fn told(&mut self) -> Result<Told, Fault> {
+    async fn told(&mut self) -> Result<BackendMessage, Fault> {
         loop {
-            if let Some((told, taken)) = pg::told(&self.unread)? {
+            if let Some((told, taken)) = pg::decode_backend_message(&self.unread)? {
                 self.unread.drain(..taken);
                 if self.unread.is_empty() {
                     // What a long value took is not kept for the next.
--- /dev/null
+++ b/crates/router/src/statement/sql.rs
@@ -0,0 +1,50 @@
+//! The little that must be known of a statement's SQL.
+
+use super::StatementError;
+
+/// Whether the statement changes anything.
+///
+/// # Errors
+/// More than one statement, for a second one would run as well, or a verb that is not taken here.
+pub fn writes(sql: &[u8]) -> Result<bool, StatementError> {
+    check_is_one_statement(sql)?;
+    let verb = sql.trim_ascii_start();
+    let length = verb.iter().take_while(|byte| byte.is_ascii_alphabetic()).count();
+    match verb[..length].to_ascii_uppercase().as_slice() {
+        b"SELECT" => Ok(false),
+        b"INSERT" | b"UPDATE" | b"DELETE" => Ok(true),
+        _ => Err(StatementError::UnsupportedVerb),
+    }
+}
+
+fn check_is_one_statement(sql: &[u8]) -> Result<(), StatementError> {
+    let mut at = 0;
+    while at < sql.len() {
+        at += token_length(&sql[at..])?;
+    }
+    Ok(())
+}
+
+/// The length of what `rest` begins with: a literal, a comment, or one byte of anything else.
+fn token_length(rest: &[u8]) -> Result<usize, StatementError> {
+    let position = |end: &[u8]| rest[1..].windows(end.len()).position(|bytes| bytes == end);
+    Ok(match rest[0] {
+        quote @ (b'\'' | b'"') => 2 + position(&[quote]).ok_or(StatementError::NotOneStatement)?,
+        _ if rest.starts_with(b"/*") => 3 + position(b"*/").ok_or(StatementError::NotOneStatement)?,
+        _ if rest.starts_with(b"--") => 2 + position(b"\n").unwrap_or(rest.len()),
+        b';' if !ends_statement(rest) => return Err(StatementError::NotOneStatement),
+        _ => 1,
+    })
+}
+
+/// Whether nothing follows but blanks and semicolons.
+fn ends_statement(rest: &[u8]) -> bool {
+    rest.iter().all(|byte| byte.is_ascii_whitespace() || *byte == b';')
+}
+
+/// The first literal in single quotes: the session's key, in both forms that clients send.
+pub fn first_literal(sql: &[u8]) -> Option<&[u8]> {
+    let start = sql.iter().position(|byte| *byte == b'\'')? + 1;
+    let length = sql[start..].iter().position(|byte| *byte == b'\'')?;
+    Some(&sql[start..start + length])
+}
--- a/crates/router/tests/crossings.rs
+++ b/crates/router/tests/crossings.rs
@@ -80,7 +80,8 @@
     client.ask(&statement("look", 9000));
     until(|| count(&replica.connections) == 1);
     // More than a router reads ahead, and the end behind it.
-    let ahead: Vec<u8> = (0..400).flat_map(|_| pg::query(statement("look", 9000).as_bytes())).collect();
+    let ahead: Vec<u8> =
+        (0..400).flat_map(|_| pg::query_message(statement("look", 9000).as_bytes())).collect();
     assert!(ahead.len() > 32 * 1024);
     client.send(&ahead);
     let gone = Instant::now();
@@ -119,7 +120,7 @@
     let (mut client, key) = keyed(router.address);
     [&primary, &replica].iter().for_each(|node| node.set(Does::Waits));
     let all = [statement("enter", 9000), statement("look", 9000), statement("look", 9000)];
-    client.send(&all.iter().flat_map(|text| pg::query(text.as_bytes())).collect::<Vec<u8>>());
+    client.send(&all.iter().flat_map(|text| pg::query_message(text.as_bytes())).collect::<Vec<u8>>());
     primary.await_queries(1);
     cancel(router.address, &key);
     assert_eq!(client.reply(), error("57014"));
@@ -172,7 +173,7 @@
         stream.read_exact(&mut head).unwrap();
         stream.read_exact(&mut vec![0; u32::from_be_bytes(head) as usize - 4]).unwrap();
         let mut out = Vec::new();
-        pg::put_welcome(&mut out, None);
+        pg::encode_session_start(&mut out, None);
         stream.write_all(&out).unwrap();
         stream
     }
@@ -246,7 +247,7 @@
     socket.connect(&router.address.into()).unwrap();
     let mut client = Client::on(socket.into());
     // A query, the end of the session, and more than is read at once behind that.
-    let mut bytes = pg::query(statement("look", 9000).as_bytes());
+    let mut bytes = pg::query_message(statement("look", 9000).as_bytes());
     bytes.extend([b'X', 0, 0, 0, 4]);
     bytes.extend([b'z'; 48 * 1024]);
     client.send(&bytes);
@@ -264,7 +265,7 @@
     until(|| has_hung_up(&client.stream));
     let mut stream = client.stream.try_clone().unwrap();
     // It had not seen the end when it sent this.
-    stream.write_all(&pg::query(statement("look", 9000).as_bytes())).unwrap();
+    stream.write_all(&pg::query_message(statement("look", 9000).as_bytes())).unwrap();
     let mut rest = Vec::new();
     let end = stream.read_to_end(&mut rest);
     assert!(end.is_ok() && rest.is_empty(), "{end:?} {rest:?}");
@@ -278,7 +279,7 @@
     let (_, replica, mut router, _) = pair(&[], 200);
     let mut client = router.client();
     assert_eq!(client.rpc("look", 9000), ok());
-    let bytes = pg::query(statement("look", 900).as_bytes());
+    let bytes = pg::query_message(statement("look", 900).as_bytes());
     client.send(&bytes[..20]);
     router.signal("-TERM");
     router.await_line("no new sessions are taken");
--- a/crates/router/tests/feed.rs
+++ b/crates/router/tests/feed.rs
@@ -19,7 +19,7 @@
 use quillpoint_membership::{Incarnation, PeerName};
 use quillpoint_observation_feed::message::{CLASSES, DigestNo, PARTITIONS, Revision};
 use quillpoint_observation_feed::{Digest, Envelope, Message};
-use quillpoint_router::pg::{self, Told};
+use quillpoint_router::pg::{self, BackendMessage};
 use quillpoint_testbed::listing::{Entry, Listing, targets};
 use quillpoint_testbed::load::{Load, Tally};
 use quillpoint_testbed::now;
@@ -353,20 +353,20 @@
 fn reads(address: SocketAddr, count: usize) -> Vec<Option<Vec<u8>>> {
     let mut stream = TcpStream::connect(address).unwrap();
     let (mut out, mut unread) = (Vec::new(), Vec::new());
-    pg::put_startup(&mut out, "portal", "crm");
+    pg::encode_startup(&mut out, "portal", "crm");
     stream.write_all(&out).unwrap();
-    while next(&mut stream, &mut unread, pg::told) != Some(Told::Ready) {}
+    while next(&mut stream, &mut unread, pg::decode_backend_message) != Some(BackendMessage::ReadyForQuery) {}
     let mut answers = Vec::new();
     for place in 0..count {
         let text = format!(
             "/* id=f{place:015x},c=recent,d=1500,cluster=0 */ SELECT data FROM facts WHERE code = '7f3a'"
         );
-        stream.write_all(&pg::query(text.as_bytes())).unwrap();
+        stream.write_all(&pg::query_message(text.as_bytes())).unwrap();
         let mut answer = None;
         loop {
-            match next(&mut stream, &mut unread, pg::told).unwrap() {
-                Told::Row(value) => answer = value,
-                Told::Ready => break,
+            match next(&mut stream, &mut unread, pg::decode_backend_message).unwrap() {
+                BackendMessage::DataRow(value) => answer = value,
+                BackendMessage::ReadyForQuery => break,
                 _ => {}
             }
         }
@@ -462,7 +462,7 @@
         let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
         socket.set_read_timeout(Some(Duration::from_millis(500))).unwrap();
         let (name, keys) = (PeerName::new(name).unwrap(), Keyring::parse(&OWN_KEY.repeat(32)).unwrap());
-        Self { socket, name, control, keys, sealer: Sealer::default(), opener: Opener::of(4) }
+        Self { socket, name, control, keys, sealer: Sealer::default(), opener: Opener::new(4) }
     }
 
     /// Subscribes again and again until it is told this.
--- a/crates/router/tests/lending.rs
+++ b/crates/router/tests/lending.rs
@@ -19,7 +19,7 @@
 use quillpoint_router::open_ids::OpenIds;
 use quillpoint_router::pool::Pool;
 use quillpoint_router::presence::{Presence, has_hung_up};
-use quillpoint_router::statement::{Kept, Statement};
+use quillpoint_router::statement::{InFlightStatement, Statement};
 use standin::{Discovery, Greets, Node, VALUE, configuration, count, statement, targets};
 
 /// Far longer than anything here takes.
@@ -45,7 +45,7 @@
 /// An RPC that has come, and its client's end of the connection.
 struct Asked {
     owed: Owed,
-    kept: Rc<Kept>,
+    kept: Rc<InFlightStatement>,
     session: Rc<Async<TcpStream>>,
     client: TcpStream,
 }
@@ -83,10 +83,10 @@
         let method = self.engine.method(&statement.method).unwrap();
         let arrived = self.engine.rpc_arrived(method, &statement, Instant::now(), None);
         let owed = arrived.expect("its time is not over");
-        let kept = Kept {
+        let kept = InFlightStatement {
             client: Presence::new(Rc::downgrade(&session)),
-            _memory: self.accounts.hold(Purpose::Statements, statement.size()).unwrap(),
-            _open: self.open_ids.open(statement.id.clone()).unwrap(),
+            memory: self.accounts.hold(Purpose::Statements, statement.size()).unwrap(),
+            open_id: self.open_ids.open(statement.id.clone()).unwrap(),
             statement,
         };
         Asked { owed, kept: Rc::new(kept), session, client }
--- a/crates/router/tests/messages.rs
+++ b/crates/router/tests/messages.rs
@@ -8,7 +8,9 @@
 use quillpoint_router::config::Launch;
 use quillpoint_router::http;
 use quillpoint_router::list::{Page, Reader};
-use quillpoint_router::pg::{self, Answer, Asked, Column, Opening, Reading, Said, Told};
+use quillpoint_router::pg::{
+    self, BackendMessage, Column, FrontendMessage, QueryResult, Response, ResponseReader, StartupPacket,
+};
 use quillpoint_router::statement::Statement;
 
 /// The same runs every time.
@@ -17,7 +19,10 @@
 }
 
 /// What a decoder makes of the whole, if it takes all of it and nothing of any part.
-fn whole<T>(bytes: &[u8], decode: impl Fn(&[u8]) -> Result<Option<(T, usize)>, pg::Broken>) -> Option<T> {
+fn whole<T>(
+    bytes: &[u8],
+    decode: impl Fn(&[u8]) -> Result<Option<(T, usize)>, pg::ProtocolViolation>,
+) -> Option<T> {
     let early = (0..bytes.len()).any(|cut| decode(&bytes[..cut]).is_ok_and(|told| told.is_some()));
     decode(bytes).unwrap().filter(|(_, taken)| !early && *taken == bytes.len()).map(|(told, _)| told)
 }
@@ -32,8 +37,8 @@
         (|text| {
             let text = without_zero(&text);
             let mut out = Vec::new();
-            pg::put_query(&mut out, &text);
-            whole(&out, pg::asked) == Some(Asked::Query(text))
+            pg::encode_query(&mut out, &text);
+            whole(&out, pg::decode_frontend_message) == Some(FrontendMessage::Query(text))
         }) as fn(Vec<u8>) -> bool,
     );
 }
@@ -43,16 +48,22 @@
     check(
         (|name, value, binary| {
             let column = Column { name: without_zero(&name), type_oid: 17, type_size: u16::MAX, binary };
-            let answer = Answer { column, value, tag: b"SELECT 1".to_vec() };
+            let answer = QueryResult { column, value, tag: b"SELECT 1".to_vec() };
             let mut out = Vec::new();
-            pg::put_answer(&mut out, &answer);
+            pg::encode_result(&mut out, &answer);
             let mut told = Vec::new();
-            while let Some((message, taken)) = pg::told(&out).unwrap() {
+            while let Some((message, taken)) = pg::decode_backend_message(&out).unwrap() {
                 out.drain(..taken);
                 told.push(message);
             }
-            let Answer { column, value, tag } = answer;
-            out.is_empty() && told == [Told::Column(column), Told::Row(value), Told::Complete(tag)]
+            let QueryResult { column, value, tag } = answer;
+            out.is_empty()
+                && told
+                    == [
+                        BackendMessage::RowDescription(column),
+                        BackendMessage::DataRow(value),
+                        BackendMessage::CommandComplete(tag),
+                    ]
         }) as fn(Vec<u8>, Option<Vec<u8>>, bool) -> bool,
     );
 }
@@ -64,21 +75,22 @@
             let clean = |text: String| text.replace('\0', "");
             let (message, detail) = (clean(message), detail.map(clean));
             let mut out = Vec::new();
-            pg::put_error(&mut out, fatal, "53300", &message, detail.as_deref());
-            let error = Told::Error { code: "53300".into(), message, detail, fatal };
+            pg::encode_error(&mut out, fatal, "53300", &message, detail.as_deref());
+            let error = BackendMessage::ErrorResponse { code: "53300".into(), message, detail, fatal };
             let mut startup = Vec::new();
-            pg::put_startup(&mut startup, "portal", "crm");
-            whole(&out, pg::told) == Some(error) && whole(&startup, pg::opening) == Some(Opening::Startup)
+            pg::encode_startup(&mut startup, "portal", "crm");
+            whole(&out, pg::decode_backend_message) == Some(error)
+                && whole(&startup, pg::decode_startup_packet) == Some(StartupPacket::Startup)
         }) as fn(String, Option<String>, bool) -> bool,
     );
 }
 
 /// What is made of a node's bytes, as a router reads them: the first thing said, or why nothing can be.
-fn read(mut bytes: &[u8]) -> Result<Option<Said>, pg::Broken> {
-    let mut reading = Reading::default();
-    while let Some((told, taken)) = pg::told(bytes)? {
+fn read(mut bytes: &[u8]) -> Result<Option<Response>, pg::ProtocolViolation> {
+    let mut reading = ResponseReader::default();
+    while let Some((told, taken)) = pg::decode_backend_message(bytes)? {
         bytes = &bytes[taken..];
-        if matches!(told, Told::Parameter { .. } | Told::Passing) {
+        if matches!(told, BackendMessage::ParameterStatus { .. } | BackendMessage::Ignored) {
             continue;
         }
         if let Some(said) = reading.take(told)? {
@@ -93,13 +105,13 @@
     check(
         (|value: Vec<u8>, places: Vec<(usize, u8)>, cut: usize, extra: Vec<u8>| {
             let column = Column { name: b"data".to_vec(), type_oid: 17, type_size: u16::MAX, binary: true };
-            let whole = Answer { column, value: Some(value), tag: b"SELECT 1".to_vec() };
+            let whole = QueryResult { column, value: Some(value), tag: b"SELECT 1".to_vec() };
             let mut out = Vec::new();
-            pg::put_answer(&mut out, &whole);
-            assert_eq!(read(&out), Ok(Some(Said::Value(whole.clone()))));
+            pg::encode_result(&mut out, &whole);
+            assert_eq!(read(&out), Ok(Some(Response::Result(whole.clone()))));
             // Whatever follows is no part of it.
             let followed = [&out[..], &extra].concat();
-            assert_eq!(read(&followed), Ok(Some(Said::Value(whole.clone()))));
+            assert_eq!(read(&followed), Ok(Some(Response::Result(whole.clone()))));
             assert_eq!(read(&out[..cut % out.len()]), Ok(None));
             let cut = cut % (out.len() + 1);
             let longer = [&out[..cut], &extra, &out[cut..]].concat();
@@ -109,9 +121,9 @@
             }
             // What is still taken for an answer has a value of as many bytes as its row says.
             let taken = |bytes: &[u8]| match read(bytes) {
-                Ok(Some(Said::Value(answer))) => {
+                Ok(Some(Response::Result(answer))) => {
                     let mut again = Vec::new();
-                    pg::put_answer(&mut again, &answer);
+                    pg::encode_result(&mut again, &answer);
                     again.len() <= bytes.len() && again.len() >= answer.value.map_or(0, |value| value.len())
                 }
                 _ => true,
@@ -123,7 +135,9 @@
 
 #[test]
 fn what_is_no_answer_is_told_by_its_first_bytes() {
-    use pg::Broken::{Field, Length, Order, TooLong, Type};
+    use pg::ProtocolViolation::{
+        InvalidFields, InvalidLength, MessageTooLong, UnexpectedOrder, UnexpectedType,
+    };
     let row = |length: u32, count: u16, value: u32| {
         [b"T\0\0\0\x1d\0\x01data\0", &[0; 18][..], b"D", &length.to_be_bytes(), &count.to_be_bytes()]
             .concat()
@@ -133,25 +147,25 @@
     };
     assert_eq!(read(&row(15, 1, 5)), Ok(None));
     for (bytes, fault) in [
-        (row(15, 1, 6), Field('D')),
-        (row(15, 2, 5), Field('D')),
-        (row(15, 1, u32::MAX), Field('D')),
-        (row(3 << 30, 1, 5), TooLong(3 << 30)),
-        (b"\x07".to_vec(), Type('\x07')),
-        (b"C\0\0\0\x02".to_vec(), Length(2)),
-        (b"Z\0\0\0\x06".to_vec(), TooLong(6)),
-        (b"Z\0\0\0\x05?".to_vec(), Field('Z')),
-        (b"E\0\0\0\x05\0".to_vec(), Field('E')),
-        (b"C\0\0\0\x0dSELECT 1\0".to_vec(), Order),
-        ([row(14, 1, 4), b"four".to_vec(), row(14, 1, 4), b"four".to_vec()].concat(), Order),
-        ([row(14, 1, 4), b"fourC\0\0\0\x0dSELECT 2\0".to_vec()].concat(), Order),
+        (row(15, 1, 6), InvalidFields('D')),
+        (row(15, 2, 5), InvalidFields('D')),
+        (row(15, 1, u32::MAX), InvalidFields('D')),
+        (row(3 << 30, 1, 5), MessageTooLong(3 << 30)),
+        (b"\x07".to_vec(), UnexpectedType('\x07')),
+        (b"C\0\0\0\x02".to_vec(), InvalidLength(2)),
+        (b"Z\0\0\0\x06".to_vec(), MessageTooLong(6)),
+        (b"Z\0\0\0\x05?".to_vec(), InvalidFields('Z')),
+        (b"E\0\0\0\x05\0".to_vec(), InvalidFields('E')),
+        (b"C\0\0\0\x0dSELECT 1\0".to_vec(), UnexpectedOrder),
+        ([row(14, 1, 4), b"four".to_vec(), row(14, 1, 4), b"four".to_vec()].concat(), UnexpectedOrder),
+        ([row(14, 1, 4), b"fourC\0\0\0\x0dSELECT 2\0".to_vec()].concat(), UnexpectedOrder),
     ] {
         assert_eq!(read(&bytes), Err(fault), "{bytes:?}");
     }
     // A parameter that cannot be read is passed over, and the answer stands.
     let parameter = b"S\0\0\0\x0aload\0\xff".to_vec();
     let whole = [row(14, 1, 4), b"four".to_vec(), parameter, b"C\0\0\0\x0dSELECT 1\0".to_vec()].concat();
-    assert!(matches!(read(&whole), Ok(Some(Said::Value(_)))));
+    assert!(matches!(read(&whole), Ok(Some(Response::Result(_)))));
 }
 
 /// Bytes near enough to a message that decoders get past its head.
@@ -176,9 +190,9 @@
             for bytes in [&bytes[..], &bytes[1..], &plain] {
                 // Whatever is taken was there to be taken.
                 let fits = |taken: Option<usize>| taken.is_none_or(|taken| taken <= bytes.len());
-                assert!(fits(pg::asked(bytes).ok().flatten().map(|(_, taken)| taken)));
-                assert!(fits(pg::told(bytes).ok().flatten().map(|(_, taken)| taken)));
-                assert!(fits(pg::opening(bytes).ok().flatten().map(|(_, taken)| taken)));
+                assert!(fits(pg::decode_frontend_message(bytes).ok().flatten().map(|(_, taken)| taken)));
+                assert!(fits(pg::decode_backend_message(bytes).ok().flatten().map(|(_, taken)| taken)));
+                assert!(fits(pg::decode_startup_packet(bytes).ok().flatten().map(|(_, taken)| taken)));
                 let text = [b"/* id=1,", bytes, b"*/ SELECT"].concat();
                 _ = (Statement::parse(bytes.to_vec()), Statement::parse(text));
                 let answer = [b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", bytes].concat();
@@ -209,10 +223,10 @@
                 [words.as_bytes(), &tail].concat()
             };
             let statement = Statement::parse(text(wait.into())).unwrap();
-            let read = (statement.method.as_str(), statement.wait, statement.group.0);
+            let read = (statement.method.as_str(), statement.remaining, statement.replica_set.0);
             let right = read == ("basket", Duration::from_millis(wait.into()), group.into());
             let to = u64::from(to.max(1));
-            TestResult::from_bool(right && statement.with_wait(Duration::from_millis(to)) == text(to))
+            TestResult::from_bool(right && statement.with_remaining(Duration::from_millis(to)) == text(to))
         }) as fn(String, Vec<u8>, u32, u32, u16, bool) -> TestResult,
     );
 }
@@ -270,7 +284,7 @@
     let write = session("INSERT INTO facts (code, data) VALUES ('ab', '\\x00') RETURNING data");
     let other = session("SELECT data FROM facts WHERE code = 'abc'");
     assert!(read.session == write.session && read.session != other.session && read.session.is_some());
-    assert_eq!((read.after, read.retried), (Some(Duration::from_millis(1_767_225_600_123)), true));
+    assert_eq!((read.last_write, read.retried), (Some(Duration::from_millis(1_767_225_600_123)), true));
 }
 
 #[test]
--- a/crates/router/tests/pipeline.rs
+++ b/crates/router/tests/pipeline.rs
@@ -63,7 +63,7 @@
 
 /// In one write, so that what is behind has come when what is ahead of it is sent on.
 fn send_all(client: &mut Client, texts: &[String]) {
-    let bytes: Vec<u8> = texts.iter().flat_map(|text| pg::query(text.as_bytes())).collect();
+    let bytes: Vec<u8> = texts.iter().flat_map(|text| pg::query_message(text.as_bytes())).collect();
     client.send(&bytes);
 }
 
@@ -342,7 +342,7 @@
     // Without an end, and nothing of it is answered.
     replicas.iter().for_each(|node| node.set(Does::Waits));
     let mut stream = client.stream.try_clone().unwrap();
-    let next = || pg::query(of("a", "look", 9000).as_bytes());
+    let next = || pg::query_message(of("a", "look", 9000).as_bytes());
     let floods = std::thread::spawn(move || while stream.write_all(&next()).is_ok() {});
     await_all(&replicas, all.len() + SIDE_BY_SIDE);
     others_go_on(&router, "enter");
--- a/crates/router/tests/soak/clients.rs
+++ b/crates/router/tests/soak/clients.rs
@@ -110,7 +110,7 @@
         admitted: Admitted,
         ask: Ask,
     ) -> (Ask, Ending) {
-        let bytes = pg::query(ask.text.as_bytes());
+        let bytes = pg::query_message(ask.text.as_bytes());
         let (leaves, slow) = (chance.random_bool(0.06), chance.random_bool(0.06));
         let (first, rest) = bytes.split_at(if slow { bytes.len() / 2 } else { 0 });
         let mut written = write(client, first);
--- a/crates/router/tests/soak/servers.rs
+++ b/crates/router/tests/soak/servers.rs
@@ -6,7 +6,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use quillpoint_router::pg::{self, Asked, Opening};
+use quillpoint_router::pg::{self, FrontendMessage, StartupPacket};
 use quillpoint_testbed::store::{parameter, row};
 
 use crate::plan::{Plan, Serving};
@@ -90,12 +90,18 @@
         }
         _ = stream.set_nodelay(true);
         let mut unread = Vec::new();
-        let (Opening::Startup, _) = next(&mut stream, &mut unread, pg::opening)? else { return None };
+        let (StartupPacket::Startup, _) = next(&mut stream, &mut unread, pg::decode_startup_packet)? else {
+            return None;
+        };
         let mut out = Vec::new();
-        pg::put_welcome(&mut out, None);
+        pg::encode_session_start(&mut out, None);
         stream.write_all(&out).ok()?;
         loop {
-            let (Asked::Query(text), first) = next(&mut stream, &mut unread, pg::asked)? else { return None };
+            let (FrontendMessage::Query(text), first) =
+                next(&mut stream, &mut unread, pg::decode_frontend_message)?
+            else {
+                return None;
+            };
             let text = String::from_utf8(text).ok()?;
             let out = if text == "SHOW load" {
                 self.probed()
@@ -113,8 +119,8 @@
 
     fn probed(&self) -> Vec<u8> {
         let mut out = Vec::new();
-        pg::put_answer(&mut out, &row(self.load().as_bytes()));
-        pg::put_ready(&mut out);
+        pg::encode_result(&mut out, &row(self.load().as_bytes()));
+        pg::encode_ready_for_query(&mut out);
         out
     }
 
@@ -144,22 +150,22 @@
         });
         let mut out = Vec::new();
         match serving {
-            _ if misplaced => pg::put_error(&mut out, false, "25006", "this is a replica", None),
-            Serving::IsFull => pg::put_error(&mut out, false, "53300", "full", None),
-            Serving::Errs => pg::put_error(&mut out, false, "XX000", "as planned", None),
+            _ if misplaced => pg::encode_error(&mut out, false, "25006", "this is a replica", None),
+            Serving::IsFull => pg::encode_error(&mut out, false, "53300", "full", None),
+            Serving::Errs => pg::encode_error(&mut out, false, "XX000", "as planned", None),
             Serving::Resets | Serving::Refuses => return None,
             Serving::Answers | Serving::Dribbles | Serving::Hangs => {
                 thread::sleep(self.takes);
                 let hangs = |state: &mut State| state.serving == Serving::Hangs && !self.record.is_over();
                 let state = self.state.0.lock().unwrap();
                 drop(self.state.1.wait_timeout_while(state, NEVER, hangs).unwrap());
-                pg::put_answer(&mut out, &row(VALUE));
+                pg::encode_result(&mut out, &row(VALUE));
             }
         }
         parameter(&mut out, "role", if self.is_primary { "primary" } else { "replica" });
         parameter(&mut out, "applied_ms", &position.to_string());
         parameter(&mut out, "load", &self.load());
-        pg::put_ready(&mut out);
+        pg::encode_ready_for_query(&mut out);
         Some(out)
     }
 
@@ -179,7 +185,7 @@
 fn next<T>(
     stream: &mut TcpStream,
     unread: &mut Vec<u8>,
-    decode: impl Fn(&[u8]) -> Result<Option<(T, usize)>, pg::Broken>,
+    decode: impl Fn(&[u8]) -> Result<Option<(T, usize)>, pg::ProtocolViolation>,
 ) -> Option<(T, Instant)> {
     let mut first = (!unread.is_empty()).then(Instant::now);
     loop {
--- a/crates/router/tests/sockets.rs
+++ b/crates/router/tests/sockets.rs
@@ -5,7 +5,7 @@
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
 
-use quillpoint_router::pg::{self, Told};
+use quillpoint_router::pg::{self, BackendMessage};
 use standin::{Client, Discovery, Does, Greets, Node, Reply, Running, VALUE};
 use standin::{command, configuration, count, file, statement, targets};
 
@@ -334,7 +334,7 @@
     let busy = &mut clients[7];
     (0..20).for_each(|_| assert_eq!(busy.rpc("look", 9000), ok()));
     let mut startup = Vec::new();
-    pg::put_startup(&mut startup, "portal", "crm");
+    pg::encode_startup(&mut startup, "portal", "crm");
     std::io::Write::write_all(&mut silent, &startup).unwrap();
     let mut answer = [0; 1];
     silent.set_read_timeout(Some(std::time::Duration::from_secs(30))).unwrap();
@@ -362,7 +362,7 @@
     assert_eq!(client.rpc("look", 400), ok());
     [&primary, &replica].iter().for_each(|node| node.set(Does::Fills(1_000_000)));
     // More than sockets' buffers take, all asked for at once.
-    let all: Vec<u8> = (0..8).flat_map(|_| pg::query(statement("look", 400).as_bytes())).collect();
+    let all: Vec<u8> = (0..8).flat_map(|_| pg::query_message(statement("look", 400).as_bytes())).collect();
     client.send(&all);
     let (mut bytes, mut piece) = (0, vec![0; 32 * 1024]);
     while bytes < 8_000_000 {
@@ -399,7 +399,7 @@
     let (_, _, router, _) = pair_with(64, r#""memory_mb":192"#, r#""memory_mb":1"#);
     let long = format!("{} -- {}", statement("look", 9000), "x".repeat(100_000));
     let mut whole = Vec::new();
-    pg::put_query(&mut whole, long.as_bytes());
+    pg::encode_query(&mut whole, long.as_bytes());
     let (most, last) = whole.split_at(whole.len() - 1);
     let mut clients = [router.client(), router.client()];
     for client in &mut clients {
@@ -634,7 +634,7 @@
 fn a_flood_of_faults_ends_its_session_and_keeps_nobody_waiting() {
     let (_, _, router, _discovery) = pair();
     let (mut floods, mut usual) = (router.client(), router.client());
-    let faults: Vec<u8> = (0..500).flat_map(|_| pg::query(b"SELECT 1")).collect();
+    let faults: Vec<u8> = (0..500).flat_map(|_| pg::query_message(b"SELECT 1")).collect();
     floods.send(&faults);
     assert_eq!(usual.rpc("look", 9000), ok());
     let codes: Vec<Reply> = (0..8).map(|_| floods.reply()).collect();
@@ -666,20 +666,23 @@
     }
     // The startup and the first query in one piece.
     let mut out = Vec::new();
-    pg::put_startup(&mut out, "portal", "crm");
-    pg::put_query(&mut out, b"");
+    pg::encode_startup(&mut out, "portal", "crm");
+    pg::encode_query(&mut out, b"");
     raw.write_all(&out).unwrap();
     let mut bytes = Vec::new();
     let mut messages = Vec::new();
-    while messages.iter().filter(|told| **told == Told::Ready).count() < 2 {
+    while messages.iter().filter(|told| **told == BackendMessage::ReadyForQuery).count() < 2 {
         raw.read_exact(&mut byte).unwrap();
         bytes.extend(byte);
-        if let Some((told, taken)) = pg::told(&bytes).unwrap() {
+        if let Some((told, taken)) = pg::decode_backend_message(&bytes).unwrap() {
             bytes.drain(..taken);
             messages.push(told);
         }
     }
-    assert!(messages.contains(&Told::EmptyQuery) && messages.contains(&Told::Authentication(0)));
+    assert!(
+        messages.contains(&BackendMessage::EmptyQueryResponse)
+            && messages.contains(&BackendMessage::Authentication(0))
+    );
     let mut cancels = std::net::TcpStream::connect(router.address).unwrap();
     cancels.write_all(b"\0\0\0\x10\x04\xd2\x16\x2e\0\0\0\0\0\0\0\0").unwrap();
     assert_eq!(cancels.read(&mut byte).unwrap(), 0, "closed without a word");
--- a/crates/router/tests/standin/mod.rs
+++ b/crates/router/tests/standin/mod.rs
@@ -11,7 +11,7 @@
 use std::thread;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use quillpoint_router::pg::{self, Asked, Opening, Told};
+use quillpoint_router::pg::{self, BackendMessage, FrontendMessage, StartupPacket};
 use quillpoint_testbed::store::{next, parameter, row as answer};
 
 /// Far longer than anything here takes: what is awaited for so long never comes.
@@ -151,14 +151,16 @@
         }
         drop(state);
         let mut unread = Vec::new();
-        if next(&mut stream, &mut unread, pg::opening) != Some(Opening::Startup) {
+        if next(&mut stream, &mut unread, pg::decode_startup_packet) != Some(StartupPacket::Startup) {
             return;
         }
         let mut out = Vec::new();
-        pg::put_welcome(&mut out, None);
+        pg::encode_session_start(&mut out, None);
         _ = stream.write_all(&out);
         self.welcomed.fetch_add(1, Ordering::SeqCst);
-        while let Some(Asked::Query(text)) = next(&mut stream, &mut unread, pg::asked) {
+        while let Some(FrontendMessage::Query(text)) =
+            next(&mut stream, &mut unread, pg::decode_frontend_message)
+        {
             let text = String::from_utf8(text).unwrap();
             let mut state = self.state.0.lock().unwrap();
             let now = unix_ms();
@@ -167,10 +169,10 @@
             let mut out = Vec::new();
             if text == "SHOW load" {
                 match state.does {
-                    Does::Down => pg::put_error(&mut out, false, "57P03", "down", None),
-                    _ => pg::put_answer(&mut out, &answer(load.as_bytes())),
+                    Does::Down => pg::encode_error(&mut out, false, "57P03", "down", None),
+                    _ => pg::encode_result(&mut out, &answer(load.as_bytes())),
                 }
-                pg::put_ready(&mut out);
+                pg::encode_ready_for_query(&mut out);
                 drop(state);
                 _ = stream.write_all(&out);
                 continue;
@@ -192,19 +194,19 @@
             }
             self.state.0.lock().unwrap().held -= 1;
             match does {
-                _ if misplaced => pg::put_error(&mut out, false, "25006", "this is a replica", None),
+                _ if misplaced => pg::encode_error(&mut out, false, "25006", "this is a replica", None),
                 Does::Breaks => return,
-                Does::Down => pg::put_error(&mut out, false, "57P03", "down", None),
-                Does::Errs(code) => pg::put_error(&mut out, false, code, "as told", None),
+                Does::Down => pg::encode_error(&mut out, false, "57P03", "down", None),
+                Does::Errs(code) => pg::encode_error(&mut out, false, code, "as told", None),
                 Does::Says(bytes) => out.extend(bytes),
-                Does::Fills(length) => pg::put_answer(&mut out, &answer(&vec![b'v'; length])),
-                Does::Echoes => pg::put_answer(&mut out, &answer(&id)),
+                Does::Fills(length) => pg::encode_result(&mut out, &answer(&vec![b'v'; length])),
+                Does::Echoes => pg::encode_result(&mut out, &answer(&id)),
                 Does::Floods(bytes) => {
                     let many = bytes.repeat(4096 / bytes.len());
                     while stream.write_all(&many).is_ok() {}
                     return;
                 }
-                _ => pg::put_answer(&mut out, &answer(VALUE)),
+                _ => pg::encode_result(&mut out, &answer(VALUE)),
             }
             if does == Does::Halves {
                 _ = stream.write_all(&out[..out.len() / 2]);
@@ -213,7 +215,7 @@
             parameter(&mut out, "role", role);
             parameter(&mut out, "applied_ms", &now.to_string());
             parameter(&mut out, "load", if does == Does::Misreports { "x0=?,,=" } else { &load });
-            pg::put_ready(&mut out);
+            pg::encode_ready_for_query(&mut out);
             if let Does::Adds(bytes) = does {
                 out.extend(bytes);
             }
@@ -312,7 +314,7 @@
         }
     }
 
-    /// Told of at another address than its own.
+    /// BackendMessage of at another address than its own.
     pub fn told_at(&self, address: SocketAddr) -> Self {
         Self { address, ..self.clone() }
     }
@@ -490,7 +492,7 @@
     /// With a first query right behind the startup.
     pub fn asking(address: SocketAddr, text: &str) -> Self {
         let mut query = Vec::new();
-        pg::put_query(&mut query, text.as_bytes());
+        pg::encode_query(&mut query, text.as_bytes());
         Self::connect_with(address, &query)
     }
 
@@ -511,7 +513,7 @@
         stream.set_read_timeout(Some(NEVER))?;
         let mut client = Self { stream, unread: Vec::new() };
         let mut out = Vec::new();
-        pg::put_startup(&mut out, "portal", "crm");
+        pg::encode_startup(&mut out, "portal", "crm");
         client.stream.write_all(&out)?;
         Ok(client)
     }
@@ -521,8 +523,8 @@
     }
 
     /// The next message of a router.
-    pub fn told(&mut self) -> Option<Told> {
-        next(&mut self.stream, &mut self.unread, pg::told)
+    pub fn told(&mut self) -> Option<BackendMessage> {
+        next(&mut self.stream, &mut self.unread, pg::decode_backend_message)
     }
 
     /// Leaves, and waits until the router has taken notice.
@@ -533,7 +535,7 @@
 
     pub fn ask(&mut self, text: &str) {
         let mut out = Vec::new();
-        pg::put_query(&mut out, text.as_bytes());
+        pg::encode_query(&mut out, text.as_bytes());
         self.send(&out);
     }
 
@@ -543,10 +545,12 @@
         loop {
             match self.told() {
                 None => return reply,
-                Some(Told::Row(value)) => reply = Reply::Value(value.unwrap()),
-                Some(Told::EmptyQuery) => reply = Reply::Empty,
-                Some(Told::Error { code, detail, .. }) => reply = Reply::Error(code, detail),
-                Some(Told::Ready) if reply != Reply::Gone => return reply,
+                Some(BackendMessage::DataRow(value)) => reply = Reply::Value(value.unwrap()),
+                Some(BackendMessage::EmptyQueryResponse) => reply = Reply::Empty,
+                Some(BackendMessage::ErrorResponse { code, detail, .. }) => {
+                    reply = Reply::Error(code, detail)
+                }
+                Some(BackendMessage::ReadyForQuery) if reply != Reply::Gone => return reply,
                 Some(_) => {}
             }
         }
@@ -554,7 +558,7 @@
 
     /// Asks on a connection that may have been closed.
     pub fn try_ask(&mut self, text: &str) -> Reply {
-        let sent = self.stream.write_all(&pg::query(text.as_bytes()));
+        let sent = self.stream.write_all(&pg::query_message(text.as_bytes()));
         sent.map_or(Reply::Gone, |()| self.reply())
     }
 
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,154 +1,116 @@
-//! The settings object as a flat map from names in the project's words to values, and the fields of load
-//! reports. Renaming only.
+//! The platform's settings as the flat map that the decisions read, and the fields of its load reports.
+//!
+//! This is the one place where the platform's names become the terms of docs/glossary.md. Names change here, units
+//! become types, and nothing is judged or filled in.
+
+#![warn(missing_docs)]
+
+mod load_report;
+mod names;
 
 use std::time::Duration;
 
-use quillpoint::host::{LoadReport, Value, ValueMap};
+use quillpoint::host::{Value, ValueMap};
 use serde_json::Value as Json;
 
-/// The wire's word for a part of a name, and ours. A key that is not here is skipped.
-const NAMES: &[(&str, &str)] = &[
-    ("AimStretch", "latency_objective_per_work"),
-    ("Allowed", "allowed"),
-    ("AnswerSlackMs", "answer_slack"),
-    ("AskEveryMs", "poll_interval"),
-    ("Balancers", "routers"),
-    ("Cancelling", "cancel"),
-    ("CatchUpWaitMs", "catch_up_wait"),
-    ("Checks", "read_check"),
-    ("ClassBoundMs", "staleness_bound"),
-    ("Classes", "methods"),
-    ("Clients", "clients"),
-    ("ColdFrom", "slow_start_initial_capacity"),
-    ("ColdMs", "slow_start_duration"),
-    ("CommitWaits", "commit_waits"),
-    ("ConnIdleMs", "idle_connection_timeout"),
-    ("ConnectTimeoutMs", "connect_timeout"),
-    ("Connection", "connection"),
-    ("CpuUsPerRequest", "cpu_per_rpc"),
-    ("CpuUsPerS", "cpu_per_second"),
-    ("CrossZone", "cross_zone"),
-    ("Discovery", "discovery"),
-    ("DrainGraceMs", "drain_grace"),
-    ("DroppedStayOpen", "only_listed_draining"),
-    ("Extra", "replication"),
-    ("FailureDomains", "zones"),
-    ("FallMultiple", "overload_multiple"),
-    ("Feedback", "reports"),
-    ("Fields", "fields"),
-    ("GiveUpMs", "deadline"),
-    ("Goal", "goal"),
-    ("GoalTimeMs", "latency_objective"),
-    ("Group", "idempotency_scope"),
-    ("Handshake", "handshake"),
-    ("Invariants", "rules"),
-    ("LateFail", "late_abort"),
-    ("LateValue", "late_weight"),
-    ("MarksRetry", "mark_retries"),
-    ("MaxAttempts", "attempts"),
-    ("MaxRetryAfterMs", "max_retry_after"),
-    ("MayDuplicate", "hedging"),
-    ("MostHeld", "max_queued"),
-    ("Multiplex", "streams"),
-    ("MyZone", "zone"),
-    ("Name", "name"),
-    ("NeedsByClass", "consistency"),
-    ("OriginTimeMs", "origin"),
-    ("OverloadForMs", "overload_window"),
-    ("Probe", "health_check"),
-    ("Probes", "health_checks"),
-    ("Rank", "rank"),
-    ("RetryAfter", "retry_after"),
-    ("RoleListed", "listed_role"),
-    ("Semantics", "idempotency"),
-    ("Skus", "kinds"),
-    ("Source", "source"),
-    ("Stamps", "stamps"),
-    ("StepMs", "tick"),
-    ("Tariffs", "prices"),
-    ("Value", "priority_weight"),
-    ("Waste", "waste"),
-    ("Weights", "weights"),
-    ("Whole", "whole"),
-    ("WindowMs", "idempotency_window"),
-    ("WorstClass", "worst_method"),
-    ("WorstWindow", "worst_window"),
-    ("WorthBy", "priority_weight_by"),
-    ("WriteMarks", "session_tokens"),
-];
-
-/// The wire's word for a value, and ours, by the name that holds it.
-const WORDS: &[(&str, &str, &str)] = &[
-    ("idempotency", "free", "idempotent"),
-    ("idempotency", "guarded", "keyed"),
-    ("idempotency", "single_shot", "non_idempotent"),
-    ("idempotency_scope", "cell", "replica_set"),
-    ("consistency", "update", "write"),
-    ("consistency", "latest", "fresh"),
-    ("consistency", "own_writes", "session"),
-    ("consistency", "recent", "bounded"),
-    ("consistency", "loose", "any"),
-    ("session_tokens", "client", "carried"),
-    ("session_tokens", "router", "remembered"),
-    ("priority_weight_by", "request", "rpc"),
-];
-
-pub fn flat(text: &str) -> Result<ValueMap, serde_json::Error> {
-    Ok(flat_tree(&serde_json::from_str(text)?))
+pub use crate::load_report::set_report_field;
+
+/// Keys that end so hold milliseconds.
+const MILLISECONDS_SUFFIX: &str = "Ms";
+
+/// A text that is not the platform's settings.
+#[derive(Debug, thiserror::Error)]
+pub enum SettingsError {
+    /// The text is not JSON; the error names its line and column.
+    #[error("the settings cannot be read: {0}")]
+    InvalidJson(#[from] serde_json::Error),
+}
+
+/// The settings that stand in a text of their own.
+///
+/// # Errors
+/// A text that is not JSON.
+pub fn parse_settings(text: &str) -> Result<ValueMap, SettingsError> {
+    Ok(settings_from_json(&serde_json::from_str(text)?))
+}
+
+/// The settings that stand within a larger object.
+///
+/// A value's path joins terms and list places by dots: `methods.0.deadline`. Keys without a term are skipped.
+pub fn settings_from_json(tree: &Json) -> ValueMap {
+    let mut settings = ValueMap::default();
+    insert_values(tree, &Position::default(), &mut settings);
+    settings
+}
+
+/// Milliseconds to a duration, to the microsecond in which the platform counts. What is below zero becomes zero.
+pub fn duration_from_ms(ms: f64) -> Duration {
+    Duration::from_micros((ms * 1000.0).round().max(0.0) as u64)
+}
+
+/// Where in the settings a value stands.
+#[derive(Default)]
+struct Position {
+    path: String,
+    /// The last name in the path that is no place in a list.
+    term: &'static str,
+    in_milliseconds: bool,
 }
 
-/// The same for an object that stands within a larger one.
-pub fn flat_tree(tree: &Json) -> ValueMap {
-    let mut flat = ValueMap::default();
-    put(tree, "", "", false, &mut flat);
-    flat
+impl Position {
+    fn of_key(&self, key: &str, term: &'static str) -> Self {
+        let in_milliseconds = key.ends_with(MILLISECONDS_SUFFIX);
+        Self { path: self.path_to(term), term, in_milliseconds }
+    }
+
+    fn of_list_place(&self, place: usize) -> Self {
+        Self { path: self.path_to(&place.to_string()), ..*self }
+    }
+
+    fn path_to(&self, part: &str) -> String {
+        if self.path.is_empty() { part.to_string() } else { format!("{}.{part}", self.path) }
+    }
 }
 
-/// `word` is the last name on the way here that is not a place in a list.
-fn put(tree: &Json, path: &str, word: &str, is_time: bool, flat: &mut ValueMap) {
-    let below = |part: &str| if path.is_empty() { part.to_string() } else { format!("{path}.{part}") };
-    let value = match tree {
-        Json::Object(parts) => {
-            for (key, part) in parts {
-                if let Some((_, name)) = NAMES.iter().find(|(wire, _)| wire == key) {
-                    put(part, &below(name), name, key.ends_with("Ms"), flat);
+fn insert_values(tree: &Json, position: &Position, settings: &mut ValueMap) {
+    match tree {
+        Json::Object(members) => {
+            for (key, member) in members {
+                if let Some((_, term)) = names::KEYS.iter().find(|(json, _)| json == key) {
+                    insert_values(member, &position.of_key(key, term), settings);
                 }
             }
-            return;
         }
-        Json::Array(parts) => {
-            for (place, part) in parts.iter().enumerate() {
-                put(part, &below(&place.to_string()), word, is_time, flat);
+        Json::Array(elements) => {
+            for (place, element) in elements.iter().enumerate() {
+                insert_values(element, &position.of_list_place(place), settings);
             }
-            return;
         }
-        Json::Null => return,
-        Json::Bool(flag) => Value::Flag(*flag),
-        Json::Number(number) => match (is_time, number.as_f64()) {
-            (true, Some(ms)) => Value::Span(span(ms)),
-            (false, Some(number)) => Value::Number(number),
-            (_, None) => return,
-        },
-        Json::String(text) => {
-            let ours = WORDS.iter().find(|(name, wire, _)| *name == word && wire == text);
-            Value::Text(ours.map_or(text.as_str(), |(_, _, ours)| ours).to_string())
+        leaf => {
+            if let Some(value) = leaf_value(leaf, position) {
+                settings.0.insert(position.path.clone(), value);
+            }
         }
-    };
-    flat.0.insert(path.to_string(), value);
+    }
 }
 
-/// Milliseconds on the wire to a span, to the microsecond in which the wire counts; none below zero.
-pub fn span(ms: f64) -> Duration {
-    Duration::from_micros((ms * 1000.0).round().max(0.0) as u64)
+fn leaf_value(leaf: &Json, position: &Position) -> Option<Value> {
+    match leaf {
+        Json::Bool(flag) => Some(Value::Flag(*flag)),
+        Json::Number(number) => {
+            let number = number.as_f64()?;
+            Some(if position.in_milliseconds {
+                Value::Span(duration_from_ms(number))
+            } else {
+                Value::Number(number)
+            })
+        }
+        Json::String(text) => Some(Value::Text(term_of_word(position.term, text).to_string())),
+        Json::Null | Json::Object(_) | Json::Array(_) => None,
+    }
 }
 
-/// Enters one field of a load report, by the wire's name or the simulator's. Positions count from `origin`.
-pub fn enter(report: &mut LoadReport, name: &str, value: f64, origin: Duration) {
-    match name {
-        "x0" => report.position = Some(origin + span(value * 1000.0)),
-        "x1" => report.primary = Some(value > 0.0),
-        "active" | "inflight" => report.active = Some(value),
-        "waiting" | "queue" => report.waiting = Some(value),
-        _ => {}
-    }
+fn term_of_word<'a>(setting: &str, json: &'a str) -> &'a str {
+    let known = names::WORDS.iter().find(|word| word.setting == setting && word.json == json);
+    known.map_or(json, |word| word.term)
 }
--- a/crates/testbed/src/load.rs
+++ b/crates/testbed/src/load.rs
@@ -7,7 +7,7 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-use quillpoint_router::pg::{self, Told};
+use quillpoint_router::pg::{self, BackendMessage};
 
 use crate::now;
 use crate::store::next;
@@ -178,7 +178,7 @@
         let mut stream = TcpStream::connect_timeout(&self.address, Duration::from_millis(500)).ok()?;
         stream.set_nodelay(true).ok()?;
         let mut out = Vec::new();
-        pg::put_startup(&mut out, "portal", "crm");
+        pg::encode_startup(&mut out, "portal", "crm");
         stream.write_all(&out).ok()?;
         Some((stream, Vec::new(), now()))
     }
@@ -196,7 +196,7 @@
         let text = format!("/* id={id},c={class},d={wait},cluster={group} */ {verb}");
         let (sent, wait) = (now(), Duration::from_millis(wait));
         _ = stream.set_read_timeout(Some(wait + LATE));
-        let ended = match stream.write_all(&pg::query(text.as_bytes())) {
+        let ended = match stream.write_all(&pg::query_message(text.as_bytes())) {
             Ok(()) => answer(stream, unread),
             Err(_) => Ended::Gone,
         };
@@ -233,12 +233,14 @@
 fn answer(stream: &mut TcpStream, unread: &mut Vec<u8>) -> Ended {
     let mut ended = None;
     loop {
-        match next(stream, unread, pg::told) {
+        match next(stream, unread, pg::decode_backend_message) {
             None => return Ended::Gone,
-            Some(Told::Row(_)) => ended = Some(Ended::Ok),
-            Some(Told::Error { code, .. }) if code == "53300" => ended = Some(Ended::PushedBack),
-            Some(Told::Error { .. }) => ended = Some(Ended::Aborted),
-            Some(Told::Ready) => {
+            Some(BackendMessage::DataRow(_)) => ended = Some(Ended::Ok),
+            Some(BackendMessage::ErrorResponse { code, .. }) if code == "53300" => {
+                ended = Some(Ended::PushedBack)
+            }
+            Some(BackendMessage::ErrorResponse { .. }) => ended = Some(Ended::Aborted),
+            Some(BackendMessage::ReadyForQuery) => {
                 if let Some(ended) = ended {
                     return ended;
                 }
--- a/crates/testbed/src/scale/clients.rs
+++ b/crates/testbed/src/scale/clients.rs
@@ -4,7 +4,7 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-use quillpoint_router::pg::{self, Told};
+use quillpoint_router::pg::{self, BackendMessage};
 
 use crate::load::Load;
 use crate::store::next;
@@ -59,12 +59,14 @@
     let mut stream = TcpStream::connect_timeout(&router, TIME_OUT)?;
     stream.set_read_timeout(Some(TIME_OUT))?;
     let (mut out, mut unread) = (Vec::new(), Vec::new());
-    pg::put_startup(&mut out, "portal", "crm");
+    pg::encode_startup(&mut out, "portal", "crm");
     stream.write_all(&out)?;
     loop {
-        match next(&mut stream, &mut unread, pg::told) {
-            Some(Told::Ready) => return Ok(stream),
-            Some(Told::Error { message, .. }) => return Err(std::io::Error::other(message)),
+        match next(&mut stream, &mut unread, pg::decode_backend_message) {
+            Some(BackendMessage::ReadyForQuery) => return Ok(stream),
+            Some(BackendMessage::ErrorResponse { message, .. }) => {
+                return Err(std::io::Error::other(message));
+            }
             Some(_) => {}
             None => return Err(std::io::Error::other(format!("{router} does not greet a client"))),
         }
--- a/crates/testbed/src/scale/databases.rs
+++ b/crates/testbed/src/scale/databases.rs
@@ -11,7 +11,7 @@
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
-use quillpoint_router::pg::{self, Asked, Broken, Opening};
+use quillpoint_router::pg::{self, FrontendMessage, ProtocolViolation, StartupPacket};
 
 use crate::now;
 use crate::scale::orders::{DatabasesPlan, DatabasesReport, Order};
@@ -91,15 +91,17 @@
         add(&self.connections);
         _ = stream.get_ref().set_nodelay(true);
         let mut unread = Vec::new();
-        if next(&mut stream, &mut unread, pg::opening).await != Some(Opening::Startup) {
+        if next(&mut stream, &mut unread, pg::decode_startup_packet).await != Some(StartupPacket::Startup) {
             return;
         }
         let mut out = Vec::new();
-        pg::put_welcome(&mut out, None);
+        pg::encode_session_start(&mut out, None);
         if stream.write_all(&out).await.is_err() {
             return;
         }
-        while let Some(Asked::Query(text)) = next(&mut stream, &mut unread, pg::asked).await {
+        while let Some(FrontendMessage::Query(text)) =
+            next(&mut stream, &mut unread, pg::decode_frontend_message).await
+        {
             let out = self.answer(address, &text);
             if stream.write_all(&out).await.is_err() {
                 return;
@@ -114,19 +116,19 @@
         let mut out = Vec::new();
         if text == b"SHOW load" {
             add(&self.probes);
-            pg::put_answer(&mut out, &row(load.as_bytes()));
+            pg::encode_result(&mut out, &row(load.as_bytes()));
         } else {
             add(&self.statements);
             let writes = text.windows(6).any(|word| word == b"INSERT");
             match writes && !primary {
-                true => pg::put_error(&mut out, false, "25006", "this is a replica", None),
-                false => pg::put_answer(&mut out, &row(b"v")),
+                true => pg::encode_error(&mut out, false, "25006", "this is a replica", None),
+                false => pg::encode_result(&mut out, &row(b"v")),
             }
             parameter(&mut out, "role", if primary { "primary" } else { "replica" });
             parameter(&mut out, "applied_ms", &position.as_millis().to_string());
             parameter(&mut out, "load", &load);
         }
-        pg::put_ready(&mut out);
+        pg::encode_ready_for_query(&mut out);
         out
     }
 }
@@ -135,7 +137,7 @@
 pub async fn next<T>(
     stream: &mut Async<TcpStream>,
     unread: &mut Vec<u8>,
-    decode: impl Fn(&[u8]) -> Result<Option<(T, usize)>, Broken>,
+    decode: impl Fn(&[u8]) -> Result<Option<(T, usize)>, ProtocolViolation>,
 ) -> Option<T> {
     loop {
         if let Some((message, taken)) = decode(unread).ok()? {
--- a/crates/testbed/src/scale/prober.rs
+++ b/crates/testbed/src/scale/prober.rs
@@ -8,7 +8,7 @@
 use async_io::{Async, Timer};
 use futures_lite::{AsyncWriteExt, FutureExt};
 use quillpoint::host::LoadReport;
-use quillpoint_router::pg::{self, Reading, Said, Told};
+use quillpoint_router::pg::{self, BackendMessage, Response, ResponseReader};
 
 use crate::scale::databases::next;
 
@@ -68,25 +68,25 @@
         stream.get_ref().set_nodelay(true).ok()?;
         let mut link = Self { stream, unread: Vec::new() };
         let mut startup = Vec::new();
-        pg::put_startup(&mut startup, "portal", "crm");
+        pg::encode_startup(&mut startup, "portal", "crm");
         link.stream.write_all(&startup).await.ok()?;
-        while link.told().await? != Told::Ready {}
+        while link.told().await? != BackendMessage::ReadyForQuery {}
         Some(link)
     }
 
-    async fn told(&mut self) -> Option<Told> {
-        next(&mut self.stream, &mut self.unread, pg::told).await
+    async fn told(&mut self) -> Option<BackendMessage> {
+        next(&mut self.stream, &mut self.unread, pg::decode_backend_message).await
     }
 
     async fn ask(&mut self) -> Option<LoadReport> {
-        self.stream.write_all(&pg::query(b"SHOW load")).await.ok()?;
-        let (mut reading, mut report) = (Reading::default(), None);
+        self.stream.write_all(&pg::query_message(b"SHOW load")).await.ok()?;
+        let (mut reading, mut report) = (ResponseReader::default(), None);
         loop {
             match self.told().await? {
-                Told::Ready => return report,
-                Told::Parameter { .. } | Told::Passing => {}
+                BackendMessage::ReadyForQuery => return report,
+                BackendMessage::ParameterStatus { .. } | BackendMessage::Ignored => {}
                 told => {
-                    if let Some(Said::Value(answer)) = reading.take(told).ok()? {
+                    if let Some(Response::Result(answer)) = reading.take(told).ok()? {
                         report = read(&answer.value?);
                     }
                 }
@@ -99,7 +99,7 @@
     let mut report = LoadReport::default();
     for pair in std::str::from_utf8(load).ok()?.split(',') {
         let (name, value) = pair.split_once('=')?;
-        quillpoint_settings::enter(&mut report, name, value.parse().ok()?, Duration::ZERO);
+        quillpoint_settings::set_report_field(&mut report, name, value.parse().ok()?, Duration::ZERO);
     }
     Some(report)
 }
--- a/crates/testbed/src/store.rs
+++ b/crates/testbed/src/store.rs
@@ -9,7 +9,7 @@
 use std::thread;
 use std::time::Duration;
 
-use quillpoint_router::pg::{self, Answer, Asked, Column, Opening};
+use quillpoint_router::pg::{self, Column, FrontendMessage, QueryResult, StartupPacket};
 
 use crate::now;
 
@@ -164,15 +164,19 @@
     fn serve(&self, mut stream: TcpStream) {
         _ = stream.set_nodelay(true);
         let mut unread = Vec::new();
-        if next(&mut stream, &mut unread, pg::opening) != Some(Opening::Startup) || !self.is_up() {
+        if next(&mut stream, &mut unread, pg::decode_startup_packet) != Some(StartupPacket::Startup)
+            || !self.is_up()
+        {
             return;
         }
         let mut out = Vec::new();
-        pg::put_welcome(&mut out, None);
+        pg::encode_session_start(&mut out, None);
         if stream.write_all(&out).is_err() {
             return;
         }
-        while let Some(Asked::Query(text)) = next(&mut stream, &mut unread, pg::asked) {
+        while let Some(FrontendMessage::Query(text)) =
+            next(&mut stream, &mut unread, pg::decode_frontend_message)
+        {
             if !self.is_up() {
                 return;
             }
@@ -197,15 +201,15 @@
             books.probes.push(at);
             books.contacts.push(at);
             let boast = Duration::from_millis(self.inner.boast_ms.load(Ordering::SeqCst));
-            pg::put_answer(&mut out, &row(load(self.position() + boast).as_bytes()));
-            pg::put_ready(&mut out);
+            pg::encode_result(&mut out, &row(load(self.position() + boast).as_bytes()));
+            pg::encode_ready_for_query(&mut out);
             return out;
         }
         books.rpcs.push(at);
         books.contacts.push(at);
         if text.contains("INSERT") && !self.primary {
             drop(books);
-            pg::put_error(&mut out, false, "25006", "this is a replica", None);
+            pg::encode_error(&mut out, false, "25006", "this is a replica", None);
         } else {
             // A read that no bound allows here counts against the router that sent it.
             let bounded = text.contains("c=recent,");
@@ -218,12 +222,12 @@
                 *held(&self.ledger).entry(id.to_string()).or_default() += 1;
             }
             // Whoever gets it can tell.
-            pg::put_answer(&mut out, &row(if stale { b"stale" } else { b"v" }));
+            pg::encode_result(&mut out, &row(if stale { b"stale" } else { b"v" }));
         }
         parameter(&mut out, "role", if self.primary { "primary" } else { "replica" });
         parameter(&mut out, "applied_ms", &self.position().as_millis().to_string());
         parameter(&mut out, "load", &load(self.position()));
-        pg::put_ready(&mut out);
+        pg::encode_ready_for_query(&mut out);
         out
     }
 }
@@ -234,9 +238,9 @@
 }
 
 /// An answer of one row with this value.
-pub fn row(value: &[u8]) -> Answer {
+pub fn row(value: &[u8]) -> QueryResult {
     let column = Column { name: b"data".to_vec(), type_oid: 17, type_size: u16::MAX, binary: true };
-    Answer { column, value: Some(value.to_vec()), tag: b"SELECT 1".to_vec() }
+    QueryResult { column, value: Some(value.to_vec()), tag: b"SELECT 1".to_vec() }
 }
 
 /// What a node says beside an answer.
@@ -250,7 +254,7 @@
 pub fn next<T>(
     stream: &mut TcpStream,
     unread: &mut Vec<u8>,
-    decode: impl Fn(&[u8]) -> Result<Option<(T, usize)>, pg::Broken>,
+    decode: impl Fn(&[u8]) -> Result<Option<(T, usize)>, pg::ProtocolViolation>,
 ) -> Option<T> {
     loop {
         if let Some((message, taken)) = decode(unread).ok()? {
