--- a/crates/router/src/client.rs
+++ b/crates/router/src/client.rs
@@ -143,7 +143,7 @@
             open_ids: Rc::default(),
             patience: deployment.longest_deadline.min(LONGEST_MESSAGE),
             longest_deadline: deployment.longest_deadline,
-            most_held: deployment.most_held,
+            most_held: deployment.max_queued,
             open: RefCell::default(),
             cancels: RefCell::default(),
             next: Cell::new(0),
--- a/crates/router/src/command.rs
+++ b/crates/router/src/command.rs
@@ -5,9 +5,10 @@
 
 use lexopt::Parser;
 use lexopt::prelude::{Long, Short, Value, ValueExt};
+use quillpoint_conf::value::format_duration;
 
-use crate::briefing::{self, Briefing, Files, Refusal};
-use crate::events;
+use crate::events::{self, LogFormat};
+use crate::runtime_config::{self, ConfigFiles, RuntimeConfig, RuntimeConfigError};
 use crate::serve::serve;
 
 const HELP: &str = "\
@@ -28,10 +29,10 @@
 GW_NAME, GW_LISTEN and GW_DISCOVERY win over the file. RUST_LOG sets what is logged (info).
 ";
 
-/// The status for a fault of the command line or the configuration.
+/// The exit status for an error of the command line or the configuration.
 const MISUSED: u8 = 2;
 
-enum Deed {
+enum Subcommand {
     Serve,
     Check,
     Reference,
@@ -39,78 +40,113 @@
     Help,
 }
 
+struct Arguments {
+    subcommand: Subcommand,
+    files: ConfigFiles,
+}
+
+/// What is wrong with the command line.
+#[derive(Debug, thiserror::Error)]
+enum UsageError {
+    #[error(transparent)]
+    Option(#[from] lexopt::Error),
+    #[error("there is no command '{0}'")]
+    UnknownSubcommand(String),
+}
+
+/// Does what the command line says. Status 2 stands for an error of the command line or the configuration.
 pub fn run(words: Parser) -> ExitCode {
-    let (deed, files) = match read(words) {
-        Ok(read) => read,
+    let Arguments { subcommand, files } = match parse(words) {
+        Ok(arguments) => arguments,
         Err(error) => {
             eprintln!("quillpoint: {error}; see quillpoint --help");
             return ExitCode::from(MISUSED);
         }
     };
-    match deed {
-        Deed::Help => print!("{HELP}"),
-        Deed::Version => println!("quillpoint {}", env!("CARGO_PKG_VERSION")),
-        Deed::Reference => print!("{}", quillpoint_conf::reference::markdown()),
-        Deed::Check | Deed::Serve => {
-            if let Err(refusal) = run_with(matches!(deed, Deed::Check), files) {
-                return refusal;
-            }
-        }
+    match subcommand {
+        Subcommand::Help => print!("{HELP}"),
+        Subcommand::Version => println!("quillpoint {}", env!("CARGO_PKG_VERSION")),
+        Subcommand::Reference => print!("{}", quillpoint_conf::reference::markdown()),
+        Subcommand::Check => return with_config(&files, |config| check(&config)),
+        Subcommand::Serve => return with_config(&files, |config| serve_until_drained(config, files.clone())),
     }
     ExitCode::SUCCESS
 }
 
-fn run_with(check: bool, files: Files) -> Result<(), ExitCode> {
-    let misused = |refusal: Refusal| {
-        refusal.to_string().lines().for_each(|line| eprintln!("quillpoint: {line}"));
-        ExitCode::from(MISUSED)
-    };
-    // How to log is said there, and the rest may have something to log.
-    let conf = briefing::conf(&files).map_err(misused)?;
-    events::start(conf.is_some_and(|conf| conf.word("", "", "log") == Some("json")));
-    let briefing = Briefing::read(&files, variable).map_err(misused)?;
-    if check {
-        if let Some(conf) = &briefing.conf {
-            print!("{}", conf.to_text());
+fn with_config(files: &ConfigFiles, run: impl FnOnce(RuntimeConfig) -> ExitCode) -> ExitCode {
+    match read_config(files) {
+        Ok(config) => run(config),
+        Err(error) => {
+            error.to_string().lines().for_each(|line| eprintln!("quillpoint: {line}"));
+            ExitCode::from(MISUSED)
         }
-        if let Some(part) = &briefing.parts.fleet {
-            // What follows from the deployment stands in neither file.
-            let span = quillpoint_conf::value::format_duration;
-            let plan = &part.plans.probe;
-            let (every, grace, floor) = (span(plan.period), span(plan.grace), span(plan.floor));
-            println!("# duty probe: every {every}, grace {grace}, floor {floor}");
+    }
+}
+
+/// Reads the configuration and starts the log.
+fn read_config(files: &ConfigFiles) -> Result<RuntimeConfig, RuntimeConfigError> {
+    // How to log is said in quillpoint.conf, and reading the rest may have something to log.
+    let conf = runtime_config::read_conf(files)?;
+    let format = match conf.as_ref().and_then(|conf| conf.word("", "", "log")) {
+        Some("json") => LogFormat::Json,
+        _ => LogFormat::Text,
+    };
+    events::start(format);
+    RuntimeConfig::read(files, variable)
+}
+
+fn check(config: &RuntimeConfig) -> ExitCode {
+    if let Some(conf) = &config.conf {
+        print!("{}", conf.to_text());
+    }
+    if let Some(part) = &config.parts.fleet {
+        // What follows from the deployment stands in neither file.
+        let plan = &part.plans.probe;
+        println!(
+            "# duty probe: every {}, grace {}, floor {}",
+            format_duration(plan.period),
+            format_duration(plan.grace),
+            format_duration(plan.floor)
+        );
+    }
+    println!("the configuration is in order");
+    ExitCode::SUCCESS
+}
+
+fn serve_until_drained(config: RuntimeConfig, files: ConfigFiles) -> ExitCode {
+    match serve(config, move || RuntimeConfig::reread(&files, variable)) {
+        Ok(()) => ExitCode::SUCCESS,
+        Err(error) => {
+            eprintln!("quillpoint: {error}");
+            ExitCode::FAILURE
         }
-        println!("the configuration is in order");
-        return Ok(());
     }
-    serve(briefing, move || Briefing::reread(&files, variable)).map_err(|error| {
-        eprintln!("quillpoint: {error}");
-        ExitCode::FAILURE
-    })
 }
+
 fn variable(name: &str) -> Option<String> {
     std::env::var(name).ok()
 }
 
-fn read(mut words: Parser) -> Result<(Deed, Files), lexopt::Error> {
-    let (mut deed, mut files) = (None, Files::default());
+fn parse(mut words: Parser) -> Result<Arguments, UsageError> {
+    let mut subcommand = None;
+    let mut files = ConfigFiles::default();
     while let Some(word) = words.next()? {
         match word {
-            Short('h') | Long("help") => return Ok((Deed::Help, files)),
-            Short('V') | Long("version") => return Ok((Deed::Version, files)),
+            Short('h') | Long("help") => return Ok(Arguments { subcommand: Subcommand::Help, files }),
+            Short('V') | Long("version") => return Ok(Arguments { subcommand: Subcommand::Version, files }),
             Short('c') | Long("config") => files.platform = Some(PathBuf::from(words.value()?)),
             Long("conf") => files.conf = Some(PathBuf::from(words.value()?)),
-            Value(name) if deed.is_none() => {
-                deed = Some(match name.string()?.as_str() {
-                    "serve" => Deed::Serve,
-                    "check" => Deed::Check,
-                    "reference" => Deed::Reference,
-                    "version" => Deed::Version,
-                    other => return Err(format!("there is no command '{other}'").into()),
+            Value(name) if subcommand.is_none() => {
+                subcommand = Some(match name.string()?.as_str() {
+                    "serve" => Subcommand::Serve,
+                    "check" => Subcommand::Check,
+                    "reference" => Subcommand::Reference,
+                    "version" => Subcommand::Version,
+                    other => return Err(UsageError::UnknownSubcommand(other.to_string())),
                 });
             }
-            other => return Err(other.unexpected()),
+            other => return Err(other.unexpected().into()),
         }
     }
-    Ok((deed.unwrap_or(Deed::Serve), files))
+    Ok(Arguments { subcommand: subcommand.unwrap_or(Subcommand::Serve), files })
 }
--- a/crates/router/src/deployment.rs
+++ b/crates/router/src/deployment.rs
@@ -1,166 +1,113 @@
-//! What holds for all routers of a deployment, and the faults of whatever a router is told at its start.
+//! What holds for all routers of a deployment: its settings, checked, and those that the runtime itself needs.
 
-use std::fmt::Display;
-use std::time::Duration;
-
-use quillpoint::host::{Value, ValueMap};
+mod words;
 
-/// Idle connections are looked at no more often.
-const SHORTEST_IDLE: Duration = Duration::from_millis(100);
-
-#[derive(Debug, thiserror::Error)]
-pub enum Fault {
-    #[error("GW_CONFIG: expected the path of a configuration file, as no --config is given")]
-    NoFile,
-    #[error("{0}: {1}")]
-    Unreadable(String, std::io::Error),
-    #[error("{0}: expected a JSON object, {1}")]
-    NoJson(String, serde_json::Error),
-    #[error("{key}: expected {expected}, found {found}")]
-    Key { key: String, expected: &'static str, found: String },
-}
+use std::time::Duration;
 
-pub fn fault(key: &str, expected: &'static str, found: impl Display) -> Fault {
-    Fault::Key { key: key.to_string(), expected, found: found.to_string() }
-}
+use quillpoint::host::ValueMap;
 
-fn setting_fault(name: &str, expected: &'static str, found: impl Display) -> Fault {
-    fault(&format!("settings ({name})"), expected, found)
-}
+use crate::config_error::ConfigError;
 
-/// The settings that are one of a few words, and those that are yes or no. A word that is none of these would be
-/// taken for its default without notice.
-const WORDS: &[(&str, &str, &[&str])] = &[
-    ("discovery", "subscribe or automatic", &["subscribe", "automatic"]),
-    ("reports.source", "answers, probe or none", &["answers", "probe", "none"]),
-    ("replication.read_check", "none, reject or hold", &["none", "reject", "hold"]),
-    ("replication.listed_role", "delayed, initial or none", &["delayed", "initial", "none"]),
-    ("weights", "none, nominal, rough or live", &["none", "nominal", "rough", "live"]),
-];
-/// The same for each class.
-const CLASS_WORDS: &[(&str, &str, &[&str])] = &[
-    ("idempotency", "free, guarded or single_shot", &["idempotent", "keyed", "non_idempotent"]),
-    ("idempotency_scope", "all, zone or cell", &["all", "zone", "replica_set"]),
-];
-const FLAGS: &[&str] = &[
-    "allowed.health_checks",
-    "allowed.retry_after",
-    "allowed.hedging",
-    "clients.mark_retries",
-    "rules.only_listed_draining",
-];
+/// Idle connections are looked at no more often.
+const MIN_IDLE_CONNECTION_TIMEOUT: Duration = Duration::from_millis(100);
+const DEFAULT_POLL_INTERVAL: Duration = Duration::from_secs(10);
+/// Settings that the decisions do without, at a cost.
+const OPTIONAL: [&str; 5] =
+    ["replication.consistency.0", "methods.0.idempotency", "rules.poll_interval", "routers", "tick"];
 
 /// What holds for all routers of a deployment.
 #[derive(Clone, Debug)]
 pub struct Deployment {
-    /// For the module, by its names.
+    /// For the decisions, by their names.
     pub values: ValueMap,
+    /// The names of the classes of RPCs, at least one.
     pub methods: Vec<String>,
+    /// The names of the zones.
     pub zones: Vec<String>,
+    /// The names of the kinds of machine.
     pub kinds: Vec<String>,
+    /// The names of a load report's values, in the order in which nodes give them.
     pub report_fields: Vec<String>,
+    /// The longest that a client of any class waits.
     pub longest_deadline: Duration,
+    /// How long a connect to a node may take.
     pub connect_timeout: Duration,
-    /// A connection that has stood idle for so long is closed by a node.
-    pub idle_time: Duration,
+    /// A connection that has been idle for so long is closed by a node.
+    pub idle_connection_timeout: Duration,
     /// How many RPCs may be held at once.
-    pub most_held: usize,
-    pub ask_every: Duration,
-    /// Changes of the list come unasked: the watch is the program's to begin.
-    pub list_comes: bool,
+    pub max_queued: usize,
+    /// How often the endpoint list is polled at least.
+    pub poll_interval: Duration,
+    /// Changes of the endpoint list come without a poll: the watch is the program's to begin.
+    pub pushes_endpoints: bool,
     /// The tightest bound on the age of what a read may be answered with, if there is one.
-    pub tightest: Option<Duration>,
+    pub tightest_staleness_bound: Option<Duration>,
 }
 
 impl Deployment {
-    pub fn of(values: ValueMap) -> Result<Self, Fault> {
-        let list = |path: &str, name: &str| -> Vec<String> {
-            let at = |place: usize| match name {
-                "" => values.text(&format!("{path}.{place}")),
-                name => values.text(&format!("{path}.{place}.{name}")),
-            };
-            (0..).map(|place| at(place).to_string()).take_while(|text| !text.is_empty()).collect()
-        };
-        let span =
-            |name: &str| values.span(name).ok_or_else(|| setting_fault(name, "milliseconds", "nothing"));
-        let methods = list("methods", "name");
+    /// Checks the settings. What the decisions can do without is warned of.
+    ///
+    /// # Errors
+    /// A setting that is missing, or that has a value which would be taken for its default without notice.
+    pub fn new(values: ValueMap) -> Result<Self, ConfigError> {
+        let methods = texts(&values, |place| format!("methods.{place}.name"));
         if methods.is_empty() {
-            return Err(setting_fault("methods", "one class of RPCs or more, each with a name", "none"));
-        }
-        let mut longest_deadline = Duration::ZERO;
-        for place in 0..methods.len() {
-            span(&format!("methods.{place}.latency_objective"))?;
-            longest_deadline = longest_deadline.max(span(&format!("methods.{place}.deadline"))?);
-        }
-        check_words(&values, methods.len())?;
-        let optional =
-            ["replication.consistency.0", "methods.0.idempotency", "rules.poll_interval", "routers", "tick"];
-        for name in optional.into_iter().filter(|name| !values.0.contains_key(*name)) {
-            // A name that silently fails to map costs decisions.
-            log::warn!("settings: {name} is missing, so its default holds");
+            let expected = "one class of RPCs or more, each with a name";
+            return Err(ConfigError::invalid_setting("methods", expected, "none"));
         }
+        let longest_deadline = longest_deadline(&values, methods.len())?;
+        words::check(&values, methods.len())?;
+        warn_of_missing(&values);
+        let idle_connection_timeout = duration(&values, "allowed.idle_connection_timeout");
         Ok(Self {
             methods,
-            zones: list("zones", ""),
-            kinds: list("kinds", ""),
-            report_fields: list("reports.fields", ""),
+            zones: texts(&values, |place| format!("zones.{place}")),
+            kinds: texts(&values, |place| format!("kinds.{place}")),
+            report_fields: texts(&values, |place| format!("reports.fields.{place}")),
             longest_deadline,
-            connect_timeout: span("allowed.connect_timeout")?,
-            idle_time: span("allowed.idle_connection_timeout")?.max(SHORTEST_IDLE),
-            most_held: values.number("allowed.max_queued").map_or(usize::MAX, |held| held as usize),
-            list_comes: values.text("discovery") == "automatic",
-            ask_every: values.span("rules.poll_interval").unwrap_or(Duration::from_secs(10)),
-            tightest: tightest(&values),
+            connect_timeout: duration(&values, "allowed.connect_timeout")?,
+            idle_connection_timeout: idle_connection_timeout?.max(MIN_IDLE_CONNECTION_TIMEOUT),
+            max_queued: values.number("allowed.max_queued").map_or(usize::MAX, |count| count as usize),
+            poll_interval: values.span("rules.poll_interval").unwrap_or(DEFAULT_POLL_INTERVAL),
+            pushes_endpoints: values.text("discovery") == "automatic",
+            tightest_staleness_bound: tightest_staleness_bound(&values),
             values,
         })
     }
 }
 
-/// That words and flags are known ones, and that no two contradict each other.
-fn check_words(values: &ValueMap, methods: usize) -> Result<(), Fault> {
-    let word = |name: &str, expected, words: &[&str]| match values.0.get(name) {
-        Some(Value::Text(word)) if words.contains(&word.as_str()) => Ok(()),
-        None => Ok(()),
-        Some(other) => Err(setting_fault(name, expected, shown(other))),
-    };
-    for (name, expected, words) in WORDS {
-        word(name, expected, words)?;
-    }
+/// The texts of a list, up to the first place that has none.
+fn texts(values: &ValueMap, name: impl Fn(usize) -> String) -> Vec<String> {
+    (0..).map(|place| values.text(&name(place)).to_string()).take_while(|text| !text.is_empty()).collect()
+}
+
+fn duration(values: &ValueMap, name: &str) -> Result<Duration, ConfigError> {
+    values.span(name).ok_or_else(|| ConfigError::invalid_setting(name, "milliseconds", "nothing"))
+}
+
+fn longest_deadline(values: &ValueMap, methods: usize) -> Result<Duration, ConfigError> {
+    let mut longest = Duration::ZERO;
     for place in 0..methods {
-        for (name, expected, words) in CLASS_WORDS {
-            word(&format!("methods.{place}.{name}"), expected, words)?;
-        }
-    }
-    for name in FLAGS {
-        if let Some(other) = values.0.get(*name).filter(|value| !matches!(value, Value::Flag(_))) {
-            return Err(setting_fault(name, "true or false", shown(other)));
-        }
-    }
-    if values.text("reports.source") == "probe" && !values.flag("allowed.health_checks") {
-        let expected = "answers or none, as allowed.probes is not true";
-        return Err(setting_fault("reports.source", expected, "probe"));
+        duration(values, &format!("methods.{place}.latency_objective"))?;
+        longest = longest.max(duration(values, &format!("methods.{place}.deadline"))?);
     }
-    Ok(())
+    Ok(longest)
 }
 
-fn shown(value: &Value) -> String {
-    match value {
-        Value::Text(text) => text.clone(),
-        Value::Flag(flag) => flag.to_string(),
-        Value::Number(number) => number.to_string(),
-        Value::Span(span) => format!("{span:?}"),
+/// A name that silently fails to map costs decisions.
+fn warn_of_missing(values: &ValueMap) {
+    for name in OPTIONAL.into_iter().filter(|name| !values.0.contains_key(*name)) {
+        log::warn!("settings: {name} is missing, so its default holds");
     }
 }
 
-fn tightest(values: &ValueMap) -> Option<Duration> {
-    let bound = |place: usize| {
-        let bounded = values.text(&format!("replication.consistency.{place}")) == "bounded";
-        values
-            .span(&format!("replication.staleness_bound.{place}"))
-            .filter(|bound| bounded && !bound.is_zero())
-    };
+fn tightest_staleness_bound(values: &ValueMap) -> Option<Duration> {
+    let consistency = |place: usize| format!("replication.consistency.{place}");
+    let bound = |place: usize| values.span(&format!("replication.staleness_bound.{place}"));
     (0..)
-        .take_while(|place| values.0.contains_key(&format!("replication.consistency.{place}")))
+        .take_while(|place| values.0.contains_key(&consistency(*place)))
+        .filter(|place| values.text(&consistency(*place)) == "bounded")
         .filter_map(bound)
+        .filter(|bound| !bound.is_zero())
         .min()
 }
--- a/crates/router/src/discovery.rs
+++ b/crates/router/src/discovery.rs
@@ -97,7 +97,7 @@
             address,
             reader,
             versions: Versions::new((!lines.is_empty()).then_some(known.rev)),
-            watch: ListWatch::new(deployment.ask_every, deployment.list_comes, seed),
+            watch: ListWatch::new(deployment.poll_interval, deployment.pushes_endpoints, seed),
             connection: None,
             newest: None,
             late: VecDeque::new(),
--- a/crates/router/src/events.rs
+++ b/crates/router/src/events.rs
@@ -44,37 +44,52 @@
     "feed_counts",
 ];
 
-/// Whose lines these are: the router's name, and its start in microseconds of Unix time. Reports join the lines of
-/// many routers by them.
-static WHOSE: OnceLock<(String, u64)> = OnceLock::new();
+/// The form of the log's lines.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum LogFormat {
+    /// For people.
+    Text,
+    /// One JSON object a line.
+    Json,
+}
+
+/// The router that lines are from. Reports join the lines of many routers by it.
+struct Origin {
+    router: String,
+    /// Its start, in microseconds of Unix time.
+    start_us: u64,
+}
+
+static ORIGIN: OnceLock<Origin> = OnceLock::new();
 
-/// Said once, when the name is known.
-pub fn whose(name: &str, start: u64) {
-    _ = WHOSE.set((name.to_string(), start));
+/// Names the router whose lines these are from now on, and its start in microseconds of Unix time. Only the first call
+/// counts.
+pub fn set_origin(router: &str, start_us: u64) {
+    ORIGIN.get_or_init(|| Origin { router: router.to_string(), start_us });
 }
 
 /// Starts the log. `RUST_LOG` says what is logged.
-pub fn start(json: bool) {
+pub fn start(format: LogFormat) {
     let level = env_logger::Env::default().default_filter_or("info");
     let mut builder = env_logger::Builder::from_env(level);
-    if json {
-        builder.format(|out, record| {
-            let line = object(record);
-            writeln!(out, "{}", Json::Object(line))
-        });
-    } else {
-        builder.format_timestamp_millis();
+    match format {
+        LogFormat::Text => {
+            builder.format_timestamp_millis();
+        }
+        LogFormat::Json => {
+            builder.format(|out, record| writeln!(out, "{}", Json::Object(json_line(record))));
+        }
     }
     builder.init();
 }
 
-fn object(record: &log::Record<'_>) -> Map<String, Json> {
+fn json_line(record: &log::Record<'_>) -> Map<String, Json> {
     let mut line = Map::new();
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     line.insert("time_us".into(), (now.as_micros() as u64).into());
-    if let Some((name, start)) = WHOSE.get() {
-        line.insert("router".into(), name.as_str().into());
-        line.insert("start".into(), (*start).into());
+    if let Some(origin) = ORIGIN.get() {
+        line.insert("router".into(), origin.router.as_str().into());
+        line.insert("start".into(), origin.start_us.into());
     }
     line.insert("level".into(), record.level().as_str().to_ascii_lowercase().into());
     line.insert("part".into(), record.target().into());
@@ -84,6 +99,7 @@
     line
 }
 
+/// Adds an event's fields to a line.
 struct Fields<'a>(&'a mut Map<String, Json>);
 
 impl<'kvs> VisitSource<'kvs> for Fields<'_> {
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -1,13 +1,13 @@
 //! quillpoint on sockets: a router between PostgreSQL clients and a primary with its replicas.
 //!
-//! [`briefing::Briefing`] holds what a router is told; [`serve::serve`] runs one until it has drained. Every
+//! [`runtime_config::RuntimeConfig`] holds what a router is told; [`serve::serve`] runs one until it has drained. Every
 //! choice is made by the `quillpoint` package; this one carries it out.
 
-pub mod briefing;
 pub mod budget;
 pub mod client;
 pub mod command;
 pub mod config;
+pub mod config_error;
 pub mod deployment;
 pub mod descriptors;
 pub mod discovery;
@@ -27,6 +27,7 @@
 pub mod pool;
 pub mod presence;
 pub mod report;
+pub mod runtime_config;
 pub mod serve;
 pub mod signals;
 pub mod socket;
--- a/crates/router/src/part.rs
+++ b/crates/router/src/part.rs
@@ -15,7 +15,7 @@
 use quillpoint_membership::sharded_tasks::TaskParams;
 use quillpoint_observation_feed::{ControlInstance, publisher, subscriber};
 
-use crate::config::Launch;
+use crate::config::StartupOptions;
 
 /// How often nodes are probed where no bound on the age of reads asks for more.
 const UNBOUND: Duration = Duration::from_millis(500);
@@ -59,20 +59,20 @@
 impl Parts {
     /// # Errors
     /// What is at fault beyond the form of the configuration: a key file, the zone, a name, an address.
-    pub fn of(conf: &Conf, launch: &Launch) -> Result<Self, BadPart> {
-        let fleet = fleet(conf, launch)?;
+    pub fn of(conf: &Conf, startup: &StartupOptions) -> Result<Self, BadPart> {
+        let fleet = fleet(conf, startup)?;
         let publish = fleet.as_ref().map(|part| publish(conf, part)).transpose()?.flatten();
-        Ok(Self { fleet, publish, subscribe: subscribe(conf, launch)? })
+        Ok(Self { fleet, publish, subscribe: subscribe(conf, startup)? })
     }
 }
 
-fn fleet(conf: &Conf, launch: &Launch) -> Result<Option<MemberConfig>, BadPart> {
+fn fleet(conf: &Conf, startup: &StartupOptions) -> Result<Option<MemberConfig>, BadPart> {
     if !conf.has_section("fleet") {
         return Ok(None);
     }
     let count = |name| conf.count("fleet", "", name).ok_or(BadPart::Missing("fleet", name));
     let listen = conf.address("fleet", "", "listen").ok_or(BadPart::Missing("fleet", "listen"))?;
-    let zones = &launch.deployment.zones;
+    let zones = &startup.deployment.zones;
     let zone = match conf.word("fleet", "", "zone") {
         None => 0,
         Some(zone) => zones
@@ -82,7 +82,7 @@
     };
     let rate = count("work-budget")? as f64;
     Ok(Some(MemberConfig {
-        name: PeerName::new(&launch.name)?,
+        name: PeerName::new(&startup.name)?,
         listen,
         advertise: conf.address("fleet", "", "advertise").unwrap_or(listen),
         zone: zone as u16,
@@ -90,7 +90,7 @@
         keys: keys(conf, "fleet")?,
         seeds: conf.titles("peer").filter_map(|peer| conf.address("peer", peer, "address")).collect(),
         plans: FleetParams {
-            probe: plan(conf, "probe", TaskKind(0), usual(launch))?,
+            probe: plan(conf, "probe", TaskKind(0), usual(startup))?,
             work_rate: rate,
             // A tenth of a second's work may come at once.
             work_burst: (rate / 10.0).max(1.0),
@@ -126,7 +126,7 @@
 }
 
 /// A router's end of the feed.
-fn subscribe(conf: &Conf, launch: &Launch) -> Result<Option<SubscriberConfig>, BadPart> {
+fn subscribe(conf: &Conf, startup: &StartupOptions) -> Result<Option<SubscriberConfig>, BadPart> {
     if !conf.has_section("subscribe") {
         return Ok(None);
     }
@@ -139,14 +139,14 @@
         Ok(ControlInstance { name: PeerName::new(name).map_err(fault)?, address, region })
     };
     Ok(Some(SubscriberConfig {
-        name: PeerName::new(&launch.name)?,
+        name: PeerName::new(&startup.name)?,
         listen,
         keys: keys(conf, "subscribe")?,
         plan: subscriber::SubscriberParams {
             region: conf.word("subscribe", "", "region").map(str::to_string),
             every: DIGESTS,
-            period: usual(launch),
-            routers: launch.deployment.values.number("routers").unwrap_or(1.0).max(1.0) as u32,
+            period: usual(startup),
+            routers: startup.deployment.values.number("routers").unwrap_or(1.0).max(1.0) as u32,
         },
         control: conf.titles("control").map(control).collect::<Result<_, _>>()?,
         letters: LETTERS,
@@ -154,8 +154,8 @@
 }
 
 /// How often nodes are probed where the configuration does not say.
-fn usual(launch: &Launch) -> Duration {
-    launch.deployment.tightest.map_or(UNBOUND, |at| at / 2)
+fn usual(startup: &StartupOptions) -> Duration {
+    startup.deployment.tightest_staleness_bound.map_or(UNBOUND, |at| at / 2)
 }
 
 /// `usual` is how often it is done where the configuration does not say.
--- a/crates/router/src/pool.rs
+++ b/crates/router/src/pool.rs
@@ -133,7 +133,8 @@
             next: Cell::new(0),
             connect_timeout: deployment.connect_timeout,
             // A query may be under way for as long as a connect may take; the node must not close meanwhile.
-            idle_time: deployment.idle_time - deployment.connect_timeout.min(deployment.idle_time / 2),
+            idle_time: deployment.idle_connection_timeout
+                - deployment.connect_timeout.min(deployment.idle_connection_timeout / 2),
             report_fields: deployment.report_fields.clone(),
         })
     }
--- a/crates/router/src/serve.rs
+++ b/crates/router/src/serve.rs
@@ -7,7 +7,6 @@
 use async_io::Async;
 use quillpoint::host::EndpointUpdate;
 
-use crate::briefing::{Briefing, Refusal};
 use crate::budget::Accounts;
 use crate::client::Clients;
 use crate::descriptors::Descriptors;
@@ -17,44 +16,45 @@
 use crate::events;
 use crate::pool::Pool;
 use crate::report;
+use crate::runtime_config::{RuntimeConfig, RuntimeConfigError};
 use crate::signals;
 use crate::ties::Ties;
 
 /// Serves until told to stop and drained. On SIGHUP `reread` is called for what holds from then on.
 pub fn serve(
-    briefing: Briefing,
-    reread: impl Fn() -> Result<Briefing, Refusal> + 'static,
+    config: RuntimeConfig,
+    reread: impl Fn() -> Result<RuntimeConfig, RuntimeConfigError> + 'static,
 ) -> std::io::Result<()> {
     let executor = Rc::new(LocalExecutor::new());
-    async_io::block_on(executor.run(run(briefing, reread, Rc::clone(&executor))))
+    async_io::block_on(executor.run(run(config, reread, Rc::clone(&executor))))
 }
 
 async fn run(
-    briefing: Briefing,
-    reread: impl Fn() -> Result<Briefing, Refusal> + 'static,
+    config: RuntimeConfig,
+    reread: impl Fn() -> Result<RuntimeConfig, RuntimeConfigError> + 'static,
     executor: Rc<LocalExecutor<'static>>,
 ) -> std::io::Result<()> {
     // Before anything else: a signal that comes early must not end the process.
     let signals = signals::caught()?;
-    let launch = &briefing.launch;
-    let deployment = &launch.deployment;
-    let descriptors = Descriptors::new(launch.sockets);
-    let listener = Rc::new(Async::<TcpListener>::bind(launch.listen)?);
+    let startup = &config.startup;
+    let deployment = &startup.deployment;
+    let descriptors = Descriptors::new(startup.max_sockets);
+    let listener = Rc::new(Async::<TcpListener>::bind(startup.listen)?);
     let listener_slot = descriptors.take().await;
-    let (engine, work) = Engine::new(launch.seed, deployment);
-    events::whose(&launch.name, engine.clock.now().as_micros() as u64);
+    let (engine, work) = Engine::new(startup.seed, deployment);
+    events::set_origin(&startup.name, engine.clock.now().as_micros() as u64);
     let (discovery, known) = DiscoveryClient::new(
-        launch.discovery,
+        startup.discovery,
         deployment,
-        &launch.known,
-        launch.seed,
+        &startup.known,
+        startup.seed,
         engine.clock,
         (Rc::clone(&executor), &descriptors),
     )
     .await;
     engine.endpoints_changed(EndpointUpdate::CachedSnapshot, &known);
-    let ties = Rc::new(Ties::open(&briefing.parts, &engine, &descriptors, launch.seed).await?);
-    let accounts = Accounts::of(launch.memory);
+    let ties = Rc::new(Ties::open(&config.parts, &engine, &descriptors, startup.seed).await?);
+    let accounts = Accounts::of(startup.memory_bytes);
     executor.spawn(report::each_minute(accounts.clone())).detach();
     let pool = Pool::new(Rc::clone(&executor), Rc::clone(&descriptors), accounts.clone(), deployment);
     let (executors, engines, pools) = (Rc::clone(&executor), Rc::clone(&engine), Rc::clone(&pool));
@@ -70,10 +70,10 @@
     let address = listener.get_ref().local_addr()?;
     log::info!(
         event = "serves", address:% = address, nodes = known.len();
-        "{} serves at {address}, {} nodes known", launch.name, known.len()
+        "{} serves at {address}, {} nodes known", startup.name, known.len()
     );
     let (stop, stopped) = async_channel::bounded(1);
-    executor.spawn(signals::obey(signals, briefing, reread, (moves, Rc::clone(&ties)), stop)).detach();
+    executor.spawn(signals::obey(signals, config, reread, (moves, Rc::clone(&ties)), stop)).detach();
     _ = stopped.recv().await;
     drain::drain(&clients, &engine, listener, accepting).await;
     ties.leave();
--- a/crates/router/tests/instance.rs
+++ b/crates/router/tests/instance.rs
@@ -60,7 +60,7 @@
             "Extra": {"Checks": "none", "ClassBoundMs": [5000], "NeedsByClass": ["recent"]},
             "Feedback": {"Fields": ["x0", "x1"], "Source": "answers"}, "Tariffs": {"Probe": 0.001},
         });
-        let deployment = Deployment::of(quillpoint_settings::settings_from_json(&settings)).unwrap();
+        let deployment = Deployment::new(quillpoint_settings::settings_from_json(&settings)).unwrap();
         let (engine, work) = Engine::new(3, &deployment);
         let listed = |place| Endpoint {
             node: node(place),
--- a/crates/router/tests/lending.rs
+++ b/crates/router/tests/lending.rs
@@ -12,7 +12,7 @@
 use quillpoint::host::EndpointUpdate;
 use quillpoint_memory_budget::Purpose;
 use quillpoint_router::budget::Accounts;
-use quillpoint_router::config::Launch;
+use quillpoint_router::config::StartupOptions;
 use quillpoint_router::descriptors::Descriptors;
 use quillpoint_router::engine::{Attempt, Engine, Order, Owed, Work};
 use quillpoint_router::list::Reader;
@@ -59,15 +59,15 @@
             assert!(text.contains(from), "{from}");
             text.replace(from, to)
         });
-        let launch = Launch::from_tree(&serde_json::from_str(&text).unwrap(), |_| None).unwrap();
-        let (engine, _work) = Engine::new(launch.seed, &launch.deployment);
+        let options = StartupOptions::from_json(&serde_json::from_str(&text).unwrap(), |_| None).unwrap();
+        let (engine, _work) = Engine::new(options.seed, &options.deployment);
         engine.endpoints_changed(
             EndpointUpdate::Snapshot,
-            &Reader::new(&launch.deployment).lines(&launch.known),
+            &Reader::new(&options.deployment).lines(&options.known),
         );
-        let accounts = Accounts::of(launch.memory);
-        let descriptors = Descriptors::new(launch.sockets);
-        let pool = Pool::new(Rc::clone(executor), descriptors, accounts.clone(), &launch.deployment);
+        let accounts = Accounts::of(options.memory_bytes);
+        let descriptors = Descriptors::new(options.max_sockets);
+        let pool = Pool::new(Rc::clone(executor), descriptors, accounts.clone(), &options.deployment);
         executor.spawn(Rc::clone(&pool).close_old()).detach();
         let timed = Rc::clone(&engine);
         executor.spawn(async move { timed.keep_time().await }).detach();
--- a/crates/router/tests/messages.rs
+++ b/crates/router/tests/messages.rs
@@ -5,7 +5,7 @@
 use quickcheck::{Arbitrary, Gen, QuickCheck, TestResult, Testable};
 use quillpoint_memory_budget::Purpose::{Answers, Coming, Statements};
 use quillpoint_router::budget::{Accounts, Held};
-use quillpoint_router::config::Launch;
+use quillpoint_router::config::StartupOptions;
 use quillpoint_router::http;
 use quillpoint_router::list::{Page, Reader};
 use quillpoint_router::pg::{
@@ -324,7 +324,7 @@
 fn a_machine_that_moves_is_its_old_node_gone_and_a_new_one_come() {
     use quillpoint::host::EndpointStatus::{Draining, InService, Removed};
     let tree = serde_json::from_str(SETTINGS).unwrap();
-    let mut reader = Reader::new(&Launch::from_tree(&tree, |_| None).unwrap().deployment);
+    let mut reader = Reader::new(&StartupOptions::from_json(&tree, |_| None).unwrap().deployment);
     let mut lines = |all: bool, entries: &[(&str, u16, &str)]| {
         let entry = |(uid, port, state): &(&str, u16, &str)| {
             serde_json::json!({"uid": uid, "endpoint": format!("127.0.0.1:{port}"), "az": "y", "model": "n",
--- a/crates/router/tests/told.rs
+++ b/crates/router/tests/told.rs
@@ -57,7 +57,7 @@
         "Extra": {"Checks": "none", "ClassBoundMs": [300], "NeedsByClass": ["recent"]},
         "Feedback": {"Fields": ["x0", "x1"], "Source": "answers"}, "Tariffs": {"Probe": 0.001},
     });
-    let deployment = Deployment::of(quillpoint_settings::settings_from_json(&settings)).unwrap();
+    let deployment = Deployment::new(quillpoint_settings::settings_from_json(&settings)).unwrap();
     let (engine, work) = Engine::new(3, &deployment);
     let listed = |group: u64, place: u16| Endpoint {
         node: node(group, place),
--- a/crates/testbed/src/scale/crowd.rs
+++ b/crates/testbed/src/scale/crowd.rs
@@ -12,8 +12,8 @@
 use async_io::Timer;
 use futures_lite::FutureExt;
 use hdrhistogram::Histogram;
-use quillpoint_router::briefing::{Briefing, Files};
 use quillpoint_router::part::Parts;
+use quillpoint_router::runtime_config::{ConfigFiles, RuntimeConfig};
 
 use crate::now;
 use crate::process::resident;
@@ -122,9 +122,9 @@
 
 impl Crowd {
     fn new(plan: CrowdPlan, executor: Rc<LocalExecutor<'static>>) -> io::Result<Self> {
-        let files = Files { platform: Some(plan.platform), conf: Some(plan.conf) };
-        let briefing = Briefing::read(&files, |_| None).map_err(io::Error::other)?;
-        let Parts { fleet, subscribe, .. } = briefing.parts;
+        let files = ConfigFiles { platform: Some(plan.platform), conf: Some(plan.conf) };
+        let config = RuntimeConfig::read(&files, |_| None).map_err(io::Error::other)?;
+        let Parts { fleet, subscribe, .. } = config.parts;
         let role = subscribe.map(Role::Subscriber).or(fleet.map(Role::Member));
         let role = role.ok_or_else(|| io::Error::other("the files tell of no fleet and no feed"))?;
         let groups = plan.databases.chunks(plan.group.max(1)).map(<[SocketAddr]>::to_vec).collect();
