--- a/crates/adapter/src/action.rs
+++ b/crates/adapter/src/action.rs
@@ -59,7 +59,7 @@
         self.write_line(format_args!("END_FAILED Who={} OpId={:016x}", self.instance, rpc.0));
     }
 
-    fn probe(&mut self, node: NodeId) {
+    fn health_check(&mut self, node: NodeId) {
         self.write_line(format_args!("TOUCH Who={} Node={}", self.instance, node.0));
     }
 
--- a/crates/adapter/src/event.rs
+++ b/crates/adapter/src/event.rs
@@ -91,7 +91,7 @@
         id: message.rpc()?,
         method: MethodId(message.required("Band")?),
         session: message.hex("Key")?.map(SessionKey),
-        group: ReplicaSetId(message.required::<f64>("GroupNo")? as u64),
+        replica_set: ReplicaSetId(message.required::<f64>("GroupNo")? as u64),
         remaining: message.required_duration("RemainingMs")?,
         work: message.duration("EffortMs")?,
         since_write: message.duration("SinceWriteMs")?.filter(|since| !since.is_zero()),
@@ -108,7 +108,7 @@
     let stamp = Stamp(message.parsed("Stamp")?.unwrap_or(0));
     Ok(AttemptEnd {
         rpc: message.rpc()?,
-        call: AttemptNumber(message.required("SeqNo")?),
+        attempt: AttemptNumber(message.required("SeqNo")?),
         node: message.node()?,
         outcome: outcome(message)?,
         finished: message.flag("Last")?,
@@ -158,11 +158,11 @@
 pub fn endpoint(message: &WireMessage) -> Result<Endpoint, WireError> {
     Ok(Endpoint {
         node: message.node()?,
-        group: ReplicaSetId(message.parsed::<f64>("Shard")?.unwrap_or(0.0) as u64),
+        replica_set: ReplicaSetId(message.parsed::<f64>("Shard")?.unwrap_or(0.0) as u64),
         zone: ZoneId(message.parsed("Campus")?.unwrap_or(0)),
         kind: message.parsed("Shape")?.unwrap_or(0),
         primary: message.parsed::<f64>("Primary")?.unwrap_or(0.0) > 0.0,
-        condition: endpoint_status(message)?,
+        status: endpoint_status(message)?,
         started: message.duration("LastStartMs")?.filter(|at| !at.is_zero()),
     })
 }
--- a/crates/datagram/src/payload.rs
+++ b/crates/datagram/src/payload.rs
@@ -32,7 +32,7 @@
     const LATEST_INCARNATION_ONLY: bool = true;
 
     fn sender(&self) -> Sender<'_> {
-        Sender { name: &self.from.name, incarnation: self.from.life.incarnation }
+        Sender { name: &self.from.name, incarnation: self.from.version.incarnation }
     }
 
     fn is_request(&self) -> bool {
--- a/crates/router/src/command.rs
+++ b/crates/router/src/command.rs
@@ -101,12 +101,12 @@
     }
     if let Some(part) = &config.parts.fleet {
         // What follows from the deployment stands in neither file.
-        let plan = &part.plans.probe;
+        let plan = &part.plans.health_check;
         println!(
             "# duty probe: every {}, grace {}, floor {}",
             format_duration(plan.period),
-            format_duration(plan.grace),
-            format_duration(plan.floor)
+            format_duration(plan.takeover_delay),
+            format_duration(plan.min_interval)
         );
     }
     println!("the configuration is in order");
--- a/crates/settings/src/load_report.rs
+++ b/crates/settings/src/load_report.rs
@@ -13,8 +13,8 @@
     match name {
         "x0" => report.position = Some(origin + duration_from_ms(value * 1000.0)),
         "x1" => report.primary = Some(value > 0.0),
-        "active" | "inflight" => report.active = Some(value),
-        "waiting" | "queue" => report.waiting = Some(value),
+        "active" | "inflight" => report.in_flight = Some(value),
+        "waiting" | "queue" => report.queued = Some(value),
         _ => {}
     }
 }
