--- a/crates/control-plane/src/publisher_service.rs
+++ b/crates/control-plane/src/publisher_service.rs
@@ -42,7 +42,7 @@
     pub fn new(config: PublisherConfig, host: Rc<dyn ControlHost>, seed: u64) -> io::Result<Rc<Self>> {
         let PublisherConfig { name, listen, keys, params, max_datagrams_per_second } = config;
         let socket = DatagramSocket::bind(listen, Rc::clone(&host), max_datagrams_per_second)?;
-        let opener = Opener::of(params.max_subscribers.saturating_mul(REPLAY_WINDOWS_PER_SUBSCRIBER));
+        let opener = Opener::new(params.max_subscribers.saturating_mul(REPLAY_WINDOWS_PER_SUBSCRIBER));
         let now = host.now();
         let queue = Rc::new(CommandQueue::default());
         let publisher = Publisher::new(QueueHandle(Rc::clone(&queue)), params, seed, now);
--- a/crates/control-plane/src/sealed_transport.rs
+++ b/crates/control-plane/src/sealed_transport.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use quillpoint_datagram::keys::Keyring;
-use quillpoint_datagram::{LONGEST, Opener, Payload, Refusal, Sealer};
+use quillpoint_datagram::{MAX_DATAGRAM_BYTES, OpenError, Opener, Payload, Sealer};
 use quillpoint_membership::Incarnation;
 
 use crate::datagram_socket::{Arrival, DatagramSocket, Traffic};
@@ -20,7 +20,7 @@
     /// Datagrams that were accepted.
     pub accepted: u64,
     /// Datagrams that were rejected, by kind.
-    pub rejected: BTreeMap<Refusal, u64>,
+    pub rejected: BTreeMap<OpenError, u64>,
 }
 
 impl TransportCounts {
@@ -111,7 +111,7 @@
         own_incarnation: impl Fn() -> Incarnation,
         handle: impl Fn(SocketAddr, Duration, P),
     ) {
-        let mut bytes = [0; LONGEST + 1];
+        let mut bytes = [0; MAX_DATAGRAM_BYTES + 1];
         loop {
             let Arrival { length, from, socket_delay } = self.socket.read(&mut bytes).await;
             if let Some(payload) = self.open(own_incarnation(), &bytes[..length]) {
@@ -128,12 +128,12 @@
                 counts.accepted += 1;
                 Some(payload)
             }
-            Err(refusal) => {
-                *counts.rejected.entry(refusal).or_default() += 1;
+            Err(error) => {
+                *counts.rejected.entry(error).or_default() += 1;
                 if self.rejected_limiter.try_acquire() {
-                    let kind = format!("{refusal:?}");
+                    let kind = format!("{error:?}");
                     let event = self.event_names.rejected;
-                    log::warn!(event = event, kind; "a datagram was rejected: {refusal}");
+                    log::warn!(event = event, kind; "a datagram was rejected: {error}");
                 }
                 None
             }
--- a/crates/control-plane/src/subscriber_service.rs
+++ b/crates/control-plane/src/subscriber_service.rs
@@ -68,7 +68,7 @@
         let SubscriberConfig { name, listen, keys, params, control_instances, max_datagrams_per_second } =
             config;
         let socket = DatagramSocket::bind(listen, Rc::clone(&host), max_datagrams_per_second)?;
-        let transport = SealedTransport::new(socket, keys, Opener::of(REPLAY_WINDOWS), EVENT_NAMES);
+        let transport = SealedTransport::new(socket, keys, Opener::new(REPLAY_WINDOWS), EVENT_NAMES);
         let now = host.now();
         let queue = Rc::new(CommandQueue::default());
         let handle = QueueHandle(Rc::clone(&queue));
--- a/crates/control-plane/tests/socket_delay.rs
+++ b/crates/control-plane/tests/socket_delay.rs
@@ -182,7 +182,7 @@
     };
     let subscription = SubscriberService::new(config, Rc::<TestHost>::clone(&host), 1).unwrap();
     subscription.nodes_changed();
-    let (mut sealer, mut opener, keys) = (Sealer::default(), Opener::<Envelope>::of(4), keys());
+    let (mut sealer, mut opener, keys) = (Sealer::default(), Opener::<Envelope>::new(4), keys());
     let mut address = None;
     let mut tell = |message: Message, address: Option<(SocketAddr, Incarnation)>| {
         let (to, session) = address.unwrap();
