--- a/crates/router/src/command.rs
+++ b/crates/router/src/command.rs
@@ -99,7 +99,7 @@
     if let Some(conf) = &config.conf {
         print!("{}", conf.to_text());
     }
-    if let Some(part) = &config.parts.fleet {
+    if let Some(part) = &config.roles.fleet_member {
         // What follows from the deployment stands in neither file.
         let plan = &part.fleet_params.health_check;
         println!(
--- /dev/null
+++ b/crates/router/src/control_connections.rs
@@ -0,0 +1,149 @@
+//! The connections of a process to others of its installation, as its roles say: its membership of a fleet, a control
+//! instance's and a router's end of the feed. All of them may be missing.
+
+use std::io;
+use std::rc::Rc;
+
+use async_executor::LocalExecutor;
+use quillpoint_control_plane::{ControlHost, FleetMember, PublisherService, SubscriberService};
+
+use crate::control_instance::ControlInstanceRuntime;
+use crate::descriptors::{Descriptors, Slot};
+use crate::engine::{Engine, Sharing};
+use crate::roles::Roles;
+
+/// A socket of the control side cannot be opened.
+#[derive(Debug, thiserror::Error)]
+#[error("{section} listen: {source}")]
+pub struct ControlSocketError {
+    /// The section of quillpoint.conf that names the address.
+    section: &'static str,
+    source: io::Error,
+}
+
+impl ControlSocketError {
+    fn of_section(section: &'static str) -> impl Fn(io::Error) -> Self {
+        move |source| Self { section, source }
+    }
+}
+
+impl From<ControlSocketError> for io::Error {
+    fn from(error: ControlSocketError) -> Self {
+        Self::new(error.source.kind(), error)
+    }
+}
+
+/// The connections that the roles ask for.
+#[derive(Default)]
+pub struct ControlConnections {
+    member: Option<Rc<FleetMember>>,
+    publisher: Option<Rc<PublisherService>>,
+    control_instance: Option<Rc<ControlInstanceRuntime>>,
+    subscriber: Option<Rc<SubscriberService>>,
+    /// Kept for as long as the sockets are.
+    _slots: Vec<Slot>,
+}
+
+impl ControlConnections {
+    /// Opens the sockets.
+    ///
+    /// # Errors
+    /// An address cannot be bound; the section that says it is named.
+    pub async fn open(
+        roles: &Roles,
+        engine: &Rc<Engine>,
+        descriptors: &Rc<Descriptors>,
+        seed: u64,
+    ) -> Result<Self, ControlSocketError> {
+        let mut connections = Self::default();
+        if let Some(config) = &roles.publisher {
+            let host = Rc::clone(engine) as Rc<dyn ControlHost>;
+            let publisher = PublisherService::new(config.clone(), host, seed)
+                .map_err(ControlSocketError::of_section("publish"))?;
+            let runtime = ControlInstanceRuntime::new(Rc::clone(engine), Rc::clone(&publisher));
+            connections.control_instance = Some(runtime);
+            connections.publisher = Some(publisher);
+            connections._slots.push(descriptors.take().await);
+        }
+        if let Some(config) = &roles.fleet_member {
+            let host = match &connections.control_instance {
+                Some(control_instance) => Rc::clone(control_instance) as Rc<dyn ControlHost>,
+                None => Rc::clone(engine) as Rc<dyn ControlHost>,
+            };
+            let member = FleetMember::new(config.clone(), host, seed)
+                .map_err(ControlSocketError::of_section("fleet"))?;
+            if let Some(control_instance) = &connections.control_instance {
+                control_instance.set_fleet_member(Rc::clone(&member));
+            }
+            connections.member = Some(member);
+            connections._slots.push(descriptors.take().await);
+        }
+        if let Some(config) = &roles.subscriber {
+            let host = Rc::clone(engine) as Rc<dyn ControlHost>;
+            let subscriber = SubscriberService::new(config.clone(), host, seed)
+                .map_err(ControlSocketError::of_section("subscribe"))?;
+            connections.subscriber = Some(subscriber);
+            connections._slots.push(descriptors.take().await);
+        }
+        Ok(connections)
+    }
+
+    /// Whoever the engine exchanges observations with, if anybody.
+    fn observation_exchange(&self) -> Option<Rc<dyn Sharing>> {
+        if let Some(control_instance) = &self.control_instance {
+            return Some(Rc::clone(control_instance) as Rc<dyn Sharing>);
+        }
+        if let Some(member) = &self.member {
+            return Some(Rc::clone(member) as Rc<dyn Sharing>);
+        }
+        self.subscriber.clone().map(|subscriber| subscriber as Rc<dyn Sharing>)
+    }
+
+    /// Runs them as long as the process runs.
+    pub fn run(&self, engine: &Engine, executor: &LocalExecutor<'static>) {
+        if let Some(exchange) = self.observation_exchange() {
+            engine.share_with(exchange);
+        }
+        if let Some(member) = &self.member {
+            executor.spawn(Rc::clone(member).receive()).detach();
+            executor.spawn(Rc::clone(member).run_timer()).detach();
+        }
+        if let Some(control_instance) = &self.control_instance {
+            executor.spawn(Rc::clone(control_instance).count_members()).detach();
+        }
+        if let Some(publisher) = &self.publisher {
+            executor.spawn(Rc::clone(publisher).receive()).detach();
+            executor.spawn(Rc::clone(publisher).run_timer()).detach();
+        }
+        if let Some(subscriber) = &self.subscriber {
+            executor.spawn(Rc::clone(subscriber).receive()).detach();
+            executor.spawn(Rc::clone(subscriber).run_timer()).detach();
+        }
+    }
+
+    /// Applies what takes effect at once of a changed configuration. A role that comes or goes waits for the next start.
+    pub fn reload(&self, roles: &Roles) {
+        if let (Some(member), Some(config)) = (&self.member, &roles.fleet_member) {
+            member.reload(config);
+        }
+        if let (Some(publisher), Some(config)) = (&self.publisher, &roles.publisher) {
+            publisher.reload(config);
+        }
+        if let (Some(subscriber), Some(config)) = (&self.subscriber, &roles.subscriber) {
+            subscriber.reload(config);
+        }
+    }
+
+    /// Leaves the feed and the fleet.
+    pub fn leave(&self) {
+        if let Some(subscriber) = &self.subscriber {
+            subscriber.leave();
+        }
+        if let Some(publisher) = &self.publisher {
+            publisher.leave();
+        }
+        if let Some(member) = &self.member {
+            member.leave();
+        }
+    }
+}
--- /dev/null
+++ b/crates/router/src/engine_control_host.rs
@@ -0,0 +1,43 @@
+//! The engine as the host of the control side.
+
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+use std::time::Duration;
+
+use quillpoint::host::NodeId;
+use quillpoint_control_plane::ControlHost;
+use quillpoint_membership::DatedObservation;
+use quillpoint_observation_feed::FeedObservation;
+
+use crate::engine::Engine;
+use crate::observations;
+
+impl ControlHost for Engine {
+    fn now(&self) -> Duration {
+        self.clock.now()
+    }
+
+    fn nodes(&self) -> BTreeMap<SocketAddr, u16> {
+        Engine::nodes(self).into_iter().map(|(node, zone)| (node.0, zone.0 as u16)).collect()
+    }
+
+    fn observation_received(&self, observation: DatedObservation) {
+        self.peer_observed(observations::from_fleet(observation));
+    }
+
+    fn feed_observation_received(&self, observation: FeedObservation) {
+        self.peer_observed(observations::from_feed(observation));
+    }
+
+    fn digest_received(&self) {
+        self.catch_up_held();
+    }
+
+    fn start_health_check(&self, node: SocketAddr) -> bool {
+        self.begin_assigned_health_check(NodeId(node))
+    }
+
+    fn is_ejected(&self, node: SocketAddr) -> bool {
+        Engine::is_shut(self, NodeId(node))
+    }
+}
--- /dev/null
+++ b/crates/router/src/observations.rs
@@ -0,0 +1,30 @@
+//! Observations in the forms of the decisions, the fleet and the feed. Whoever made them, they are unverified to the
+//! decisions.
+
+use std::time::Duration;
+
+use quillpoint::host::{NodeId, PeerObservation};
+use quillpoint_membership::{DatedObservation, Observation};
+use quillpoint_observation_feed::FeedObservation;
+
+use crate::engine::Finding;
+
+/// An observation from the feed, for the decisions.
+pub(crate) fn from_feed(observation: FeedObservation) -> PeerObservation {
+    let FeedObservation { node, seen_at, position, primary, started, failed } = observation;
+    PeerObservation { node: NodeId(node), at: seen_at, position, primary, queued: None, started, failed }
+}
+
+/// An observation of another member of the fleet, for the decisions.
+pub(crate) fn from_fleet(observation: DatedObservation) -> PeerObservation {
+    let DatedObservation { node, at, position, primary, waiting, started, failed } = observation;
+    let queued = waiting.map(f64::from);
+    PeerObservation { node: NodeId(node), at, position, primary, queued, started, failed }
+}
+
+/// What this router has found out, for its fleet.
+pub(crate) fn to_fleet(finding: &Finding) -> Observation {
+    let Finding { node: NodeId(node), failed, position, primary, waiting, started, .. } = *finding;
+    let waiting = waiting.map(|waiting| waiting.clamp(0.0, f64::from(u32::MAX)) as u32);
+    Observation { node, age: Duration::ZERO, position, primary, waiting, started, failed }
+}
--- a/crates/router/src/runtime_config.rs
+++ b/crates/router/src/runtime_config.rs
@@ -6,7 +6,7 @@
 
 use crate::config::StartupOptions;
 use crate::config_error::ConfigError;
-use crate::part::{BadPart, Parts};
+use crate::roles::{RoleError, Roles};
 
 /// Why a router cannot be started, or does not take over what it is told anew.
 #[derive(Debug, thiserror::Error)]
@@ -17,9 +17,9 @@
     /// What is wrong with the platform's configuration.
     #[error("{0}")]
     Platform(#[from] ConfigError),
-    /// What is wrong with the router's part in a fleet or its end of the feed.
+    /// What is wrong with its roles.
     #[error("{0}")]
-    Part(#[from] BadPart),
+    Role(#[from] RoleError),
 }
 
 fn on_lines(errors: &[ConfError]) -> String {
@@ -42,8 +42,8 @@
     pub startup: StartupOptions,
     /// `None` where there is no quillpoint.conf.
     pub conf: Option<Conf>,
-    /// What ties it to others.
-    pub parts: Parts,
+    /// Its roles among other processes.
+    pub roles: Roles,
 }
 
 /// quillpoint.conf alone, which says how to log before anything else is read.
@@ -82,8 +82,9 @@
     }
 
     fn new(startup: StartupOptions, conf: Option<Conf>) -> Result<Self, RuntimeConfigError> {
-        let parts = conf.as_ref().map(|conf| Parts::of(conf, &startup)).transpose()?.unwrap_or_default();
-        Ok(Self { startup, conf, parts })
+        let roles =
+            conf.as_ref().map(|conf| Roles::from_conf(conf, &startup)).transpose()?.unwrap_or_default();
+        Ok(Self { startup, conf, roles })
     }
 
     /// What differs in the other and waits for a restart: keys of the JSON, directives, or the file itself.
--- a/crates/router/src/serve.rs
+++ b/crates/router/src/serve.rs
@@ -9,6 +9,7 @@
 
 use crate::budget::Accounts;
 use crate::client::Clients;
+use crate::control_connections::ControlConnections;
 use crate::descriptors::Descriptors;
 use crate::discovery::DiscoveryClient;
 use crate::drain;
@@ -18,7 +19,6 @@
 use crate::report;
 use crate::runtime_config::{RuntimeConfig, RuntimeConfigError};
 use crate::signals;
-use crate::ties::Ties;
 
 /// Serves until told to stop and drained. On SIGHUP `reread` is called for what holds from then on.
 pub fn serve(
@@ -53,7 +53,8 @@
     )
     .await;
     engine.endpoints_changed(EndpointUpdate::CachedSnapshot, &known);
-    let ties = Rc::new(Ties::open(&config.parts, &engine, &descriptors, startup.seed).await?);
+    let connections =
+        Rc::new(ControlConnections::open(&config.roles, &engine, &descriptors, startup.seed).await?);
     let accounts = Accounts::of(startup.memory_bytes);
     executor.spawn(report::each_minute(accounts.clone())).detach();
     let pool = Pool::new(Rc::clone(&executor), Rc::clone(&descriptors), accounts.clone(), deployment);
@@ -63,7 +64,7 @@
     executor.spawn(discovery.run(Rc::clone(&engine), work.list, moved)).detach();
     executor.spawn(Rc::clone(&pool).close_old()).detach();
     executor.spawn(pool.run(Rc::clone(&engine), work.chores)).detach();
-    ties.run(&engine, &executor);
+    connections.run(&engine, &executor);
     let timed = Rc::clone(&engine);
     executor.spawn(async move { timed.keep_time().await }).detach();
     let accepting = executor.spawn(Rc::clone(&clients).accept(Rc::clone(&listener)));
@@ -73,10 +74,10 @@
         "{} serves at {address}, {} nodes known", startup.name, known.len()
     );
     let (stop, stopped) = async_channel::bounded(1);
-    executor.spawn(signals::obey(signals, config, reread, (moves, Rc::clone(&ties)), stop)).detach();
+    executor.spawn(signals::obey(signals, config, reread, (moves, Rc::clone(&connections)), stop)).detach();
     _ = stopped.recv().await;
     drain::drain(&clients, &engine, listener, accepting).await;
-    ties.leave();
+    connections.leave();
     drop(listener_slot);
     report::tell(&accounts);
     log::info!(event = "drained"; "drained");
--- a/crates/router/src/signals.rs
+++ b/crates/router/src/signals.rs
@@ -7,8 +7,8 @@
 use async_signal::{Signal, Signals};
 use futures_lite::StreamExt;
 
+use crate::control_connections::ControlConnections;
 use crate::runtime_config::{RuntimeConfig, RuntimeConfigError};
-use crate::ties::Ties;
 
 /// From here on none of these ends the process by itself.
 pub fn caught() -> std::io::Result<Signals> {
@@ -20,12 +20,12 @@
     mut signals: Signals,
     mut config: RuntimeConfig,
     reread: impl Fn() -> Result<RuntimeConfig, RuntimeConfigError>,
-    (moves, ties): (Sender<SocketAddr>, Rc<Ties>),
+    (moves, connections): (Sender<SocketAddr>, Rc<ControlConnections>),
     stop: Sender<()>,
 ) {
     while let Some(signal) = signals.next().await {
         match signal {
-            Ok(Signal::Hup) => reload(&mut config, reread(), &moves, &ties),
+            Ok(Signal::Hup) => reload(&mut config, reread(), &moves, &connections),
             Ok(_) => {
                 // Later ones change nothing.
                 if stop.close() {
@@ -43,7 +43,7 @@
     config: &mut RuntimeConfig,
     told: Result<RuntimeConfig, RuntimeConfigError>,
     moves: &Sender<SocketAddr>,
-    ties: &Ties,
+    connections: &ControlConnections,
 ) {
     let told = match told {
         Ok(told) => told,
@@ -52,7 +52,7 @@
     for key in config.restart_required(&told) {
         log::warn!("configuration: {key} has changed, which holds from the next start on");
     }
-    ties.reload(&told.parts);
+    connections.reload(&told.roles);
     let discovery = told.startup.discovery;
     log::info!("configuration read anew, discovery at {discovery}");
     if discovery != config.startup.discovery {
--- a/crates/router/tests/instance.rs
+++ b/crates/router/tests/control_instance.rs
@@ -20,9 +20,9 @@
     Observation, PeerName,
 };
 use quillpoint_observation_feed::publisher;
+use quillpoint_router::control_instance::ControlInstanceRuntime;
 use quillpoint_router::deployment::Deployment;
 use quillpoint_router::engine::{Engine, Order, Owed, Sharing, Work};
-use quillpoint_router::instance::Instance;
 use quillpoint_router::statement::Statement;
 use serde_json::json;
 
@@ -44,7 +44,7 @@
 /// A control instance before a group of two replicas, and another instance's socket.
 struct World {
     engine: Rc<Engine>,
-    instance: Rc<Instance>,
+    instance: Rc<ControlInstanceRuntime>,
     peers: Rc<FleetMember>,
     other: UdpSocket,
     sealer: Cell<Sealer>,
@@ -106,7 +106,7 @@
         };
         let publication =
             PublisherService::new(publish, Rc::clone(&engine) as Rc<dyn ControlHost>, 1).unwrap();
-        let instance = Instance::new(Rc::clone(&engine), publication);
+        let instance = ControlInstanceRuntime::new(Rc::clone(&engine), publication);
         let (listen, advertise, seeds, max_datagrams_per_second) = (local(), local(), Vec::new(), 20_000);
         let part = MemberConfig {
             name,
@@ -120,7 +120,7 @@
             max_datagrams_per_second,
         };
         let peers = FleetMember::new(part, Rc::clone(&instance) as Rc<dyn ControlHost>, 1).unwrap();
-        instance.takes_part(Rc::clone(&peers));
+        instance.set_fleet_member(Rc::clone(&peers));
         engine.share_with(Rc::clone(&instance) as Rc<dyn Sharing>);
         let (other, sealer) = (UdpSocket::bind(local()).unwrap(), Cell::default());
         Self { engine, instance, peers, other, sealer, _work: work }
--- a/crates/testbed/src/scale/crowd.rs
+++ b/crates/testbed/src/scale/crowd.rs
@@ -12,7 +12,7 @@
 use async_io::Timer;
 use futures_lite::FutureExt;
 use hdrhistogram::Histogram;
-use quillpoint_router::part::Parts;
+use quillpoint_router::roles::Roles;
 use quillpoint_router::runtime_config::{ConfigFiles, RuntimeConfig};
 
 use crate::now;
@@ -124,7 +124,7 @@
     fn new(plan: CrowdPlan, executor: Rc<LocalExecutor<'static>>) -> io::Result<Self> {
         let files = ConfigFiles { platform: Some(plan.platform), conf: Some(plan.conf) };
         let config = RuntimeConfig::read(&files, |_| None).map_err(io::Error::other)?;
-        let Parts { fleet, subscribe, .. } = config.parts;
+        let Roles { fleet_member: fleet, subscriber: subscribe, .. } = config.roles;
         let role = subscribe.map(Role::Subscriber).or(fleet.map(Role::Member));
         let role = role.ok_or_else(|| io::Error::other("the files tell of no fleet and no feed"))?;
         let groups = plan.databases.chunks(plan.group.max(1)).map(<[SocketAddr]>::to_vec).collect();
