--- a/crates/router/tests/control_instance.rs
+++ b/crates/router/tests/control_instance.rs
@@ -1,5 +1,5 @@
-//! A control instance's own module: it is told what other instances found where an RPC of its own has use for it, and
-//! not before. The fleet's letters come over a socket; there are no other processes.
+//! A control instance's own decisions: they receive what other instances observed where an RPC of its own needs it, and
+//! not before. The fleet's gossip comes over a socket; there are no other processes.
 
 use std::cell::Cell;
 use std::net::{SocketAddr, UdpSocket};
@@ -45,7 +45,7 @@
 struct World {
     engine: Rc<Engine>,
     instance: Rc<ControlInstanceRuntime>,
-    peers: Rc<FleetMember>,
+    member: Rc<FleetMember>,
     other: UdpSocket,
     sealer: Cell<Sealer>,
     _work: Work,
@@ -97,18 +97,18 @@
             snapshot_bytes_per_second: 1e6,
             max_subscribers: 10,
         };
-        let publish = PublisherConfig {
+        let publisher_config = PublisherConfig {
             name: name.clone(),
             listen: local(),
             keys: keys(),
             params,
             max_datagrams_per_second: 20_000,
         };
-        let publication =
-            PublisherService::new(publish, Rc::clone(&engine) as Rc<dyn ControlHost>, 1).unwrap();
-        let instance = ControlInstanceRuntime::new(Rc::clone(&engine), publication);
+        let publisher =
+            PublisherService::new(publisher_config, Rc::clone(&engine) as Rc<dyn ControlHost>, 1).unwrap();
+        let instance = ControlInstanceRuntime::new(Rc::clone(&engine), publisher);
         let (listen, advertise, seeds, max_datagrams_per_second) = (local(), local(), Vec::new(), 20_000);
-        let part = MemberConfig {
+        let config = MemberConfig {
             name,
             listen,
             advertise,
@@ -119,18 +119,18 @@
             fleet_params,
             max_datagrams_per_second,
         };
-        let peers = FleetMember::new(part, Rc::clone(&instance) as Rc<dyn ControlHost>, 1).unwrap();
-        instance.set_fleet_member(Rc::clone(&peers));
+        let member = FleetMember::new(config, Rc::clone(&instance) as Rc<dyn ControlHost>, 1).unwrap();
+        instance.set_fleet_member(Rc::clone(&member));
         engine.share_with(Rc::clone(&instance) as Rc<dyn Sharing>);
         let (other, sealer) = (UdpSocket::bind(local()).unwrap(), Cell::default());
-        Self { engine, instance, peers, other, sealer, _work: work }
+        Self { engine, instance, member, other, sealer, _work: work }
     }
 
     /// Another instance has just seen this, or failed to; it has been taken in when this is over.
-    fn told(&self, by: &str, at: NodeId, failed: bool) {
-        let card = self.peers.fleet().members().own_record().clone();
+    fn receive_from(&self, by: &str, at: NodeId, failed: bool) {
+        let own_record = self.member.fleet().members().own_record().clone();
         let now = self.engine.clock.now();
-        let news = Observation {
+        let observation = Observation {
             node: at.0,
             age: Duration::ZERO,
             position: (!failed).then_some(now - Duration::from_millis(10)),
@@ -142,20 +142,21 @@
         let version = MemberVersion { incarnation: Incarnation(5), revision: 0 };
         let (name, address) = (PeerName::new(by).unwrap(), self.other.local_addr().unwrap());
         let from = MemberRecord { name, version, address, zone: 0, weight: 1, state: MemberState::Up };
-        let letter = GossipMessage { from, body: GossipBody::Observations(vec![news]), records: Vec::new() };
+        let message =
+            GossipMessage { from, body: GossipBody::Observations(vec![observation]), records: Vec::new() };
         let mut sealer = self.sealer.take();
-        let bytes = sealer.seal(&keys(), Some(card.version.incarnation), &letter).unwrap();
+        let bytes = sealer.seal(&keys(), Some(own_record.version.incarnation), &message).unwrap();
         self.sealer.set(sealer);
-        let before = self.peers.counts().transport.accepted;
-        self.other.send_to(&bytes, card.address).unwrap();
+        let before = self.member.counts().transport.accepted;
+        self.other.send_to(&bytes, own_record.address).unwrap();
         let taken = async {
             let since = Instant::now();
-            while self.peers.counts().transport.accepted == before {
+            while self.member.counts().transport.accepted == before {
                 assert!(since.elapsed() < NEVER, "never taken");
                 Timer::after(Duration::from_millis(1)).await;
             }
         };
-        future::block_on(future::or(async { Rc::clone(&self.peers).receive().await }, taken));
+        future::block_on(future::or(async { Rc::clone(&self.member).receive().await }, taken));
     }
 
     fn arrive(&self) -> Owed {
@@ -173,28 +174,28 @@
 }
 
 #[test]
-fn what_another_instance_found_before_an_rpc_came_lets_it_go_at_once() {
+fn what_another_instance_observed_before_an_rpc_arrived_lets_it_go_at_once() {
     let world = World::new();
-    world.told("c2", node(1), false);
+    world.receive_from("c2", node(1), false);
     assert!(world.instance.news_of(node(1)).is_some() && world.instance.news_of(node(0)).is_none());
     assert_eq!(sent(&world.arrive()), Some(node(1)));
 }
 
 #[test]
-fn what_another_instance_finds_lets_go_what_is_held() {
+fn what_another_instance_observes_lets_a_pending_rpc_go() {
     let world = World::new();
     let owed = world.arrive();
     assert_eq!(sent(&owed), None, "nobody has said that any replica is up to date");
-    world.told("c2", node(0), false);
+    world.receive_from("c2", node(0), false);
     assert_eq!(sent(&owed), Some(node(0)));
 }
 
 #[test]
-fn a_node_that_several_do_not_reach_is_shut_at_once() {
+fn a_node_that_several_do_not_reach_is_ejected_at_once() {
     let world = World::new();
-    world.told("c2", node(1), true);
+    world.receive_from("c2", node(1), true);
     assert!(!ControlHost::is_ejected(&*world.engine, node(1).0), "one voice alone");
-    world.told("c3", node(1), true);
+    world.receive_from("c3", node(1), true);
     assert!(
         ControlHost::is_ejected(&*world.engine, node(1).0)
             && !ControlHost::is_ejected(&*world.engine, node(0).0)
--- a/crates/router/tests/feed.rs
+++ b/crates/router/tests/feed.rs
@@ -42,7 +42,7 @@
     folder
 }
 
-/// A file of keys, each told by the byte it is made of.
+/// A file of keys, each named by the byte it is made of.
 fn keys(folder: &Path, name: &str, bytes: &[&str]) {
     let text: String = bytes.iter().map(|byte| byte.repeat(32) + "\n").collect();
     std::fs::write(folder.join(name), text).unwrap();
@@ -139,7 +139,7 @@
         until(&format!("router {place} follows {names:?}"), || self.followed(place) == names);
     }
 
-    /// The counts that a process tells when it is told to read its configuration anew.
+    /// The counts that a process logs when it reads its configuration again.
     fn counts(&self, place: usize, event: &str) -> Json {
         let before = self.events(place, event).len();
         self.routers.signal(place, "-HUP");
@@ -167,7 +167,7 @@
         let mut rounds = Vec::new();
         for _ in 0..ROUNDS {
             let own = sum(&ROUTERS, "feed_counts");
-            // In this order a probe may be counted that is not in the books, but not the other way round.
+            // In this order a probe may be counted that is not in the counts yet, but not the other way round.
             let (probes, rpcs) = self.reached();
             let others = sum(control, "fleet_counts");
             until("RPCs at replicas", || self.reached().1 >= rpcs + 12);
@@ -182,7 +182,7 @@
         panic!("no calm round: {rounds:?}");
     }
 
-    /// Bounded reads so rare that each router's own record is too old at each of them: only what it is told lets them go.
+    /// Bounded reads so rare that each router's own record is too old at each of them: only the feed lets them go.
     fn rare_reads(&self) -> Load {
         Load::of(&self.addresses(), 1, Duration::from_millis(400), &["recent"])
     }
@@ -218,7 +218,7 @@
 }
 
 #[test]
-fn routers_read_at_replicas_by_what_they_are_told_and_probe_none() {
+fn routers_read_at_replicas_by_the_feed_and_check_none() {
     let five = Five::started("calm", &[20, 20], "50ms");
     let load = five.rare_reads();
     five.calm(&CONTROL);
@@ -227,16 +227,19 @@
     five.calm(&CONTROL);
     five.kept(&load.end());
     assert!(five.store.nodes.iter().all(|node| node.stale() == 0));
-    let told = five.counts(0, "feed_counts");
-    assert_eq!(told["subscribers"], ROUTERS.len(), "{told}");
-    assert!(told["sent_bytes"].as_u64().unwrap() > 1000 && told["read"].as_u64().unwrap() > 0, "{told}");
-    let told = five.counts(2, "feed_counts");
-    assert_eq!(told["following"], 2, "{told}");
-    assert_eq!(told["refused"], "", "{told}");
+    let counts = five.counts(0, "feed_counts");
+    assert_eq!(counts["subscribers"], ROUTERS.len(), "{counts}");
+    assert!(
+        counts["sent_bytes"].as_u64().unwrap() > 1000 && counts["read"].as_u64().unwrap() > 0,
+        "{counts}"
+    );
+    let counts = five.counts(2, "feed_counts");
+    assert_eq!(counts["following"], 2, "{counts}");
+    assert_eq!(counts["refused"], "", "{counts}");
 }
 
 #[test]
-fn probes_that_a_control_instance_makes_are_spared_by_routers_that_ask_for_more() {
+fn health_checks_of_a_control_instance_are_spared_by_routers_that_need_more() {
     // Too rare for bounded reads, which are as rare themselves, so that routers would look for themselves.
     let five = Five::started("spared", &[20, 20], "600ms");
     let load = Load::of(&[five.routers.all[2].address], 1, Duration::from_millis(400), &["recent"]);
@@ -269,7 +272,7 @@
 }
 
 #[test]
-fn when_none_is_left_the_routers_go_on_alone_within_their_pace() {
+fn when_none_is_left_the_routers_go_on_within_their_quota() {
     // So rare, and replicas so near the bound, that a router which paced itself by its reads alone would probe many
     // times as often.
     let period = Duration::from_secs(1);
@@ -303,8 +306,8 @@
 }
 
 #[test]
-fn what_one_control_instance_finds_another_tells() {
-    // The first takes no duties: all that it tells it has from the second.
+fn what_one_control_instance_observes_another_publishes() {
+    // The first takes no tasks: all that it publishes it has from the second.
     let five = Five::new("weight", &[20, 20], "50ms");
     five.write(0, &five.instance(0, "50ms").replace("fleet.keys\n", "fleet.keys\n    weight 0\n"));
     five.write(2, &five.router(2, &CONTROL[..1]));
@@ -314,7 +317,7 @@
     for (place, names) in [(2, ["r0"].as_slice()), (3, &["r1"]), (4, &["r0", "r1"])] {
         five.follows(place, names);
     }
-    until("the second has all duties", || {
+    until("the second has all tasks", || {
         five.events(0, "fleet_tasks").last().is_some_and(|line| line["owned"] == 0 && line["routers"] == 2)
     });
     let load = five.rare_reads();
@@ -323,7 +326,7 @@
     assert!(five.store.nodes.iter().all(|node| node.stale() == 0));
 }
 
-/// Guards against budgets of a small fleet at a control instance, which would leave databases unprobed and untold.
+/// Guards against budgets of a small fleet at a control instance, which would leave databases unchecked and unpublished.
 #[test]
 fn a_control_instance_has_the_budgets_that_its_databases_take_whatever_it_is_told() {
     let mut five = Five::new("budgets", &[20, 20], "50ms");
@@ -376,7 +379,7 @@
 }
 
 #[test]
-fn what_is_told_of_a_replica_is_proved_by_its_answer() {
+fn a_published_position_is_proved_by_the_answer_of_the_replica() {
     // It tells control instances that it is up to date, and is not: they pass that on in good faith.
     let five = Five::new("proof", &[20, 2000], "50ms");
     five.store.nodes[2].boast(Duration::from_millis(1980));
@@ -387,7 +390,7 @@
     let end = now() + NEVER;
     let mut fresh = 0;
     while !tried() || fresh == 0 {
-        assert!(now() < end, "the replica is never tried on their word, or nothing is answered");
+        assert!(now() < end, "the replica is never tried by the feed, or nothing is answered");
         for answer in reads(five.routers.all[2].address, 20) {
             assert_ne!(answer.as_deref(), Some(&b"stale"[..]), "a stale answer reached a client");
             fresh += usize::from(answer.is_some());
@@ -396,7 +399,7 @@
 }
 
 #[test]
-fn a_word_that_is_forged_changes_nothing() {
+fn a_forged_digest_changes_nothing() {
     let five = Five::started("forged", &[20, 2000], "50ms");
     // All are up to date and will be for an hour, says somebody who has no key, in the name of either instance.
     let start = |place: usize| five.events(place, "serves")[0]["start"].as_u64().unwrap();
@@ -445,7 +448,7 @@
     }
 }
 
-/// A subscriber of the test's own, which shows what is said.
+/// A subscriber of the test's own, which shows what is sent.
 struct Follower {
     socket: UdpSocket,
     name: PeerName,
@@ -465,7 +468,7 @@
         Self { socket, name, control, keys, sealer: Sealer::default(), opener: Opener::new(4) }
     }
 
-    /// Subscribes again and again until it is told this.
+    /// Subscribes again and again until it receives this.
     fn until(&mut self, what: &str, found: impl Fn(&Message) -> bool) {
         let end = now() + NEVER;
         let mut asked = Duration::ZERO;
@@ -485,12 +488,12 @@
                 return;
             }
         }
-        panic!("never told: {what}");
+        panic!("never received: {what}");
     }
 }
 
 #[test]
-fn a_control_instance_that_is_told_to_stop_says_goodbye() {
+fn a_control_instance_that_shuts_down_says_goodbye() {
     let mut five = Five::started("leave", &[20], "50ms");
     let mut follower = Follower::new("x1", five.feed(0));
     follower.until("digests", |message| matches!(message, Message::Digest(_)));
@@ -499,7 +502,7 @@
     assert_eq!(five.events(0, "feed_left").len(), 1);
     follower.until("goodbye", |message| *message == Message::Leaving);
     ROUTERS.iter().for_each(|place| five.follows(*place, &["r1"]));
-    // A router says so too, and is told nothing any more.
+    // A router says so too, and is sent nothing any more.
     five.routers.signal(2, "-TERM");
     assert!(five.routers.ended(2));
     assert_eq!(five.events(2, "feed_left").len(), 1);
@@ -520,7 +523,7 @@
     }
     ROUTERS.iter().for_each(|place| five.follows(*place, &["r0", "r1"]));
     five.calm(&CONTROL);
-    // One router is told of the first instance alone: the other has one subscriber less, and then again as many.
+    // One router is configured with the first instance alone: the other has one subscriber less, and then again as many.
     for (control, subscribers) in [(&CONTROL[..1], 2), (&CONTROL, 3)] {
         five.write(2, &five.router(2, control));
         five.routers.signal(2, "-HUP");
--- a/crates/router/tests/fleet.rs
+++ b/crates/router/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! Router processes that share duties, among stand-ins: judged by what they log, what reached the nodes, and how
+//! Router processes that share tasks, among stand-ins: judged by what they log, what reached the nodes, and how
 //! RPCs ended; never by how long anything took.
 
 use std::collections::BTreeMap;
@@ -47,14 +47,14 @@
     lines.filter(|line| line["event"] == name).collect()
 }
 
-/// Waits until each of these routers says that it shares with so many, and all duties have one owner.
+/// Waits until each of these routers says that it shares with so many, and all tasks have one owner.
 fn divided(routers: &Routers, among: &[usize]) -> BTreeMap<usize, u64> {
     for _ in 0..600 {
         let last = |place: &usize| events(routers, *place, "fleet_tasks").pop();
-        let told: Vec<Json> = among.iter().filter_map(last).collect();
-        let owned: Vec<u64> = told.iter().map(|line| line["owned"].as_u64().unwrap()).collect();
-        let all = told.iter().all(|line| line["routers"] == among.len() && line["all"] == 3);
-        if told.len() == among.len() && all && owned.iter().sum::<u64>() == 3 {
+        let latest: Vec<Json> = among.iter().filter_map(last).collect();
+        let owned: Vec<u64> = latest.iter().map(|line| line["owned"].as_u64().unwrap()).collect();
+        let all = latest.iter().all(|line| line["routers"] == among.len() && line["all"] == 3);
+        if latest.len() == among.len() && all && owned.iter().sum::<u64>() == 3 {
             return among.iter().copied().zip(owned).collect();
         }
         std::thread::sleep(Duration::from_millis(50));
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn duties_divide_pass_on_when_one_dies_and_come_back() {
+fn tasks_divide_pass_on_when_one_dies_and_come_back() {
     let (store, mut routers, _listing) = three("divide", Bond::Fleet);
     routers.start_all().unwrap();
     divided(&routers, &[0, 1, 2]);
@@ -268,7 +268,7 @@
 }
 
 #[test]
-fn the_table_of_events_is_whole() {
+fn the_table_of_events_is_complete() {
     let page =
         std::fs::read_to_string(Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs/on-call.md")).unwrap();
     for name in quillpoint_router::events::NAMES {
--- a/crates/router/tests/observation_exchange.rs
+++ b/crates/router/tests/observation_exchange.rs
@@ -1,5 +1,5 @@
-//! When the module is told what others tell: right before an RPC of a group, while RPCs of the group are held, and at
-//! once where it is said by name. The engine alone: no sockets, and nothing that depends on how long it takes.
+//! When the decisions receive what others have observed: right before an RPC of a replica set, while RPCs of the replica set
+//! are pending, and at once where it was published by name. The engine alone: no sockets, and nothing that depends on how long it takes.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -16,14 +16,14 @@
 use quillpoint_router::statement::Statement;
 use serde_json::json;
 
-/// Tells of each node, where it is to, that it is up to date; and keeps whom it was asked about.
-struct Teller {
+/// Reports each node as up to date, where it is to; and records whom it was asked about.
+struct TestExchange {
     clock: Clock,
-    has_news: Cell<bool>,
+    has_observations: Cell<bool>,
     asked: RefCell<Vec<NodeId>>,
 }
 
-impl Sharing for Teller {
+impl Sharing for TestExchange {
     fn found(&self, _finding: Finding) {}
     fn listed(&self) {}
     fn may_probe(&self, _node: NodeId) -> bool {
@@ -32,7 +32,7 @@
     fn news_of(&self, node: NodeId) -> Option<PeerObservation> {
         self.asked.borrow_mut().push(node);
         let now = self.clock.now();
-        self.has_news.get().then_some(PeerObservation {
+        self.has_observations.get().then_some(PeerObservation {
             node,
             at: now,
             position: Some(now),
@@ -48,8 +48,8 @@
     NodeId(SocketAddr::from(([127, 0, 0, 1], 5000 + 10 * group as u16 + place)))
 }
 
-/// Three groups of two replicas each, and bounded reads.
-fn engine() -> (Rc<Engine>, Work, Rc<Teller>) {
+/// Three replica sets of two replicas each, and bounded reads.
+fn engine() -> (Rc<Engine>, Work, Rc<TestExchange>) {
     let settings = json!({
         "Allowed": {"ConnIdleMs": 30000.0, "ConnectTimeoutMs": 250.0, "MaxAttempts": 6, "Probes": true},
         "Balancers": 3, "Discovery": "subscribe", "FailureDomains": ["a"], "Skus": ["m"], "StepMs": 2.0,
@@ -70,10 +70,10 @@
     };
     let list: Vec<Endpoint> = (0..3).flat_map(|group| [listed(group, 0), listed(group, 1)]).collect();
     engine.endpoints_changed(EndpointUpdate::Snapshot, &list);
-    let (clock, has_news, asked) = (engine.clock, Cell::new(false), RefCell::default());
-    let teller = Rc::new(Teller { clock, has_news, asked });
-    engine.share_with(Rc::clone(&teller) as Rc<dyn Sharing>);
-    (engine, work, teller)
+    let (clock, has_observations, asked) = (engine.clock, Cell::new(false), RefCell::default());
+    let exchange = Rc::new(TestExchange { clock, has_observations, asked });
+    engine.share_with(Rc::clone(&exchange) as Rc<dyn Sharing>);
+    (engine, work, exchange)
 }
 
 fn statement(group: u64) -> Statement {
@@ -81,54 +81,54 @@
     Statement::parse(text.into_bytes()).unwrap()
 }
 
-/// An RPC for a group that has just come.
+/// An RPC for a replica set that has just arrived.
 fn arrive(engine: &Rc<Engine>, group: u64) -> Owed {
     engine.rpc_arrived(MethodId(0), &statement(group), Instant::now(), None).unwrap()
 }
 
-fn asked(teller: &Teller) -> Vec<NodeId> {
-    std::mem::take(&mut *teller.asked.borrow_mut())
+fn asked(exchange: &TestExchange) -> Vec<NodeId> {
+    std::mem::take(&mut *exchange.asked.borrow_mut())
 }
 
 #[test]
-fn the_nodes_of_a_group_are_told_of_right_before_its_rpc_and_no_others() {
-    let (engine, _work, teller) = engine();
-    teller.has_news.set(true);
+fn the_nodes_of_a_replica_set_are_asked_about_right_before_its_rpc_and_no_others() {
+    let (engine, _work, exchange) = engine();
+    exchange.has_observations.set(true);
     let owed = arrive(&engine, 1);
-    assert_eq!(asked(&teller), [node(1, 0), node(1, 1)]);
-    let Some(Order::Attempt(attempt)) = owed.ordered() else { panic!("it is sent on their word at once") };
+    assert_eq!(asked(&exchange), [node(1, 0), node(1, 1)]);
+    let Some(Order::Attempt(attempt)) = owed.ordered() else { panic!("it is sent by the feed at once") };
     assert!([node(1, 0), node(1, 1)].contains(&attempt.node));
-    // A group that is not known has no nodes.
+    // A replica set that is not known has no nodes.
     arrive(&engine, 9);
-    assert_eq!(asked(&teller), []);
+    assert_eq!(asked(&exchange), []);
 }
 
 #[test]
-fn what_is_held_goes_on_when_a_digest_comes_and_nothing_else_is_asked() {
-    let (engine, _work, teller) = engine();
+fn a_pending_rpc_goes_on_when_a_digest_arrives_and_nothing_else_is_asked_about() {
+    let (engine, _work, exchange) = engine();
     engine.digest_received();
-    assert_eq!(asked(&teller), [], "nothing is held");
+    assert_eq!(asked(&exchange), [], "nothing is pending");
     let owed = arrive(&engine, 2);
     assert!(owed.ordered().is_none(), "nobody says that any replica is up to date");
-    asked(&teller);
+    asked(&exchange);
     engine.digest_received();
-    assert_eq!(asked(&teller), [node(2, 0), node(2, 1)]);
+    assert_eq!(asked(&exchange), [node(2, 0), node(2, 1)]);
     assert!(owed.ordered().is_none());
-    teller.has_news.set(true);
+    exchange.has_observations.set(true);
     engine.digest_received();
     assert!(matches!(owed.ordered(), Some(Order::Attempt(_))));
-    // One that has ended is not held any more.
+    // One that has ended is not pending any more.
     drop(arrive(&engine, 0));
-    asked(&teller);
+    asked(&exchange);
     engine.digest_received();
-    assert_eq!(asked(&teller), [node(2, 0), node(2, 1)], "the one that is out may need another attempt");
+    assert_eq!(asked(&exchange), [node(2, 0), node(2, 1)], "the one that is out may need another attempt");
 }
 
 #[test]
-fn what_changes_by_name_is_told_at_once() {
-    let (engine, _work, teller) = engine();
+fn what_changes_by_name_is_received_at_once() {
+    let (engine, _work, exchange) = engine();
     let at = engine.clock.now();
-    let word = FeedObservation {
+    let observation = FeedObservation {
         node: node(0, 1).0,
         seen_at: at,
         position: None,
@@ -136,17 +136,17 @@
         started: None,
         failed: true,
     };
-    engine.feed_observation_received(word);
+    engine.feed_observation_received(observation);
     assert!(engine.is_shut(node(0, 1)) && !engine.is_shut(node(0, 0)));
-    assert_eq!(asked(&teller), [], "nobody needs to ask for it");
+    assert_eq!(asked(&exchange), [], "nobody needs to ask for it");
 }
 
 #[test]
-fn a_position_that_is_told_lets_a_read_try_and_its_answer_decides() {
-    let (engine, _work, teller) = engine();
-    teller.has_news.set(true);
+fn an_unverified_position_lets_a_read_try_and_its_answer_decides() {
+    let (engine, _work, exchange) = engine();
+    exchange.has_observations.set(true);
     let owed = arrive(&engine, 1);
-    let Some(Order::Attempt(attempt)) = owed.ordered() else { panic!("it is sent on their word") };
+    let Some(Order::Attempt(attempt)) = owed.ordered() else { panic!("it is sent by the feed") };
     let other = if attempt.node == node(1, 0) { node(1, 1) } else { node(1, 0) };
     assert!(engine.permits_attempt(&attempt));
     let stale = engine.clock.now() - Duration::from_secs(5);
@@ -160,7 +160,7 @@
     assert!(!matches!(owed.ordered(), Some(Order::Answer(..))));
     // One that shows what is needed goes to the client.
     let owed = arrive(&engine, 0);
-    let Some(Order::Attempt(attempt)) = owed.ordered() else { panic!("it is sent on their word") };
+    let Some(Order::Attempt(attempt)) = owed.ordered() else { panic!("it is sent by the feed") };
     assert!(engine.permits_attempt(&attempt));
     engine.attempt_ended(attempt, quillpoint::host::Outcome::Ok, heard(Some(engine.clock.now())));
     assert!(matches!(owed.ordered(), Some(Order::Answer(..))));
