--- a/crates/control-plane/tests/socket_delay.rs
+++ b/crates/control-plane/tests/socket_delay.rs
@@ -78,10 +78,8 @@
     Keyring::parse(&"7e".repeat(32)).unwrap()
 }
 
-#[test]
-fn gossip_that_waited_for_a_process_that_stood_still_is_as_much_older() {
-    let host = TestHost::new();
-    let probe = TaskParams {
+fn fleet_params() -> FleetParams {
+    let health_check = TaskParams {
         kind: TaskKind(0),
         period: Duration::from_secs(60),
         takeover_delay: Duration::from_secs(60),
@@ -90,13 +88,80 @@
         priority: Priority(0),
         cost: 1.0,
     };
-    let fleet_params = FleetParams {
-        health_check: probe,
+    FleetParams {
+        health_check,
         work_rate: 100.0,
         work_burst: 100.0,
         gossip_bytes_per_second: 1e6,
         budgets_grow_with_nodes: false,
+    }
+}
+
+/// What another member has observed 10 ms before it sends this.
+fn gossip(address: SocketAddr, position: u64) -> GossipMessage {
+    let version = MemberVersion { incarnation: Incarnation(5), revision: 0 };
+    let from =
+        MemberRecord { name: name("r2"), version, address, zone: 0, weight: 1, state: MemberState::Up };
+    let observation = Observation {
+        node: node(),
+        age: Duration::from_millis(10),
+        position: Some(Duration::from_secs(position)),
+        primary: Some(true),
+        waiting: None,
+        started: None,
+        failed: false,
     };
+    GossipMessage { from, body: GossipBody::Observations(vec![observation]), records: Vec::new() }
+}
+
+/// Covers the first revision of the node's partition; all was seen 10 ms before the sending.
+fn digest(number: u32, now: Duration) -> Message {
+    let mut revisions = vec![Revision::default(); PARTITIONS];
+    revisions[PartitionId::of(node()).index()] = Revision(1);
+    Message::Digest(Digest {
+        number: DigestNumber(number),
+        sent: now,
+        age: Duration::from_millis(10),
+        watermarks: [Some(Duration::from_secs(1)); LAG_CLASSES],
+        revisions,
+        changes: Vec::new(),
+        health_check_period: Duration::from_millis(150),
+        router_count: 1,
+    })
+}
+
+/// The whole snapshot of the node's partition.
+fn chunk() -> Message {
+    let entry = Entry { primary: Some(true), started: None, status: NodeStatus::Seen(LagClass(0)) };
+    Message::Chunk(SnapshotChunk {
+        partition: PartitionId::of(node()),
+        revision: Revision(1),
+        index: 0,
+        chunk_count: 1,
+        groups: vec![(entry, vec![node()])],
+    })
+}
+
+/// A subscriber of the control instance at this address.
+fn subscriber_config(control: SocketAddr) -> SubscriberConfig {
+    SubscriberConfig {
+        name: name("r1"),
+        listen: local(),
+        keys: keys(),
+        params: SubscriberParams {
+            region: None,
+            digest_interval: Duration::from_millis(100),
+            health_check_period: Duration::from_millis(150),
+            router_count: 1,
+        },
+        control_instances: vec![ControlInstance { name: name("c0"), address: control, region: None }],
+        max_datagrams_per_second: 20_000,
+    }
+}
+
+#[test]
+fn gossip_that_waited_for_a_process_that_stood_still_is_as_much_older() {
+    let host = TestHost::new();
     let port = UdpSocket::bind(local()).unwrap();
     let listen = port.local_addr().unwrap();
     drop(port);
@@ -108,7 +173,7 @@
         weight: 1,
         keys: keys(),
         seeds: Vec::new(),
-        fleet_params,
+        fleet_params: fleet_params(),
         max_datagrams_per_second: 20_000,
     };
     let member = FleetMember::new(config, Rc::<TestHost>::clone(&host), 1).unwrap();
@@ -116,22 +181,9 @@
     let start = member.fleet().members().own_record().version.incarnation;
     let other = UdpSocket::bind(local()).unwrap();
     let (mut sealer, keys) = (Sealer::default(), keys());
-    let mut tell = |position: u64| {
-        let version = MemberVersion { incarnation: Incarnation(5), revision: 0 };
-        let address = other.local_addr().unwrap();
-        let from =
-            MemberRecord { name: name("r2"), version, address, zone: 0, weight: 1, state: MemberState::Up };
-        let news = Observation {
-            node: node(),
-            age: Duration::from_millis(10),
-            position: Some(Duration::from_secs(position)),
-            primary: Some(true),
-            waiting: None,
-            started: None,
-            failed: false,
-        };
-        let letter = GossipMessage { from, body: GossipBody::Observations(vec![news]), records: Vec::new() };
-        let bytes = sealer.seal(&keys, Some(start), &letter).unwrap();
+    let mut send = |position: u64| {
+        let message = gossip(other.local_addr().unwrap(), position);
+        let bytes = sealer.seal(&keys, Some(start), &message).unwrap();
         other.send_to(&bytes, listen).unwrap();
     };
     let mut sent = Vec::new();
@@ -139,12 +191,12 @@
         // What is read at once is as old as it says, however long nothing has come before it.
         Timer::after(STALL).await;
         sent.push(host.now());
-        tell(100);
+        send(100);
         Timer::after(PAUSE).await;
         // The process stands still.
         for position in [101, 102] {
             sent.push(host.now());
-            tell(position);
+            send(position);
             std::thread::sleep(STALL / 2);
         }
         Timer::after(PAUSE).await;
@@ -164,68 +216,30 @@
     let host = TestHost::new();
     let control = UdpSocket::bind(local()).unwrap();
     control.set_read_timeout(Some(Duration::from_secs(10))).unwrap();
-    let params = SubscriberParams {
-        region: None,
-        digest_interval: Duration::from_millis(100),
-        health_check_period: Duration::from_millis(150),
-        router_count: 1,
-    };
-    let control_instances =
-        vec![ControlInstance { name: name("c0"), address: control.local_addr().unwrap(), region: None }];
-    let config = SubscriberConfig {
-        name: name("r1"),
-        listen: local(),
-        keys: keys(),
-        params,
-        control_instances,
-        max_datagrams_per_second: 20_000,
-    };
+    let config = subscriber_config(control.local_addr().unwrap());
     let subscription = SubscriberService::new(config, Rc::<TestHost>::clone(&host), 1).unwrap();
     subscription.nodes_changed();
     let (mut sealer, mut opener, keys) = (Sealer::default(), Opener::<Envelope>::new(4), keys());
     let mut address = None;
-    let mut tell = |message: Message, address: Option<(SocketAddr, Incarnation)>| {
+    let mut send = |message: Message, address: Option<(SocketAddr, Incarnation)>| {
         let (to, session) = address.unwrap();
         let envelope = Envelope { from: name("c0"), incarnation: Incarnation(7), message };
         control.send_to(&sealer.seal(&keys, Some(session), &envelope).unwrap(), to).unwrap();
     };
-    let partition = PartitionId::of(node());
-    let digest = |number: u32, now: Duration| {
-        let mut revisions = vec![Revision::default(); PARTITIONS];
-        revisions[partition.index()] = Revision(1);
-        Message::Digest(Digest {
-            number: DigestNumber(number),
-            sent: now,
-            age: Duration::from_millis(10),
-            watermarks: [Some(Duration::from_secs(1)); LAG_CLASSES],
-            revisions,
-            changes: Vec::new(),
-            health_check_period: Duration::from_millis(150),
-            router_count: 1,
-        })
-    };
-    let mut asked = [0; 1500];
+    let mut request = [0; 1500];
     let script = async {
         // Its subscription tells where it is.
         Timer::after(Duration::from_millis(200)).await;
-        let (length, from) = control.recv_from(&mut asked).unwrap();
-        let said = opener.open(&keys, Incarnation(7), &asked[..length]);
-        address = Some((from, said.unwrap().incarnation));
-        let entry = Entry { primary: Some(true), started: None, status: NodeStatus::Seen(LagClass(0)) };
-        let chunk = SnapshotChunk {
-            partition,
-            revision: Revision(1),
-            index: 0,
-            chunk_count: 1,
-            groups: vec![(entry, vec![node()])],
-        };
+        let (length, from) = control.recv_from(&mut request).unwrap();
+        let opened = opener.open(&keys, Incarnation(7), &request[..length]);
+        address = Some((from, opened.unwrap().incarnation));
         // One, and then the process stands still whenever digests come, so that none is read as it comes.
         for number in 1..=4 {
             if number == 2 {
-                tell(Message::Chunk(chunk.clone()), address);
+                send(chunk(), address);
             }
             let sent = host.now();
-            tell(digest(number, sent), address);
+            send(digest(number, sent), address);
             std::thread::sleep(Duration::from_millis(200));
             Timer::after(PAUSE).await;
             if let Some(observation) = subscription.observation(node()) {
@@ -244,9 +258,9 @@
         }
         assert!(subscription.observation(node()).is_some(), "the first measure only");
     };
-    let keeps = async {
+    let service = async {
         let (one, other) = (Rc::clone(&subscription), Rc::clone(&subscription));
         future::zip(one.receive(), other.run_timer()).await;
     };
-    future::block_on(future::or(keeps, script));
+    future::block_on(future::or(service, script));
 }
--- a/crates/observation-feed/tests/units/encoded_size.rs
+++ b/crates/observation-feed/tests/units/encoded_size.rs
@@ -10,36 +10,40 @@
 
 use crate::fixtures::{ms, name};
 
+const NODES: u32 = 20_000;
+
+/// Of the longest addresses there are.
+fn node(number: u32) -> SocketAddr {
+    let address = std::net::Ipv6Addr::from(u128::MAX - u128::from(number) * 977);
+    SocketAddr::from((address, 60_000 + (number % 5000) as u16))
+}
+
+fn observe_all(store: &mut ObservationStore, at: Duration, primary: bool) {
+    for number in 0..NODES {
+        let observation = DatedObservation {
+            node: node(number),
+            at,
+            position: Some(at - Duration::new(u64::from(number % 9), 999)),
+            primary: Some(primary),
+            waiting: None,
+            started: Some(at - Duration::new(1, number)),
+            failed: false,
+        };
+        store.observe(at, observation);
+    }
+}
+
+fn datagram_bytes(message: Message) -> usize {
+    let from = name(&"n".repeat(32));
+    let envelope = Envelope { from, incarnation: Incarnation(u64::MAX), message };
+    postcard::to_stdvec(&envelope).unwrap().len() + 55
+}
+
 #[test]
 fn the_longest_message_fits_a_datagram() {
-    let node = |number: u32| {
-        let address = std::net::Ipv6Addr::from(u128::MAX - u128::from(number) * 977);
-        SocketAddr::from((address, 60_000 + (number % 5000) as u16))
-    };
     let now = Duration::new(u64::MAX / 2, 999_999_999);
     let mut store = ObservationStore::new(ms(150), 0);
-    store.nodes_changed(now, &(0..20_000).map(node).collect());
-    let observe_all = |store: &mut ObservationStore, at: Duration, flip: bool| {
-        for number in 0..20_000 {
-            store.observe(
-                at,
-                DatedObservation {
-                    node: node(number),
-                    at,
-                    position: Some(at - Duration::new(u64::from(number % 9), 999)),
-                    primary: Some(flip),
-                    waiting: None,
-                    started: Some(at - Duration::new(1, number)),
-                    failed: false,
-                },
-            );
-        }
-    };
-    let datagram_bytes = |message: Message| {
-        let from = name(&"n".repeat(32));
-        let envelope = Envelope { from, incarnation: Incarnation(u64::MAX), message };
-        postcard::to_stdvec(&envelope).unwrap().len() + 55
-    };
+    store.nodes_changed(now, &(0..NODES).map(node).collect());
     observe_all(&mut store, now, false);
     store.revise(now, 0, Audience::Subscribed);
     for partition in (0..PARTITIONS as u8).map(PartitionId) {
