--- a/crates/observation-feed/tests/world/mod.rs
+++ b/crates/observation-feed/tests/world/mod.rs
@@ -26,7 +26,7 @@
 use self::recording_host::RecordingHost;
 pub use self::shape::{START, Shape, address, ms};
 
-/// What a probe found.
+/// What a health check found.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Sighting {
     pub at: Duration,
@@ -63,14 +63,14 @@
     publishers: Vec<ProcessSlot<Publisher<RecordingHost>>>,
     routers: Vec<ProcessSlot<Subscriber<RecordingHost>>>,
     delay_bounds: BTreeMap<(usize, usize), DelayBound>,
-    /// The least favourable of the delay_bounds of earlier times, by router.
+    /// The least favourable of the delay bounds of earlier times, by router.
     past_delay_bounds: Vec<f64>,
-    /// Cut delay_bounds between publishers and routers, and what publishers do not see of databases.
+    /// Cut paths between publishers and routers, and what publishers do not see of databases.
     pub cut: BTreeSet<(usize, usize)>,
     pub blind: BTreeSet<(usize, usize)>,
-    /// Probes of routers that claimed them, by tenth of a second.
+    /// Health checks that routers claimed, by tenth of a second.
     pub isolated_checks: BTreeMap<u64, u64>,
-    /// What routers were told by name.
+    /// What routers have received by name.
     pub changed: Vec<(Duration, usize, FeedObservation)>,
     /// Whether each step is followed by the full check.
     pub checked: bool,
