--- a/crates/testbed/src/process.rs
+++ b/crates/testbed/src/process.rs
@@ -4,7 +4,7 @@
 use std::io::{self, BufRead, BufReader, Read, Write};
 use std::process::{Child, ChildStdin, Command, Stdio};
 use std::sync::{Arc, Condvar, Mutex, PoisonError};
-use std::thread;
+use std::thread::{self, JoinHandle};
 use std::time::Duration;
 
 type Lines = Arc<(Mutex<Vec<String>>, Condvar)>;
@@ -22,6 +22,8 @@
     child: Child,
     orders: Option<ChildStdin>,
     lines: Lines,
+    /// Reads the lines, until the child has closed its stream. `None` once it has been joined.
+    reader: Option<JoinHandle<()>>,
 }
 
 impl Process {
@@ -38,16 +40,16 @@
             Kept::Output => child.stdout.take().map(|stream| Box::new(stream) as Box<dyn Read + Send>),
         };
         let orders = child.stdin.take();
-        let process = Self { child, orders, lines: Lines::default() };
+        let lines = Lines::default();
         let stream = stream.ok_or_else(|| std::io::Error::other("a stream is not piped"))?;
-        let lines = Arc::clone(&process.lines);
-        thread::spawn(move || {
+        let read = Arc::clone(&lines);
+        let reader = thread::spawn(move || {
             for line in BufReader::new(stream).lines().map_while(Result::ok) {
-                lines.0.lock().unwrap_or_else(PoisonError::into_inner).push(line);
-                lines.1.notify_all();
+                read.0.lock().unwrap_or_else(PoisonError::into_inner).push(line);
+                read.1.notify_all();
             }
         });
-        Ok(process)
+        Ok(Self { child, orders, lines, reader: Some(reader) })
     }
 
     pub fn id(&self) -> u32 {
@@ -110,9 +112,13 @@
         _ = Command::new("kill").args([name, &self.child.id().to_string()]).status();
     }
 
-    /// Waits until it has ended by itself. Whether it ended well.
+    /// Waits until it has ended by itself and all that it wrote has been read. Whether it ended well.
     pub fn ended(&mut self) -> bool {
-        self.child.wait().is_ok_and(|status| status.success())
+        let ended_well = self.child.wait().is_ok_and(|status| status.success());
+        if let Some(reader) = self.reader.take() {
+            _ = reader.join();
+        }
+        ended_well
     }
 
     /// Its resident memory in bytes, and its processor time so far, as the system counts them.
