--- a/crates/memory-budget/src/lib.rs
+++ b/crates/memory-budget/src/lib.rs
@@ -1,15 +1,17 @@
-//! Memory by purpose. [`Ledger`] decides what may be held for what: each purpose has bytes that are its own, may
-//! borrow from a common pool up to a cap, and is refused beyond. No I/O, no clock, no allocation after the start.
+//! A memory budget by category. [`MemoryBudget`] decides what may be held for what: each category has guaranteed bytes,
+//! may borrow from a common pool up to its limit, and is refused beyond. No I/O, no clock, no allocation after the start.
 //!
-//! Why a pool with guarantees: hard shares refuse while memory lies idle, and a single sum lets one purpose crowd
-//! out the rest. Here a purpose always gets what is its own, and what is nobody's goes to who asks first.
+//! Why a pool with guarantees: fixed partitions refuse while memory lies idle, and a single sum lets one category crowd
+//! out the rest. Here a category always gets what is guaranteed to it, and the rest goes to whoever asks first.
 
-pub mod ledger;
-pub mod level;
-pub mod progress;
-pub mod purpose;
+#![warn(missing_docs)]
 
-pub use ledger::{Cause, Faulty, Ledger, Refused, Share};
-pub use level::{Level, Relief};
-pub use progress::{Pace, Progress};
-pub use purpose::Purpose;
+pub mod budget;
+pub mod category;
+pub mod pressure;
+pub mod transfer;
+
+pub use budget::{BudgetExceeded, ExceededLimit, MemoryBudget, Quota, QuotaError, Refusals};
+pub use category::Category;
+pub use pressure::{PressureLevel, ReclaimAction};
+pub use transfer::{MinimumRate, Patience, TransferProgress};
--- a/crates/router/src/budget.rs
+++ b/crates/router/src/budget.rs
@@ -1,91 +1,96 @@
-//! What peers make a router hold, by purpose: the router's one ledger, and the owners of what is held.
+//! What peers make the router hold in memory: the router's one budget, and the reservations in it.
 
 use std::cell::RefCell;
 use std::rc::Rc;
 
-use quillpoint_memory_budget::{Ledger, Purpose, Refused, Share};
+use quillpoint_memory_budget::{BudgetExceeded, Category, MemoryBudget, Quota};
 
-/// The parts of the memory that may be held of messages that are coming in from clients, and of statements and
-/// answers under way, of which copies are sent on.
-const COMING_PART: u64 = 8;
-const HELD_PART: u64 = 4;
-/// Of the latter part, this is statements' own, and as much answers' own: neither can shut the other out.
-const OWN_PART: u64 = 16;
+/// Messages that are arriving from clients may take this fraction of the memory.
+const INCOMING_DIVISOR: u64 = 8;
+/// Statements and responses under way, copies of which are sent on, may take this fraction of the memory.
+const IN_FLIGHT_DIVISOR: u64 = 4;
+/// This fraction of the latter is guaranteed to statements, and as much to responses: neither can shut the other out.
+const GUARANTEED_DIVISOR: u64 = 16;
 
+/// The budget has no room for a reservation. Its text reaches clients.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("this router holds all the bytes that it may ({0})")]
-pub struct Exhausted(#[from] Refused);
+pub struct ReservationRefused(#[from] BudgetExceeded);
 
-/// The router's accounts. Clones are the same accounts.
+/// The router's memory budget. Clones share it.
 #[derive(Clone, Debug)]
-pub struct Accounts(Rc<RefCell<Ledger>>);
+pub struct SharedBudget(Rc<RefCell<MemoryBudget>>);
 
-impl Accounts {
-    /// By the usual shares of so much memory.
-    pub fn of(memory: u64) -> Self {
-        let (coming, held) = (memory / COMING_PART, memory / HELD_PART);
-        let own = held / OWN_PART;
-        let shares = [
-            (Purpose::Coming, Share { own: coming, most: coming }),
-            (Purpose::Statements, Share { own, most: held }),
-            (Purpose::Answers, Share { own, most: held }),
-            (Purpose::Writes, Share { own: 0, most: held }),
+impl SharedBudget {
+    /// The usual quotas of this many bytes of memory.
+    pub fn new(memory_bytes: u64) -> Self {
+        let incoming = memory_bytes / INCOMING_DIVISOR;
+        let in_flight = memory_bytes / IN_FLIGHT_DIVISOR;
+        let guaranteed = in_flight / GUARANTEED_DIVISOR;
+        let quotas = [
+            (Category::IncomingMessages, Quota { guaranteed: incoming, limit: incoming }),
+            (Category::Statements, Quota { guaranteed, limit: in_flight }),
+            (Category::Responses, Quota { guaranteed, limit: in_flight }),
+            (Category::ResponseWrites, Quota { guaranteed: 0, limit: in_flight }),
         ];
-        let ledger = Ledger::new(coming + held, &shares).expect("parts of one whole fit it");
-        Self(Rc::new(RefCell::new(ledger)))
+        let budget = MemoryBudget::new(incoming + in_flight, &quotas).expect("fractions of one whole fit it");
+        Self(Rc::new(RefCell::new(budget)))
     }
 
-    /// Nothing is held yet by the new owner.
-    pub fn owner(&self, purpose: Purpose) -> Held {
-        Held { accounts: self.clone(), purpose, bytes: 0 }
+    /// A reservation of no bytes, to be resized.
+    pub fn empty_reservation(&self, category: Category) -> Reservation {
+        Reservation { budget: self.clone(), category, bytes: 0 }
     }
 
+    /// Reserves bytes.
+    ///
     /// # Errors
     /// There is no room.
-    pub fn hold(&self, purpose: Purpose, bytes: usize) -> Result<Held, Exhausted> {
-        let mut held = self.owner(purpose);
-        held.resize(bytes)?;
-        Ok(held)
+    pub fn reserve(&self, category: Category, bytes: usize) -> Result<Reservation, ReservationRefused> {
+        let mut reservation = self.empty_reservation(category);
+        reservation.resize(bytes)?;
+        Ok(reservation)
     }
 
-    /// For what must go on whatever is held.
-    pub fn charge(&self, purpose: Purpose, bytes: usize) -> Held {
-        self.0.borrow_mut().charge(purpose, 0, bytes as u64);
-        Held { accounts: self.clone(), purpose, bytes }
+    /// Reserves bytes, whether or not there is room, for what must go on.
+    pub fn charge(&self, category: Category, bytes: usize) -> Reservation {
+        self.0.borrow_mut().charge(category, 0, bytes as u64);
+        Reservation { budget: self.clone(), category, bytes }
     }
 
-    /// The ledger as it stands.
-    pub fn look<T>(&self, at: impl FnOnce(&Ledger) -> T) -> T {
-        at(&self.0.borrow())
+    /// Reads the budget as it stands.
+    pub fn read<T>(&self, read: impl FnOnce(&MemoryBudget) -> T) -> T {
+        read(&self.0.borrow())
     }
 }
 
-/// What one owner holds, given back when it is dropped.
+/// Bytes that one owner holds, given back when it is dropped.
 #[derive(Debug)]
-pub struct Held {
-    accounts: Accounts,
-    purpose: Purpose,
+pub struct Reservation {
+    budget: SharedBudget,
+    category: Category,
     bytes: usize,
 }
 
-impl Held {
-    /// Nothing changes where there is no room for more.
+impl Reservation {
+    /// Changes how many bytes are held. Fewer are always taken.
     ///
     /// # Errors
-    /// There is no room.
-    pub fn resize(&mut self, bytes: usize) -> Result<(), Exhausted> {
+    /// There is no room for more; nothing has changed then.
+    pub fn resize(&mut self, bytes: usize) -> Result<(), ReservationRefused> {
         if bytes != self.bytes {
-            let (from, to) = (self.bytes as u64, bytes as u64);
-            self.accounts.0.borrow_mut().change(self.purpose, from, to)?;
+            let from = self.bytes as u64;
+            let to = bytes as u64;
+            self.budget.0.borrow_mut().resize(self.category, from, to)?;
             self.bytes = bytes;
         }
         Ok(())
     }
 }
 
-impl Drop for Held {
+impl Drop for Reservation {
     fn drop(&mut self) {
-        // Less is always taken.
+        // Fewer bytes are always taken.
         _ = self.resize(0);
     }
 }
--- /dev/null
+++ b/crates/router/src/client/intake.rs
@@ -0,0 +1,151 @@
+//! What becomes of a client's message: a statement that goes into the pipeline, or a response at once.
+
+use std::rc::Rc;
+use std::time::Instant;
+
+use quillpoint::host::MethodId;
+use quillpoint_memory_budget::Category;
+
+use super::request::RpcRequest;
+use super::response_writer::{TOO_MANY_RPCS, put_no_room};
+use super::session::Session;
+use super::session_end::{SessionEnd, SessionResult};
+use crate::pg::{self, Asked};
+use crate::request_pipeline::RequestPipeline;
+use crate::socket_liveness::ClientLiveness;
+use crate::statement::{Kept, Statement};
+
+/// This many statements in a row that cannot be used end a session: it is no client of this service.
+const MAX_UNUSABLE_STATEMENTS: usize = 8;
+
+/// What a query comes to. Bytes are the messages that answer it, without ReadyForQuery.
+enum QueryIntake {
+    /// A statement to run, with the resources that it takes up.
+    Statement { method: MethodId, statement: Kept },
+    /// It is answered at once.
+    Answered(Vec<u8>),
+    /// It cannot be used.
+    Unusable(Vec<u8>),
+}
+
+fn unusable(code: &str, message: &str) -> QueryIntake {
+    let mut out = Vec::new();
+    pg::put_error(&mut out, false, code, message, None);
+    QueryIntake::Unusable(out)
+}
+
+impl Session<'_> {
+    /// Puts a message into the pipeline. How the session ends, where it is the last one.
+    pub(super) fn take_message(
+        &mut self,
+        message: Asked,
+        arrived: Instant,
+        pipeline: &mut RequestPipeline,
+    ) -> Option<SessionResult> {
+        let mut out = Vec::new();
+        match message {
+            Asked::Terminate => return Some(Ok(())),
+            Asked::Sync => {
+                self.discards_until_sync = false;
+                pg::put_ready(&mut out);
+            }
+            _ if self.discards_until_sync => return None,
+            Asked::Extended => {
+                self.discards_until_sync = true;
+                pg::put_error(&mut out, false, "0A000", "only simple queries are taken", None);
+            }
+            Asked::Query(text) => return self.take_query(text, arrived, pipeline),
+        }
+        pipeline.push_response(self.clients.encoded(out));
+        None
+    }
+
+    fn take_query(
+        &mut self,
+        text: Vec<u8>,
+        arrived: Instant,
+        pipeline: &mut RequestPipeline,
+    ) -> Option<SessionResult> {
+        if !self.permit.try_admit() {
+            let mut out = Vec::new();
+            put_no_room(&mut out, true, "this router has no socket left for it");
+            pipeline.push_response(self.clients.encoded(out));
+            return Some(Ok(()));
+        }
+        match self.read_query(text) {
+            QueryIntake::Statement { method, statement } => {
+                self.unusable_statements = 0;
+                self.push_statement(method, statement, arrived, pipeline);
+                None
+            }
+            QueryIntake::Answered(out) => {
+                self.unusable_statements = 0;
+                pipeline.push_response(self.clients.encoded_with_ready(out));
+                None
+            }
+            QueryIntake::Unusable(out) => {
+                self.unusable_statements += 1;
+                pipeline.push_response(self.clients.encoded_with_ready(out));
+                let is_last = self.unusable_statements >= MAX_UNUSABLE_STATEMENTS;
+                is_last.then_some(Err(SessionEnd::TooManyUnusableStatements))
+            }
+        }
+    }
+
+    fn push_statement(
+        &mut self,
+        method: MethodId,
+        statement: Kept,
+        arrived: Instant,
+        pipeline: &mut RequestPipeline,
+    ) {
+        // What was cancelled before anything was under way is over.
+        while !pipeline.has_running_statement() && self.cancelled.try_recv().is_ok() {}
+        let scope = self.clients.engine.scope(method, &statement.statement);
+        let commits = Rc::clone(&self.commits);
+        let request = RpcRequest { method, statement: Rc::new(statement), arrived, commits };
+        pipeline.push_statement(scope, Box::pin(Rc::clone(self.clients).run_rpc(request)));
+    }
+
+    /// Reads a query, and takes up the resources for its statement.
+    fn read_query(&self, text: Vec<u8>) -> QueryIntake {
+        let clients = self.clients;
+        let engine = &clients.engine;
+        if text.iter().all(|byte| byte.is_ascii_whitespace() || *byte == b';') {
+            return self.answer_empty_query();
+        }
+        let statement = match Statement::parse(text) {
+            Ok(statement) => statement,
+            Err(error) => return unusable(error.code(), &error.to_string()),
+        };
+        let Some(method) = engine.method_by_name(&statement.method) else {
+            let message = format!("the comment's c names no class: {:?}", statement.method);
+            return unusable("22023", &message);
+        };
+        if engine.writes(method) != statement.writes {
+            // Taken for a read, it could be repeated though it writes.
+            return unusable("22023", &format!("the statement is none of class {:?}", statement.method));
+        }
+        let Some(id) = clients.active_ids.register(statement.id.clone()) else {
+            return unusable("42710", "an RPC of this id is under way");
+        };
+        let Ok(memory) = clients.budget.reserve(Category::Statements, statement.size()) else {
+            let mut out = Vec::new();
+            put_no_room(&mut out, false, TOO_MANY_RPCS);
+            return QueryIntake::Answered(out);
+        };
+        let client = ClientLiveness::new(Rc::downgrade(&self.stream));
+        QueryIntake::Statement { method, statement: Kept { statement, client, _memory: memory, _open: id } }
+    }
+
+    /// An empty query asks whether the router serves.
+    fn answer_empty_query(&self) -> QueryIntake {
+        let mut out = Vec::new();
+        if self.clients.engine.is_ready() {
+            pg::put_empty_query(&mut out);
+        } else {
+            pg::put_error(&mut out, false, "57P03", "no list of nodes has come yet", None);
+        }
+        QueryIntake::Answered(out)
+    }
+}
--- /dev/null
+++ b/crates/router/src/client/request.rs
@@ -0,0 +1,71 @@
+//! The life of an RPC, top to bottom.
+
+use std::cell::RefCell;
+use std::rc::Rc;
+use std::time::Instant;
+
+use futures_lite::future;
+use quillpoint::host::MethodId;
+
+use super::ClientSessions;
+use super::receive::DISCONNECT_CHECK_INTERVAL;
+use super::response_writer::{TOO_MANY_RPCS, put_abort, put_no_room, put_rejection};
+use crate::engine::Command;
+use crate::pg;
+use crate::request_pipeline::EncodedResponse;
+use crate::session_commits::SessionCommits;
+use crate::statement::Kept;
+
+/// An RPC as its session hands it over.
+pub(super) struct RpcRequest {
+    pub(super) method: MethodId,
+    pub(super) statement: Rc<Kept>,
+    /// When its last byte arrived: its time runs from then.
+    pub(super) arrived: Instant,
+    /// What RPCs of its connection have written.
+    pub(super) commits: Rc<RefCell<SessionCommits>>,
+}
+
+impl ClientSessions {
+    /// Runs an RPC from its turn, which comes at once where nothing ahead of it on its connection must end first, to its
+    /// response.
+    pub(super) async fn run_rpc(self: Rc<Self>, request: RpcRequest) -> EncodedResponse {
+        let RpcRequest { method, statement: kept, arrived, commits } = request;
+        let mut out = Vec::new();
+        let engine = &self.engine;
+        let statement = &kept.statement;
+        if arrived.elapsed() >= DISCONNECT_CHECK_INTERVAL && !kept.client.is_connected() {
+            // It is not begun. Its session has not looked since, and is about to.
+            return future::pending().await;
+        }
+        if engine.pending_rpcs() >= self.max_pending_rpcs {
+            put_no_room(&mut out, false, TOO_MANY_RPCS);
+            return self.encoded_with_ready(out);
+        }
+        let last_commit =
+            statement.session.and_then(|key| commits.borrow().last_commit(statement.group, key));
+        let Some(pending) = engine.rpc_arrived(method, statement, arrived, last_commit) else {
+            pg::put_error(&mut out, false, "53300", "its time was over before its turn: nothing ran", None);
+            return self.encoded_with_ready(out);
+        };
+        loop {
+            match pending.next_command().await {
+                Some(Command::Attempt(attempt)) => {
+                    self.pool.make_attempt(Rc::clone(engine), attempt, Rc::clone(&kept));
+                    continue;
+                }
+                Some(Command::Answer { answer, position }) => {
+                    if let Some(commit) = position.filter(|_| statement.writes) {
+                        commits.borrow_mut().record(statement.group, statement.session, commit);
+                    }
+                    pg::put_answer(&mut out, &answer);
+                }
+                Some(Command::Reject { retry_after }) => put_rejection(&mut out, retry_after),
+                Some(Command::Abort { last_outcome }) => put_abort(&mut out, last_outcome),
+                // The engine gives each RPC that is pending its final response.
+                None => return future::pending().await,
+            }
+            return self.encoded_with_ready(out);
+        }
+    }
+}
--- /dev/null
+++ b/crates/router/src/client/response_writer.rs
@@ -0,0 +1,98 @@
+//! Responses to clients: how they are encoded and accounted for, and how they are written.
+
+use std::net::TcpStream;
+use std::rc::Rc;
+use std::time::{Duration, Instant};
+
+use async_io::Async;
+use futures_lite::FutureExt;
+use quillpoint::host::Outcome;
+use quillpoint_memory_budget::{Category, MinimumRate, Patience, ReclaimAction, TransferProgress};
+
+use super::ClientSessions;
+use super::receive::timed_out;
+use super::session_end::{SessionEnd, SessionResult};
+use crate::pg;
+use crate::receive_buffer::READ_CHUNK_BYTES;
+use crate::request_pipeline::EncodedResponse;
+use crate::socket;
+
+/// The mean rate at which a client must read a response; one on a slow connection does.
+const MIN_READ_BYTES_PER_SECOND: u64 = 16 * 1024;
+
+/// Tells a client that there is neither memory nor a place left for its RPC.
+pub(super) const TOO_MANY_RPCS: &str = "this router holds all the RPCs it may";
+
+impl ClientSessions {
+    /// Whether memory is so short that slow readers are disconnected.
+    pub(super) fn is_memory_critical(&self) -> bool {
+        self.budget.read(|budget| budget.calls_for(ReclaimAction::DisconnectSlowReaders))
+    }
+
+    /// A response with the end that each response to a query has.
+    pub(super) fn encoded_with_ready(&self, mut bytes: Vec<u8>) -> EncodedResponse {
+        pg::put_ready(&mut bytes);
+        self.encoded(bytes)
+    }
+
+    /// A response with its memory charged. It is never refused: what it takes makes new RPCs be refused.
+    pub(super) fn encoded(&self, bytes: Vec<u8>) -> EncodedResponse {
+        let beyond_a_chunk = bytes.len().saturating_sub(READ_CHUNK_BYTES);
+        let memory = self.budget.charge(Category::ResponseWrites, beyond_a_chunk);
+        EncodedResponse { bytes, memory }
+    }
+}
+
+/// Writes a response. A client that does not read it is not waited for for ever, but one that reads on is, however long
+/// the response.
+///
+/// # Errors
+/// The connection is broken, or the client reads too slowly.
+pub(super) async fn write_response(
+    clients: Rc<ClientSessions>,
+    stream: Rc<Async<TcpStream>>,
+    response: EncodedResponse,
+) -> SessionResult {
+    let started = Instant::now();
+    let rate =
+        MinimumRate { stall_timeout: clients.longest_deadline, bytes_per_second: MIN_READ_BYTES_PER_SECOND };
+    let mut progress = TransferProgress::new(rate, Duration::ZERO);
+    let EncodedResponse { bytes, memory: _memory } = response;
+    let mut remaining = &bytes[..];
+    while !remaining.is_empty() {
+        let patience = if clients.is_memory_critical() { Patience::Reduced } else { Patience::Usual };
+        let timeout = timed_out(started + progress.deadline(patience));
+        let written = async { Ok(socket::write(&stream, remaining).await?) };
+        let count = written.or(timeout).await?;
+        if count == 0 {
+            return Err(SessionEnd::ClientDisconnected);
+        }
+        remaining = &remaining[count..];
+        progress.record(started.elapsed(), count as u64);
+    }
+    Ok(())
+}
+
+/// The error for a client that there is no room for: nothing has run, and soon there may be some.
+pub(super) fn put_no_room(out: &mut Vec<u8>, fatal: bool, message: &str) {
+    let retry_after_ms = quillpoint::HOLD.as_millis().to_string();
+    pg::put_error(out, fatal, "53300", message, Some(&retry_after_ms));
+}
+
+/// The error for an RPC that is rejected, with Retry-After unless it is zero.
+pub(super) fn put_rejection(out: &mut Vec<u8>, retry_after: Duration) {
+    let retry_after_ms = retry_after.as_millis().to_string();
+    let detail = (!retry_after.is_zero()).then_some(retry_after_ms.as_str());
+    pg::put_error(out, false, "53300", "nothing ran, so trying again is harmless", detail);
+}
+
+/// The error for an RPC that is aborted, by how its last attempt ended.
+pub(super) fn put_abort(out: &mut Vec<u8>, last_outcome: Option<Outcome>) {
+    let (code, message) = match last_outcome {
+        Some(Outcome::Reset) => ("08006", "the connection to the node broke; it may have run"),
+        Some(Outcome::Malformed) => ("08P01", "the node's answer cannot be read; it has run"),
+        Some(Outcome::Error) => ("58000", "the node failed with it; it may have run"),
+        _ => ("57014", "no answer came in time; it may have run"),
+    };
+    pg::put_error(out, false, code, message, None);
+}
--- /dev/null
+++ b/crates/router/src/client/session_end.rs
@@ -0,0 +1,54 @@
+//! Why a session ends.
+
+use std::io;
+
+use crate::budget::ReservationRefused;
+use crate::pg::Broken;
+use crate::receive_buffer::ReceiveError;
+
+/// How a session ends: in order, or for a reason.
+pub(super) type SessionResult = Result<(), SessionEnd>;
+
+/// Why a session ended. Of those that have a code, the text reaches the client.
+#[derive(Debug, thiserror::Error)]
+pub(super) enum SessionEnd {
+    #[error("{0}")]
+    Io(#[from] io::Error),
+    #[error("{0}")]
+    Malformed(#[from] Broken),
+    #[error("the client disconnected")]
+    ClientDisconnected,
+    #[error("closed while idle")]
+    ClosedWhileIdle,
+    #[error("finished")]
+    Finished,
+    #[error("a message did not arrive whole in time")]
+    TimedOut,
+    #[error("{0}")]
+    OutOfMemory(#[from] ReservationRefused),
+    #[error("too many statements in a row that cannot be used")]
+    TooManyUnusableStatements,
+}
+
+impl SessionEnd {
+    /// The SQLSTATE that the client is told, where the end is the client's doing.
+    pub(super) fn code(&self) -> Option<&'static str> {
+        match self {
+            Self::Malformed(broken) => Some(broken.code()),
+            Self::TimedOut => Some("57014"),
+            Self::OutOfMemory(_) => Some("53200"),
+            Self::TooManyUnusableStatements => Some("08P01"),
+            Self::Io(_) | Self::ClientDisconnected | Self::ClosedWhileIdle | Self::Finished => None,
+        }
+    }
+}
+
+impl From<ReceiveError> for SessionEnd {
+    fn from(error: ReceiveError) -> Self {
+        match error {
+            ReceiveError::Io(error) => Self::Io(error),
+            ReceiveError::OutOfMemory(refused) => Self::OutOfMemory(refused),
+            ReceiveError::Closed => Self::ClientDisconnected,
+        }
+    }
+}
--- a/crates/router/src/descriptors.rs
+++ b/crates/router/src/descriptors.rs
@@ -1,7 +1,7 @@
-//! The one count of the sockets that a router holds, against its limit.
+//! The one count of the descriptors that a router holds for sockets, against its limit.
 //!
-//! Each socket is opened with a [`Slot`] and keeps it as long as it is open. A connection that stands idle is
-//! parked here with a way to close it; when sockets are short, the one that has been idle longest goes.
+//! Each socket is opened with a [`DescriptorPermit`] and keeps it as long as it is open. An idle connection is registered
+//! as evictable with a way to close it; when descriptors are short, the one that has been idle longest is closed.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -9,160 +9,203 @@
 use std::time::Duration;
 
 use async_io::Timer;
-use event_listener::Event;
+use event_listener::{Event, EventListener};
 use futures_lite::FutureExt;
 
-/// A connection that was asked to close may just have been put to use again: it is looked again after this.
-const LOOK: Duration = Duration::from_millis(5);
+/// A connection that was asked to close may just have been put to use again: its permit is waited for no longer.
+const EVICTION_RETRY_INTERVAL: Duration = Duration::from_millis(5);
 
-/// What a socket is held for.
+/// What a descriptor is held for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Side {
+pub enum DescriptorUse {
+    /// A client's connection.
     Client,
-    /// A client that there is no room for: it is told so and closed.
-    TurnedAway,
-    Inner,
+    /// The connection of a client that there is no room for: it is told so and closed.
+    RejectedClient,
+    /// The router's own: connections to nodes and to discovery, listeners.
+    Internal,
 }
 
-/// Which idle connections go first when sockets are short.
+/// Which idle connections are closed first when descriptors are short.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Rank {
-    /// A client's that has not said anything yet, or is being closed.
-    Unopened,
+pub enum EvictionPriority {
+    /// One that nothing depends on: its client has not said anything yet, or it is being closed.
+    First,
+    /// One that has been used and is idle.
     Idle,
 }
 
 type Close = Box<dyn FnOnce()>;
 
-pub struct Descriptors {
+/// By eviction priority, and by the order in which connections became idle.
+type EvictionKey = (EvictionPriority, u64);
+
+struct Evictable {
+    held_for: DescriptorUse,
+    close: Close,
+}
+
+/// Counts descriptors, and makes room by closing idle connections.
+pub struct DescriptorLimiter {
     limit: usize,
+    /// By [`DescriptorUse`].
     used: [Cell<usize>; 3],
-    /// Idle connections by their rank and the order in which they became idle.
-    parked: RefCell<BTreeMap<(Rank, u64), (Side, Close)>>,
-    next: Cell<u64>,
-    freed: Event,
+    evictable: RefCell<BTreeMap<EvictionKey, Evictable>>,
+    next_registration: Cell<u64>,
+    released: Event,
 }
 
-/// The right to hold one socket.
-pub struct Slot {
-    descriptors: Rc<Descriptors>,
-    pub side: Side,
+/// The right to hold one descriptor, given back when it is dropped.
+pub struct DescriptorPermit {
+    limiter: Rc<DescriptorLimiter>,
+    /// What it is held for.
+    pub held_for: DescriptorUse,
 }
 
-/// A connection's place among the idle ones, until it is dropped.
-pub struct Parked(Rc<Descriptors>, (Rank, u64));
+/// A connection's registration as evictable, until it is dropped.
+pub struct EvictableRegistration {
+    limiter: Rc<DescriptorLimiter>,
+    key: EvictionKey,
+}
 
-impl Descriptors {
+impl DescriptorLimiter {
+    /// A limiter of this many descriptors, none of which is held.
     pub fn new(limit: usize) -> Rc<Self> {
-        let (used, next) = (Default::default(), Cell::new(0));
-        Rc::new(Self { limit, used, parked: RefCell::default(), next, freed: Event::new() })
+        Rc::new(Self {
+            limit,
+            used: Default::default(),
+            evictable: RefCell::default(),
+            next_registration: Cell::new(0),
+            released: Event::new(),
+        })
     }
 
     /// Half is for clients, since each may need a connection to a node too. Those beyond are not left waiting
-    /// unread, where their RPCs would be lost, but turned away.
-    fn share(&self, side: Side) -> usize {
-        match side {
-            Side::Client => self.limit / 2,
-            Side::TurnedAway => self.limit / 8,
-            Side::Inner => self.limit,
+    /// unread, where their RPCs would be lost, but rejected.
+    fn quota(&self, held_for: DescriptorUse) -> usize {
+        match held_for {
+            DescriptorUse::Client => self.limit / 2,
+            DescriptorUse::RejectedClient => self.limit / 8,
+            DescriptorUse::Internal => self.limit,
         }
     }
 
-    fn is_full(&self) -> bool {
+    fn is_exhausted(&self) -> bool {
         self.used.iter().map(Cell::get).sum::<usize>() >= self.limit
     }
 
-    fn try_take(self: &Rc<Self>, side: Side) -> Option<Slot> {
-        let used = &self.used[side as usize];
-        if self.is_full() || used.get() >= self.share(side) {
+    fn used(&self, held_for: DescriptorUse) -> &Cell<usize> {
+        &self.used[held_for as usize]
+    }
+
+    fn try_acquire(self: &Rc<Self>, held_for: DescriptorUse) -> Option<DescriptorPermit> {
+        let used = self.used(held_for);
+        if self.is_exhausted() || used.get() >= self.quota(held_for) {
             return None;
         }
         used.set(used.get() + 1);
-        Some(Slot { descriptors: Rc::clone(self), side })
+        Some(DescriptorPermit { limiter: Rc::clone(self), held_for })
     }
 
-    /// Closes the longest idle connection that would make room, if there is one.
-    fn evict(&self, side: Side) -> bool {
-        let full = self.is_full();
-        let mut parked = self.parked.borrow_mut();
-        let place = parked.iter().find(|(_, (whose, _))| full || *whose == side).map(|(place, _)| *place);
-        let oldest = place.and_then(|place| parked.remove(&place));
-        drop(parked);
-        oldest.map(|(_, close)| close()).is_some()
+    /// Closes the longest idle connection that would make room. False if there is none.
+    fn evict(&self, held_for: DescriptorUse) -> bool {
+        let is_exhausted = self.is_exhausted();
+        let mut evictable = self.evictable.borrow_mut();
+        let makes_room = |connection: &Evictable| is_exhausted || connection.held_for == held_for;
+        let key = evictable.iter().find(|(_, connection)| makes_room(connection)).map(|(key, _)| *key);
+        let oldest = key.and_then(|key| evictable.remove(&key));
+        drop(evictable);
+        match oldest {
+            Some(connection) => {
+                (connection.close)();
+                true
+            }
+            None => false,
+        }
     }
 
-    /// Waits until a socket may be opened to a node, or to discovery.
-    pub async fn take(self: &Rc<Self>) -> Slot {
+    /// Waits until a descriptor may be held for the router's own use.
+    pub async fn acquire(self: &Rc<Self>) -> DescriptorPermit {
         loop {
-            let freed = self.freed.listen();
-            if let Some(slot) = self.try_take(Side::Inner) {
-                return slot;
+            let released = self.released.listen();
+            if let Some(permit) = self.try_acquire(DescriptorUse::Internal) {
+                return permit;
             }
-            match self.evict(Side::Inner) {
-                true => look_again(freed).await,
-                false => freed.await,
+            if self.evict(DescriptorUse::Internal) {
+                released_or_retry(released).await;
+            } else {
+                released.await;
             }
         }
     }
 
-    /// The same for a client's connection, which may have to be turned away.
-    pub async fn take_for_client(self: &Rc<Self>) -> Slot {
+    /// Waits until a descriptor may be held for a client, which may have to be rejected.
+    pub async fn acquire_for_client(self: &Rc<Self>) -> DescriptorPermit {
         loop {
-            let freed = self.freed.listen();
-            if let Some(slot) = self.try_take(Side::Client) {
-                return slot;
+            let released = self.released.listen();
+            if let Some(permit) = self.try_acquire(DescriptorUse::Client) {
+                return permit;
             }
-            if self.evict(Side::Client) {
-                look_again(freed).await;
-            } else if let Some(slot) = self.try_take(Side::TurnedAway) {
-                return slot;
+            if self.evict(DescriptorUse::Client) {
+                released_or_retry(released).await;
+            } else if let Some(permit) = self.try_acquire(DescriptorUse::RejectedClient) {
+                return permit;
             } else {
-                _ = self.evict(Side::TurnedAway);
-                freed.await;
+                _ = self.evict(DescriptorUse::RejectedClient);
+                released.await;
             }
         }
     }
 
-    pub fn park(self: &Rc<Self>, side: Side, rank: Rank, close: impl FnOnce() + 'static) -> Parked {
-        let place = (rank, self.next.get());
-        self.next.set(place.1 + 1);
-        self.parked.borrow_mut().insert(place, (side, Box::new(close)));
-        Parked(Rc::clone(self), place)
+    /// Registers an idle connection, which `close` closes when descriptors are short.
+    pub fn register_evictable(
+        self: &Rc<Self>,
+        held_for: DescriptorUse,
+        priority: EvictionPriority,
+        close: impl FnOnce() + 'static,
+    ) -> EvictableRegistration {
+        let number = self.next_registration.get();
+        self.next_registration.set(number + 1);
+        let key = (priority, number);
+        self.evictable.borrow_mut().insert(key, Evictable { held_for, close: Box::new(close) });
+        EvictableRegistration { limiter: Rc::clone(self), key }
     }
 }
 
-async fn look_again(freed: event_listener::EventListener) {
-    let look = async {
-        Timer::after(LOOK).await;
+async fn released_or_retry(released: EventListener) {
+    let retry = async {
+        Timer::after(EVICTION_RETRY_INTERVAL).await;
     };
-    freed.or(look).await;
+    released.or(retry).await;
 }
 
-impl Slot {
-    /// Whether there is room for this client, be it only by now.
-    pub fn is_let_in(&mut self) -> bool {
-        let (from, to) =
-            (&self.descriptors.used[self.side as usize], &self.descriptors.used[Side::Client as usize]);
-        if self.side == Side::TurnedAway && to.get() < self.descriptors.share(Side::Client) {
-            from.set(from.get() - 1);
-            to.set(to.get() + 1);
-            self.side = Side::Client;
+impl DescriptorPermit {
+    /// Whether its client is admitted; one that was to be rejected is, if there is room for it by now.
+    pub fn try_admit(&mut self) -> bool {
+        let clients = self.limiter.used(DescriptorUse::Client);
+        let has_room = clients.get() < self.limiter.quota(DescriptorUse::Client);
+        if self.held_for == DescriptorUse::RejectedClient && has_room {
+            let rejected = self.limiter.used(DescriptorUse::RejectedClient);
+            rejected.set(rejected.get() - 1);
+            clients.set(clients.get() + 1);
+            self.held_for = DescriptorUse::Client;
         }
-        self.side != Side::TurnedAway
+        self.held_for != DescriptorUse::RejectedClient
     }
 }
 
-impl Drop for Slot {
+impl Drop for DescriptorPermit {
     fn drop(&mut self) {
-        let used = &self.descriptors.used[self.side as usize];
+        let used = self.limiter.used(self.held_for);
         used.set(used.get() - 1);
-        self.descriptors.freed.notify(usize::MAX);
+        self.limiter.released.notify(usize::MAX);
     }
 }
 
-impl Drop for Parked {
+impl Drop for EvictableRegistration {
     fn drop(&mut self) {
-        let close = self.0.parked.borrow_mut().remove(&self.1);
-        drop(close);
+        let connection = self.limiter.evictable.borrow_mut().remove(&self.key);
+        // Behind the borrow: dropping the closure may drop what it owns.
+        drop(connection);
     }
 }
--- a/crates/router/src/discovery.rs
+++ b/crates/router/src/discovery.rs
@@ -19,7 +19,7 @@
 };
 
 use crate::deployment::Deployment;
-use crate::descriptors::{Descriptors, Slot};
+use crate::descriptors::{DescriptorLimiter, DescriptorPermit};
 use crate::engine::{Clock, Engine};
 use crate::list::{Page, Reader};
 use crate::list_call::{Answered, Connection, Failure, ListCall};
@@ -74,7 +74,7 @@
     clock: Clock,
     executor: Rc<LocalExecutor<'static>>,
     /// Kept for as long as the router runs, so that no client can have them while discovery is down.
-    _slots: Vec<Slot>,
+    _slots: Vec<DescriptorPermit>,
 }
 
 impl DiscoveryClient {
@@ -85,13 +85,13 @@
         known: &Page,
         seed: u64,
         clock: Clock,
-        (executor, descriptors): (Rc<LocalExecutor<'static>>, &Rc<Descriptors>),
+        (executor, descriptors): (Rc<LocalExecutor<'static>>, &Rc<DescriptorLimiter>),
     ) -> (Self, Vec<Endpoint>) {
         let mut reader = Reader::new(deployment);
         let lines = reader.lines(known);
         let mut slots = Vec::new();
         for _ in 0..SOCKETS {
-            slots.push(descriptors.take().await);
+            slots.push(descriptors.acquire().await);
         }
         let client = Self {
             address,
--- a/crates/router/src/drain.rs
+++ b/crates/router/src/drain.rs
@@ -1,68 +1,123 @@
-//! The end of a router.
+//! Graceful shutdown: sessions go on for a while, are closed bit by bit, and the listener is closed without losing what
+//! has come to it.
 
 use std::net::TcpListener;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
+use async_executor::Task;
 use async_io::{Async, Timer};
 
-use crate::client::Clients;
-use crate::engine::Engine;
-use crate::presence::has_waiting;
+use crate::client::ClientSessions;
+use crate::engine::{DeadlineRange, Engine};
+use crate::socket_liveness::has_pending_connection;
 
-/// The front sends new connections for up to 0.4 s after SIGTERM; this is that and a margin.
-const STILL_SENT_TO: Duration = Duration::from_millis(500);
-/// A router that was told to stop is killed so long after the longest deadline (at most the one below), less a
-/// margin in which to end.
-const KILLED_AFTER: Duration = Duration::from_millis(700);
-const LONGEST_WAIT: Duration = Duration::from_secs(3);
-const MARGIN: Duration = Duration::from_millis(400);
-/// How often it is looked whether all is answered, and whether connections wait at the listener.
-const LOOK: Duration = Duration::from_millis(5);
-/// So many looks past the end sessions have to write what was answered at the end. Looks are counted, and not time: a
-/// process that was held up over the end must come to its answers first.
-const LOOKS_PAST_THE_END: usize = 10;
+/// How long new connections may still come: the front sends them for up to 0.4 s after SIGTERM.
+const ACCEPT_AFTER_SIGTERM: Duration = Duration::from_millis(500);
+/// The platform kills a router this long after its longest deadline, counted from SIGTERM.
+const KILLED_AFTER_LONGEST_DEADLINE: Duration = Duration::from_millis(700);
+/// The platform counts no deadline longer than this.
+const MAX_COUNTED_DEADLINE: Duration = Duration::from_secs(3);
+/// The time before the kill in which the router ends.
+const KILL_MARGIN: Duration = Duration::from_millis(400);
+/// How often it is checked whether all is answered, and whether connections wait at the listener.
+const CHECK_INTERVAL: Duration = Duration::from_millis(5);
+/// How many checks past the end sessions have to write what was answered at the end. Checks are counted, and not time: a
+/// process that was held up over the end must come to its responses first.
+const MAX_CHECKS_PAST_END: usize = 10;
 
-/// Goes on serving the clients that it has for as long as it may. In the second half of that time it lets go of
-/// them bit by bit: the routers that take them over then see their load grow, and not leap, for no longer than a
+/// When the steps of the shutdown happen.
+struct Schedule {
+    /// Sessions begin to be closed.
+    closing_starts: Instant,
+    /// All sessions have been asked to close: an RPC that comes later would have too little time left.
+    all_closed: Instant,
+    /// No RPC is waited for any longer.
+    end: Instant,
+}
+
+impl Schedule {
+    fn new(told: Instant, deadlines: DeadlineRange) -> Self {
+        let kill = told + deadlines.longest.min(MAX_COUNTED_DEADLINE) + KILLED_AFTER_LONGEST_DEADLINE;
+        let end = kill - KILL_MARGIN;
+        Self { closing_starts: told + (end - told) / 2, all_closed: end - deadlines.shortest, end }
+    }
+
+    fn is_over(&self) -> bool {
+        Instant::now() >= self.end
+    }
+
+    /// The fraction of sessions that are to have been asked to close by now, from 0 to 1.
+    fn closed_fraction(&self) -> f64 {
+        let span = self.all_closed.saturating_duration_since(self.closing_starts).max(CHECK_INTERVAL);
+        let elapsed = Instant::now().saturating_duration_since(self.closing_starts);
+        elapsed.div_duration_f64(span).min(1.0)
+    }
+}
+
+/// The sessions that were open when the closing began, the oldest first.
+struct SessionCloser<'a> {
+    clients: &'a ClientSessions,
+    sessions: Vec<u64>,
+    closed: usize,
+}
+
+impl SessionCloser<'_> {
+    /// Asks sessions to close until this fraction of them has been asked.
+    fn close_up_to(&mut self, fraction: f64) {
+        let due = (self.sessions.len() as f64 * fraction).ceil() as usize;
+        for session in &self.sessions[self.closed..due] {
+            self.clients.close(*session);
+        }
+        self.closed = due;
+        if fraction >= 1.0 {
+            self.clients.drain();
+        }
+    }
+}
+
+/// The listener and the task that accepts from it.
+struct OpenListener<T> {
+    listener: Rc<Async<TcpListener>>,
+    accepting: Task<T>,
+}
+
+impl<T> OpenListener<T> {
+    /// Takes in what the kernel has accepted, and closes the listener. Where descriptors are short that takes until
+    /// other sessions have been closed.
+    async fn close(self, clients: &Rc<ClientSessions>) {
+        self.accepting.cancel().await;
+        clients.accept_remaining(&self.listener).await;
+        drop(self.listener);
+        log::info!("no new sessions are taken, {} sessions go on", clients.open_sessions());
+    }
+}
+
+/// Goes on serving the clients that it has for as long as it may. In the second half of that time it closes their
+/// sessions bit by bit: the routers that take them over then see their load grow, and not leap, for no longer than a
 /// restart must take, and one that is just being started itself is up. Ends when no session is left.
 pub async fn drain<T>(
-    clients: &Rc<Clients>,
+    clients: &Rc<ClientSessions>,
     engine: &Engine,
     listener: Rc<Async<TcpListener>>,
-    accepting: async_executor::Task<T>,
+    accepting: Task<T>,
 ) {
-    let told = Instant::now();
-    let (shortest, longest) = engine.deadlines();
-    let end = told + longest.min(LONGEST_WAIT) + KILLED_AFTER - MARGIN;
-    engine.end_by(end);
-    Timer::after(STILL_SENT_TO).await;
-    let mut listening = Some((listener, accepting));
-    // An RPC that comes later than the second of these would have too little time left.
-    let (start, all_closed) = (told + (end - told) / 2, end - shortest);
-    let sessions = clients.sessions();
-    let (mut closed, mut looks_past_the_end) = (0, 0);
+    let schedule = Schedule::new(Instant::now(), engine.deadlines());
+    engine.set_shutdown_deadline(schedule.end);
+    Timer::after(ACCEPT_AFTER_SIGTERM).await;
+    let mut open_listener = Some(OpenListener { listener, accepting });
+    let mut closer = SessionCloser { clients, sessions: clients.sessions(), closed: 0 };
+    let mut checks_past_end = 0;
     // Past the end only sessions are open that have not asked, or do not read.
-    while clients.open_sessions() > 0 && looks_past_the_end < LOOKS_PAST_THE_END || listening.is_some() {
-        // The kernel has accepted what waits at the listener: it is taken in before that is closed. Where
-        // descriptors are short that takes until other sessions have been let go.
-        if let Some((listener, accepting)) =
-            listening.take_if(|(listener, _)| !has_waiting(listener.get_ref()) || Instant::now() >= end)
-        {
-            accepting.cancel().await;
-            clients.accept_rest(&listener).await;
-            drop(listener);
-            log::info!("no new sessions are taken, {} sessions go on", clients.open_sessions());
-        }
-        let span = all_closed.saturating_duration_since(start).max(LOOK);
-        let part = Instant::now().saturating_duration_since(start).div_duration_f64(span).min(1.0);
-        let due = (sessions.len() as f64 * part).ceil() as usize;
-        sessions[closed..due].iter().for_each(|session| clients.close(*session));
-        closed = due;
-        if part >= 1.0 {
-            clients.drain();
+    while clients.open_sessions() > 0 && checks_past_end < MAX_CHECKS_PAST_END || open_listener.is_some() {
+        let may_close = |open: &mut OpenListener<T>| {
+            !has_pending_connection(open.listener.get_ref()) || schedule.is_over()
+        };
+        if let Some(open_listener) = open_listener.take_if(may_close) {
+            open_listener.close(clients).await;
         }
-        Timer::after(LOOK).await;
-        looks_past_the_end += usize::from(Instant::now() >= end);
+        closer.close_up_to(schedule.closed_fraction());
+        Timer::after(CHECK_INTERVAL).await;
+        checks_past_end += usize::from(schedule.is_over());
     }
 }
--- /dev/null
+++ b/crates/router/src/engine/host.rs
@@ -0,0 +1,108 @@
+//! The host of the decisions. It only queues what they ask for, so that nothing calls them from inside one of their
+//! own calls.
+
+use std::cell::{Cell, RefCell};
+use std::collections::BTreeMap;
+use std::rc::Rc;
+use std::time::Duration;
+
+use async_channel::Sender;
+use event_listener::Event;
+use quillpoint::host::{AttemptNumber, Host, NodeId, Outcome, ReplicaSetId, RpcId};
+
+use super::clock::Clock;
+use super::command::{Attempt, BackgroundTask, Command};
+
+/// An RPC whose final response is pending.
+pub(super) struct PendingRpc {
+    pub(super) commands: Sender<Command>,
+    pub(super) group: ReplicaSetId,
+    pub(super) deadline: Duration,
+    pub(super) attempts: u32,
+    pub(super) last_outcome: Option<Outcome>,
+}
+
+/// What the engine and its host share.
+pub(super) struct HostState {
+    pub(super) clock: Clock,
+    pub(super) pending: RefCell<BTreeMap<RpcId, PendingRpc>>,
+    pub(super) max_attempts: u32,
+    /// Attempts that cannot be made, to be ended as such once the decisions have returned.
+    pub(super) unsent: RefCell<Vec<Attempt>>,
+    pub(super) background_tasks: Sender<BackgroundTask>,
+    pub(super) endpoint_requests: Sender<()>,
+    pub(super) timer_due: Cell<Option<Duration>>,
+    pub(super) timer_changed: Event,
+}
+
+impl HostState {
+    /// The one place where an RPC ends.
+    pub(super) fn remove(&self, rpc: RpcId) -> Option<PendingRpc> {
+        self.pending.borrow_mut().remove(&rpc)
+    }
+
+    /// Gives the final response: the RPC ends here, whoever gives it.
+    pub(super) fn finish(&self, rpc: RpcId, command: impl FnOnce(&PendingRpc) -> Command) {
+        if let Some(pending) = self.remove(rpc) {
+            // Its task may have ended with its client; then nobody waits for the response.
+            _ = pending.commands.try_send(command(&pending));
+        }
+    }
+}
+
+/// The face of [`HostState`] towards the decisions.
+pub(super) struct DecisionHost(pub(super) Rc<HostState>);
+
+impl Host for DecisionHost {
+    fn attempt(&mut self, rpc: RpcId, node: NodeId, timeout: Duration) {
+        let state = &self.0;
+        let started = state.clock.now();
+        let mut pending = state.pending.borrow_mut();
+        let Some(entry) = pending.get_mut(&rpc) else {
+            // The attempt's number is unknown here, but so is the RPC to the decisions by then.
+            let number = AttemptNumber(u32::MAX);
+            let unsent = Attempt { rpc, number, node, started, deadline: started };
+            return state.unsent.borrow_mut().push(unsent);
+        };
+        let number = AttemptNumber(entry.attempts);
+        entry.attempts += 1;
+        let deadline = (started + timeout).min(entry.deadline);
+        let attempt = Attempt { rpc, number, node, started, deadline };
+        if number.0 >= state.max_attempts {
+            return state.unsent.borrow_mut().push(attempt);
+        }
+        _ = entry.commands.try_send(Command::Attempt(attempt));
+    }
+
+    fn reject(&mut self, rpc: RpcId, retry_after: Duration) {
+        self.0.finish(rpc, |_| Command::Reject { retry_after });
+    }
+
+    fn abort(&mut self, rpc: RpcId) {
+        self.0.finish(rpc, |pending| Command::Abort { last_outcome: pending.last_outcome });
+    }
+
+    fn probe(&mut self, node: NodeId) {
+        _ = self.0.background_tasks.try_send(BackgroundTask::HealthCheck(node));
+    }
+
+    fn close_idle(&mut self, node: NodeId) {
+        _ = self.0.background_tasks.try_send(BackgroundTask::CloseIdle(node));
+    }
+
+    fn watch_endpoints(&mut self) {
+        _ = self.0.endpoint_requests.try_send(());
+    }
+
+    fn set_timer(&mut self, after: Duration) {
+        let due = self.0.clock.now() + after;
+        if self.0.timer_due.get().is_none_or(|set| due < set) {
+            self.0.timer_due.set(Some(due));
+            self.0.timer_changed.notify(1);
+        }
+    }
+
+    fn log(&mut self, line: &str) {
+        log::info!("{line}");
+    }
+}
--- /dev/null
+++ b/crates/router/src/engine/methods.rs
@@ -0,0 +1,85 @@
+//! What the router needs to know of the methods of RPCs; all else is the decisions' own.
+
+use std::time::Duration;
+
+use quillpoint::host::MethodId;
+
+use crate::deployment::Deployment;
+use crate::request_pipeline::StatementScope;
+use crate::statement::Statement;
+
+/// The shortest and the longest deadline among the methods.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct DeadlineRange {
+    /// The shortest.
+    pub shortest: Duration,
+    /// The longest.
+    pub longest: Duration,
+}
+
+/// One method of the deployment.
+pub(super) struct Method {
+    name: String,
+    /// The longest that a client waits; one that claims more would be held for ever.
+    pub(super) deadline: Duration,
+    pub(super) has_sessions: bool,
+    writes: bool,
+    /// Its reads must see all that was committed before them.
+    reads_fresh: bool,
+}
+
+impl Method {
+    fn new(index: usize, name: &str, deployment: &Deployment) -> Self {
+        let values = &deployment.values;
+        let consistency = values.text(&format!("replication.consistency.{index}"));
+        let deadline = values.span(&format!("methods.{index}.deadline"));
+        let writes = consistency == "write";
+        Self {
+            name: name.to_string(),
+            deadline: deadline.unwrap_or(deployment.longest_deadline),
+            has_sessions: writes || consistency == "session",
+            writes,
+            reads_fresh: !writes && !["session", "bounded", "any"].contains(&consistency),
+        }
+    }
+}
+
+/// The methods, by their place in the settings.
+pub(super) struct MethodTable(Vec<Method>);
+
+impl MethodTable {
+    pub(super) fn new(deployment: &Deployment) -> Self {
+        let methods = deployment.methods.iter().enumerate();
+        Self(methods.map(|(index, name)| Method::new(index, name, deployment)).collect())
+    }
+
+    pub(super) fn get(&self, method: MethodId) -> &Method {
+        &self.0[method.0]
+    }
+
+    pub(super) fn by_name(&self, name: &str) -> Option<MethodId> {
+        self.0.iter().position(|method| method.name == name).map(MethodId)
+    }
+
+    pub(super) fn writes(&self, method: MethodId) -> bool {
+        self.get(method).writes
+    }
+
+    pub(super) fn scope(&self, method: MethodId, statement: &Statement) -> StatementScope {
+        let method = self.get(method);
+        StatementScope {
+            group: statement.group,
+            key: statement.session,
+            writes: method.writes,
+            reads_fresh: method.reads_fresh,
+        }
+    }
+
+    pub(super) fn deadlines(&self) -> DeadlineRange {
+        let deadlines = || self.0.iter().map(|method| method.deadline);
+        DeadlineRange {
+            shortest: deadlines().min().unwrap_or_default(),
+            longest: deadlines().max().unwrap_or_default(),
+        }
+    }
+}
--- a/crates/router/src/instance.rs
+++ b/crates/router/src/instance.rs
@@ -12,7 +12,7 @@
 use quillpoint_membership::{DatedObservation, Observation};
 use quillpoint_observation_feed::FeedObservation;
 
-use crate::engine::{Engine, Finding, Sharing};
+use crate::engine::{Engine, LocalObservation, ObservationExchange};
 use crate::peers;
 
 /// How often the members of the fleet are counted.
@@ -66,7 +66,7 @@
     /// reached is told at once.
     fn observation_received(&self, evidence: DatedObservation) {
         self.seen(evidence);
-        if evidence.failed || self.engine.held() > 0 {
+        if evidence.failed || self.engine.pending_rpcs() > 0 {
             self.engine.observation_received(evidence);
         }
     }
@@ -84,8 +84,8 @@
     }
 }
 
-impl Sharing for Instance {
-    fn found(&self, finding: Finding) {
+impl ObservationExchange for Instance {
+    fn observed(&self, finding: LocalObservation) {
         let Observation { node, position, primary, waiting, started, failed, .. } = peers::news(&finding);
         // A failure counts when several have failed by themselves: the fleet says so. What was asked for at a moment
         // may have been read then, and no later.
@@ -94,22 +94,22 @@
             self.seen(DatedObservation { node, at, position, primary, waiting, started, failed });
         }
         if let Some(peers) = self.peers.get() {
-            Sharing::found(&**peers, finding);
+            ObservationExchange::observed(&**peers, finding);
         }
     }
 
-    fn listed(&self) {
+    fn endpoints_changed(&self) {
         self.publication.listed();
         if let Some(peers) = self.peers.get() {
             peers.listed();
         }
     }
 
-    fn may_probe(&self, node: NodeId) -> bool {
+    fn permits_health_check(&self, node: NodeId) -> bool {
         self.peers.get().is_none_or(|peers| peers.may_probe(node.0))
     }
 
-    fn news_of(&self, node: NodeId) -> Option<PeerObservation> {
+    fn latest_observation(&self, node: NodeId) -> Option<PeerObservation> {
         self.peers.get()?.latest_observation(node.0).map(peers::heard_word)
     }
 }
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -2,7 +2,18 @@
 //!
 //! [`briefing::Briefing`] holds what a router is told; [`serve::serve`] runs one until it has drained. Every
 //! choice is made by the `quillpoint` package; this one carries it out.
+//!
+//! Each resource has one owner and one place of return:
+//!
+//! - the decisions, their clock and their timer: [`engine::Engine`]; an RPC ends by its final response, or when its
+//!   [`engine::PendingResponse`] is dropped
+//! - connections to nodes: [`pool::ConnectionPool`], checked out and checked in there
+//! - connections of clients: their session in [`client`], closed in one place
+//! - descriptors: [`descriptors::DescriptorPermit`], given back when it is dropped
+//! - memory: [`budget::Reservation`], given back when it is dropped
+//! - ids of RPCs: [`active_request_ids::ActiveRequestId`], released when it is dropped
 
+pub mod active_request_ids;
 pub mod briefing;
 pub mod budget;
 pub mod client;
@@ -15,21 +26,21 @@
 pub mod engine;
 pub mod events;
 pub mod http;
-pub mod incoming;
 pub mod instance;
-pub mod line;
 pub mod list;
 pub mod list_call;
-pub mod open_ids;
+pub mod memory_report;
 pub mod part;
 pub mod peers;
 pub mod pg;
 pub mod pool;
-pub mod presence;
-pub mod report;
+pub mod receive_buffer;
+pub mod request_pipeline;
 pub mod serve;
+pub mod session_commits;
 pub mod signals;
 pub mod socket;
+pub mod socket_liveness;
 pub mod statement;
 pub mod ties;
 
--- a/crates/router/src/peers.rs
+++ b/crates/router/src/peers.rs
@@ -9,7 +9,7 @@
 use quillpoint_membership::{DatedObservation, Observation};
 use quillpoint_observation_feed::FeedObservation;
 
-use crate::engine::{Engine, Finding, Sharing};
+use crate::engine::{Engine, LocalObservation, ObservationExchange};
 
 /// Whoever says it, it is hearsay to the module.
 fn peer_word(word: FeedObservation) -> PeerObservation {
@@ -25,8 +25,8 @@
 }
 
 /// What a router has found out, as its fleet takes it.
-pub(crate) fn news(finding: &Finding) -> Observation {
-    let Finding { node: NodeId(node), failed, position, primary, waiting, started, .. } = *finding;
+pub(crate) fn news(finding: &LocalObservation) -> Observation {
+    let LocalObservation { node: NodeId(node), failed, position, primary, waiting, started, .. } = *finding;
     let waiting = waiting.map(|waiting| waiting.clamp(0.0, f64::from(u32::MAX)) as u32);
     Observation { node, age: Duration::ZERO, position, primary, waiting, started, failed }
 }
@@ -49,7 +49,7 @@
     }
 
     fn refreshed(&self) {
-        self.catch_up_held();
+        self.refresh_pending_rpcs();
     }
 
     fn probe(&self, node: SocketAddr) -> bool {
@@ -57,37 +57,37 @@
     }
 
     fn is_shut(&self, node: SocketAddr) -> bool {
-        Engine::is_shut(self, NodeId(node))
+        Engine::is_ejected(self, NodeId(node))
     }
 }
 
-impl Sharing for FleetMember {
-    fn found(&self, finding: Finding) {
-        self.found(finding.asked, finding.probe, news(&finding));
+impl ObservationExchange for FleetMember {
+    fn observed(&self, finding: LocalObservation) {
+        self.found(finding.asked, finding.by_health_check, news(&finding));
     }
 
-    fn listed(&self) {
+    fn endpoints_changed(&self) {
         self.listed();
     }
 
-    fn may_probe(&self, node: NodeId) -> bool {
+    fn permits_health_check(&self, node: NodeId) -> bool {
         self.may_probe(node.0)
     }
 }
 
-impl Sharing for SubscriberService {
+impl ObservationExchange for SubscriberService {
     /// Own findings are the module's already, and nobody else's matter: control instances look for themselves.
-    fn found(&self, _finding: Finding) {}
+    fn observed(&self, _finding: LocalObservation) {}
 
-    fn listed(&self) {
+    fn endpoints_changed(&self) {
         self.listed();
     }
 
-    fn may_probe(&self, node: NodeId) -> bool {
+    fn permits_health_check(&self, node: NodeId) -> bool {
         self.may_probe(node.0)
     }
 
-    fn news_of(&self, node: NodeId) -> Option<PeerObservation> {
+    fn latest_observation(&self, node: NodeId) -> Option<PeerObservation> {
         self.news_of(node.0).map(peer_word)
     }
 }
--- /dev/null
+++ b/crates/router/src/pool/health_check.rs
@@ -0,0 +1,57 @@
+//! A health check: a query over a pooled connection whose row is the node's load report.
+
+use std::rc::Rc;
+use std::time::{Duration, Instant};
+
+use quillpoint::host::{NodeId, Outcome};
+
+use super::ConnectionPool;
+use super::exchange::Exchange;
+use crate::engine::Engine;
+use crate::pg;
+
+/// The query of a health check.
+const HEALTH_CHECK_QUERY: &[u8] = b"SHOW load";
+
+impl ConnectionPool {
+    /// Makes a health check, and tells the engine how it ended.
+    pub(super) fn spawn_health_check(self: &Rc<Self>, engine: &Rc<Engine>, node: NodeId) {
+        let pool = Rc::clone(self);
+        let engine = Rc::clone(engine);
+        let asked = engine.clock.now();
+        let task = async move { pool.check_health(&engine, node, asked).await };
+        self.executor.spawn(task).detach();
+    }
+
+    async fn check_health(self: &Rc<Self>, engine: &Engine, node: NodeId, asked: Duration) {
+        let deadline = Instant::now() + self.connect_timeout;
+        let query = || Some(pg::query(HEALTH_CHECK_QUERY));
+        let Exchange { outcome, response } = self.exchange(node, deadline, query).await;
+        let row = response.answer.and_then(|answer| answer.value);
+        let row = row.and_then(|bytes| String::from_utf8(bytes).ok());
+        let report = row.and_then(|text| self.parse_load_report(&text)).or(response.report);
+        engine.health_check_ended(node, asked, outcome, report);
+    }
+
+    /// Logs when a node becomes unreachable, and when it is reachable again.
+    pub(super) fn log_reachability(&self, node: NodeId, outcome: Outcome) {
+        let is_unreachable = match outcome {
+            Outcome::ConnectFailed | Outcome::Reset => true,
+            Outcome::Ok | Outcome::Misrouted | Outcome::Error | Outcome::Rejected | Outcome::Malformed => {
+                false
+            }
+            _ => return,
+        };
+        let mut nodes = self.nodes.borrow_mut();
+        let entry = nodes.entry(node).or_default();
+        if is_unreachable == entry.is_unreachable || !entry.reachability_log.is_due() {
+            return;
+        }
+        entry.is_unreachable = is_unreachable;
+        if is_unreachable {
+            log::warn!("node {} out of reach: {outcome:?}", node.0);
+        } else {
+            log::info!("node {} answers again", node.0);
+        }
+    }
+}
--- a/crates/router/src/serve.rs
+++ b/crates/router/src/serve.rs
@@ -1,5 +1,6 @@
 //! Puts the parts of a router together and runs them on one thread.
 
+use std::io;
 use std::net::TcpListener;
 use std::rc::Rc;
 
@@ -8,23 +9,23 @@
 use quillpoint::host::EndpointUpdate;
 
 use crate::briefing::{Briefing, Refusal};
-use crate::budget::Accounts;
-use crate::client::Clients;
-use crate::descriptors::Descriptors;
+use crate::budget::SharedBudget;
+use crate::client::{ClientResources, ClientSessions};
+use crate::descriptors::DescriptorLimiter;
 use crate::discovery::DiscoveryClient;
 use crate::drain;
 use crate::engine::Engine;
 use crate::events;
-use crate::pool::Pool;
-use crate::report;
-use crate::signals;
+use crate::memory_report;
+use crate::pool::ConnectionPool;
+use crate::signals::{self, ReloadTargets};
 use crate::ties::Ties;
 
 /// Serves until told to stop and drained. On SIGHUP `reread` is called for what holds from then on.
-pub fn serve(
-    briefing: Briefing,
-    reread: impl Fn() -> Result<Briefing, Refusal> + 'static,
-) -> std::io::Result<()> {
+///
+/// # Errors
+/// Signals cannot be handled, or a socket cannot be opened.
+pub fn serve(briefing: Briefing, reread: impl Fn() -> Result<Briefing, Refusal> + 'static) -> io::Result<()> {
     let executor = Rc::new(LocalExecutor::new());
     async_io::block_on(executor.run(run(briefing, reread, Rc::clone(&executor))))
 }
@@ -33,15 +34,15 @@
     briefing: Briefing,
     reread: impl Fn() -> Result<Briefing, Refusal> + 'static,
     executor: Rc<LocalExecutor<'static>>,
-) -> std::io::Result<()> {
+) -> io::Result<()> {
     // Before anything else: a signal that comes early must not end the process.
-    let signals = signals::caught()?;
+    let signals = signals::install()?;
     let launch = &briefing.launch;
     let deployment = &launch.deployment;
-    let descriptors = Descriptors::new(launch.sockets);
+    let descriptors = DescriptorLimiter::new(launch.sockets);
     let listener = Rc::new(Async::<TcpListener>::bind(launch.listen)?);
-    let listener_slot = descriptors.take().await;
-    let (engine, work) = Engine::new(launch.seed, deployment);
+    let listener_permit = descriptors.acquire().await;
+    let (engine, outputs) = Engine::new(launch.seed, deployment);
     events::whose(&launch.name, engine.clock.now().as_micros() as u64);
     let (discovery, known) = DiscoveryClient::new(
         launch.discovery,
@@ -54,18 +55,18 @@
     .await;
     engine.endpoints_changed(EndpointUpdate::CachedSnapshot, &known);
     let ties = Rc::new(Ties::open(&briefing.parts, &engine, &descriptors, launch.seed).await?);
-    let accounts = Accounts::of(launch.memory);
-    executor.spawn(report::each_minute(accounts.clone())).detach();
-    let pool = Pool::new(Rc::clone(&executor), Rc::clone(&descriptors), accounts.clone(), deployment);
-    let (executors, engines, pools) = (Rc::clone(&executor), Rc::clone(&engine), Rc::clone(&pool));
-    let clients = Clients::new(executors, engines, pools, descriptors, accounts.clone(), deployment);
-    let (moves, moved) = async_channel::unbounded();
-    executor.spawn(discovery.run(Rc::clone(&engine), work.list, moved)).detach();
-    executor.spawn(Rc::clone(&pool).close_old()).detach();
-    executor.spawn(pool.run(Rc::clone(&engine), work.chores)).detach();
+    let budget = SharedBudget::new(launch.memory);
+    executor.spawn(memory_report::run(budget.clone())).detach();
+    let resources = client_resources(&executor, &engine, &descriptors, &budget, deployment);
+    let pool = Rc::clone(&resources.pool);
+    let clients = ClientSessions::new(resources, deployment);
+    let (discovery_address, moved) = async_channel::unbounded();
+    executor.spawn(discovery.run(Rc::clone(&engine), outputs.endpoint_requests, moved)).detach();
+    executor.spawn(Rc::clone(&pool).close_expired()).detach();
+    executor.spawn(pool.run_background_tasks(Rc::clone(&engine), outputs.background_tasks)).detach();
     ties.run(&engine, &executor);
-    let timed = Rc::clone(&engine);
-    executor.spawn(async move { timed.keep_time().await }).detach();
+    let timer_engine = Rc::clone(&engine);
+    executor.spawn(async move { timer_engine.run_timer().await }).detach();
     let accepting = executor.spawn(Rc::clone(&clients).accept(Rc::clone(&listener)));
     let address = listener.get_ref().local_addr()?;
     log::info!(
@@ -73,12 +74,29 @@
         "{} serves at {address}, {} nodes known", launch.name, known.len()
     );
     let (stop, stopped) = async_channel::bounded(1);
-    executor.spawn(signals::obey(signals, briefing, reread, (moves, Rc::clone(&ties)), stop)).detach();
+    let targets = ReloadTargets { discovery: discovery_address, ties: Rc::clone(&ties) };
+    executor.spawn(signals::handle(signals, briefing, reread, targets, stop)).detach();
     _ = stopped.recv().await;
     drain::drain(&clients, &engine, listener, accepting).await;
     ties.leave();
-    drop(listener_slot);
-    report::tell(&accounts);
+    drop(listener_permit);
+    memory_report::log_usage(&budget);
     log::info!(event = "drained"; "drained");
     Ok(())
 }
+
+fn client_resources(
+    executor: &Rc<LocalExecutor<'static>>,
+    engine: &Rc<Engine>,
+    descriptors: &Rc<DescriptorLimiter>,
+    budget: &SharedBudget,
+    deployment: &crate::deployment::Deployment,
+) -> ClientResources {
+    ClientResources {
+        executor: Rc::clone(executor),
+        engine: Rc::clone(engine),
+        pool: ConnectionPool::new(Rc::clone(executor), Rc::clone(descriptors), budget.clone(), deployment),
+        descriptors: Rc::clone(descriptors),
+        budget: budget.clone(),
+    }
+}
--- a/crates/router/src/signals.rs
+++ b/crates/router/src/signals.rs
@@ -1,5 +1,6 @@
 //! What a running router is told by signals: to stop, and to read its configuration anew.
 
+use std::io;
 use std::net::SocketAddr;
 use std::rc::Rc;
 
@@ -10,22 +11,33 @@
 use crate::briefing::{Briefing, Refusal};
 use crate::ties::Ties;
 
-/// From here on none of these ends the process by itself.
-pub fn caught() -> std::io::Result<Signals> {
+/// What takes over a configuration that was read anew.
+pub struct ReloadTargets {
+    /// Takes the address of discovery.
+    pub discovery: Sender<SocketAddr>,
+    /// Take their peers, control instances and keys.
+    pub ties: Rc<Ties>,
+}
+
+/// Takes over the handling of the signals: from here on none of them ends the process by itself.
+///
+/// # Errors
+/// The system's.
+pub fn install() -> io::Result<Signals> {
     Signals::new([Signal::Term, Signal::Int, Signal::Hup])
 }
 
-/// Obeys as long as the process runs, so also while it drains.
-pub async fn obey(
+/// Handles signals as long as the process runs, so also while it drains. `stop` is closed when the router is to stop.
+pub async fn handle(
     mut signals: Signals,
     mut briefing: Briefing,
     reread: impl Fn() -> Result<Briefing, Refusal>,
-    (moves, ties): (Sender<SocketAddr>, Rc<Ties>),
+    targets: ReloadTargets,
     stop: Sender<()>,
 ) {
     while let Some(signal) = signals.next().await {
         match signal {
-            Ok(Signal::Hup) => reload(&mut briefing, reread(), &moves, &ties),
+            Ok(Signal::Hup) => reload(&mut briefing, reread(), &targets),
             Ok(_) => {
                 // Later ones change nothing.
                 if stop.close() {
@@ -37,21 +49,21 @@
     }
 }
 
-/// Takes over where discovery is, and where peers and control instances are and by which keys they speak. All else that differs shapes
-/// what stands by now, and waits for a restart.
-fn reload(briefing: &mut Briefing, told: Result<Briefing, Refusal>, moves: &Sender<SocketAddr>, ties: &Ties) {
-    let told = match told {
-        Ok(told) => told,
-        Err(fault) => return log::warn!("configuration not taken over: {fault}"),
+/// Takes over where discovery is, and where peers and control instances are and by which keys they speak. All else that
+/// differs waits for a restart.
+fn reload(briefing: &mut Briefing, reread: Result<Briefing, Refusal>, targets: &ReloadTargets) {
+    let reread = match reread {
+        Ok(reread) => reread,
+        Err(error) => return log::warn!("configuration not taken over: {error}"),
     };
-    for key in briefing.held_back(&told) {
+    for key in briefing.held_back(&reread) {
         log::warn!("configuration: {key} has changed, which holds from the next start on");
     }
-    ties.reload(&told.parts);
-    let discovery = told.launch.discovery;
+    targets.ties.reload(&reread.parts);
+    let discovery = reread.launch.discovery;
     log::info!("configuration read anew, discovery at {discovery}");
     if discovery != briefing.launch.discovery {
         briefing.launch.discovery = discovery;
-        _ = moves.try_send(discovery);
+        _ = targets.discovery.try_send(discovery);
     }
 }
--- a/crates/router/src/socket.rs
+++ b/crates/router/src/socket.rs
@@ -1,24 +1,24 @@
-//! Reads and writes of sockets. One that a signal interrupts is made again: nothing is wrong with its connection.
+//! Reads and writes of sockets. A call that a signal interrupts is made again: nothing is wrong with its connection.
 
 use std::io::{self, Read, Write};
 use std::net::TcpStream;
 
 use async_io::Async;
 
-/// Reads what has come, once something has. Zero at the end of the peer's sending.
+/// Waits for bytes and reads them; their count, which is zero at the end of the peer's sending.
 ///
 /// # Errors
 /// The connection is broken.
-pub async fn read(stream: &Async<TcpStream>, piece: &mut [u8]) -> io::Result<usize> {
-    stream.read_with(|mut stream| uninterrupted(|| stream.read(piece))).await
+pub async fn read(stream: &Async<TcpStream>, chunk: &mut [u8]) -> io::Result<usize> {
+    stream.read_with(|mut stream| retry_interrupted(|| stream.read(chunk))).await
 }
 
-/// Writes what there is room for, once there is some.
+/// Waits for room and writes what fits in it; the count of bytes.
 ///
 /// # Errors
 /// The connection is broken.
 pub async fn write(stream: &Async<TcpStream>, bytes: &[u8]) -> io::Result<usize> {
-    stream.write_with(|mut stream| uninterrupted(|| stream.write(bytes))).await
+    stream.write_with(|mut stream| retry_interrupted(|| stream.write(bytes))).await
 }
 
 /// Writes all of it.
@@ -39,7 +39,7 @@
 ///
 /// # Errors
 /// Any other one of the call.
-pub fn uninterrupted<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
+pub fn retry_interrupted<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
     loop {
         match call() {
             Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
--- a/crates/router/src/statement.rs
+++ b/crates/router/src/statement.rs
@@ -8,9 +8,9 @@
 
 use quillpoint::host::{ReplicaSetId, SessionKey};
 
-use crate::budget::Held;
-use crate::open_ids::OpenId;
-use crate::presence::Presence;
+use crate::active_request_ids::ActiveRequestId;
+use crate::budget::Reservation;
+use crate::socket_liveness::ClientLiveness;
 
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Unreadable {
@@ -62,9 +62,9 @@
 /// A statement under way, with whom it is for and what it takes up: memory, and its id.
 pub struct Kept {
     pub statement: Statement,
-    pub client: Presence,
-    pub _memory: Held,
-    pub _open: OpenId,
+    pub client: ClientLiveness,
+    pub _memory: Reservation,
+    pub _open: ActiveRequestId,
 }
 
 impl Statement {
--- a/crates/router/src/ties.rs
+++ b/crates/router/src/ties.rs
@@ -7,8 +7,8 @@
 use async_executor::LocalExecutor;
 use quillpoint_control_plane::{ControlHost, FleetMember, PublisherService, SubscriberService};
 
-use crate::descriptors::{Descriptors, Slot};
-use crate::engine::{Engine, Sharing};
+use crate::descriptors::{DescriptorLimiter, DescriptorPermit};
+use crate::engine::{Engine, ObservationExchange};
 use crate::instance::Instance;
 use crate::part::Parts;
 
@@ -19,7 +19,7 @@
     instance: Option<Rc<Instance>>,
     subscription: Option<Rc<SubscriberService>>,
     /// Kept for as long as the sockets are.
-    _slots: Vec<Slot>,
+    _slots: Vec<DescriptorPermit>,
 }
 
 impl Ties {
@@ -30,7 +30,7 @@
     pub async fn open(
         parts: &Parts,
         engine: &Rc<Engine>,
-        descriptors: &Rc<Descriptors>,
+        descriptors: &Rc<DescriptorLimiter>,
         seed: u64,
     ) -> io::Result<Self> {
         let named = |section: &'static str| {
@@ -42,7 +42,7 @@
             let publication = PublisherService::new(part.clone(), around, seed).map_err(named("publish"))?;
             ties.instance = Some(Instance::new(Rc::clone(engine), Rc::clone(&publication)));
             ties.publication = Some(publication);
-            ties._slots.push(descriptors.take().await);
+            ties._slots.push(descriptors.acquire().await);
         }
         if let Some(part) = &parts.fleet {
             let around = match &ties.instance {
@@ -54,30 +54,31 @@
                 instance.takes_part(Rc::clone(&peers));
             }
             ties.peers = Some(peers);
-            ties._slots.push(descriptors.take().await);
+            ties._slots.push(descriptors.acquire().await);
         }
         if let Some(part) = &parts.subscribe {
             let around = Rc::clone(engine) as Rc<dyn ControlHost>;
             let subscription =
                 SubscriberService::new(part.clone(), around, seed).map_err(named("subscribe"))?;
             ties.subscription = Some(subscription);
-            ties._slots.push(descriptors.take().await);
+            ties._slots.push(descriptors.acquire().await);
         }
         Ok(ties)
     }
 
     /// Whoever shares with others what is found here, if anybody does.
-    fn sharing(&self) -> Option<Rc<dyn Sharing>> {
-        let instance = self.instance.clone().map(|instance| instance as Rc<dyn Sharing>);
-        let peers = || self.peers.clone().map(|peers| peers as Rc<dyn Sharing>);
-        let subscription = || self.subscription.clone().map(|subscription| subscription as Rc<dyn Sharing>);
+    fn sharing(&self) -> Option<Rc<dyn ObservationExchange>> {
+        let instance = self.instance.clone().map(|instance| instance as Rc<dyn ObservationExchange>);
+        let peers = || self.peers.clone().map(|peers| peers as Rc<dyn ObservationExchange>);
+        let subscription =
+            || self.subscription.clone().map(|subscription| subscription as Rc<dyn ObservationExchange>);
         instance.or_else(peers).or_else(subscription)
     }
 
     /// Runs them as long as the process runs.
     pub fn run(&self, engine: &Engine, executor: &LocalExecutor<'static>) {
         if let Some(sharing) = self.sharing() {
-            engine.share_with(sharing);
+            engine.set_observation_exchange(sharing);
         }
         if let Some(peers) = &self.peers {
             executor.spawn(Rc::clone(peers).listen()).detach();
--- a/crates/router/tests/crossings.rs
+++ b/crates/router/tests/crossings.rs
@@ -9,8 +9,8 @@
 use std::time::{Duration, Instant};
 
 use quillpoint_router::pg;
-use quillpoint_router::presence::has_hung_up;
-use standin::{Client, Discovery, Does, Greets, Node, Reply, Running, VALUE};
+use quillpoint_router::socket_liveness::peer_has_closed;
+use standin::{Client, ConnectBehavior, Discovery, Node, NodeBehavior, Reply, RouterProcess, VALUE};
 use standin::{configuration, count, statement, targets};
 
 /// Far longer than anything here takes.
@@ -33,11 +33,11 @@
 }
 
 /// A primary, a replica, and a router that knows them.
-fn pair(change: &[(&str, &str)], sockets: usize) -> (Node, Node, Running, Discovery) {
+fn pair(change: &[(&str, &str)], sockets: usize) -> (Node, Node, RouterProcess, Discovery) {
     let (primary, replica) = (Node::start(true), Node::start(false));
     let list = targets(&[(&primary, "primary", "in_service"), (&replica, "replica", "in_service")]);
     let discovery = Discovery::start(list.clone());
-    let router = Running::start(&changed(&configuration(discovery.address, &list, sockets), change));
+    let router = RouterProcess::start(&changed(&configuration(discovery.address, &list, sockets), change));
     (primary, replica, router, discovery)
 }
 
@@ -73,21 +73,21 @@
 }
 
 #[test]
-fn a_client_whose_end_lies_behind_much_unread_has_gone() {
+fn a_client_whose_end_lies_behind_much_unread_has_disconnected() {
     let (_, replica, router, _discovery) = pair(&[], 200);
-    replica.greets(Greets::Hangs);
+    replica.set_connect_behavior(ConnectBehavior::Hang);
     let mut client = router.client();
-    client.ask(&statement("look", 9000));
+    client.send_query(&statement("look", 9000));
     until(|| count(&replica.connections) == 1);
     // More than a router reads ahead, and the end behind it.
     let ahead: Vec<u8> = (0..400).flat_map(|_| pg::query(statement("look", 9000).as_bytes())).collect();
     assert!(ahead.len() > 32 * 1024);
     client.send(&ahead);
     let gone = Instant::now();
-    client.leave();
+    client.disconnect();
     // The RPC itself could wait 9 s, and its connection 5 s to come up.
     assert!(gone.elapsed() < Duration::from_secs(1), "{:?}", gone.elapsed());
-    replica.greets(Greets::Welcomes);
+    replica.set_connect_behavior(ConnectBehavior::Accept);
     assert_eq!(router.client().rpc("look", 9000), ok());
     assert_eq!(replica.queries().len(), 1, "nothing of the one that has gone was sent on");
 }
@@ -98,15 +98,15 @@
     let (mut client, key) = keyed(router.address);
     let (mut other, other_key) = keyed(router.address);
     assert!(key.len() == 8 && key != other_key);
-    [&primary, &replica].iter().for_each(|node| node.set(Does::Waits));
-    client.ask(&statement("enter", 9000));
-    other.ask(&statement("look", 9000));
+    [&primary, &replica].iter().for_each(|node| node.set_behavior(NodeBehavior::Hang));
+    client.send_query(&statement("enter", 9000));
+    other.send_query(&statement("look", 9000));
     primary.await_queries(1);
     replica.await_queries(1);
     cancel(router.address, &[key[0] ^ 1, key[1], key[2], key[3], key[4], key[5], key[6], key[7]]);
     cancel(router.address, &key);
-    assert_eq!(client.reply(), error("57014"), "it may have run, so it is not pushed back");
-    [&primary, &replica].iter().for_each(|node| node.set(Does::Answers));
+    assert_eq!(client.reply(), error("57014"), "it may have run, so it is not rejected");
+    [&primary, &replica].iter().for_each(|node| node.set_behavior(NodeBehavior::Answer));
     assert_eq!(other.reply(), ok(), "another session's went on");
     // What comes before an RPC ends nothing of it.
     cancel(router.address, &key);
@@ -117,13 +117,13 @@
 fn a_cancel_ends_the_statement_that_its_client_waits_for_and_none_behind_it() {
     let (primary, replica, router, _discovery) = pair(&[], 200);
     let (mut client, key) = keyed(router.address);
-    [&primary, &replica].iter().for_each(|node| node.set(Does::Waits));
+    [&primary, &replica].iter().for_each(|node| node.set_behavior(NodeBehavior::Hang));
     let all = [statement("enter", 9000), statement("look", 9000), statement("look", 9000)];
     client.send(&all.iter().flat_map(|text| pg::query(text.as_bytes())).collect::<Vec<u8>>());
     primary.await_queries(1);
     cancel(router.address, &key);
     assert_eq!(client.reply(), error("57014"));
-    [&primary, &replica].iter().for_each(|node| node.set(Does::Answers));
+    [&primary, &replica].iter().for_each(|node| node.set_behavior(NodeBehavior::Answer));
     assert_eq!((client.reply(), client.reply()), (ok(), ok()), "what was asked behind it goes on");
     assert_eq!(client.rpc("look", 9000), ok());
 }
@@ -131,21 +131,21 @@
 #[test]
 fn an_rpc_that_was_cancelled_while_its_connection_came_up_is_not_sent() {
     let (_, replica, router, _discovery) = pair(&[], 200);
-    replica.greets(Greets::Hangs);
+    replica.set_connect_behavior(ConnectBehavior::Hang);
     let (mut client, key) = keyed(router.address);
-    client.ask(&statement("look", 9000));
+    client.send_query(&statement("look", 9000));
     until(|| count(&replica.connections) == 1);
     cancel(router.address, &key);
     assert_eq!(client.reply(), error("57014"));
-    replica.greets(Greets::Welcomes);
+    replica.set_connect_behavior(ConnectBehavior::Accept);
     assert_eq!(client.rpc("look", 9000), ok());
     assert_eq!(replica.queries().len(), 1);
 }
 
 /// A node that takes connections and queries piece by piece, as the test says.
-struct ByHand(TcpListener);
+struct ManualNode(TcpListener);
 
-impl ByHand {
+impl ManualNode {
     /// Takes in little before it is read from.
     fn start() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -164,8 +164,8 @@
         )
     }
 
-    /// The next connection, greeted.
-    fn welcome(&self) -> TcpStream {
+    /// The next connection, accepted.
+    fn accept(&self) -> TcpStream {
         let (mut stream, _) = self.0.accept().unwrap();
         stream.set_read_timeout(Some(NEVER)).unwrap();
         let mut head = [0; 4];
@@ -180,55 +180,55 @@
 
 #[test]
 fn nothing_more_of_a_statement_is_written_once_its_rpc_is_over() {
-    let node = ByHand::start();
+    let node = ManualNode::start();
     let list = format!("[{}]", node.entry("primary"));
     let discovery = Discovery::start(list.clone());
-    let router = Running::start(&configuration(discovery.address, &list, 200));
+    let router = RouterProcess::start(&configuration(discovery.address, &list, 200));
     let mut client = router.client();
     // Longer than what the two buffers between router and node hold.
     let long = statement("enter", 9000).replace("\\x9f03", &format!("\\x{}", "9f".repeat(64_000)));
-    client.ask(&long);
-    let mut stream = node.welcome();
+    client.send_query(&long);
+    let mut stream = node.accept();
     // Its first bytes are here, so it has begun; the rest is stuck.
     let mut came = vec![0; 64];
     stream.read_exact(&mut came).unwrap();
-    client.leave();
+    client.disconnect();
     let mut rest = Vec::new();
     _ = stream.read_to_end(&mut rest);
     assert!(came.len() + rest.len() < long.len(), "it came whole, and ran for nobody");
 }
 
 #[test]
-fn a_dial_that_comes_up_late_fells_no_rpc_and_is_kept() {
+fn a_dial_that_comes_up_late_fails_no_rpc_and_is_kept() {
     let node = Node::start(true);
     let list = targets(&[(&node, "primary", "in_service")]);
     let discovery = Discovery::start(list.clone());
-    // A connect may take a second. A probe would wait no longer for its answer, and end the connection that it is on.
+    // A connect may take a second. A health check would wait no longer for its answer, and end the connection that it is on.
     let text = changed(
         &configuration(discovery.address, &list, 200),
         &[("5000.0,\"MaxAttempts\"", "1000.0,\"MaxAttempts\""), (r#""Probes":true"#, r#""Probes":false"#)],
     );
-    let router = Running::start(&text);
-    node.greets(Greets::Hangs);
+    let router = RouterProcess::start(&text);
+    node.set_connect_behavior(ConnectBehavior::Hang);
     let mut client = router.client();
-    client.ask(&statement("enter", 9000));
+    client.send_query(&statement("enter", 9000));
     // The first is over its time, as a second one has begun.
     until(|| count(&node.connections) >= 2);
     // It comes up, and no other does: whatever is answered came over it.
-    node.greets(Greets::First(1));
+    node.set_connect_behavior(ConnectBehavior::AcceptFirst(1));
     assert_eq!(client.reply(), ok());
     assert!((0..20).all(|_| client.rpc("enter", 9000) == ok()));
-    assert_eq!(count(&node.welcomed), 1);
+    assert_eq!(count(&node.accepted), 1);
     // Nor are those that come up when nobody waits for them any more lost.
     let dialled = count(&node.connections);
-    node.greets(Greets::Welcomes);
-    until(|| count(&node.welcomed) == dialled);
+    node.set_connect_behavior(ConnectBehavior::Accept);
+    until(|| count(&node.accepted) == dialled);
     assert!((0..20).all(|_| client.rpc("enter", 9000) == ok()));
-    node.set(Does::Waits);
+    node.set_behavior(NodeBehavior::Hang);
     let mut clients: Vec<Client> = (0..dialled).map(|_| router.client()).collect();
-    clients.iter_mut().for_each(|client| client.ask(&statement("enter", 9000)));
+    clients.iter_mut().for_each(|client| client.send_query(&statement("enter", 9000)));
     node.await_queries(41 + dialled);
-    node.set(Does::Answers);
+    node.set_behavior(NodeBehavior::Answer);
     assert!(clients.iter_mut().all(|client| client.reply() == ok()));
     assert_eq!(count(&node.connections), dialled, "all have been paid for, and serve");
 }
@@ -238,30 +238,31 @@
     let (primary, replica) = (Node::start(true), Node::start(false));
     let list = targets(&[(&primary, "primary", "in_service"), (&replica, "replica", "in_service")]);
     let discovery = Discovery::start(list.clone());
-    let router = Running::start_with(&configuration(discovery.address, &list, 200), &[("RUST_LOG", "debug")]);
-    replica.set(Does::Fills(300_000));
+    let router =
+        RouterProcess::start_with(&configuration(discovery.address, &list, 200), &[("RUST_LOG", "debug")]);
+    replica.set_behavior(NodeBehavior::LargeValue(300_000));
     // A client that takes in little before it reads: most of its answer waits in the router's system.
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
     socket.set_recv_buffer_size(4096).unwrap();
     socket.connect(&router.address.into()).unwrap();
-    let mut client = Client::on(socket.into());
+    let mut client = Client::from_stream(socket.into());
     // A query, the end of the session, and more than is read at once behind that.
     let mut bytes = pg::query(statement("look", 9000).as_bytes());
     bytes.extend([b'X', 0, 0, 0, 4]);
     bytes.extend([b'z'; 48 * 1024]);
     client.send(&bytes);
-    router.await_line(": all is said");
+    router.await_line(": finished");
     assert!(client.reply() == Reply::Value(vec![b'v'; 300_000]), "it did not come whole");
-    assert_eq!(client.told(), None);
+    assert_eq!(client.next_message(), None);
 }
 
 #[test]
-fn a_request_that_crosses_the_end_of_a_resting_session_is_not_sent_on_and_not_reset() {
+fn a_request_that_crosses_the_end_of_an_idle_session_is_not_forwarded_and_not_reset() {
     let (_, replica, mut router, _) = pair(&[], 200);
     let mut client = router.client();
     assert_eq!(client.rpc("look", 9000), ok());
     router.signal("-TERM");
-    until(|| has_hung_up(&client.stream));
+    until(|| peer_has_closed(&client.stream));
     let mut stream = client.stream.try_clone().unwrap();
     // It had not seen the end when it sent this.
     stream.write_all(&pg::query(statement("look", 9000).as_bytes())).unwrap();
@@ -269,7 +270,7 @@
     let end = stream.read_to_end(&mut rest);
     assert!(end.is_ok() && rest.is_empty(), "{end:?} {rest:?}");
     drop((stream, client));
-    assert!(router.ended().success());
+    assert!(router.wait_for_exit().success());
     assert_eq!(replica.queries().len(), 1);
 }
 
@@ -288,19 +289,19 @@
     router.await_line("configuration read anew");
     client.send(&bytes[20..]);
     assert_eq!(client.reply(), ok());
-    assert_eq!(client.told(), None, "and closed then");
+    assert_eq!(client.next_message(), None, "and closed then");
     drop(client);
-    assert!(router.ended().success());
+    assert!(router.wait_for_exit().success());
     assert_eq!(replica.queries().len(), 2);
 }
 
 #[test]
 fn connections_that_wait_at_the_listener_hold_up_no_drain() {
-    // Of 16 descriptors 8 are for clients, and 2 for those that are turned away; 6 are left for nodes.
+    // Of 16 descriptors 8 are for clients, and 2 for those that are rejected; 6 are left for nodes.
     let (primary, replica, mut router, _) = pair(&[("9000.0", "900.0")], 32);
-    [&primary, &replica].iter().for_each(|node| node.set(Does::Waits));
+    [&primary, &replica].iter().for_each(|node| node.set_behavior(NodeBehavior::Hang));
     let mut busy: Vec<Client> = (0..4).map(|_| Client::connect(router.address)).collect();
-    busy.iter_mut().for_each(|client| client.ask(&statement("look", 900)));
+    busy.iter_mut().for_each(|client| client.send_query(&statement("look", 900)));
     // Until they are busy, they are as idle as those that come next.
     replica.await_queries(4);
     let queue: Vec<TcpStream> = (0..20).map(|_| TcpStream::connect(router.address).unwrap()).collect();
@@ -308,7 +309,7 @@
     router.signal("-TERM");
     assert!(busy.iter_mut().all(|client| matches!(client.reply(), Reply::Error(..))));
     drop((busy, queue));
-    assert!(router.ended().success());
+    assert!(router.wait_for_exit().success());
     // SIGKILL comes 1.6 s after the signal: here it ends after 1.2 s, or later where the machine is busy.
     assert!(told.elapsed() < Duration::from_secs(5), "{:?}", told.elapsed());
 }
@@ -317,15 +318,15 @@
 fn a_router_that_is_told_to_stop_before_its_first_list_ends() {
     let discovery = Discovery::start("[]".into());
     discovery.silent.store(true, Ordering::SeqCst);
-    let mut router = Running::start(&configuration(discovery.address, "[]", 200));
+    let mut router = RouterProcess::start(&configuration(discovery.address, "[]", 200));
     let mut client = router.client();
     discovery.await_calls(1);
-    client.ask("");
+    client.send_query("");
     assert_eq!(client.reply(), error("57P03"), "not ready yet");
     router.signal("-TERM");
-    assert_eq!(client.told(), None);
+    assert_eq!(client.next_message(), None);
     drop(client);
-    assert!(router.ended().success());
+    assert!(router.wait_for_exit().success());
 }
 
 #[test]
@@ -348,8 +349,8 @@
     let node = Node::start(true);
     let list = targets(&[(&node, "primary", "in_service")]);
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let discovery = Discovery::start(list.clone()).told_at(listener.local_addr().unwrap());
-    let router = Running::start(&configuration(discovery.address, &list, 200));
+    let discovery = Discovery::start(list.clone()).advertised_at(listener.local_addr().unwrap());
+    let router = RouterProcess::start(&configuration(discovery.address, &list, 200));
     let (mut stream, _) = listener.accept().unwrap();
     // A part of the call stays unread, so that the close is a reset. There is no length: an end would be one.
     stream.read_exact(&mut [0; 4]).unwrap();
@@ -367,8 +368,8 @@
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     drop(listener);
-    let down = Discovery::start(list.clone()).told_at(address);
-    let router = Running::start(&configuration(down.address, &list, 64));
+    let down = Discovery::start(list.clone()).advertised_at(address);
+    let router = RouterProcess::start(&configuration(down.address, &list, 64));
     router.await_line("list call failed");
     let mut clients: Vec<Client> = (0..60).map(|_| router.client()).collect();
     let back = Instant::now();
@@ -390,16 +391,16 @@
         Discovery::start("[]".into()),
         Discovery::start(targets(&[(&Node::start(true), "primary", "in_service")])),
     ];
-    let down = empty.told_at(refused);
+    let down = empty.advertised_at(refused);
     let all = [&down, &silent, &empty, &node].into_iter().cycle().take(30);
     let fronts = all.map(|discovery| {
         let text = configuration(discovery.address, "[]", 200);
         std::thread::spawn(move || {
             let began = Instant::now();
-            let router = Running::start(&text);
+            let router = RouterProcess::start(&text);
             let mut front = router.client();
             until(|| {
-                front.ask("");
+                front.send_query("");
                 front.reply() == Reply::Empty
             });
             began.elapsed()
@@ -415,17 +416,17 @@
     for flood in [&b"N\0\0\0\x05\0"[..], b"S\0\0\0\x08a\0b\0"] {
         let (_, replica, router, _discovery) = pair(&[], 200);
         let mut others = router.client();
-        replica.set(Does::Floods(flood));
+        replica.set_behavior(NodeBehavior::Flood(flood));
         let mut client = router.client();
-        client.ask(&statement("look", 9000));
+        client.send_query(&statement("look", 9000));
         replica.await_queries(1);
         let asked = Instant::now();
         (0..50).for_each(|_| {
-            others.ask("");
+            others.send_query("");
             assert_eq!(others.reply(), Reply::Empty);
         });
         assert!(asked.elapsed() < Duration::from_secs(1), "{:?}", asked.elapsed());
-        assert_ne!(client.reply(), Reply::Gone);
+        assert_ne!(client.reply(), Reply::Closed);
     }
 }
 
@@ -434,8 +435,8 @@
     let nodes = [true, false, false].map(Node::start);
     let [primary, first, second] = &nodes;
     let (router, _discovery) =
-        Running::among(&[(primary, "primary"), (first, "replica"), (second, "replica")]);
-    nodes.iter().for_each(|node| node.set(Does::Echoes));
+        RouterProcess::start_with_nodes(&[(primary, "primary"), (first, "replica"), (second, "replica")]);
+    nodes.iter().for_each(|node| node.set_behavior(NodeBehavior::EchoId));
     let load = |class: &'static str, wait_ms: u64, key: &'static str| {
         let mut client = router.client();
         std::thread::spawn(move || {
@@ -443,7 +444,7 @@
             for _ in 0..150 {
                 let text = statement(class, wait_ms).replace("'7f3a'", key);
                 let id = text.split(['=', ',']).nth(1).unwrap().to_string();
-                client.ask(&text);
+                client.send_query(&text);
                 match client.reply() {
                     Reply::Value(value) => assert_eq!(value, id.as_bytes(), "another's answer"),
                     reply => assert!(matches!(reply, Reply::Error(..)), "{reply:?}"),
@@ -463,9 +464,9 @@
     // Connections break under what is on them, now here and now there.
     for round in 0..30 {
         let node = &nodes[round % 3];
-        node.set(Does::Breaks);
+        node.set_behavior(NodeBehavior::Disconnect);
         std::thread::sleep(Duration::from_millis(3));
-        node.set(Does::Echoes);
+        node.set_behavior(NodeBehavior::EchoId);
         std::thread::sleep(Duration::from_millis(3));
     }
     let asked: Vec<_> = running.into_iter().flat_map(|client| client.join().unwrap()).collect();
@@ -488,13 +489,13 @@
 #[test]
 fn a_router_that_is_held_up_over_the_end_of_its_stop_answers_first() {
     let (_, replica, mut router, _discovery) = pair(&[("9000.0", "600.0")], 200);
-    replica.set(Does::Waits);
+    replica.set_behavior(NodeBehavior::Hang);
     let mut client = router.client();
     let told = Instant::now();
     router.signal("-TERM");
     router.await_line("draining");
     std::thread::sleep(Duration::from_millis(400));
-    client.ask(&statement("look", 600));
+    client.send_query(&statement("look", 600));
     replica.await_queries(1);
     // It ends its RPCs 900 ms after the signal at the latest.
     std::thread::sleep((told + Duration::from_millis(840)).saturating_duration_since(Instant::now()));
@@ -503,5 +504,5 @@
     router.signal("-CONT");
     let reply = client.reply();
     assert!(matches!(reply, Reply::Error(..)), "{reply:?}");
-    assert!(router.ended().success());
+    assert!(router.wait_for_exit().success());
 }
--- a/crates/router/tests/instance.rs
+++ b/crates/router/tests/instance.rs
@@ -21,7 +21,7 @@
 };
 use quillpoint_observation_feed::publisher;
 use quillpoint_router::deployment::Deployment;
-use quillpoint_router::engine::{Engine, Order, Owed, Sharing, Work};
+use quillpoint_router::engine::{Command, Engine, EngineOutputs, ObservationExchange, PendingResponse};
 use quillpoint_router::instance::Instance;
 use quillpoint_router::statement::Statement;
 use serde_json::json;
@@ -48,7 +48,7 @@
     peers: Rc<FleetMember>,
     other: UdpSocket,
     sealer: Cell<Sealer>,
-    _work: Work,
+    _work: EngineOutputs,
 }
 
 impl World {
@@ -93,7 +93,7 @@
             MemberConfig { name, listen, advertise, zone: 0, weight: 1, keys: keys(), seeds, plans, letters };
         let peers = FleetMember::new(part, Rc::clone(&instance) as Rc<dyn ControlHost>, 1).unwrap();
         instance.takes_part(Rc::clone(&peers));
-        engine.share_with(Rc::clone(&instance) as Rc<dyn Sharing>);
+        engine.set_observation_exchange(Rc::clone(&instance) as Rc<dyn ObservationExchange>);
         let (other, sealer) = (UdpSocket::bind(local()).unwrap(), Cell::default());
         Self { engine, instance, peers, other, sealer, _work: work }
     }
@@ -130,16 +130,16 @@
         future::block_on(future::or(async { Rc::clone(&self.peers).listen().await }, taken));
     }
 
-    fn arrive(&self) -> Owed {
+    fn arrive(&self) -> PendingResponse {
         let text = "/* id=7,c=recent,d=60000,cluster=0 */ SELECT data FROM facts WHERE code = 'a'";
         let statement = Statement::parse(text.as_bytes().to_vec()).unwrap();
         self.engine.rpc_arrived(MethodId(0), &statement, Instant::now(), None).unwrap()
     }
 }
 
-fn sent(owed: &Owed) -> Option<NodeId> {
-    match owed.ordered()? {
-        Order::Attempt(attempt) => Some(attempt.node),
+fn sent(owed: &PendingResponse) -> Option<NodeId> {
+    match owed.try_next_command()? {
+        Command::Attempt(attempt) => Some(attempt.node),
         _ => panic!("an answer to what was never sent"),
     }
 }
@@ -148,7 +148,10 @@
 fn what_another_instance_found_before_an_rpc_came_lets_it_go_at_once() {
     let world = World::new();
     world.told("c2", node(1), false);
-    assert!(world.instance.news_of(node(1)).is_some() && world.instance.news_of(node(0)).is_none());
+    assert!(
+        world.instance.latest_observation(node(1)).is_some()
+            && world.instance.latest_observation(node(0)).is_none()
+    );
     assert_eq!(sent(&world.arrive()), Some(node(1)));
 }
 
--- a/crates/router/tests/list_calls.rs
+++ b/crates/router/tests/list_calls.rs
@@ -14,8 +14,8 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use quillpoint_router::presence::has_hung_up;
-use standin::{Client, Node, Reply, Running, VALUE, configuration, targets};
+use quillpoint_router::socket_liveness::peer_has_closed;
+use standin::{Client, Node, Reply, RouterProcess, VALUE, configuration, targets};
 
 /// The grace for drains in these tests' settings.
 const GRACE: Duration = Duration::from_millis(1000);
@@ -60,7 +60,7 @@
         let (by, mut open, mut most) = (Instant::now() + span, Vec::new(), 0);
         while let Some(left) = by.checked_duration_since(Instant::now()) {
             open.extend(self.calls.recv_timeout(left));
-            open.retain(|call| !has_hung_up(&call.stream));
+            open.retain(|call| !peer_has_closed(&call.stream));
             most = most.max(open.len());
         }
         most
@@ -118,7 +118,7 @@
 struct Fleet {
     nodes: [Node; 3],
     discovery: ByHand,
-    router: Running,
+    router: RouterProcess,
 }
 
 impl Fleet {
@@ -126,7 +126,7 @@
     fn start() -> Self {
         let (nodes, discovery) = ([true, false, false].map(Node::start), ByHand::start());
         let before = Self::list(&nodes, "in_service");
-        let router = Running::start(&configuration(discovery.address, &before, 200));
+        let router = RouterProcess::start(&configuration(discovery.address, &before, 200));
         Self { nodes, discovery, router }
     }
 
--- a/crates/router/tests/messages.rs
+++ b/crates/router/tests/messages.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use quickcheck::{Arbitrary, Gen, QuickCheck, TestResult, Testable};
-use quillpoint_memory_budget::Purpose::{Answers, Coming, Statements};
-use quillpoint_router::budget::{Accounts, Held};
+use quillpoint_memory_budget::Category::{IncomingMessages, Responses, Statements};
+use quillpoint_router::budget::{Reservation, SharedBudget};
 use quillpoint_router::config::Launch;
 use quillpoint_router::http;
 use quillpoint_router::list::{Page, Reader};
@@ -222,8 +222,8 @@
     check(
         (|limit: u16, sizes: Vec<(bool, u16)>| {
             // An eighth is for messages that come in.
-            let accounts = Accounts::of(u64::from(limit) * 8);
-            let (mut owners, mut sum): (Vec<(Held, usize)>, usize) = (Vec::new(), 0);
+            let budget = SharedBudget::new(u64::from(limit) * 8);
+            let (mut owners, mut sum): (Vec<(Reservation, usize)>, usize) = (Vec::new(), 0);
             for (again, size) in sizes.into_iter().map(|(again, size)| (again, usize::from(size / 4))) {
                 match owners.last_mut().filter(|_| again) {
                     Some((held, was)) => {
@@ -233,7 +233,7 @@
                             (sum, *was) = (sum - *was + size, size);
                         }
                     }
-                    None => match accounts.hold(Coming, size) {
+                    None => match budget.reserve(IncomingMessages, size) {
                         Ok(held) => {
                             sum += size;
                             owners.push((held, size));
@@ -243,21 +243,21 @@
                 }
             }
             owners.clear();
-            accounts.hold(Coming, limit.into()).is_ok()
-                && accounts.hold(Coming, usize::from(limit) + 1).is_err()
+            budget.reserve(IncomingMessages, limit.into()).is_ok()
+                && budget.reserve(IncomingMessages, usize::from(limit) + 1).is_err()
         }) as fn(u16, Vec<(bool, u16)>) -> bool,
     );
 }
 
 #[test]
 fn statements_and_answers_share_a_quarter_and_neither_shuts_the_other_out() {
-    let accounts = Accounts::of(1 << 20);
-    let most = accounts.hold(Answers, (1 << 18) - (1 << 14)).unwrap();
-    assert!(accounts.hold(Answers, 1).is_err(), "the rest is statements' own");
-    assert!(accounts.hold(Statements, 1 << 14).is_ok());
+    let budget = SharedBudget::new(1 << 20);
+    let most = budget.reserve(Responses, (1 << 18) - (1 << 14)).unwrap();
+    assert!(budget.reserve(Responses, 1).is_err(), "the rest is statements' own");
+    assert!(budget.reserve(Statements, 1 << 14).is_ok());
     drop(most);
-    assert!(accounts.hold(Statements, (1 << 18) - (1 << 14)).is_ok(), "and the other way round");
-    assert_eq!(accounts.look(|ledger| ledger.total_used()), 0, "all was given back");
+    assert!(budget.reserve(Statements, (1 << 18) - (1 << 14)).is_ok(), "and the other way round");
+    assert_eq!(budget.read(|budget| budget.total_used()), 0, "all was given back");
 }
 
 #[test]
--- a/crates/router/tests/pipeline.rs
+++ b/crates/router/tests/pipeline.rs
@@ -9,14 +9,14 @@
 use std::time::{Duration, Instant};
 
 use quillpoint_router::pg;
-use standin::{Client, Discovery, Does, Node, Reply, Running, VALUE};
+use standin::{Client, Discovery, Node, NodeBehavior, Reply, RouterProcess, VALUE};
 use standin::{configuration, statement, targets};
 
-/// So many statements of a connection are in line at the most, and so many bytes behind them are read.
-const SIDE_BY_SIDE: usize = 16;
-const READ_AHEAD: usize = 16 * 1024;
-/// How often a session that reads no further looks whether its client is there.
-const LOOK_FOR_LEAVE: Duration = Duration::from_millis(25);
+/// The most statements of a connection that are in its pipeline, and the most bytes behind them that are read.
+const MAX_PIPELINED_REQUESTS: usize = 16;
+const MAX_READ_AHEAD_BYTES: usize = 16 * 1024;
+/// How often a session that reads no further checks whether its client is connected.
+const DISCONNECT_CHECK_INTERVAL: Duration = Duration::from_millis(25);
 
 fn ok() -> Reply {
     Reply::Value(VALUE.to_vec())
@@ -27,7 +27,7 @@
 }
 
 /// A primary, replicas, and a router that knows them.
-fn group(replicas: usize, change: &[(&str, &str)]) -> (Node, Vec<Node>, Running, Discovery) {
+fn group(replicas: usize, change: &[(&str, &str)]) -> (Node, Vec<Node>, RouterProcess, Discovery) {
     let primary = Node::start(true);
     let replicas: Vec<Node> = (0..replicas).map(|_| Node::start(false)).collect();
     let mut all = vec![(&primary, "primary", "in_service")];
@@ -38,7 +38,7 @@
         assert!(text.contains(from), "{from}");
         text.replace(from, to)
     });
-    let router = Running::start(&text);
+    let router = RouterProcess::start(&text);
     (primary, replicas, router, discovery)
 }
 
@@ -89,21 +89,21 @@
 }
 
 /// RPCs of another client come and go: whatever a router does at once, it has done by then.
-fn others_go_on(router: &Running, class: &str) {
+fn others_go_on(router: &RouterProcess, class: &str) {
     let mut other = router.client();
-    assert!((0..10).all(|_| !matches!(other.rpc(class, 9000), Reply::Gone)));
+    assert!((0..10).all(|_| !matches!(other.rpc(class, 9000), Reply::Closed)));
 }
 
 #[test]
 fn the_time_of_an_rpc_that_waits_for_another_runs_since_it_came() {
     let (primary, _, router, _discovery) = group(1, &[]);
-    primary.set(Does::Waits);
+    primary.set_behavior(NodeBehavior::Hang);
     let mut client = router.client();
     send_all(&mut client, &[of("a", "enter", 9000), of("b", "enter", 9000)]);
     primary.await_queries(1);
     let held = Duration::from_millis(600);
     std::thread::sleep(held);
-    primary.set(Does::Answers);
+    primary.set_behavior(NodeBehavior::Answer);
     assert_eq!((client.reply(), client.reply()), (ok(), ok()));
     let second = told_wait(&primary.queries()[1]);
     assert!(second <= Duration::from_secs(9) - held, "{second:?}");
@@ -112,17 +112,17 @@
 #[test]
 fn it_runs_for_what_waits_unread_in_the_system_too() {
     let (primary, _, router, _discovery) = group(1, &[]);
-    primary.set(Does::Waits);
+    primary.set_behavior(NodeBehavior::Hang);
     let mut client = router.client();
     let all: Vec<String> = (0..300).map(|_| of("a", "enter", 9000)).collect();
-    let bytes: usize = all[SIDE_BY_SIDE..].iter().map(|text| text.len() + 6).sum();
-    assert!(bytes > 2 * READ_AHEAD, "the last ones are not read ahead");
+    let bytes: usize = all[MAX_PIPELINED_REQUESTS..].iter().map(|text| text.len() + 6).sum();
+    assert!(bytes > 2 * MAX_READ_AHEAD_BYTES, "the last ones are not read ahead");
     send_all(&mut client, &all);
     primary.await_queries(1);
     // It looks each 25 ms how much is there. A machine that is busy for longer than the half of this is no excuse.
     let held = Duration::from_secs(2);
     std::thread::sleep(held);
-    primary.set(Does::Answers);
+    primary.set_behavior(NodeBehavior::Answer);
     assert!(all.iter().all(|_| client.reply() == ok()));
     let last = told_wait(&primary.queries()[299]);
     assert!(last <= Duration::from_secs(9) - held / 2, "{last:?}");
@@ -131,12 +131,12 @@
 #[test]
 fn an_rpc_whose_time_is_over_is_answered_at_its_turn_and_never_sent() {
     let (primary, _, router, _discovery) = group(1, &[]);
-    primary.set(Does::Waits);
+    primary.set_behavior(NodeBehavior::Hang);
     let mut client = router.client();
     send_all(&mut client, &[of("a", "enter", 9000), of("b", "enter", 150), of("c", "enter", 9000)]);
     primary.await_queries(1);
     std::thread::sleep(Duration::from_millis(300));
-    primary.set(Does::Answers);
+    primary.set_behavior(NodeBehavior::Answer);
     assert_eq!((client.reply(), client.reply(), client.reply()), (ok(), nothing_ran(), ok()));
     assert_eq!(primary.queries().len(), 2);
 }
@@ -144,7 +144,7 @@
 #[test]
 fn statements_that_may_run_side_by_side_do_and_answers_stay_in_order() {
     let (primary, replicas, router, _discovery) = group(1, &[]);
-    [&primary, &replicas[0]].iter().for_each(|node| node.set(Does::Waits));
+    [&primary, &replicas[0]].iter().for_each(|node| node.set_behavior(NodeBehavior::Hang));
     let mut client = router.client();
     let all = [
         of("a", "enter", 9000),
@@ -158,9 +158,9 @@
     // The reads pass the write, and each other.
     primary.await_queries(1);
     replicas[0].await_queries(3);
-    replicas[0].set(Does::Echoes);
+    replicas[0].set_behavior(NodeBehavior::EchoId);
     others_go_on(&router, "look");
-    primary.set(Does::Echoes);
+    primary.set_behavior(NodeBehavior::EchoId);
     assert_eq!(client.reply(), echo(&all[0]), "the slow one first");
     assert_eq!((client.reply(), client.reply()), (echo(&all[1]), echo(&all[2])));
     assert_eq!(client.reply(), Reply::Error("42601".to_string(), None), "an error has its place too");
@@ -170,7 +170,7 @@
 #[test]
 fn a_read_behind_its_own_sessions_write_waits_for_it_and_a_write_behind_a_write_too() {
     let (primary, replicas, router, _discovery) = group(1, &[]);
-    primary.set(Does::Waits);
+    primary.set_behavior(NodeBehavior::Hang);
     let mut client = router.client();
     let all = [of("a", "enter", 9000), of("a", "look", 9000), of("b", "look", 9000), of("b", "enter", 9000)];
     send_all(&mut client, &all);
@@ -181,13 +181,13 @@
     assert!(came(&replicas[0], &all[2]), "of another session");
     assert!(!came(&replicas[0], &all[1]) && !came(&primary, &all[1]), "it could miss the write");
     assert!(!came(&primary, &all[3]), "writes keep their order");
-    primary.set(Does::Answers);
+    primary.set_behavior(NodeBehavior::Answer);
     assert!(all.iter().all(|_| client.reply() == ok()));
     assert!(came(&replicas[0], &all[1]) && came(&primary, &all[3]));
 }
 
 /// Clients carry the marks; without probes a replica is known by its answers alone.
-fn marked_by_clients() -> (Node, Vec<Node>, Running, Discovery) {
+fn marked_by_clients() -> (Node, Vec<Node>, RouterProcess, Discovery) {
     let (primary, replicas, router, discovery) = group(
         1,
         &[
@@ -231,7 +231,7 @@
 #[test]
 fn a_client_that_never_ends_its_extended_messages_keeps_nobody_waiting() {
     let (primary, _, mut router, _discovery) = group(1, &[("9000.0", "2500.0")]);
-    primary.set(Does::Waits);
+    primary.set_behavior(NodeBehavior::Hang);
     let mut client = router.client();
     // One that waits while the flood goes on, and whose answer must come all the same.
     send_all(&mut client, &[of("a", "enter", 2500)]);
@@ -243,17 +243,17 @@
         std::thread::spawn(move || while stream.write_all(&piece).is_ok() {})
     });
     others_go_on(&router, "look");
-    primary.set(Does::Answers);
+    primary.set_behavior(NodeBehavior::Answer);
     assert_eq!(client.reply(), ok(), "it goes on while its client floods");
     router.signal("-TERM");
-    assert!(router.ended().success(), "and so does the end");
+    assert!(router.wait_for_exit().success(), "and so does the end");
     floods.into_iter().for_each(|flood| flood.join().unwrap());
 }
 
 #[test]
 fn with_its_client_what_is_under_way_ends_and_what_waits_is_not_begun() {
     let (primary, replicas, router, _discovery) = group(1, &[]);
-    [&primary, &replicas[0]].iter().for_each(|node| node.set(Does::Waits));
+    [&primary, &replicas[0]].iter().for_each(|node| node.set_behavior(NodeBehavior::Hang));
     let mut client = router.client();
     let all = [of("a", "enter", 9000), of("b", "look", 9000), of("c", "enter", 9000), of("a", "look", 9000)];
     let sent = Instant::now();
@@ -261,11 +261,11 @@
     primary.await_queries(1);
     replicas[0].await_queries(1);
     assert!(sent.elapsed() < Duration::from_secs(5), "the first one may have ended by its time");
-    client.leave();
-    [&primary, &replicas[0]].iter().for_each(|node| node.set(Does::Answers));
+    client.disconnect();
+    [&primary, &replicas[0]].iter().for_each(|node| node.set_behavior(NodeBehavior::Answer));
     // Under the ids of those that waited: nothing of them is under way.
     let mut other = router.client();
-    assert_eq!((other.try_ask(&all[2]), other.try_ask(&all[3])), (ok(), ok()));
+    assert_eq!((other.try_query(&all[2]), other.try_query(&all[3])), (ok(), ok()));
     others_go_on(&router, "enter");
     let came = |text: &str| {
         let queries = [primary.queries(), replicas[0].queries()].concat();
@@ -278,21 +278,21 @@
 }
 
 #[test]
-fn a_turn_that_comes_when_the_client_has_hung_up_is_not_taken() {
+fn a_turn_that_comes_when_the_client_has_disconnected_is_not_taken() {
     // Where the end comes between two looks of a session that reads no further, and a turn right behind it, nothing but
     // the look at the turn itself tells.
     let (mut rounds, mut crossings) = (0, 0);
     while crossings < 5 {
         rounds += 1;
         assert!(rounds <= 100, "{crossings} crossings in {rounds} rounds");
-        crossings += usize::from(hangs_up_before_a_turn());
+        crossings += usize::from(disconnects_before_a_turn());
     }
 }
 
 /// Whether the session took notice of the end no earlier than of the answer that makes the turn.
-fn hangs_up_before_a_turn() -> bool {
+fn disconnects_before_a_turn() -> bool {
     let (primary, _, router, _discovery) = group(1, &[(r#""Probes":true"#, r#""Probes":false"#)]);
-    primary.set(Does::Waits);
+    primary.set_behavior(NodeBehavior::Hang);
     let mut client = router.client();
     // Writes of a group wait for each other. The end lies behind more than is read ahead.
     let all: Vec<String> = (0..300).map(|_| of("a", "enter", 9000)).collect();
@@ -302,18 +302,18 @@
     // Whatever a router does at once, it has done by then.
     let settles = |other: &mut Client, times: usize| {
         (0..times).for_each(|_| {
-            other.ask("");
+            other.send_query("");
             assert_eq!(other.reply(), Reply::Empty);
         });
     };
     settles(&mut other, 10);
     // What came no longer ago than a session looks is not looked at again.
-    std::thread::sleep(2 * LOOK_FOR_LEAVE);
+    std::thread::sleep(2 * DISCONNECT_CHECK_INTERVAL);
     client.stream.shutdown(Shutdown::Write).unwrap();
     // What is sent behind the end comes behind it.
     settles(&mut other, 1);
     // More than an answer costs the connection, so that the next statement's turn would open one of its own.
-    primary.set(Does::Adds(b"N\0\0\0\x05\0"));
+    primary.set_behavior(NodeBehavior::TrailingBytes(b"N\0\0\0\x05\0"));
     let reply = client.reply();
     settles(&mut other, 10);
     // Those that came before this one have been counted when it is.
@@ -321,30 +321,30 @@
     await_true(|| primary.connections.load(SeqCst) >= 2);
     assert_eq!(primary.connections.load(SeqCst), 2, "a turn was taken for nobody");
     assert_eq!(primary.queries().len(), 1);
-    assert!(reply == ok() || reply == Reply::Gone, "{reply:?}");
+    assert!(reply == ok() || reply == Reply::Closed, "{reply:?}");
     reply == ok()
 }
 
 #[test]
 fn what_is_read_ahead_is_bounded_by_statements_and_by_bytes() {
     let (primary, replicas, mut router, _discovery) = group(3, &[("9000.0", "2500.0")]);
-    replicas.iter().for_each(|node| node.set(Does::Waits));
+    replicas.iter().for_each(|node| node.set_behavior(NodeBehavior::Hang));
     let mut client = router.client();
     let all: Vec<String> = (0..400).map(|place| of(&format!("k{place}"), "look", 9000)).collect();
     let bytes: usize = all.iter().map(|text| text.len() + 6).sum();
-    assert!(bytes > 2 * READ_AHEAD);
+    assert!(bytes > 2 * MAX_READ_AHEAD_BYTES);
     send_all(&mut client, &all);
-    await_all(&replicas, SIDE_BY_SIDE);
+    await_all(&replicas, MAX_PIPELINED_REQUESTS);
     others_go_on(&router, "enter");
-    assert_eq!(count(&replicas), SIDE_BY_SIDE);
-    replicas.iter().for_each(|node| node.set(Does::Echoes));
+    assert_eq!(count(&replicas), MAX_PIPELINED_REQUESTS);
+    replicas.iter().for_each(|node| node.set_behavior(NodeBehavior::EchoId));
     assert!(all.iter().all(|text| client.reply() == echo(text)), "and yet all are answered, in order");
     // Without an end, and nothing of it is answered.
-    replicas.iter().for_each(|node| node.set(Does::Waits));
+    replicas.iter().for_each(|node| node.set_behavior(NodeBehavior::Hang));
     let mut stream = client.stream.try_clone().unwrap();
     let next = || pg::query(of("a", "look", 9000).as_bytes());
     let floods = std::thread::spawn(move || while stream.write_all(&next()).is_ok() {});
-    await_all(&replicas, all.len() + SIDE_BY_SIDE);
+    await_all(&replicas, all.len() + MAX_PIPELINED_REQUESTS);
     others_go_on(&router, "enter");
     _ = client.stream.shutdown(std::net::Shutdown::Both);
     floods.join().unwrap();
@@ -355,19 +355,19 @@
         let number = line.split(&format!("{name}=")).nth(1).unwrap().split(' ').next().unwrap();
         number.parse::<usize>().unwrap()
     };
-    assert!(high("buffers_coming_high") <= READ_AHEAD + 4096, "{line}");
+    assert!(high("buffers_coming_high") <= MAX_READ_AHEAD_BYTES + 4096, "{line}");
     let longest = all.iter().map(|text| text.len()).max().unwrap();
-    assert!(high("buffers_statements_high") <= (SIDE_BY_SIDE + 1) * longest.max(200), "{line}");
-    assert!(router.ended().success());
+    assert!(high("buffers_statements_high") <= (MAX_PIPELINED_REQUESTS + 1) * longest.max(200), "{line}");
+    assert!(router.wait_for_exit().success());
 }
 
 #[test]
-fn all_in_line_are_answered_before_a_router_that_was_told_to_stop_has_ended() {
+fn all_pipelined_requests_are_answered_before_a_router_that_was_told_to_stop_has_ended() {
     // It is killed 0.7 s after the longest deadline. With the node's answers all have run by then, without them none
     // is kept waiting for its turn.
     for answers in [true, false] {
         let (primary, _, mut router, _discovery) = group(1, &[("9000.0", "2500.0")]);
-        primary.set(Does::Waits);
+        primary.set_behavior(NodeBehavior::Hang);
         let mut client = router.client();
         let all: Vec<String> = (0..20).map(|place| of(&format!("k{place}"), "enter", 2500)).collect();
         send_all(&mut client, &all);
@@ -375,7 +375,7 @@
         router.signal("-TERM");
         if answers {
             router.await_line("told to stop");
-            primary.set(Does::Answers);
+            primary.set_behavior(NodeBehavior::Answer);
         }
         let replies: Vec<Reply> = all.iter().map(|_| client.reply()).collect();
         match answers {
@@ -389,6 +389,6 @@
             ),
         }
         // The client stays on.
-        assert!(router.ended().success());
+        assert!(router.wait_for_exit().success());
     }
 }
--- a/crates/router/tests/shapes.rs
+++ b/crates/router/tests/shapes.rs
@@ -7,10 +7,10 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use standin::{Discovery, Does, Node, Reply, Running, configuration, statement, targets};
+use standin::{Discovery, Node, NodeBehavior, Reply, RouterProcess, configuration, statement, targets};
 
-/// The settings in which the new shape differs: nodes report when probed alone, answers carry no position, the list
-/// comes unasked and names no primary, clients mark repeats and are told no time, there are no second copies.
+/// The settings in which the new shape differs: nodes report to health checks alone, answers carry no position, the list
+/// comes unasked and names no primary, clients mark repeats and are given no Retry-After, there are no hedged requests.
 const NEW: &[(&str, &str)] = &[
     (
         r#""Fields":["x0","x1"],"Source":"answers""#,
@@ -42,7 +42,7 @@
 struct Mixed {
     nodes: Vec<Node>,
     discovery: Discovery,
-    routers: [Running; 2],
+    routers: [RouterProcess; 2],
 }
 
 fn mixed() -> Mixed {
@@ -55,20 +55,20 @@
     let discovery = Discovery::start(listed(&nodes, ROLES));
     let old = changed(configuration(discovery.address, &listed(&nodes, ROLES), 200), changes);
     let new = changed(configuration(discovery.address, &listed(&nodes, [""; 4]), 200), changes);
-    let routers = [old, changed(new, NEW)].map(|text| Running::start(&text));
+    let routers = [old, changed(new, NEW)].map(|text| RouterProcess::start(&text));
     Mixed { nodes, discovery, routers }
 }
 
-/// What became of the RPCs of one router's clients: ok, pushed back, aborted.
+/// What became of the RPCs of one router's clients: ok, rejected, aborted.
 #[derive(Clone, Copy, Debug, Default)]
 struct Tally {
     ok: usize,
-    pushed_back: usize,
+    rejected: usize,
     aborted: usize,
 }
 
 /// So many clients of the router ask one RPC after the other, a third of them writes, until the time is over.
-fn load(router: &Running, clients: usize, span: Duration) -> thread::JoinHandle<Tally> {
+fn load(router: &RouterProcess, clients: usize, span: Duration) -> thread::JoinHandle<Tally> {
     let address = router.address;
     thread::spawn(move || {
         let end = Instant::now() + span;
@@ -82,7 +82,7 @@
                     }
                     match client.rpc(class, 2000) {
                         Reply::Value(_) => tally.ok += 1,
-                        Reply::Error(code, _) if code == "53300" => tally.pushed_back += 1,
+                        Reply::Error(code, _) if code == "53300" => tally.rejected += 1,
                         Reply::Error(..) => tally.aborted += 1,
                         reply => panic!("no final answer: {reply:?}"),
                     }
@@ -93,7 +93,7 @@
         let asking: Vec<_> = asking.collect();
         asking.into_iter().map(|client| client.join().unwrap()).fold(Tally::default(), |sum, one| Tally {
             ok: sum.ok + one.ok,
-            pushed_back: sum.pushed_back + one.pushed_back,
+            rejected: sum.rejected + one.rejected,
             aborted: sum.aborted + one.aborted,
         })
     })
@@ -112,13 +112,13 @@
 #[test]
 fn both_shapes_are_served_and_no_write_runs_twice() {
     let Mixed { nodes, routers, .. } = mixed();
-    nodes.iter().for_each(|node| node.set(Does::Takes(5)));
+    nodes.iter().for_each(|node| node.set_behavior(NodeBehavior::Delay(5)));
     // Two clients each: what a router gets does not hang on the other's shape.
     let each = routers.each_ref().map(|router| load(router, 2, Duration::from_millis(1500)));
     let [old, new] = each.map(|tallies| tallies.join().unwrap());
     for tally in [old, new] {
         assert!(tally.ok > 50 && tally.aborted == 0, "{old:?} {new:?}");
-        assert!(tally.pushed_back * 20 <= tally.ok, "{old:?} {new:?}");
+        assert!(tally.rejected * 20 <= tally.ok, "{old:?} {new:?}");
     }
     assert!(old.ok < 3 * new.ok && new.ok < 3 * old.ok, "neither starves: {old:?} {new:?}");
     let writes = writes(&nodes[0]);
@@ -126,22 +126,22 @@
 }
 
 #[test]
-fn a_crowd_behind_one_shape_leaves_the_other_its_part() {
-    for crowded in [0, 1] {
+fn a_surge_behind_one_shape_leaves_the_other_its_quota() {
+    for surged in [0, 1] {
         let Mixed { nodes, routers, .. } = mixed();
-        nodes.iter().for_each(|node| node.set(Does::Takes(10)));
-        let crowd = load(&routers[crowded], 24, Duration::from_millis(1500));
-        let few = load(&routers[1 - crowded], 2, Duration::from_millis(1500));
-        let (crowd, few) = (crowd.join().unwrap(), few.join().unwrap());
-        assert!(few.ok > 20 && few.pushed_back <= few.ok, "crowd at {crowded}: {crowd:?} {few:?}");
-        assert!(crowd.ok > 100, "crowd at {crowded}: {crowd:?} {few:?}");
+        nodes.iter().for_each(|node| node.set_behavior(NodeBehavior::Delay(10)));
+        let surge = load(&routers[surged], 24, Duration::from_millis(1500));
+        let few = load(&routers[1 - surged], 2, Duration::from_millis(1500));
+        let (surge, few) = (surge.join().unwrap(), few.join().unwrap());
+        assert!(few.ok > 20 && few.rejected <= few.ok, "surge at {surged}: {surge:?} {few:?}");
+        assert!(surge.ok > 100, "surge at {surged}: {surge:?} {few:?}");
     }
 }
 
 #[test]
 fn both_shapes_keep_a_drain_and_only_the_old_one_counts_dropping_out_as_gone() {
     let Mixed { nodes, discovery, routers } = mixed();
-    let mut clients = routers.each_ref().map(Running::client);
+    let mut clients = routers.each_ref().map(RouterProcess::client);
     let mut ask = |place: usize, times: usize| {
         (0..times).for_each(|_| assert!(matches!(clients[place].rpc("look", 9000), Reply::Value(_))));
     };
@@ -166,17 +166,17 @@
     // One call and the next of each router.
     discovery.await_calls(4);
     let mut client = routers[1].client();
-    client.ask(&statement("look", 9000).replace("cluster=0", "cluster=9"));
+    client.send_query(&statement("look", 9000).replace("cluster=0", "cluster=9"));
     assert_eq!(client.reply(), Reply::Error("53300".into(), None));
 }
 
 #[test]
-fn a_cold_node_gets_its_part_from_both_shapes_together() {
+fn a_warming_up_node_gets_its_quota_from_both_shapes_together() {
     // No more than its part: the multiple is one, and it takes four seconds to warm up from 0.3.
     let slow =
         [(r#""ColdMs":1000.0"#, r#""ColdMs":4000.0"#), (r#""FallMultiple":3.0"#, r#""FallMultiple":1.0"#)];
     let Mixed { nodes, discovery, routers } = mixed_with(&slow);
-    nodes.iter().for_each(|node| node.set(Does::Takes(5)));
+    nodes.iter().for_each(|node| node.set_behavior(NodeBehavior::Delay(5)));
     let loads = routers.each_ref().map(|router| load(router, 4, Duration::from_millis(4500)));
     thread::sleep(Duration::from_millis(3000));
     let listed = listed(&nodes, ROLES);
@@ -187,7 +187,8 @@
     let counts = || [&nodes[1], &nodes[2], &nodes[3]].map(|node| node.queries().len());
     let before = counts();
     thread::sleep(Duration::from_millis(1000));
-    let [one, other, cold] = counts().iter().zip(before).map(|(now, was)| now - was).collect::<Vec<_>>()[..]
+    let [one, other, warming_up] =
+        counts().iter().zip(before).map(|(now, was)| now - was).collect::<Vec<_>>()[..]
     else {
         panic!("three replicas");
     };
@@ -196,6 +197,6 @@
     }
     // At the end of the second it can do 0.475 of what it will; in the mean of that second less.
     let warm = (one + other) as f64 / 2.0;
-    assert!(warm > 30.0 && cold > 0, "{one} {other} {cold}");
-    assert!(cold as f64 <= 0.6 * warm + 8.0, "{one} {other} {cold}");
+    assert!(warm > 30.0 && warming_up > 0, "{one} {other} {warming_up}");
+    assert!(warming_up as f64 <= 0.6 * warm + 8.0, "{one} {other} {warming_up}");
 }
--- a/crates/router/tests/soak/clients.rs
+++ b/crates/router/tests/soak/clients.rs
@@ -71,7 +71,8 @@
                 continue;
             };
             // A router that is being killed resets it.
-            let Ok(mut client) = TcpStream::connect(admitted.address).and_then(Client::try_on) else {
+            let Ok(mut client) = TcpStream::connect(admitted.address).and_then(Client::try_from_stream)
+            else {
                 thread::sleep(Duration::from_millis(10));
                 continue;
             };
@@ -155,8 +156,8 @@
     match client.reply() {
         Reply::Value(_) | Reply::Empty => Ending::Value,
         Reply::Error(code, _) => Ending::Error(code),
-        Reply::Gone if sent.elapsed() >= most => Ending::Silent,
-        Reply::Gone => Ending::Closed,
+        Reply::Closed if sent.elapsed() >= most => Ending::Silent,
+        Reply::Closed => Ending::Closed,
     }
 }
 
@@ -165,7 +166,9 @@
     use std::io::Read;
     while Instant::now() < until {
         let address = front.pick(chance).map(|admitted| admitted.address);
-        if let Some(Ok(mut client)) = address.map(|to| TcpStream::connect(to).and_then(Client::try_on)) {
+        if let Some(Ok(mut client)) =
+            address.map(|to| TcpStream::connect(to).and_then(Client::try_from_stream))
+        {
             _ = client.stream.set_read_timeout(Some(
                 until.saturating_duration_since(Instant::now()).max(Duration::from_millis(1)),
             ));
--- a/crates/router/tests/soak/discovery.rs
+++ b/crates/router/tests/soak/discovery.rs
@@ -6,7 +6,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use quillpoint_router::presence::has_hung_up;
+use quillpoint_router::socket_liveness::peer_has_closed;
 use rand::RngExt;
 
 use crate::plan::Answering;
@@ -144,7 +144,7 @@
                 }
                 Answering::AtOnce | Answering::Crowded | Answering::Refuses => {
                     // Nobody is told on a connection that is closed by then.
-                    if has_hung_up(&stream) {
+                    if peer_has_closed(&stream) {
                         return None;
                     }
                     stream.write_all(answer.as_bytes()).ok()?;
--- a/crates/router/tests/soak/routers.rs
+++ b/crates/router/tests/soak/routers.rs
@@ -14,7 +14,7 @@
 use crate::plan::{Event, Plan};
 use crate::record::{Ending, Lifetime, Record, RouterNo};
 use crate::servers::Server;
-use crate::standin::{Running, configuration};
+use crate::standin::{RouterProcess, configuration};
 
 /// The front goes on sending new connections for so long after SIGTERM.
 const STILL_SENT_TO: Duration = Duration::from_millis(300);
@@ -29,7 +29,7 @@
 struct Router {
     number: RouterNo,
     address: SocketAddr,
-    running: Mutex<Option<Running>>,
+    running: Mutex<Option<RouterProcess>>,
 }
 
 struct World {
@@ -182,7 +182,7 @@
             .replace(r#""listen":"127.0.0.1:0""#, &format!(r#""listen":"{}""#, router.address))
             .replace(r#""rev":0"#, &format!(r#""rev":{known}"#));
         let started = Instant::now();
-        let running = Running::start(&text);
+        let running = RouterProcess::start(&text);
         let mut lifetimes = self.lifetimes.lock().unwrap();
         let process = lifetimes.len();
         lifetimes.push(Lifetime {
@@ -287,6 +287,6 @@
     Some(status.is_ok_and(|ended| ended.is_some_and(|status| status.success())))
 }
 
-fn router_running(router: &Router) -> std::sync::MutexGuard<'_, Option<Running>> {
+fn router_running(router: &Router) -> std::sync::MutexGuard<'_, Option<RouterProcess>> {
     router.running.lock().unwrap()
 }
--- a/crates/router/tests/sockets.rs
+++ b/crates/router/tests/sockets.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use quillpoint_router::pg::{self, Told};
-use standin::{Client, Discovery, Does, Greets, Node, Reply, Running, VALUE};
+use standin::{Client, ConnectBehavior, Discovery, Node, NodeBehavior, Reply, RouterProcess, VALUE};
 use standin::{command, configuration, count, file, statement, targets};
 
 fn ok() -> Reply {
@@ -17,26 +17,26 @@
     Reply::Error(code.to_string(), None)
 }
 
-/// Pushed back by the router itself, with a time to come back.
+/// Rejected by the router itself, with Retry-After.
 fn no_room() -> Reply {
     Reply::Error("53300".to_string(), Some("50".to_string()))
 }
 
 /// A primary and one replica.
-fn pair() -> (Node, Node, Running, Discovery) {
+fn pair() -> (Node, Node, RouterProcess, Discovery) {
     pair_with(200, "", "")
 }
 
 /// The first class, with the deadline that all have, and with a short one.
 const LOOK: &str = r#""Name":"look","GiveUpMs":9000.0"#;
-const HASTY_LOOK: &str = r#""Name":"look","GiveUpMs":500.0"#;
+const SHORT_DEADLINE_LOOK: &str = r#""Name":"look","GiveUpMs":500.0"#;
 
 /// With so many sockets, and a part of the configuration replaced wherever it stands.
-fn pair_with(sockets: usize, from: &str, to: &str) -> (Node, Node, Running, Discovery) {
+fn pair_with(sockets: usize, from: &str, to: &str) -> (Node, Node, RouterProcess, Discovery) {
     let (primary, replica, list, discovery) = without_router();
     let text = configuration(discovery.address, &list, sockets);
     assert!(text.contains(from), "{from}");
-    let router = Running::start(&text.replace(from, to));
+    let router = RouterProcess::start(&text.replace(from, to));
     (primary, replica, router, discovery)
 }
 
@@ -54,7 +54,7 @@
     let mut client = router.client();
     for (node, class) in [(replica, "look"), (primary, "enter")] {
         let sent = statement(class, 9000);
-        client.ask(&sent);
+        client.send_query(&sent);
         assert_eq!(client.reply(), ok());
         let queries = node.queries();
         let (before, after) = sent.split_once("9000").unwrap();
@@ -65,9 +65,9 @@
 }
 
 #[test]
-fn a_miss_sends_a_write_on_to_the_primary() {
+fn a_misrouted_write_is_forwarded_to_the_primary() {
     let (listed, actual) = (Node::start(false), Node::start(true));
-    let (router, _discovery) = Running::among(&[(&listed, "primary"), (&actual, "replica")]);
+    let (router, _discovery) = RouterProcess::start_with_nodes(&[(&listed, "primary"), (&actual, "replica")]);
     assert_eq!(router.client().rpc("enter", 9000), ok());
     assert_eq!((listed.queries().len(), actual.queries().len()), (1, 1));
 }
@@ -76,27 +76,27 @@
 fn a_write_is_sent_again_only_if_its_last_byte_was_not_written() {
     let (primary, replica, router, _discovery) = pair();
     let mut client = router.client();
-    primary.greets(Greets::Closes);
-    client.ask(&statement("enter", 9000));
+    primary.set_connect_behavior(ConnectBehavior::Close);
+    client.send_query(&statement("enter", 9000));
     while count(&primary.connections) == 0 {
         std::thread::yield_now();
     }
-    primary.greets(Greets::Welcomes);
+    primary.set_connect_behavior(ConnectBehavior::Accept);
     assert_eq!((client.reply(), primary.queries().len()), (ok(), 1));
-    // While the primary was out of reach, the replica may have been tried too: a miss, which runs nothing.
-    let misses = replica.queries().len();
-    primary.set(Does::Breaks);
+    // While the primary was out of reach, the replica may have been tried too: it rejects a misrouted write, which runs nothing.
+    let misrouted = replica.queries().len();
+    primary.set_behavior(NodeBehavior::Disconnect);
     assert_eq!(client.rpc("enter", 9000), error("08006"));
-    assert_eq!((primary.queries().len(), replica.queries().len()), (2, misses));
+    assert_eq!((primary.queries().len(), replica.queries().len()), (2, misrouted));
 }
 
 #[test]
 fn a_node_that_never_answers_keeps_no_client_waiting() {
     let (primary, replica, router, _discovery) = pair();
     let mut client = router.client();
-    primary.set(Does::Waits);
+    primary.set_behavior(NodeBehavior::Hang);
     assert_eq!(client.rpc("enter", 300), error("57014"), "it may have run");
-    replica.set(Does::Waits);
+    replica.set_behavior(NodeBehavior::Hang);
     assert!(
         matches!(client.rpc("look", 300), Reply::Error(code, _) if code == "53300"),
         "a repeat is harmless"
@@ -105,49 +105,49 @@
 }
 
 #[test]
-fn a_node_whose_probe_says_that_it_is_down_is_sent_nothing() {
+fn a_node_whose_health_check_says_that_it_is_down_is_sent_nothing() {
     let (_, replica, router, _discovery) = pair();
     let mut client = router.client();
     assert_eq!(client.rpc("look", 9000), ok());
-    replica.set(Does::Down);
+    replica.set_behavior(NodeBehavior::Down);
     let before = replica.queries().len();
     for _ in 0..8 {
         client.rpc("look", 300);
     }
-    assert_eq!(replica.queries().len(), before + 1, "the first finds out, and the probe confirms it");
+    assert_eq!(replica.queries().len(), before + 1, "the first finds out, and the health check confirms it");
 }
 
 #[test]
-fn a_node_that_turns_an_rpc_away_does_not_word_the_answer() {
+fn a_node_that_rejects_an_rpc_does_not_word_the_response() {
     let (primary, _, router, _discovery) = pair();
-    primary.set(Does::Errs("53300"));
+    primary.set_behavior(NodeBehavior::Error("53300"));
     let Reply::Error(code, _) = router.client().rpc("enter", 300) else { panic!("there is no value") };
-    assert_eq!(code, "53300", "nothing ran, so it is pushed back");
-    primary.set(Does::Errs("XX000"));
+    assert_eq!(code, "53300", "nothing ran, so it is rejected");
+    primary.set_behavior(NodeBehavior::Error("XX000"));
     assert_eq!(router.client().rpc("enter", 9000), error("58000"), "it may have run");
 }
 
 #[test]
-fn a_push_back_says_when_to_come_back() {
+fn a_rejection_carries_retry_after() {
     let (_, _, router, _discovery) = pair();
     let mut client = router.client();
-    client.ask(&statement("look", 9000).replace("cluster=0", "cluster=9"));
+    client.send_query(&statement("look", 9000).replace("cluster=0", "cluster=9"));
     assert_eq!(client.reply(), Reply::Error("53300".into(), Some("50".into())));
 }
 
 #[test]
-fn half_a_value_is_never_passed_on() {
+fn a_truncated_value_is_never_forwarded() {
     let (_, replica, router, _discovery) = pair();
-    replica.set(Does::Halves);
+    replica.set_behavior(NodeBehavior::Truncate);
     assert!(matches!(router.client().rpc("look", 300), Reply::Error(..)));
 }
 
 #[test]
-fn a_spoilt_answer_is_a_failed_attempt_that_has_run() {
+fn a_malformed_response_is_a_failed_attempt_that_has_run() {
     let nodes = [true, false, false].map(Node::start);
-    let [primary, spoils, other] = &nodes;
+    let [primary, malformed, other] = &nodes;
     let (router, _discovery) =
-        Running::among(&[(primary, "primary"), (spoils, "replica"), (other, "replica")]);
+        RouterProcess::start_with_nodes(&[(primary, "primary"), (malformed, "replica"), (other, "replica")]);
     let mut client = router.client();
     // Noise, a type and a length that cannot be, a row of 3 GB that never ends, a row whose field is longer.
     let kinds: [&'static [u8]; 5] = [
@@ -158,16 +158,16 @@
         b"C\0\0\0\x0dSELECT 1\0Z\0\0\0\x05I",
     ];
     for kind in kinds {
-        spoils.set(Does::Says(kind));
-        primary.set(Does::Says(kind));
-        let [writes, spoilt] = [primary, spoils].map(|node| node.queries().len());
-        // Its share falls, but it is not shut out, and another node is asked in its place.
+        malformed.set_behavior(NodeBehavior::RawBytes(kind));
+        primary.set_behavior(NodeBehavior::RawBytes(kind));
+        let [writes, reads] = [primary, malformed].map(|node| node.queries().len());
+        // Its quota of reads falls, but it is not ejected, and another node is asked in its place.
         let reached = (0..200).any(|_| {
             assert_eq!(client.rpc("recent", 9000), ok(), "{kind:?}");
-            spoils.queries().len() > spoilt
+            malformed.queries().len() > reads
         });
         assert!(reached, "{kind:?}");
-        assert_eq!(client.rpc("enter", 9000), error("08P01"), "aborted, not pushed back");
+        assert_eq!(client.rpc("enter", 9000), error("08P01"), "aborted, not rejected");
         let entered = |text: &String| text.contains("INSERT");
         let sent = primary.queries().into_iter().skip(writes).filter(entered).count();
         assert_eq!(sent, 1, "it has run, so it is not sent again");
@@ -179,25 +179,29 @@
     let (_, replica, router, _discovery) = pair();
     let mut client = router.client();
     let second: &'static [u8] = b"T\0\0\0\x1d\0\x01data\0\0\0\0\0\0\0\0\0\0\x11\xff\xff\xff\xff\xff\xff\0\x01D\0\0\0\x0e\0\x01\0\0\0\x04four";
-    for (does, connections) in [(Does::Adds(second), 10), (Does::Adds(b"\xff"), 20), (Does::Misreports, 21)] {
-        replica.set(does);
-        assert!((0..10).all(|_| client.rpc("look", 9000) == ok()), "{does:?}");
-        assert_eq!(count(&replica.connections), connections, "{does:?}");
+    for (behavior, connections) in [
+        (NodeBehavior::TrailingBytes(second), 10),
+        (NodeBehavior::TrailingBytes(b"\xff"), 20),
+        (NodeBehavior::MalformedReport, 21),
+    ] {
+        replica.set_behavior(behavior);
+        assert!((0..10).all(|_| client.rpc("look", 9000) == ok()), "{behavior:?}");
+        assert_eq!(count(&replica.connections), connections, "{behavior:?}");
     }
 }
 
 #[test]
 fn an_attempt_outlives_the_client_that_left_and_its_connection_serves_on() {
     let (_, replica, router, _discovery) = pair();
-    replica.set(Does::Waits);
+    replica.set_behavior(NodeBehavior::Hang);
     let mut leaves = router.client();
-    leaves.ask(&statement("look", 9000));
+    leaves.send_query(&statement("look", 9000));
     replica.await_queries(1);
-    leaves.leave();
+    leaves.disconnect();
     let mut stays = router.client();
-    stays.ask(&statement("look", 9000));
+    stays.send_query(&statement("look", 9000));
     replica.await_queries(2);
-    replica.set(Does::Answers);
+    replica.set_behavior(NodeBehavior::Answer);
     assert_eq!(stays.reply(), ok());
     assert_eq!(stays.rpc("look", 9000), ok());
     assert_eq!((count(&replica.connections), replica.queries().len()), (2, 3));
@@ -206,14 +210,14 @@
 #[test]
 fn a_connection_that_came_up_too_late_is_kept_and_nothing_is_written_to_it() {
     let (_, replica, router, _discovery) = pair();
-    replica.greets(Greets::Hangs);
+    replica.set_connect_behavior(ConnectBehavior::Hang);
     let mut leaves = router.client();
-    leaves.ask(&statement("look", 9000));
+    leaves.send_query(&statement("look", 9000));
     while count(&replica.connections) == 0 {
         std::thread::yield_now();
     }
-    leaves.leave();
-    replica.greets(Greets::Welcomes);
+    leaves.disconnect();
+    replica.set_connect_behavior(ConnectBehavior::Accept);
     assert_eq!(router.client().rpc("look", 9000), ok());
     assert_eq!(replica.queries().len(), 1, "the RPC that was over was not written: {:?}", replica.queries());
 }
@@ -222,7 +226,7 @@
 fn a_connection_that_its_node_closed_is_not_used_again() {
     let (_, replica, router, _discovery) = pair();
     let mut client = router.client();
-    replica.set(Does::Closes);
+    replica.set_behavior(NodeBehavior::AnswerAndClose);
     let mut answered = || {
         while count(&replica.open) > 0 {
             std::thread::yield_now();
@@ -240,7 +244,7 @@
     let nodes = [true, false, false].map(Node::start);
     let [primary, drains, stays] = &nodes;
     let (router, discovery) =
-        Running::among(&[(primary, "primary"), (drains, "replica"), (stays, "replica")]);
+        RouterProcess::start_with_nodes(&[(primary, "primary"), (drains, "replica"), (stays, "replica")]);
     discovery.await_calls(2);
     let list = targets(&[
         (primary, "primary", "in_service"),
@@ -286,7 +290,7 @@
     let (_primary, _replica, list, discovery) = without_router();
     discovery.silent.store(true, Ordering::SeqCst);
     let started = Instant::now();
-    let router = Running::start(&configuration(discovery.address, &list, 200));
+    let router = RouterProcess::start(&configuration(discovery.address, &list, 200));
     discovery.await_calls(1);
     discovery.silent.store(false, Ordering::SeqCst);
     discovery.change(list);
@@ -308,7 +312,7 @@
 }
 
 #[test]
-fn the_longest_idle_connection_goes_when_descriptors_are_short() {
+fn the_longest_idle_connection_is_evicted_when_descriptors_are_short() {
     let (_, replica, router, _) = pair_with(32, "", "");
     let mut clients: Vec<Client> = Vec::new();
     for _ in 0..40 {
@@ -316,7 +320,7 @@
         assert_eq!(client.rpc("look", 9000), ok());
         clients.push(client);
     }
-    assert_eq!(clients[0].told(), None, "closed for the ones that came later");
+    assert_eq!(clients[0].next_message(), None, "closed for the ones that came later");
     assert_eq!(clients[39].rpc("look", 9000), ok());
     assert_eq!(replica.queries().len(), 41);
 }
@@ -342,15 +346,15 @@
 }
 
 #[test]
-fn what_there_are_no_descriptors_for_is_pushed_back_and_not_left_unread() {
+fn what_there_are_no_descriptors_for_is_rejected_and_not_left_unread() {
     let (primary, replica, router, _) = pair_with(64, "", "");
-    [&primary, &replica].iter().for_each(|node| node.set(Does::Waits));
-    let asks = || Client::asking(router.address, &statement("look", 9000));
-    // Half of the 48 sockets are for clients, whose RPCs are held; the others need not wait for them.
-    let mut held: Vec<Client> = (0..24).map(|_| asks()).collect();
+    [&primary, &replica].iter().for_each(|node| node.set_behavior(NodeBehavior::Hang));
+    let asks = || Client::connect_and_query(router.address, &statement("look", 9000));
+    // Half of the 48 sockets are for clients, whose RPCs are pending; the others need not wait for them.
+    let mut pending: Vec<Client> = (0..24).map(|_| asks()).collect();
     assert!((0..20).all(|_| asks().reply() == no_room()));
-    [&primary, &replica].iter().for_each(|node| node.set(Does::Answers));
-    assert!(held.iter_mut().all(|client| client.reply() == ok()));
+    [&primary, &replica].iter().for_each(|node| node.set_behavior(NodeBehavior::Answer));
+    assert!(pending.iter_mut().all(|client| client.reply() == ok()));
 }
 
 /// Guards against a client on a slow line that reads all the time and is cut off in the middle of a long answer, as
@@ -360,7 +364,7 @@
     let (primary, replica, router, _) = pair_with(64, "9000.0", "400.0");
     let mut client = router.client();
     assert_eq!(client.rpc("look", 400), ok());
-    [&primary, &replica].iter().for_each(|node| node.set(Does::Fills(1_000_000)));
+    [&primary, &replica].iter().for_each(|node| node.set_behavior(NodeBehavior::LargeValue(1_000_000)));
     // More than sockets' buffers take, all asked for at once.
     let all: Vec<u8> = (0..8).flat_map(|_| pg::query(statement("look", 400).as_bytes())).collect();
     client.send(&all);
@@ -374,22 +378,26 @@
 }
 
 #[test]
-fn what_there_is_no_memory_for_is_pushed_back() {
+fn what_there_is_no_memory_for_is_rejected() {
     let (_, replica, router, _) = pair_with(64, r#""memory_mb":192"#, r#""memory_mb":1"#);
-    replica.set(Does::Waits);
+    replica.set_behavior(NodeBehavior::Hang);
     let long = || format!("{} -- {}", statement("look", 9000), "x".repeat(100_000));
     // One after the other: two that come in at once exceed an eighth by themselves.
-    let hold = |place| {
-        let client = Client::asking(router.address, &long());
-        replica.await_queries(place);
+    let hold = |count| {
+        let client = Client::connect_and_query(router.address, &long());
+        replica.await_queries(count);
         client
     };
-    let mut held = [hold(1), hold(2)];
-    assert_eq!(Client::asking(router.address, &long()).reply(), no_room(), "three exceed a quarter");
-    let mut small = Client::asking(router.address, &statement("look", 9000));
-    replica.set(Does::Answers);
-    assert!(held.iter_mut().chain([&mut small]).all(|client| client.reply() == ok()));
-    assert_eq!(Client::asking(router.address, &long()).reply(), ok(), "what has ended takes none");
+    let mut pending = [hold(1), hold(2)];
+    assert_eq!(
+        Client::connect_and_query(router.address, &long()).reply(),
+        no_room(),
+        "three exceed a quarter"
+    );
+    let mut small = Client::connect_and_query(router.address, &statement("look", 9000));
+    replica.set_behavior(NodeBehavior::Answer);
+    assert!(pending.iter_mut().chain([&mut small]).all(|client| client.reply() == ok()));
+    assert_eq!(Client::connect_and_query(router.address, &long()).reply(), ok(), "what has ended takes none");
 }
 
 /// Whichever is read first: of two that together exceed what may be coming in, one is told so and closed, and the other
@@ -421,49 +429,49 @@
         }
     };
     assert_eq!(clients[refused].reply(), Reply::Error("53200".into(), None));
-    assert_eq!(clients[refused].told(), None, "closed");
+    assert_eq!(clients[refused].next_message(), None, "closed");
     let other = &mut clients[1 - refused];
     other.send(last);
     assert_eq!(other.reply(), ok());
-    assert_eq!(Client::asking(router.address, &long).reply(), ok(), "what has ended takes none");
+    assert_eq!(Client::connect_and_query(router.address, &long).reply(), ok(), "what has ended takes none");
 }
 
 #[test]
-fn a_router_that_is_told_to_stop_answers_all_it_holds_first() {
+fn a_router_that_is_told_to_stop_answers_all_pending_rpcs_first() {
     let (_, replica, mut router, _discovery) = pair();
     let (mut busy, mut idle) = (router.client(), router.client());
     assert_eq!(idle.rpc("look", 9000), ok());
-    replica.set(Does::Waits);
-    busy.ask(&statement("look", 9000));
+    replica.set_behavior(NodeBehavior::Hang);
+    busy.send_query(&statement("look", 9000));
     replica.await_queries(2);
     router.signal("-TERM");
     router.signal("-TERM");
-    assert_eq!(idle.told(), None, "an idle connection is closed");
-    replica.set(Does::Answers);
+    assert_eq!(idle.next_message(), None, "an idle connection is closed");
+    replica.set_behavior(NodeBehavior::Answer);
     assert_eq!(busy.reply(), ok());
-    assert_eq!(busy.told(), None);
-    assert!(router.ended().success());
+    assert_eq!(busy.next_message(), None);
+    assert!(router.wait_for_exit().success());
 }
 
 #[test]
 fn what_would_outlast_a_router_that_is_told_to_stop_is_answered_before_it_ends() {
     let (_, replica, mut router, _discovery) = pair();
-    replica.set(Does::Waits);
+    replica.set_behavior(NodeBehavior::Hang);
     // The platform kills it 3.7 s after the signal at the latest, however long its clients would wait.
     let mut clients: Vec<Client> = (0..3).map(|_| router.client()).collect();
-    clients.iter_mut().for_each(|client| client.ask(&statement("look", 9000)));
+    clients.iter_mut().for_each(|client| client.send_query(&statement("look", 9000)));
     replica.await_queries(3);
     router.signal("-TERM");
     for client in &mut clients {
         let reply = client.reply();
         assert!(matches!(reply, Reply::Error(..)), "{reply:?}");
     }
-    assert!(router.ended().success());
+    assert!(router.wait_for_exit().success());
 }
 
 #[test]
-fn a_router_that_is_told_to_stop_serves_its_clients_on_and_lets_go_of_them_bit_by_bit() {
-    let (_, _, mut router, _) = pair_with(200, LOOK, HASTY_LOOK);
+fn a_router_that_is_told_to_stop_serves_its_clients_on_and_closes_their_sessions_bit_by_bit() {
+    let (_, _, mut router, _) = pair_with(200, LOOK, SHORT_DEADLINE_LOOK);
     let mut clients: Vec<Client> = (0..20).map(|_| router.client()).collect();
     assert!(clients.iter_mut().all(|client| client.rpc("look", 500) == ok()));
     router.signal("-TERM");
@@ -471,14 +479,14 @@
     assert!(std::net::TcpStream::connect(router.address).is_err());
     let replies: Vec<Reply> = clients.iter_mut().map(|client| client.try_rpc("look", 500)).collect();
     let served = replies.iter().filter(|reply| **reply == ok()).count();
-    assert!(served > 0 && replies.iter().all(|reply| [ok(), Reply::Gone].contains(reply)), "{replies:?}");
-    assert!(router.ended().success());
-    assert!(clients.iter_mut().all(|client| client.told().is_none()));
+    assert!(served > 0 && replies.iter().all(|reply| [ok(), Reply::Closed].contains(reply)), "{replies:?}");
+    assert!(router.wait_for_exit().success());
+    assert!(clients.iter_mut().all(|client| client.next_message().is_none()));
 }
 
 #[test]
 fn each_rpc_that_comes_on_an_open_connection_after_the_signal_is_answered_or_was_never_read() {
-    let (primary, replica, mut router, _) = pair_with(200, LOOK, HASTY_LOOK);
+    let (primary, replica, mut router, _) = pair_with(200, LOOK, SHORT_DEADLINE_LOOK);
     let clients: Vec<Client> = (0..40).map(|_| router.client()).collect();
     // All of them send without a pause until their connection ends.
     let load = clients.into_iter().map(|mut client| {
@@ -486,8 +494,8 @@
             let mut answered = 0;
             loop {
                 let text = statement("look", 500);
-                match client.try_ask(&text) {
-                    Reply::Gone => break (answered, text),
+                match client.try_query(&text) {
+                    Reply::Closed => break (answered, text),
                     _ => answered += 1,
                 }
             }
@@ -497,7 +505,7 @@
     std::thread::sleep(Duration::from_millis(100));
     router.signal("-TERM");
     let ends: Vec<(usize, String)> = load.into_iter().map(|one| one.join().unwrap()).collect();
-    assert!(router.ended().success());
+    assert!(router.wait_for_exit().success());
     let sent_on: Vec<String> = primary.queries().into_iter().chain(replica.queries()).collect();
     assert!(ends.iter().all(|(answered, _)| *answered > 0), "{ends:?}");
     let lost: Vec<_> = ends.iter().filter(|(_, last)| sent_on.contains(last)).collect();
@@ -512,11 +520,11 @@
     let [old, new] = [first, second].map(|node| Discovery::start(only(node)));
     let text = configuration(old.address, &only(first), 200);
     // The variable is as old as the process, so the file's word wins from then on.
-    let mut router = Running::start_with(&text, &[("GW_DISCOVERY", &old.address.to_string())]);
+    let mut router = RouterProcess::start_with(&text, &[("GW_DISCOVERY", &old.address.to_string())]);
     old.await_calls(2);
     let mut client = router.client();
     assert_eq!((client.rpc("look", 9000), first.queries().len()), (ok(), 1));
-    second.set(Does::Waits);
+    second.set_behavior(NodeBehavior::Hang);
     let told = |text: &str, line: &str| {
         std::fs::write(&router.path, text).unwrap();
         router.signal("-HUP");
@@ -526,7 +534,7 @@
     told(&text.replace("192", "64"), "limits.memory_mb has changed");
     told(&text.replace(&old.address.to_string(), &new.address.to_string()), "read anew, discovery at");
     new.await_calls(2);
-    client.ask(&statement("look", 9000));
+    client.send_query(&statement("look", 9000));
     second.await_queries(1);
     // Also while it drains, with an attempt under way.
     router.signal("-TERM");
@@ -536,9 +544,9 @@
     std::fs::write(&router.path, &text).unwrap();
     router.signal("-HUP");
     old.await_calls(calls + 2);
-    second.set(Does::Answers);
+    second.set_behavior(NodeBehavior::Answer);
     assert_eq!((client.reply(), first.queries().len(), second.queries().len()), (ok(), 1, 1));
-    assert!(router.ended().success());
+    assert!(router.wait_for_exit().success());
 }
 
 #[test]
@@ -562,15 +570,15 @@
         (format!("{good}; SELECT 1"), "42601"),
         (format!("{good}'"), "42601"),
     ] {
-        client.ask(&text);
+        client.send_query(&text);
         assert_eq!(client.reply(), error(code), "{text}");
-        client.ask("");
+        client.send_query("");
         assert_eq!(client.reply(), Reply::Empty, "the connection lives on");
     }
     // Parse, then Sync: the extended protocol is passed over up to there.
     client.send(b"P\0\0\0\x08\0\0\0\0S\0\0\0\x04");
     assert_eq!(client.reply(), error("0A000"));
-    client.ask("  ; ");
+    client.send_query("  ; ");
     assert_eq!(client.reply(), Reply::Empty);
     assert_eq!(client.rpc("look", 9000), ok(), "the connection lives on");
     for (bytes, code) in [
@@ -584,7 +592,7 @@
         let mut client = router.client();
         client.send(bytes);
         assert_eq!(client.reply(), error(code), "{bytes:?}");
-        assert_eq!(client.told(), None, "and that was the end");
+        assert_eq!(client.next_message(), None, "and that was the end");
     }
 }
 
@@ -598,11 +606,11 @@
     // More than the router reads at once, so that a close on unread bytes would reset the connection.
     assert!((0..16).all(|_| sends.write_all(&[b'x'; 4096]).is_ok()));
     assert_eq!(client.reply(), error("54000"));
-    assert_eq!(client.told(), None);
+    assert_eq!(client.next_message(), None);
 }
 
 #[test]
-fn who_says_nothing_is_closed_and_goes_first_when_descriptors_are_short() {
+fn a_silent_client_is_closed_and_evicted_first_when_descriptors_are_short() {
     use std::io::Read;
     let (_, _, router, _) = pair_with(64, "", "");
     let mut client = router.client();
@@ -615,18 +623,18 @@
 }
 
 #[test]
-fn an_id_that_is_under_way_is_no_other_rpcs() {
+fn an_active_request_id_is_rejected_for_another_rpc() {
     let (_, replica, router, _discovery) = pair();
-    replica.set(Does::Waits);
+    replica.set_behavior(NodeBehavior::Hang);
     let (mut first, mut second) = (router.client(), router.client());
     let text = statement("look", 9000);
-    first.ask(&text);
+    first.send_query(&text);
     replica.await_queries(1);
-    second.ask(&text);
+    second.send_query(&text);
     assert_eq!(second.reply(), error("42710"));
-    replica.set(Does::Answers);
+    replica.set_behavior(NodeBehavior::Answer);
     assert_eq!((first.reply(), replica.queries().len()), (ok(), 1), "the first did not notice");
-    second.ask(&text);
+    second.send_query(&text);
     assert_eq!(second.reply(), ok(), "the id is free again");
 }
 
@@ -640,16 +648,16 @@
     let codes: Vec<Reply> = (0..8).map(|_| floods.reply()).collect();
     assert!(codes.iter().all(|reply| *reply == error("42601")), "{codes:?}");
     assert_eq!(floods.reply(), error("08P01"), "the last word");
-    assert_eq!(floods.told(), None);
+    assert_eq!(floods.next_message(), None);
 }
 
 #[test]
 fn a_long_value_passes_and_one_past_all_bounds_does_not() {
     let (_, replica, router, _discovery) = pair();
     let mut client = router.client();
-    replica.set(Does::Fills(400_000));
+    replica.set_behavior(NodeBehavior::LargeValue(400_000));
     assert_eq!(client.rpc("look", 9000), Reply::Value(vec![b'v'; 400_000]));
-    replica.set(Does::Fills(2_000_000));
+    replica.set_behavior(NodeBehavior::LargeValue(2_000_000));
     assert!(matches!(client.rpc("look", 9000), Reply::Error(..)));
 }
 
--- a/crates/router/tests/standin/mod.rs
+++ b/crates/router/tests/standin/mod.rs
@@ -1,5 +1,5 @@
 //! Stand-ins for clients, nodes and discovery, after their public protocols, and a router process among them.
-//! They do as they are told and keep the books; nothing in them decides.
+//! They do as they are set to and record what they see; nothing in them decides.
 #![allow(dead_code)]
 
 use std::io::{BufRead, BufReader, Write};
@@ -23,53 +23,53 @@
 
 /// What a node does with the next RPCs.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Does {
-    Answers,
+pub enum NodeBehavior {
+    Answer,
     /// Answers with an error of this code.
-    Errs(&'static str),
+    Error(&'static str),
     /// Answers after so many milliseconds.
-    Takes(u64),
-    /// Ends the connection once the query is whole.
-    Breaks,
-    /// Says nothing until it is told to do something else.
-    Waits,
+    Delay(u64),
+    /// Ends the connection once the query is complete.
+    Disconnect,
+    /// Says nothing until its behavior is set to another one.
+    Hang,
     /// Answers, and closes the connection.
-    Closes,
+    AnswerAndClose,
     /// Answers half of a value, and closes the connection.
-    Halves,
+    Truncate,
     /// Answers with these bytes and leaves the connection open.
-    Says(&'static [u8]),
+    RawBytes(&'static [u8]),
     /// Answers with a value of so many bytes.
-    Fills(usize),
+    LargeValue(usize),
     /// Answers with the id of the RPC as the value.
-    Echoes,
+    EchoId,
     /// Sends these bytes again and again, until the connection ends.
-    Floods(&'static [u8]),
+    Flood(&'static [u8]),
     /// Answers, with these bytes behind ReadyForQuery.
-    Adds(&'static [u8]),
+    TrailingBytes(&'static [u8]),
     /// Answers, with a load report that cannot be read.
-    Misreports,
-    /// Is down: tells so whatever it is asked, a probe too.
+    MalformedReport,
+    /// Is down: says so whatever it is asked, also to a health check.
     Down,
 }
 
 /// What a node does with new connections.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Greets {
-    Welcomes,
-    Hangs,
-    /// Welcomes the first so many that have ever come, and says nothing to those that came later.
-    First(usize),
-    Closes,
+pub enum ConnectBehavior {
+    Accept,
+    Hang,
+    /// Accepts the first so many that have ever come, and says nothing to those that came later.
+    AcceptFirst(usize),
+    Close,
 }
 
 struct NodeState {
-    does: Does,
-    greets: Greets,
+    behavior: NodeBehavior,
+    connect_behavior: ConnectBehavior,
     primary: bool,
     queries: Vec<String>,
-    /// How many it holds that are not answered.
-    held: usize,
+    /// How many RPCs it has not answered.
+    in_flight: usize,
 }
 
 #[derive(Clone)]
@@ -78,36 +78,36 @@
     state: Arc<(Mutex<NodeState>, Condvar)>,
     pub connections: Arc<AtomicUsize>,
     pub open: Arc<AtomicUsize>,
-    /// Connections that were greeted.
-    pub welcomed: Arc<AtomicUsize>,
+    /// Connections that were accepted.
+    pub accepted: Arc<AtomicUsize>,
 }
 
 impl Node {
     pub fn start(primary: bool) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let state = NodeState {
-            does: Does::Answers,
-            greets: Greets::Welcomes,
+            behavior: NodeBehavior::Answer,
+            connect_behavior: ConnectBehavior::Accept,
             primary,
             queries: Vec::new(),
-            held: 0,
+            in_flight: 0,
         };
         let node = Self {
             address: listener.local_addr().unwrap(),
             state: Arc::new((Mutex::new(state), Condvar::new())),
             connections: Arc::default(),
             open: Arc::default(),
-            welcomed: Arc::default(),
+            accepted: Arc::default(),
         };
         let served = node.clone();
         thread::spawn(move || {
             for stream in listener.incoming() {
                 let node = served.clone();
                 // Both are counted here: a connection's own thread may begin much later.
-                let place = node.connections.fetch_add(1, Ordering::SeqCst);
+                let index = node.connections.fetch_add(1, Ordering::SeqCst);
                 node.open.fetch_add(1, Ordering::SeqCst);
                 thread::spawn(move || {
-                    node.serve(place, stream.unwrap());
+                    node.serve(index, stream.unwrap());
                     node.open.fetch_sub(1, Ordering::SeqCst);
                 });
             }
@@ -115,17 +115,17 @@
         node
     }
 
-    pub fn set(&self, does: Does) {
-        self.state.0.lock().unwrap().does = does;
+    pub fn set_behavior(&self, behavior: NodeBehavior) {
+        self.state.0.lock().unwrap().behavior = behavior;
         self.state.1.notify_all();
     }
 
-    pub fn greets(&self, greets: Greets) {
-        self.state.0.lock().unwrap().greets = greets;
+    pub fn set_connect_behavior(&self, behavior: ConnectBehavior) {
+        self.state.0.lock().unwrap().connect_behavior = behavior;
         self.state.1.notify_all();
     }
 
-    /// The RPCs that came whole.
+    /// The RPCs that came completely.
     pub fn queries(&self) -> Vec<String> {
         self.state.0.lock().unwrap().queries.clone()
     }
@@ -138,15 +138,15 @@
     }
 
     /// The connection that so many came before.
-    fn serve(&self, place: usize, mut stream: TcpStream) {
-        let hangs = |state: &mut NodeState| match state.greets {
-            Greets::Hangs => true,
-            Greets::First(count) => place >= count,
-            Greets::Welcomes | Greets::Closes => false,
+    fn serve(&self, index: usize, mut stream: TcpStream) {
+        let hangs = |state: &mut NodeState| match state.connect_behavior {
+            ConnectBehavior::Hang => true,
+            ConnectBehavior::AcceptFirst(count) => index >= count,
+            ConnectBehavior::Accept | ConnectBehavior::Close => false,
         };
         let state = self.state.0.lock().unwrap();
         let (state, _) = self.state.1.wait_timeout_while(state, NEVER, hangs).unwrap();
-        if state.greets == Greets::Closes {
+        if state.connect_behavior == ConnectBehavior::Close {
             return;
         }
         drop(state);
@@ -157,17 +157,17 @@
         let mut out = Vec::new();
         pg::put_welcome(&mut out, None);
         _ = stream.write_all(&out);
-        self.welcomed.fetch_add(1, Ordering::SeqCst);
+        self.accepted.fetch_add(1, Ordering::SeqCst);
         while let Some(Asked::Query(text)) = next(&mut stream, &mut unread, pg::asked) {
             let text = String::from_utf8(text).unwrap();
             let mut state = self.state.0.lock().unwrap();
             let now = unix_ms();
-            let (x0, x1, held) = (now as f64 / 1000.0, u8::from(state.primary), state.held);
-            let load = format!("x0={x0:.3},x1={x1},inflight={held},queue=0");
+            let (x0, x1, in_flight) = (now as f64 / 1000.0, u8::from(state.primary), state.in_flight);
+            let load = format!("x0={x0:.3},x1={x1},inflight={in_flight},queue=0");
             let mut out = Vec::new();
             if text == "SHOW load" {
-                match state.does {
-                    Does::Down => pg::put_error(&mut out, false, "57P03", "down", None),
+                match state.behavior {
+                    NodeBehavior::Down => pg::put_error(&mut out, false, "57P03", "down", None),
                     _ => pg::put_answer(&mut out, &answer(load.as_bytes())),
                 }
                 pg::put_ready(&mut out);
@@ -176,48 +176,55 @@
                 continue;
             }
             // As every replica does with a write.
-            let misplaced = text.contains("INSERT") && !state.primary;
+            let misrouted = text.contains("INSERT") && !state.primary;
             let id = text.split("id=").nth(1).and_then(|rest| rest.split(',').next());
             let id = id.unwrap_or_default().as_bytes().to_vec();
             state.queries.push(text);
-            state.held += 1;
+            state.in_flight += 1;
             self.state.1.notify_all();
-            let (state, _) =
-                self.state.1.wait_timeout_while(state, NEVER, |state| state.does == Does::Waits).unwrap();
+            let (state, _) = self
+                .state
+                .1
+                .wait_timeout_while(state, NEVER, |state| state.behavior == NodeBehavior::Hang)
+                .unwrap();
             let role = if state.primary { "primary" } else { "replica" };
-            let does = state.does;
+            let behavior = state.behavior;
             drop(state);
-            if let Does::Takes(ms) = does {
+            if let NodeBehavior::Delay(ms) = behavior {
                 thread::sleep(Duration::from_millis(ms));
             }
-            self.state.0.lock().unwrap().held -= 1;
-            match does {
-                _ if misplaced => pg::put_error(&mut out, false, "25006", "this is a replica", None),
-                Does::Breaks => return,
-                Does::Down => pg::put_error(&mut out, false, "57P03", "down", None),
-                Does::Errs(code) => pg::put_error(&mut out, false, code, "as told", None),
-                Does::Says(bytes) => out.extend(bytes),
-                Does::Fills(length) => pg::put_answer(&mut out, &answer(&vec![b'v'; length])),
-                Does::Echoes => pg::put_answer(&mut out, &answer(&id)),
-                Does::Floods(bytes) => {
+            self.state.0.lock().unwrap().in_flight -= 1;
+            match behavior {
+                _ if misrouted => pg::put_error(&mut out, false, "25006", "this is a replica", None),
+                NodeBehavior::Disconnect => return,
+                NodeBehavior::Down => pg::put_error(&mut out, false, "57P03", "down", None),
+                NodeBehavior::Error(code) => pg::put_error(&mut out, false, code, "as told", None),
+                NodeBehavior::RawBytes(bytes) => out.extend(bytes),
+                NodeBehavior::LargeValue(length) => pg::put_answer(&mut out, &answer(&vec![b'v'; length])),
+                NodeBehavior::EchoId => pg::put_answer(&mut out, &answer(&id)),
+                NodeBehavior::Flood(bytes) => {
                     let many = bytes.repeat(4096 / bytes.len());
                     while stream.write_all(&many).is_ok() {}
                     return;
                 }
                 _ => pg::put_answer(&mut out, &answer(VALUE)),
             }
-            if does == Does::Halves {
+            if behavior == NodeBehavior::Truncate {
                 _ = stream.write_all(&out[..out.len() / 2]);
                 return;
             }
             parameter(&mut out, "role", role);
             parameter(&mut out, "applied_ms", &now.to_string());
-            parameter(&mut out, "load", if does == Does::Misreports { "x0=?,,=" } else { &load });
+            parameter(
+                &mut out,
+                "load",
+                if behavior == NodeBehavior::MalformedReport { "x0=?,,=" } else { &load },
+            );
             pg::put_ready(&mut out);
-            if let Does::Adds(bytes) = does {
+            if let NodeBehavior::TrailingBytes(bytes) = behavior {
                 out.extend(bytes);
             }
-            if stream.write_all(&out).is_err() || does == Does::Closes {
+            if stream.write_all(&out).is_err() || behavior == NodeBehavior::AnswerAndClose {
                 return;
             }
         }
@@ -241,10 +248,10 @@
 
 /// The list's entries: a node, its role and its state.
 pub fn targets(nodes: &[(&Node, &str, &str)]) -> String {
-    let entry = |(place, (node, role, state)): (usize, &(&Node, &str, &str))| {
+    let entry = |(index, (node, role, state)): (usize, &(&Node, &str, &str))| {
         let endpoint = node.address;
         format!(
-            r#"{{"uid":"s-{place}","endpoint":"{endpoint}","az":"a","model":"m","pod_group":0,"state":"{state}",
+            r#"{{"uid":"s-{index}","endpoint":"{endpoint}","az":"a","model":"m","pod_group":0,"state":"{state}",
             "capacity_hint":1.0,"boot_ms":0,"role":"{role}"}}"#
         )
     };
@@ -312,8 +319,8 @@
         }
     }
 
-    /// Told of at another address than its own.
-    pub fn told_at(&self, address: SocketAddr) -> Self {
+    /// The same, where routers are told another address than its own.
+    pub fn advertised_at(&self, address: SocketAddr) -> Self {
         Self { address, ..self.clone() }
     }
 
@@ -334,7 +341,7 @@
 }
 
 /// A router as a process of its own.
-pub struct Running {
+pub struct RouterProcess {
     pub child: Child,
     pub address: SocketAddr,
     pub path: PathBuf,
@@ -379,7 +386,7 @@
     command
 }
 
-impl Running {
+impl RouterProcess {
     pub fn start(configuration: &str) -> Self {
         Self::start_with(configuration, &[])
     }
@@ -426,7 +433,7 @@
     }
 
     /// Nodes as `(node, role)`, a list that names them, and a router that knows it.
-    pub fn among(nodes: &[(&Node, &str)]) -> (Self, Discovery) {
+    pub fn start_with_nodes(nodes: &[(&Node, &str)]) -> (Self, Discovery) {
         let all: Vec<_> = nodes.iter().map(|(node, role)| (*node, *role, "in_service")).collect();
         let discovery = Discovery::start(targets(&all));
         (Self::start(&configuration(discovery.address, &targets(&all), 200)), discovery)
@@ -454,12 +461,12 @@
         Ok(kill_process(Pid::from_child(&self.child), signal)?)
     }
 
-    pub fn ended(&mut self) -> ExitStatus {
+    pub fn wait_for_exit(&mut self) -> ExitStatus {
         self.child.wait().unwrap()
     }
 }
 
-impl Drop for Running {
+impl Drop for RouterProcess {
     fn drop(&mut self) {
         _ = self.child.kill();
         _ = self.child.wait();
@@ -474,7 +481,7 @@
     Error(String, Option<String>),
     Empty,
     /// The connection ended without an answer.
-    Gone,
+    Closed,
 }
 
 pub struct Client {
@@ -488,26 +495,26 @@
     }
 
     /// With a first query right behind the startup.
-    pub fn asking(address: SocketAddr, text: &str) -> Self {
+    pub fn connect_and_query(address: SocketAddr, text: &str) -> Self {
         let mut query = Vec::new();
         pg::put_query(&mut query, text.as_bytes());
         Self::connect_with(address, &query)
     }
 
     fn connect_with(address: SocketAddr, query: &[u8]) -> Self {
-        let mut client = Self::on(TcpStream::connect(address).unwrap());
+        let mut client = Self::from_stream(TcpStream::connect(address).unwrap());
         client.send(query);
         client
     }
 
     /// On a connection of the test's own making.
-    pub fn on(stream: TcpStream) -> Self {
-        Self::try_on(stream).unwrap()
+    pub fn from_stream(stream: TcpStream) -> Self {
+        Self::try_from_stream(stream).unwrap()
     }
 
     /// # Errors
     /// The connection has ended.
-    pub fn try_on(stream: TcpStream) -> std::io::Result<Self> {
+    pub fn try_from_stream(stream: TcpStream) -> std::io::Result<Self> {
         stream.set_read_timeout(Some(NEVER))?;
         let mut client = Self { stream, unread: Vec::new() };
         let mut out = Vec::new();
@@ -521,17 +528,17 @@
     }
 
     /// The next message of a router.
-    pub fn told(&mut self) -> Option<Told> {
+    pub fn next_message(&mut self) -> Option<Told> {
         next(&mut self.stream, &mut self.unread, pg::told)
     }
 
-    /// Leaves, and waits until the router has taken notice.
-    pub fn leave(mut self) {
+    /// Closes its sending, and waits until the router has taken notice.
+    pub fn disconnect(mut self) {
         self.stream.shutdown(std::net::Shutdown::Write).unwrap();
-        while self.told().is_some() {}
+        while self.next_message().is_some() {}
     }
 
-    pub fn ask(&mut self, text: &str) {
+    pub fn send_query(&mut self, text: &str) {
         let mut out = Vec::new();
         pg::put_query(&mut out, text.as_bytes());
         self.send(&out);
@@ -539,31 +546,31 @@
 
     /// Up to the ReadyForQuery that follows an answer.
     pub fn reply(&mut self) -> Reply {
-        let mut reply = Reply::Gone;
+        let mut reply = Reply::Closed;
         loop {
-            match self.told() {
+            match self.next_message() {
                 None => return reply,
                 Some(Told::Row(value)) => reply = Reply::Value(value.unwrap()),
                 Some(Told::EmptyQuery) => reply = Reply::Empty,
                 Some(Told::Error { code, detail, .. }) => reply = Reply::Error(code, detail),
-                Some(Told::Ready) if reply != Reply::Gone => return reply,
+                Some(Told::Ready) if reply != Reply::Closed => return reply,
                 Some(_) => {}
             }
         }
     }
 
-    /// Asks on a connection that may have been closed.
-    pub fn try_ask(&mut self, text: &str) -> Reply {
+    /// Queries on a connection that may have been closed.
+    pub fn try_query(&mut self, text: &str) -> Reply {
         let sent = self.stream.write_all(&pg::query(text.as_bytes()));
-        sent.map_or(Reply::Gone, |()| self.reply())
+        sent.map_or(Reply::Closed, |()| self.reply())
     }
 
     pub fn try_rpc(&mut self, class: &str, wait_ms: u64) -> Reply {
-        self.try_ask(&statement(class, wait_ms))
+        self.try_query(&statement(class, wait_ms))
     }
 
     pub fn rpc(&mut self, class: &str, wait_ms: u64) -> Reply {
-        self.ask(&statement(class, wait_ms));
+        self.send_query(&statement(class, wait_ms));
         self.reply()
     }
 }
--- a/crates/router/tests/told.rs
+++ b/crates/router/tests/told.rs
@@ -12,7 +12,9 @@
 use quillpoint_control_plane::ControlHost;
 use quillpoint_observation_feed::FeedObservation;
 use quillpoint_router::deployment::Deployment;
-use quillpoint_router::engine::{Clock, Engine, Finding, Order, Owed, Sharing, Work};
+use quillpoint_router::engine::{
+    Clock, Command, Engine, EngineOutputs, LocalObservation, ObservationExchange, PendingResponse,
+};
 use quillpoint_router::statement::Statement;
 use serde_json::json;
 
@@ -23,13 +25,13 @@
     asked: RefCell<Vec<NodeId>>,
 }
 
-impl Sharing for Teller {
-    fn found(&self, _finding: Finding) {}
-    fn listed(&self) {}
-    fn may_probe(&self, _node: NodeId) -> bool {
+impl ObservationExchange for Teller {
+    fn observed(&self, _finding: LocalObservation) {}
+    fn endpoints_changed(&self) {}
+    fn permits_health_check(&self, _node: NodeId) -> bool {
         false
     }
-    fn news_of(&self, node: NodeId) -> Option<PeerObservation> {
+    fn latest_observation(&self, node: NodeId) -> Option<PeerObservation> {
         self.asked.borrow_mut().push(node);
         let now = self.clock.now();
         self.has_news.get().then_some(PeerObservation {
@@ -49,7 +51,7 @@
 }
 
 /// Three groups of two replicas each, and bounded reads.
-fn engine() -> (Rc<Engine>, Work, Rc<Teller>) {
+fn engine() -> (Rc<Engine>, EngineOutputs, Rc<Teller>) {
     let settings = json!({
         "Allowed": {"ConnIdleMs": 30000.0, "ConnectTimeoutMs": 250.0, "MaxAttempts": 6, "Probes": true},
         "Balancers": 3, "Discovery": "subscribe", "FailureDomains": ["a"], "Skus": ["m"], "StepMs": 2.0,
@@ -72,7 +74,7 @@
     engine.endpoints_changed(EndpointUpdate::Snapshot, &list);
     let (clock, has_news, asked) = (engine.clock, Cell::new(false), RefCell::default());
     let teller = Rc::new(Teller { clock, has_news, asked });
-    engine.share_with(Rc::clone(&teller) as Rc<dyn Sharing>);
+    engine.set_observation_exchange(Rc::clone(&teller) as Rc<dyn ObservationExchange>);
     (engine, work, teller)
 }
 
@@ -82,7 +84,7 @@
 }
 
 /// An RPC for a group that has just come.
-fn arrive(engine: &Rc<Engine>, group: u64) -> Owed {
+fn arrive(engine: &Rc<Engine>, group: u64) -> PendingResponse {
     engine.rpc_arrived(MethodId(0), &statement(group), Instant::now(), None).unwrap()
 }
 
@@ -96,7 +98,9 @@
     teller.has_news.set(true);
     let owed = arrive(&engine, 1);
     assert_eq!(asked(&teller), [node(1, 0), node(1, 1)]);
-    let Some(Order::Attempt(attempt)) = owed.ordered() else { panic!("it is sent on their word at once") };
+    let Some(Command::Attempt(attempt)) = owed.try_next_command() else {
+        panic!("it is sent on their word at once")
+    };
     assert!([node(1, 0), node(1, 1)].contains(&attempt.node));
     // A group that is not known has no nodes.
     arrive(&engine, 9);
@@ -109,14 +113,14 @@
     engine.refreshed();
     assert_eq!(asked(&teller), [], "nothing is held");
     let owed = arrive(&engine, 2);
-    assert!(owed.ordered().is_none(), "nobody says that any replica is up to date");
+    assert!(owed.try_next_command().is_none(), "nobody says that any replica is up to date");
     asked(&teller);
     engine.refreshed();
     assert_eq!(asked(&teller), [node(2, 0), node(2, 1)]);
-    assert!(owed.ordered().is_none());
+    assert!(owed.try_next_command().is_none());
     teller.has_news.set(true);
     engine.refreshed();
-    assert!(matches!(owed.ordered(), Some(Order::Attempt(_))));
+    assert!(matches!(owed.try_next_command(), Some(Command::Attempt(_))));
     // One that has ended is not held any more.
     drop(arrive(&engine, 0));
     asked(&teller);
@@ -137,7 +141,7 @@
         failed: true,
     };
     engine.learnt(word);
-    assert!(engine.is_shut(node(0, 1)) && !engine.is_shut(node(0, 0)));
+    assert!(engine.is_ejected(node(0, 1)) && !engine.is_ejected(node(0, 0)));
     assert_eq!(asked(&teller), [], "nobody needs to ask for it");
 }
 
@@ -146,27 +150,27 @@
     let (engine, _work, teller) = engine();
     teller.has_news.set(true);
     let owed = arrive(&engine, 1);
-    let Some(Order::Attempt(attempt)) = owed.ordered() else { panic!("it is sent on their word") };
+    let Some(Command::Attempt(attempt)) = owed.try_next_command() else { panic!("it is sent on their word") };
     let other = if attempt.node == node(1, 0) { node(1, 1) } else { node(1, 0) };
     assert!(engine.permits_attempt(&attempt));
     let stale = engine.clock.now() - Duration::from_secs(5);
     engine.attempt_ended(attempt, quillpoint::host::Outcome::Ok, heard(Some(stale)));
     // No answer to the client: another replica is tried.
-    let Some(Order::Attempt(attempt)) = owed.ordered() else { panic!("a further attempt") };
+    let Some(Command::Attempt(attempt)) = owed.try_next_command() else { panic!("a further attempt") };
     assert_eq!(attempt.node, other);
     assert!(engine.permits_attempt(&attempt));
     // An answer that shows no position at all proves nothing either.
     engine.attempt_ended(attempt, quillpoint::host::Outcome::Ok, heard(None));
-    assert!(!matches!(owed.ordered(), Some(Order::Answer(..))));
+    assert!(!matches!(owed.try_next_command(), Some(Command::Answer { .. })));
     // One that shows what is needed goes to the client.
     let owed = arrive(&engine, 0);
-    let Some(Order::Attempt(attempt)) = owed.ordered() else { panic!("it is sent on their word") };
+    let Some(Command::Attempt(attempt)) = owed.try_next_command() else { panic!("it is sent on their word") };
     assert!(engine.permits_attempt(&attempt));
     engine.attempt_ended(attempt, quillpoint::host::Outcome::Ok, heard(Some(engine.clock.now())));
-    assert!(matches!(owed.ordered(), Some(Order::Answer(..))));
+    assert!(matches!(owed.try_next_command(), Some(Command::Answer { .. })));
 }
 
-fn heard(position: Option<Duration>) -> quillpoint_router::engine::Heard {
+fn heard(position: Option<Duration>) -> quillpoint_router::engine::NodeResponse {
     let answer = quillpoint_testbed::store::row(b"v");
-    quillpoint_router::engine::Heard { answer: Some(answer), role: None, position, report: None }
+    quillpoint_router::engine::NodeResponse { answer: Some(answer), role: None, position, report: None }
 }
