--- a/crates/router/src/client/intake.rs
+++ b/crates/router/src/client/intake.rs
@@ -11,6 +11,7 @@
 use super::session::Session;
 use super::session_end::{SessionEnd, SessionResult};
 use crate::pg::{self, Asked};
+use crate::receive_buffer::ReceivedMessage;
 use crate::request_pipeline::RequestPipeline;
 use crate::socket_liveness::ClientLiveness;
 use crate::statement::{Kept, Statement};
@@ -38,10 +39,10 @@
     /// Puts a message into the pipeline. How the session ends, where it is the last one.
     pub(super) fn take_message(
         &mut self,
-        message: Asked,
-        arrived: Instant,
+        received: ReceivedMessage<Asked>,
         pipeline: &mut RequestPipeline,
     ) -> Option<SessionResult> {
+        let ReceivedMessage { message, arrived } = received;
         let mut out = Vec::new();
         match message {
             Asked::Terminate => return Some(Ok(())),
--- a/crates/router/src/client/request.rs
+++ b/crates/router/src/client/request.rs
@@ -35,7 +35,7 @@
         let engine = &self.engine;
         let statement = &kept.statement;
         if arrived.elapsed() >= DISCONNECT_CHECK_INTERVAL && !kept.client.is_connected() {
-            // It is not begun. Its session has not looked since, and is about to.
+            // It is not begun. Its session has not checked since, and is about to.
             return future::pending().await;
         }
         if engine.pending_rpcs() >= self.max_pending_rpcs {
--- a/crates/router/src/client/request_loop.rs
+++ b/crates/router/src/client/request_loop.rs
@@ -76,10 +76,10 @@
         while self.result.is_none() && self.pipeline.has_capacity(self.session.clients.is_memory_critical()) {
             match self.session.buffer.decode_next(pg::asked) {
                 Ok(None) => break,
-                Ok(Some((message, arrived))) => {
+                Ok(Some(received)) => {
                     self.session.opening_deadline = None;
                     self.message_deadline = None;
-                    self.result = self.session.take_message(message, arrived, &mut self.pipeline);
+                    self.result = self.session.take_message(received, &mut self.pipeline);
                 }
                 Err(broken) => self.result = Some(Err(broken.into())),
             }
@@ -100,8 +100,8 @@
 
     /// Waits for what happens next.
     ///
-    /// Whether the client is still connected is looked at first: a command may have come at the same time. But one
-    /// that sends without a pause what is discarded has what it asked before go on, too.
+    /// Reading comes first, so that a client that has disconnected is noticed before a command that came at the same
+    /// time is carried out. But the requests of one that sends without a pause go on, too.
     async fn next_event(&mut self) -> Result<SessionEvent, SessionEnd> {
         let is_idle = self.pipeline.is_empty() && self.write.is_none();
         let reads_first = self.reads_in_a_row < MAX_READS_IN_A_ROW;
--- a/crates/router/src/client/session.rs
+++ b/crates/router/src/client/session.rs
@@ -92,8 +92,8 @@
     async fn next_opening(&mut self) -> Result<Opening, SessionEnd> {
         let mut message_deadline = self.opening_deadline;
         loop {
-            if let Some((opening, _)) = self.buffer.decode_next(pg::opening)? {
-                return Ok(opening);
+            if let Some(received) = self.buffer.decode_next(pg::opening)? {
+                return Ok(received.message);
             }
             self.receive_next(&mut message_deadline).await?;
         }
@@ -122,7 +122,7 @@
             return;
         }
         self.buffer.clear();
-        // It gives way at once where descriptors are short, and to nothing else.
+        // It is evicted at once where descriptors are short, and by nothing else.
         let (close, closed) = async_channel::bounded::<()>(1);
         let _evictable = self.clients.descriptors.register_evictable(
             self.permit.held_for,
--- a/crates/router/src/client/session_end.rs
+++ b/crates/router/src/client/session_end.rs
@@ -31,7 +31,7 @@
 }
 
 impl SessionEnd {
-    /// The SQLSTATE that the client is told, where the end is the client's doing.
+    /// The SQLSTATE for the client, where it has caused the end.
     pub(super) fn code(&self) -> Option<&'static str> {
         match self {
             Self::Malformed(broken) => Some(broken.code()),
--- a/crates/router/src/descriptors.rs
+++ b/crates/router/src/descriptors.rs
@@ -20,7 +20,7 @@
 pub enum DescriptorUse {
     /// A client's connection.
     Client,
-    /// The connection of a client that there is no room for: it is told so and closed.
+    /// The connection of a client that there is no room for: it gets an error and is closed.
     RejectedClient,
     /// The router's own: connections to nodes and to discovery, listeners.
     Internal,
--- a/crates/router/src/drain.rs
+++ b/crates/router/src/drain.rs
@@ -23,7 +23,7 @@
 /// How often it is checked whether all is answered, and whether connections wait at the listener.
 const CHECK_INTERVAL: Duration = Duration::from_millis(5);
 /// How many checks past the end sessions have to write what was answered at the end. Checks are counted, and not time: a
-/// process that was held up over the end must come to its responses first.
+/// process that was paused over the end must come to its responses first.
 const MAX_CHECKS_PAST_END: usize = 10;
 
 /// When the steps of the shutdown happen.
@@ -37,10 +37,10 @@
 }
 
 impl Schedule {
-    fn new(told: Instant, deadlines: DeadlineRange) -> Self {
-        let kill = told + deadlines.longest.min(MAX_COUNTED_DEADLINE) + KILLED_AFTER_LONGEST_DEADLINE;
+    fn new(sigterm: Instant, deadlines: DeadlineRange) -> Self {
+        let kill = sigterm + deadlines.longest.min(MAX_COUNTED_DEADLINE) + KILLED_AFTER_LONGEST_DEADLINE;
         let end = kill - KILL_MARGIN;
-        Self { closing_starts: told + (end - told) / 2, all_closed: end - deadlines.shortest, end }
+        Self { closing_starts: sigterm + (end - sigterm) / 2, all_closed: end - deadlines.shortest, end }
     }
 
     fn is_over(&self) -> bool {
--- a/crates/router/src/engine.rs
+++ b/crates/router/src/engine.rs
@@ -43,7 +43,7 @@
     methods: MethodTable,
     next_rpc: Cell<u64>,
     has_endpoint_list: Cell<bool>,
-    /// When the router ends, once it has been told to.
+    /// When the router ends, once it has been told to stop.
     shutdown_deadline: Cell<Option<Duration>>,
     exchange: OnceCell<Rc<dyn ObservationExchange>>,
 }
--- a/crates/router/src/engine/command.rs
+++ b/crates/router/src/engine/command.rs
@@ -14,7 +14,7 @@
     Answer {
         /// The row and its tag.
         answer: Answer,
-        /// The log position that the node told with it; of a write, its commit time.
+        /// The log position that the node reported with it; of a write, its commit time.
         position: Option<Duration>,
     },
     /// Reject the RPC: nothing ran.
@@ -53,7 +53,7 @@
     CloseIdle(NodeId),
 }
 
-/// What a node's response told.
+/// What a node's response says.
 #[derive(Default)]
 pub struct NodeResponse {
     /// The answer to the statement, where it is complete.
--- a/crates/router/src/engine/methods.rs
+++ b/crates/router/src/engine/methods.rs
@@ -20,7 +20,7 @@
 /// One method of the deployment.
 pub(super) struct Method {
     name: String,
-    /// The longest that a client waits; one that claims more would be held for ever.
+    /// The longest that a client waits: an RPC that claims more would be pending for ever.
     pub(super) deadline: Duration,
     pub(super) has_sessions: bool,
     writes: bool,
--- a/crates/router/src/engine/rpcs.rs
+++ b/crates/router/src/engine/rpcs.rs
@@ -127,7 +127,7 @@
         }
     }
 
-    /// Shares what an attempt's response told of its node.
+    /// Shares what an attempt's response says of its node.
     fn share_attempt(
         &self,
         node: NodeId,
--- a/crates/router/src/pool.rs
+++ b/crates/router/src/pool.rs
@@ -133,7 +133,7 @@
         is_recent || !node.idle.is_empty() || node.dials > 0
     }
 
-    /// Makes an attempt; its end is told to the engine, whether or not its RPC is over by then.
+    /// Makes an attempt. The engine is notified of its end, whether or not its RPC is over by then.
     pub fn make_attempt(self: &Rc<Self>, engine: Rc<Engine>, attempt: Attempt, statement: Rc<Kept>) {
         let pool = Rc::clone(self);
         let task = async move {
--- a/crates/router/src/pool/checkout.rs
+++ b/crates/router/src/pool/checkout.rs
@@ -72,7 +72,7 @@
         }
     }
 
-    /// A dial whose time is over goes on for a while, for the next exchange: a packet may have been lost. It gives way
+    /// A dial whose time is over goes on for a while, for the next exchange: a packet may have been lost. It is evicted
     /// where descriptors are short.
     async fn await_late_dial(
         self: &Rc<Self>,
--- a/crates/router/src/pool/connection.rs
+++ b/crates/router/src/pool/connection.rs
@@ -130,7 +130,7 @@
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {
                     self.stream.writable().await?;
                     let renewed = query().ok_or(ConnectionError::NotPermitted)?;
-                    // Nothing has gone out, so the time that is left is told as of now.
+                    // Nothing has gone out, so the query says how much time is left as of now.
                     message = if self.write_begun { message } else { renewed };
                 }
                 Err(error) => return Err(error.into()),
--- a/crates/router/src/pool/exchange.rs
+++ b/crates/router/src/pool/exchange.rs
@@ -86,7 +86,7 @@
             }
             Some(Err(ExchangeError { cause, .. })) => {
                 log::debug!("{}: {cause}", node.0);
-                // What a response that breaks off has told is not believed.
+                // What a response that breaks off says is not believed.
                 Exchange { outcome: failure(&cause, fully_written), response: NodeResponse::default() }
             }
         }
--- a/crates/router/src/receive_buffer.rs
+++ b/crates/router/src/receive_buffer.rs
@@ -39,6 +39,14 @@
     at: Instant,
 }
 
+/// A message that was decoded.
+pub struct ReceivedMessage<T> {
+    /// What the decoder made of it.
+    pub message: T,
+    /// When its last byte arrived.
+    pub arrived: Instant,
+}
+
 /// Why nothing more was read.
 #[derive(Debug, thiserror::Error)]
 pub enum ReceiveError {
@@ -76,27 +84,27 @@
         self.unread.is_empty()
     }
 
-    /// Decodes the next message, once it is complete; with when its last byte arrived.
+    /// Decodes the next message, once it is complete.
     ///
     /// # Errors
     /// What the decoder says.
     pub fn decode_next<T>(
         &mut self,
         decode: impl Fn(&[u8]) -> Result<Option<(T, usize)>, Broken>,
-    ) -> Result<Option<(T, Instant)>, Broken> {
+    ) -> Result<Option<ReceivedMessage<T>>, Broken> {
         let Some((message, length)) = decode(&self.unread)? else { return Ok(None) };
         self.unread.drain(..length);
         self.decoded_bytes += length as u64;
         self.is_full = false;
         let passed = self.arrivals.partition_point(|arrival| arrival.total_bytes < self.decoded_bytes);
         self.arrivals.drain(..passed);
-        let arrived_at = self.arrivals.front().map_or_else(Instant::now, |arrival| arrival.at);
+        let arrived = self.arrivals.front().map_or_else(Instant::now, |arrival| arrival.at);
         if self.unread.is_empty() {
             // What a long message took is not kept for the next.
             self.unread.shrink_to(READ_CHUNK_BYTES);
             _ = self.memory.resize(bytes_to_reserve(&self.unread));
         }
-        Ok(Some((message, arrived_at)))
+        Ok(Some(ReceivedMessage { message, arrived }))
     }
 
     /// Waits for the next bytes and reads them.
--- a/crates/router/src/signals.rs
+++ b/crates/router/src/signals.rs
@@ -1,4 +1,4 @@
-//! What a running router is told by signals: to stop, and to read its configuration anew.
+//! Signals to a running router: to stop, and to read its configuration anew.
 
 use std::io;
 use std::net::SocketAddr;
--- a/crates/router/tests/connection_checkout.rs
+++ b/crates/router/tests/connection_checkout.rs
@@ -33,7 +33,7 @@
     }
 }
 
-/// The parts of a router that knows one primary and probes nothing.
+/// The parts of a router that knows one primary and makes no health checks.
 struct Parts {
     engine: Rc<Engine>,
     pool: Rc<ConnectionPool>,
--- a/crates/router/tests/crossings.rs
+++ b/crates/router/tests/crossings.rs
@@ -484,10 +484,10 @@
     assert!(asked.iter().all(|(id, class, ..)| *class != "enter" || times(id) <= 1), "a second effect");
 }
 
-/// A router that was told to stop ends 50 ms after the last answer is due. One that is held up over that moment comes to
-/// its end before it has come to its answers: what it held was closed without a word.
+/// A router that was told to stop ends 50 ms after the last answer is due. One that is paused over that moment comes to
+/// its end before it has come to its answers: what was pending was closed without a word.
 #[test]
-fn a_router_that_is_held_up_over_the_end_of_its_stop_answers_first() {
+fn a_router_that_is_paused_over_the_end_of_its_shutdown_answers_first() {
     let (_, replica, mut router, _discovery) = pair(&[("9000.0", "600.0")], 200);
     replica.set_behavior(NodeBehavior::Hang);
     let mut client = router.client();
--- a/crates/router/tests/pipeline.rs
+++ b/crates/router/tests/pipeline.rs
@@ -27,7 +27,7 @@
 }
 
 /// A primary, replicas, and a router that knows them.
-fn group(replicas: usize, change: &[(&str, &str)]) -> (Node, Vec<Node>, RouterProcess, Discovery) {
+fn replica_set(replicas: usize, change: &[(&str, &str)]) -> (Node, Vec<Node>, RouterProcess, Discovery) {
     let primary = Node::start(true);
     let replicas: Vec<Node> = (0..replicas).map(|_| Node::start(false)).collect();
     let mut all = vec![(&primary, "primary", "in_service")];
@@ -96,22 +96,22 @@
 
 #[test]
 fn the_time_of_an_rpc_that_waits_for_another_runs_since_it_came() {
-    let (primary, _, router, _discovery) = group(1, &[]);
+    let (primary, _, router, _discovery) = replica_set(1, &[]);
     primary.set_behavior(NodeBehavior::Hang);
     let mut client = router.client();
     send_all(&mut client, &[of("a", "enter", 9000), of("b", "enter", 9000)]);
     primary.await_queries(1);
-    let held = Duration::from_millis(600);
-    std::thread::sleep(held);
+    let delay = Duration::from_millis(600);
+    std::thread::sleep(delay);
     primary.set_behavior(NodeBehavior::Answer);
     assert_eq!((client.reply(), client.reply()), (ok(), ok()));
     let second = told_wait(&primary.queries()[1]);
-    assert!(second <= Duration::from_secs(9) - held, "{second:?}");
+    assert!(second <= Duration::from_secs(9) - delay, "{second:?}");
 }
 
 #[test]
 fn it_runs_for_what_waits_unread_in_the_system_too() {
-    let (primary, _, router, _discovery) = group(1, &[]);
+    let (primary, _, router, _discovery) = replica_set(1, &[]);
     primary.set_behavior(NodeBehavior::Hang);
     let mut client = router.client();
     let all: Vec<String> = (0..300).map(|_| of("a", "enter", 9000)).collect();
@@ -120,17 +120,17 @@
     send_all(&mut client, &all);
     primary.await_queries(1);
     // It looks each 25 ms how much is there. A machine that is busy for longer than the half of this is no excuse.
-    let held = Duration::from_secs(2);
-    std::thread::sleep(held);
+    let delay = Duration::from_secs(2);
+    std::thread::sleep(delay);
     primary.set_behavior(NodeBehavior::Answer);
     assert!(all.iter().all(|_| client.reply() == ok()));
     let last = told_wait(&primary.queries()[299]);
-    assert!(last <= Duration::from_secs(9) - held / 2, "{last:?}");
+    assert!(last <= Duration::from_secs(9) - delay / 2, "{last:?}");
 }
 
 #[test]
 fn an_rpc_whose_time_is_over_is_answered_at_its_turn_and_never_sent() {
-    let (primary, _, router, _discovery) = group(1, &[]);
+    let (primary, _, router, _discovery) = replica_set(1, &[]);
     primary.set_behavior(NodeBehavior::Hang);
     let mut client = router.client();
     send_all(&mut client, &[of("a", "enter", 9000), of("b", "enter", 150), of("c", "enter", 9000)]);
@@ -143,7 +143,7 @@
 
 #[test]
 fn statements_that_may_run_side_by_side_do_and_answers_stay_in_order() {
-    let (primary, replicas, router, _discovery) = group(1, &[]);
+    let (primary, replicas, router, _discovery) = replica_set(1, &[]);
     [&primary, &replicas[0]].iter().for_each(|node| node.set_behavior(NodeBehavior::Hang));
     let mut client = router.client();
     let all = [
@@ -169,7 +169,7 @@
 
 #[test]
 fn a_read_behind_its_own_sessions_write_waits_for_it_and_a_write_behind_a_write_too() {
-    let (primary, replicas, router, _discovery) = group(1, &[]);
+    let (primary, replicas, router, _discovery) = replica_set(1, &[]);
     primary.set_behavior(NodeBehavior::Hang);
     let mut client = router.client();
     let all = [of("a", "enter", 9000), of("a", "look", 9000), of("b", "look", 9000), of("b", "enter", 9000)];
@@ -186,9 +186,9 @@
     assert!(came(&replicas[0], &all[1]) && came(&primary, &all[3]));
 }
 
-/// Clients carry the marks; without probes a replica is known by its answers alone.
+/// Clients carry the session tokens; without health checks a replica is known by its answers alone.
 fn marked_by_clients() -> (Node, Vec<Node>, RouterProcess, Discovery) {
-    let (primary, replicas, router, discovery) = group(
+    let (primary, replicas, router, discovery) = replica_set(
         1,
         &[
             (r#""update","recent""#, r#""update","own_writes""#),
@@ -230,7 +230,7 @@
 
 #[test]
 fn a_client_that_never_ends_its_extended_messages_keeps_nobody_waiting() {
-    let (primary, _, mut router, _discovery) = group(1, &[("9000.0", "2500.0")]);
+    let (primary, _, mut router, _discovery) = replica_set(1, &[("9000.0", "2500.0")]);
     primary.set_behavior(NodeBehavior::Hang);
     let mut client = router.client();
     // One that waits while the flood goes on, and whose answer must come all the same.
@@ -252,7 +252,7 @@
 
 #[test]
 fn with_its_client_what_is_under_way_ends_and_what_waits_is_not_begun() {
-    let (primary, replicas, router, _discovery) = group(1, &[]);
+    let (primary, replicas, router, _discovery) = replica_set(1, &[]);
     [&primary, &replicas[0]].iter().for_each(|node| node.set_behavior(NodeBehavior::Hang));
     let mut client = router.client();
     let all = [of("a", "enter", 9000), of("b", "look", 9000), of("c", "enter", 9000), of("a", "look", 9000)];
@@ -291,7 +291,7 @@
 
 /// Whether the session took notice of the end no earlier than of the answer that makes the turn.
 fn disconnects_before_a_turn() -> bool {
-    let (primary, _, router, _discovery) = group(1, &[(r#""Probes":true"#, r#""Probes":false"#)]);
+    let (primary, _, router, _discovery) = replica_set(1, &[(r#""Probes":true"#, r#""Probes":false"#)]);
     primary.set_behavior(NodeBehavior::Hang);
     let mut client = router.client();
     // Writes of a group wait for each other. The end lies behind more than is read ahead.
@@ -327,7 +327,7 @@
 
 #[test]
 fn what_is_read_ahead_is_bounded_by_statements_and_by_bytes() {
-    let (primary, replicas, mut router, _discovery) = group(3, &[("9000.0", "2500.0")]);
+    let (primary, replicas, mut router, _discovery) = replica_set(3, &[("9000.0", "2500.0")]);
     replicas.iter().for_each(|node| node.set_behavior(NodeBehavior::Hang));
     let mut client = router.client();
     let all: Vec<String> = (0..400).map(|place| of(&format!("k{place}"), "look", 9000)).collect();
@@ -366,7 +366,7 @@
     // It is killed 0.7 s after the longest deadline. With the node's answers all have run by then, without them none
     // is kept waiting for its turn.
     for answers in [true, false] {
-        let (primary, _, mut router, _discovery) = group(1, &[("9000.0", "2500.0")]);
+        let (primary, _, mut router, _discovery) = replica_set(1, &[("9000.0", "2500.0")]);
         primary.set_behavior(NodeBehavior::Hang);
         let mut client = router.client();
         let all: Vec<String> = (0..20).map(|place| of(&format!("k{place}"), "enter", 2500)).collect();
--- a/crates/router/tests/soak/discovery.rs
+++ b/crates/router/tests/soak/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery: one list of versions, told to each router at two addresses of its own.
+//! Discovery: one list of versions, delivered to each router at two addresses of its own.
 
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -9,19 +9,19 @@
 use quillpoint_router::socket_liveness::peer_has_closed;
 use rand::RngExt;
 
-use crate::plan::Answering;
-use crate::record::{Record, RouterNo, ServerNo, Span, Told};
+use crate::plan::DiscoveryBehavior;
+use crate::record::{ListDelivery, Record, RouterIndex, ServerIndex, Span};
 use crate::servers::Server;
 
 /// A call that has waited for so long is refused.
 const REFUSED_AFTER: Duration = Duration::from_millis(2000);
-/// How long calls wait in a crowd: some of them too long.
-const CROWD_MS: std::ops::Range<u64> = 1500..2300;
+/// How long calls wait while it is overloaded: some of them too long.
+const OVERLOADED_WAIT_MS: std::ops::Range<u64> = 1500..2300;
 
 struct State {
-    answering: Answering,
+    behavior: DiscoveryBehavior,
     /// Which servers drain, by version: version N is the list after N changes.
-    versions: Vec<Vec<ServerNo>>,
+    versions: Vec<Vec<ServerIndex>>,
     reachable_since: Option<Instant>,
 }
 
@@ -39,8 +39,11 @@
         let listeners: Vec<[TcpListener; 2]> = (0..routers).map(|_| [bind(), bind()]).collect();
         let now = Instant::now();
         record.versions.lock().unwrap().push(now);
-        let state =
-            State { answering: Answering::AtOnce, versions: vec![Vec::new()], reachable_since: Some(now) };
+        let state = State {
+            behavior: DiscoveryBehavior::Answer,
+            versions: vec![Vec::new()],
+            reachable_since: Some(now),
+        };
         let discovery = Arc::new(Self {
             servers: servers.to_vec(),
             addresses: listeners
@@ -64,7 +67,7 @@
         discovery
     }
 
-    pub fn drain(&self, server: ServerNo) {
+    pub fn drain(&self, server: ServerIndex) {
         let mut state = self.state.0.lock().unwrap();
         let mut drains = state.versions.last().cloned().unwrap_or_default();
         drains.push(server);
@@ -74,25 +77,31 @@
         self.state.1.notify_all();
     }
 
-    pub fn set(&self, answering: Answering) {
+    pub fn set_behavior(&self, behavior: DiscoveryBehavior) {
         let mut state = self.state.0.lock().unwrap();
         let now = Instant::now();
         if let Some(from) = state.reachable_since.take() {
             self.record.reachable.lock().unwrap().push(Span { from, to: now });
         }
-        state.reachable_since = (answering == Answering::AtOnce).then_some(now);
-        state.answering = answering;
+        state.reachable_since = (behavior == DiscoveryBehavior::Answer).then_some(now);
+        state.behavior = behavior;
     }
 
     /// The list as a router knows it by some version.
-    pub fn list(&self, router: RouterNo, version: usize) -> String {
+    pub fn list(&self, router: RouterIndex, version: usize) -> String {
         let drains = self.state.0.lock().unwrap().versions[version].clone();
         self.entries(router, &drains, &[], true)
     }
 
     /// Of all servers, or of those that drain by now and did not before.
-    fn entries(&self, router: RouterNo, drains: &[ServerNo], before: &[ServerNo], all: bool) -> String {
-        let entry = |(number, server): (ServerNo, &Arc<Server>)| {
+    fn entries(
+        &self,
+        router: RouterIndex,
+        drains: &[ServerIndex],
+        before: &[ServerIndex],
+        all: bool,
+    ) -> String {
+        let entry = |(number, server): (ServerIndex, &Arc<Server>)| {
             let state = if drains.contains(&number) { "terminating" } else { "in_service" };
             let role = if number == 0 { "primary" } else { "replica" };
             let endpoint = server.addresses[router];
@@ -101,26 +110,26 @@
                 "state":"{state}","capacity_hint":1.0,"boot_ms":0,"role":"{role}"}}"#
             )
         };
-        let told = |number: &ServerNo| all || drains.contains(number) && !before.contains(number);
-        let told = self.servers.iter().enumerate().filter(|(number, _)| told(number));
-        format!("[{}]", told.map(entry).collect::<Vec<_>>().join(","))
+        let is_listed = |number: &ServerIndex| all || drains.contains(number) && !before.contains(number);
+        let listed = self.servers.iter().enumerate().filter(|(number, _)| is_listed(number));
+        format!("[{}]", listed.map(entry).collect::<Vec<_>>().join(","))
     }
 
-    fn serve(&self, router: RouterNo, mut stream: TcpStream) -> Option<()> {
+    fn serve(&self, router: RouterIndex, mut stream: TcpStream) -> Option<()> {
         let mut lines = BufReader::new(stream.try_clone().ok()?).lines();
         while let Some(Ok(call)) = lines.next() {
             while lines.next().is_some_and(|line| line.is_ok_and(|line| !line.is_empty())) {}
             let number = |name: &str| call.split(name).nth(1)?.split(['&', ' ']).next()?.parse::<u64>().ok();
             let (from, hold) = (number("from="), Duration::from_millis(number("hold_ms=").unwrap_or(0)));
-            let answering = self.state.0.lock().unwrap().answering;
-            if answering == Answering::Refuses || !self.waits_its_turn(answering) {
+            let behavior = self.state.0.lock().unwrap().behavior;
+            if behavior == DiscoveryBehavior::Refuse || !self.is_served_in_time(behavior) {
                 stream.write_all(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n").ok()?;
                 continue;
             }
             let state = self.state.0.lock().unwrap();
             let same = |state: &mut State| Some(state.versions.len() as u64 - 1) == from;
             let (state, _) = self.state.1.wait_timeout_while(state, hold, same).unwrap();
-            let (version, answering) = (state.versions.len() - 1, state.answering);
+            let (version, behavior) = (state.versions.len() - 1, state.behavior);
             let drains = state.versions[version].clone();
             let before = from.and_then(|from| state.versions.get(from as usize)).cloned();
             drop(state);
@@ -130,41 +139,41 @@
             let targets = self.entries(router, &drains, &changed.unwrap_or_default(), all);
             let body = format!(r#"{{"rev":{version},"all":{all},"targets":{targets}}}"#);
             let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
-            match answering {
-                Answering::Silent => continue,
-                Answering::Cuts => {
+            match behavior {
+                DiscoveryBehavior::Hang => continue,
+                DiscoveryBehavior::Truncate => {
                     _ = stream.write_all(&answer.as_bytes()[..answer.len() / 2]);
                     return None;
                 }
-                Answering::Dribbles => {
+                DiscoveryBehavior::Trickle => {
                     for piece in answer.as_bytes().chunks(answer.len() / 4 + 1) {
                         stream.write_all(piece).ok()?;
                         thread::sleep(Duration::from_millis(300));
                     }
                 }
-                Answering::AtOnce | Answering::Crowded | Answering::Refuses => {
-                    // Nobody is told on a connection that is closed by then.
+                DiscoveryBehavior::Answer | DiscoveryBehavior::Overloaded | DiscoveryBehavior::Refuse => {
+                    // Nothing is delivered on a connection that is closed by then.
                     if peer_has_closed(&stream) {
                         return None;
                     }
                     stream.write_all(answer.as_bytes()).ok()?;
                 }
             }
-            let told = Told { router, version, at: Instant::now() };
-            self.record.told.lock().unwrap().push(told);
+            let delivery = ListDelivery { router, version, at: Instant::now() };
+            self.record.list_deliveries.lock().unwrap().push(delivery);
         }
         None
     }
 
-    /// Whether a call is come to in time where there are many.
-    fn waits_its_turn(&self, answering: Answering) -> bool {
-        if answering != Answering::Crowded {
+    /// Whether a call is answered in time while it is overloaded.
+    fn is_served_in_time(&self, behavior: DiscoveryBehavior) -> bool {
+        if behavior != DiscoveryBehavior::Overloaded {
             return true;
         }
         if rand::rng().random_bool(0.5) {
             return false;
         }
-        let wait = Duration::from_millis(rand::rng().random_range(CROWD_MS));
+        let wait = Duration::from_millis(rand::rng().random_range(OVERLOADED_WAIT_MS));
         thread::sleep(wait.min(REFUSED_AFTER));
         wait <= REFUSED_AFTER
     }
--- a/crates/router/tests/soak/main.rs
+++ b/crates/router/tests/soak/main.rs
@@ -1,9 +1,8 @@
 //! A soak of real routers under seeded faults of servers, discovery, clients and signals. Each seed is a run of some ten
 //! seconds; what reached whom and when is recorded on both sides, and the rules are checked on the record.
 //!
-//! `SOAK_SEEDS=100..150` plays other seeds, `SOAK_AT_ONCE=4` so many side by side.
+//! `SOAK_SEEDS=100..150` runs other seeds, `SOAK_AT_ONCE=4` so many side by side.
 
-mod breaches;
 mod clients;
 mod discovery;
 mod plan;
@@ -13,6 +12,7 @@
 mod servers;
 #[path = "../standin/mod.rs"]
 mod standin;
+mod violations;
 
 use std::ops::Range;
 use std::sync::Mutex;
@@ -22,7 +22,7 @@
 use plan::Plan;
 use routers::Run;
 
-/// What is played where nothing else is asked for: each kind of run at least twice.
+/// What is run where nothing else is asked for: each kind of run at least twice.
 const SEEDS: Range<u64> = 1..13;
 const AT_ONCE: u64 = 2;
 
@@ -49,18 +49,22 @@
                     if seed >= seeds.end {
                         return;
                     }
-                    let run = Run::play(Plan::of(seed));
-                    let breaches = rules::check(&run);
-                    eprintln!("seed {seed}: {}", run.summary(breaches.len()));
-                    if !breaches.is_empty() {
+                    let run = Run::execute(Plan::from_seed(seed));
+                    let violations = rules::check(&run);
+                    eprintln!("seed {seed}: {}", run.summary(violations.len()));
+                    if !violations.is_empty() {
                         eprintln!("{}", run.logs());
-                        broken.lock().unwrap().extend(breaches.into_iter().map(|breach| (seed, breach)));
+                        broken
+                            .lock()
+                            .unwrap()
+                            .extend(violations.into_iter().map(|violation| (seed, violation)));
                     }
                 }
             });
         }
     });
     let broken = broken.into_inner().unwrap();
-    let lines: Vec<String> = broken.iter().map(|(seed, breach)| format!("seed {seed}: {breach}")).collect();
-    assert!(lines.is_empty(), "{} breaches:\n{}", lines.len(), lines.join("\n"));
+    let lines: Vec<String> =
+        broken.iter().map(|(seed, violation)| format!("seed {seed}: {violation}")).collect();
+    assert!(lines.is_empty(), "{} violations:\n{}", lines.len(), lines.join("\n"));
 }
--- a/crates/router/tests/soak/record.rs
+++ b/crates/router/tests/soak/record.rs
@@ -6,19 +6,19 @@
 use std::time::{Duration, Instant};
 
 /// A server, and a router, by their places.
-pub type ServerNo = usize;
-pub type RouterNo = usize;
+pub type ServerIndex = usize;
+pub type RouterIndex = usize;
 
 /// A statement that arrived at a server.
 #[derive(Clone, Debug)]
 pub struct Arrival {
     pub id: String,
     pub class: String,
-    pub server: ServerNo,
-    pub router: RouterNo,
+    pub server: ServerIndex,
+    pub router: RouterIndex,
     /// When its first byte was seen, and its last.
     pub first: Instant,
-    pub whole: Instant,
+    pub complete: Instant,
     /// How long the router says that it waits.
     pub wait: Duration,
     /// What the server had applied was too old for a bounded read.
@@ -37,7 +37,7 @@
     /// No answer came for far longer than the client waits.
     Silent,
     /// The client closed its connection first.
-    Left,
+    ClientDisconnected,
 }
 
 /// A request of a client on one connection.
@@ -45,7 +45,7 @@
 pub struct Request {
     pub id: String,
     pub class: String,
-    pub router: RouterNo,
+    pub router: RouterIndex,
     pub process: usize,
     /// Before its last bytes were written, and after.
     pub begun: Instant,
@@ -55,10 +55,10 @@
     pub ending: Ending,
 }
 
-/// A list that discovery has written whole to a router.
+/// A list that discovery has written completely to a router.
 #[derive(Clone, Copy, Debug)]
-pub struct Told {
-    pub router: RouterNo,
+pub struct ListDelivery {
+    pub router: RouterIndex,
     pub version: usize,
     pub at: Instant,
 }
@@ -66,11 +66,11 @@
 /// A process of a router.
 #[derive(Clone, Copy, Debug)]
 pub struct Lifetime {
-    pub router: RouterNo,
+    pub router: RouterIndex,
     pub process: usize,
     pub started: Instant,
     /// The version of the list that it started with.
-    pub known: usize,
+    pub known_version: usize,
     pub told_to_stop: Option<Instant>,
     /// When it ended, and whether by itself.
     pub ended: Option<(Instant, bool)>,
@@ -87,11 +87,11 @@
 pub struct Record {
     pub arrivals: Mutex<Vec<Arrival>>,
     pub requests: Mutex<Vec<Request>>,
-    pub told: Mutex<Vec<Told>>,
+    pub list_deliveries: Mutex<Vec<ListDelivery>>,
     /// Versions of the list: when each came to be.
     pub versions: Mutex<Vec<Instant>>,
     /// Which version first says that a server drains.
-    pub drains: Mutex<Vec<(ServerNo, usize)>>,
+    pub drains: Mutex<Vec<(ServerIndex, usize)>>,
     /// When discovery answered fresh calls at once.
     pub reachable: Mutex<Vec<Span>>,
     /// By how much this machine woke a thread too late, and when.
@@ -99,14 +99,14 @@
     pub over: AtomicBool,
 }
 
-/// How often it is looked how late the machine is.
-const LOOK: Duration = Duration::from_millis(5);
+/// How often it is checked how late the machine is.
+const CHECK_INTERVAL: Duration = Duration::from_millis(5);
 /// Less is no lateness.
-const PUNCTUAL: Duration = Duration::from_millis(3);
+const MIN_LATENESS: Duration = Duration::from_millis(3);
 
-pub struct Ends<'a>(&'a Record);
+pub struct EndsRun<'a>(&'a Record);
 
-impl Drop for Ends<'_> {
+impl Drop for EndsRun<'_> {
     fn drop(&mut self) {
         self.0.over.store(true, Ordering::SeqCst);
     }
@@ -114,8 +114,8 @@
 
 impl Record {
     /// Says that the run is over when it is dropped, so that nothing waits for one that has panicked.
-    pub fn ends(&self) -> Ends<'_> {
-        Ends(self)
+    pub fn ends(&self) -> EndsRun<'_> {
+        EndsRun(self)
     }
 
     pub fn is_over(&self) -> bool {
@@ -123,12 +123,12 @@
     }
 
     /// Notes by how much the machine is late, until the run is over.
-    pub fn watch_machine(&self) {
+    pub fn record_lateness(&self) {
         while !self.is_over() {
-            let due = Instant::now() + LOOK;
-            thread::sleep(LOOK);
+            let due = Instant::now() + CHECK_INTERVAL;
+            thread::sleep(CHECK_INTERVAL);
             let late = due.elapsed();
-            if late > PUNCTUAL {
+            if late > MIN_LATENESS {
                 self.late.lock().unwrap().push((due, late));
             }
         }
--- a/crates/router/tests/soak/routers.rs
+++ b/crates/router/tests/soak/routers.rs
@@ -9,30 +9,30 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-use crate::clients::{Admitted, Clients, Front, idle};
+use crate::clients::{Admitted, Clients, Front, hold_idle_connections};
 use crate::discovery::Discovery;
 use crate::plan::{Event, Plan};
-use crate::record::{Ending, Lifetime, Record, RouterNo};
+use crate::record::{Ending, Lifetime, Record, RouterIndex};
 use crate::servers::Server;
 use crate::standin::{RouterProcess, configuration};
 
 /// The front goes on sending new connections for so long after SIGTERM.
-const STILL_SENT_TO: Duration = Duration::from_millis(300);
+const ACCEPTS_AFTER_SIGTERM: Duration = Duration::from_millis(300);
 /// SIGKILL comes so long after SIGTERM and the longest deadline, which counts as this at most.
 const KILLED_AFTER: Duration = Duration::from_millis(700);
-const LONGEST_WAIT: Duration = Duration::from_secs(3);
+const MAX_COUNTED_DEADLINE: Duration = Duration::from_secs(3);
 /// A killed process is started again after this.
-const DOWN: Duration = Duration::from_millis(300);
-const LOOK: Duration = Duration::from_millis(2);
+const RESTART_DELAY: Duration = Duration::from_millis(300);
+const CHECK_INTERVAL: Duration = Duration::from_millis(2);
 
 /// One router: its address, and its process while it has one.
 struct Router {
-    number: RouterNo,
+    number: RouterIndex,
     address: SocketAddr,
-    running: Mutex<Option<RouterProcess>>,
+    process: Mutex<Option<RouterProcess>>,
 }
 
-struct World {
+struct Testbed {
     plan: Plan,
     record: Arc<Record>,
     front: Arc<Front>,
@@ -52,13 +52,13 @@
 }
 
 impl Run {
-    pub fn play(plan: Plan) -> Self {
+    pub fn execute(plan: Plan) -> Self {
         let record = Arc::<Record>::default();
         let servers: Vec<Arc<Server>> =
             (0..plan.servers).map(|number| Server::start(number, &plan, &record)).collect();
         let discovery = Discovery::start(&servers, plan.routers, &record);
-        let router = |number| Router { number, address: free_address(), running: Mutex::new(None) };
-        let world = World {
+        let router = |number| Router { number, address: free_address(), process: Mutex::new(None) };
+        let testbed = Testbed {
             routers: (0..plan.routers).map(router).collect(),
             plan,
             record: Arc::clone(&record),
@@ -68,12 +68,12 @@
             lifetimes: Mutex::default(),
             logs: Mutex::default(),
         };
-        world.play();
+        testbed.run();
         Self {
-            plan: world.plan,
+            plan: testbed.plan,
             record,
-            lifetimes: world.lifetimes.into_inner().unwrap(),
-            logs: world.logs.into_inner().unwrap(),
+            lifetimes: testbed.lifetimes.into_inner().unwrap(),
+            logs: testbed.logs.into_inner().unwrap(),
         }
     }
 
@@ -82,7 +82,7 @@
         Self { plan, record: Arc::new(record), lifetimes, logs: Vec::new() }
     }
 
-    pub fn summary(&self, breaches: usize) -> String {
+    pub fn summary(&self, violations: usize) -> String {
         let mut endings = BTreeMap::<String, usize>::new();
         for request in self.record.requests.lock().unwrap().iter() {
             let name = match &request.ending {
@@ -93,7 +93,7 @@
         }
         let stopped = self.lifetimes.iter().filter(|process| process.told_to_stop.is_some()).count();
         let drains = self.record.drains.lock().unwrap().len();
-        format!("{breaches} breaches, {endings:?}, {stopped} processes told to stop, {drains} drains")
+        format!("{violations} violations, {endings:?}, {stopped} processes told to stop, {drains} drains")
     }
 
     pub fn logs(&self) -> String {
@@ -106,31 +106,31 @@
     TcpListener::bind("127.0.0.1:0").and_then(|listener| listener.local_addr()).unwrap()
 }
 
-impl World {
-    fn play(&self) {
+impl Testbed {
+    fn run(&self) {
         for router in &self.routers {
             self.start(router);
         }
-        let until = Instant::now() + self.plan.lasts;
+        let until = Instant::now() + self.plan.duration;
         let seeded = |number: usize| ChaCha8Rng::seed_from_u64(self.plan.seed * 1000 + number as u64);
         thread::scope(|scope| {
             let _ends = self.record.ends();
-            scope.spawn(|| self.record.watch_machine());
-            let guests: Vec<_> = (0..self.plan.clients + self.plan.crowd)
+            scope.spawn(|| self.record.record_lateness());
+            let clients: Vec<_> = (0..self.plan.clients + self.plan.idle_clients)
                 .map(|number| {
-                    let mut chance = seeded(number);
+                    let mut rng = seeded(number);
                     scope.spawn(move || match number < self.plan.clients {
-                        true => self.clients().live(&mut chance, until),
-                        false => idle(&self.front, &mut chance, until),
+                        true => self.clients().run(&mut rng, until),
+                        false => hold_idle_connections(&self.front, &mut rng, until),
                     })
                 })
                 .collect();
             let events = scope.spawn(|| self.events());
-            for thread in guests.into_iter().chain([events]) {
+            for thread in clients.into_iter().chain([events]) {
                 thread.join().unwrap();
             }
         });
-        self.discovery.set(crate::plan::Answering::Refuses);
+        self.discovery.set_behavior(crate::plan::DiscoveryBehavior::Refuse);
         for router in &self.routers {
             self.end(router, None);
         }
@@ -151,26 +151,26 @@
             for (at, event) in self.plan.events.clone() {
                 thread::sleep((began + at).saturating_duration_since(Instant::now()));
                 match event {
-                    Event::Serving(server, serving) => self.servers[server].set(serving),
-                    Event::Applying(server, goes_on) => self.servers[server].applies(goes_on),
+                    Event::SetServer(server, behavior) => self.servers[server].set_behavior(behavior),
+                    Event::SetReplication(server, goes_on) => self.servers[server].set_replication(goes_on),
                     Event::Drain(server) => self.discovery.drain(server),
-                    Event::Discovery(answering) => self.discovery.set(answering),
+                    Event::SetDiscovery(behavior) => self.discovery.set_behavior(behavior),
                     Event::Reload(router, elsewhere) => self.reload(router, elsewhere),
                     Event::Signal(router, signal) => self.signal_the_stopping(router, signal),
                     Event::Restart(router) => _ = scope.spawn(move || self.restart(&self.routers[router])),
                     Event::Kill(router) => _ = scope.spawn(move || self.kill(&self.routers[router])),
-                    Event::HoldUp(router, held) => _ = scope.spawn(move || self.hold_up(router, held)),
+                    Event::Pause(router, pause) => _ = scope.spawn(move || self.pause(router, pause)),
                 }
             }
         });
     }
 
-    /// A new process, which knows the list that its router was told last.
+    /// A new process, which knows the list that was delivered to its router last.
     fn start(&self, router: &Router) {
-        let told = self.record.told.lock().unwrap();
-        let told = told.iter().filter(|told| told.router == router.number).map(|told| told.version).max();
-        let known = told.unwrap_or(0);
-        let list = self.discovery.list(router.number, known);
+        let deliveries = self.record.list_deliveries.lock().unwrap();
+        let own = deliveries.iter().filter(|delivery| delivery.router == router.number);
+        let known_version = own.map(|delivery| delivery.version).max().unwrap_or(0);
+        let list = self.discovery.list(router.number, known_version);
         let text = configuration(self.discovery.addresses[router.number][0], &list, self.plan.sockets)
             .replace("9000.0", &format!("{}.0", self.plan.longest_deadline.as_millis()))
             .replace(
@@ -180,7 +180,7 @@
             .replace(r#""ConnectTimeoutMs":5000.0"#, r#""ConnectTimeoutMs":250.0"#)
             .replace(r#""Balancers":1"#, &format!(r#""Balancers":{}"#, self.plan.routers))
             .replace(r#""listen":"127.0.0.1:0""#, &format!(r#""listen":"{}""#, router.address))
-            .replace(r#""rev":0"#, &format!(r#""rev":{known}"#));
+            .replace(r#""rev":0"#, &format!(r#""rev":{known_version}"#));
         let started = Instant::now();
         let running = RouterProcess::start(&text);
         let mut lifetimes = self.lifetimes.lock().unwrap();
@@ -189,16 +189,16 @@
             router: router.number,
             process,
             started,
-            known,
+            known_version,
             told_to_stop: None,
             ended: None,
         });
         drop(lifetimes);
-        *router.running.lock().unwrap() = Some(running);
+        *router.process.lock().unwrap() = Some(running);
         self.front.admit(Admitted { router: router.number, process, address: router.address });
     }
 
-    fn lifetime(&self, router: RouterNo, change: impl FnOnce(&mut Lifetime)) {
+    fn lifetime(&self, router: RouterIndex, change: impl FnOnce(&mut Lifetime)) {
         let mut lifetimes = self.lifetimes.lock().unwrap();
         if let Some(lifetime) = lifetimes.iter_mut().rfind(|lifetime| lifetime.router == router) {
             change(lifetime);
@@ -216,10 +216,10 @@
                 break false;
             }
             // Not while its lock is held: signals to it need it too.
-            thread::sleep(LOOK);
+            thread::sleep(CHECK_INTERVAL);
         };
         let ended = Instant::now();
-        if let Some(running) = router.running.lock().unwrap().take() {
+        if let Some(running) = router.process.lock().unwrap().take() {
             self.logs.lock().unwrap().push(format!(
                 "router {}:\n{}",
                 router.number,
@@ -233,21 +233,21 @@
         let told = Instant::now();
         self.lifetime(router.number, |lifetime| lifetime.told_to_stop = Some(told));
         self.signal(router.number, "-TERM");
-        thread::sleep(STILL_SENT_TO);
+        thread::sleep(ACCEPTS_AFTER_SIGTERM);
         self.front.remove(router.number);
-        let longest = self.plan.longest_deadline.min(LONGEST_WAIT);
+        let longest = self.plan.longest_deadline.min(MAX_COUNTED_DEADLINE);
         self.end(router, Some(told + longest + KILLED_AFTER));
         self.start(router);
     }
 
     fn kill(&self, router: &Router) {
         self.end(router, None);
-        thread::sleep(DOWN);
+        thread::sleep(RESTART_DELAY);
         self.front.remove(router.number);
         self.start(router);
     }
 
-    fn signal(&self, router: RouterNo, signal: &str) {
+    fn signal(&self, router: RouterIndex, signal: &str) {
         if let Some(running) = router_running(&self.routers[router]).as_ref() {
             // It may have ended a moment ago.
             _ = running.try_signal(signal);
@@ -255,7 +255,7 @@
     }
 
     /// A further signal to a process that was told to stop; its successor is not meant.
-    fn signal_the_stopping(&self, router: RouterNo, signal: &str) {
+    fn signal_the_stopping(&self, router: RouterIndex, signal: &str) {
         let lifetimes = self.lifetimes.lock().unwrap();
         let stops = |lifetime: &Lifetime| lifetime.told_to_stop.is_some() && lifetime.ended.is_none();
         if lifetimes.iter().rfind(|lifetime| lifetime.router == router).is_some_and(stops) {
@@ -263,13 +263,13 @@
         }
     }
 
-    fn hold_up(&self, router: RouterNo, held: Duration) {
+    fn pause(&self, router: RouterIndex, duration: Duration) {
         self.signal(router, "-STOP");
-        thread::sleep(held);
+        thread::sleep(duration);
         self.signal(router, "-CONT");
     }
 
-    fn reload(&self, router: RouterNo, elsewhere: bool) {
+    fn reload(&self, router: RouterIndex, elsewhere: bool) {
         let [here, there] = self.discovery.addresses[router].map(|address| address.to_string());
         let running = router_running(&self.routers[router]);
         let Some(running) = running.as_ref() else { return };
@@ -288,5 +288,5 @@
 }
 
 fn router_running(router: &Router) -> std::sync::MutexGuard<'_, Option<RouterProcess>> {
-    router.running.lock().unwrap()
+    router.process.lock().unwrap()
 }
--- a/crates/router/tests/soak/rules.rs
+++ b/crates/router/tests/soak/rules.rs
@@ -3,23 +3,23 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 
-use crate::record::{Arrival, Ending, Lifetime, Request, RouterNo, ServerNo};
+use crate::record::{Arrival, Ending, Lifetime, Request, RouterIndex, ServerIndex};
 use crate::routers::Run;
 
 /// Every limit on sockets is so much longer.
 const ON_SOCKETS: Duration = Duration::from_millis(50);
-/// What is told counts as told by then, where discovery could be reached.
-const TOLD_BY: Duration = Duration::from_secs(6);
+/// A list counts as delivered by then, where discovery could be reached.
+const DELIVERED_BY: Duration = Duration::from_secs(6);
 /// A late answer only earns nothing for so long; after that it is lost.
 const LATE: Duration = Duration::from_millis(500);
 /// An attempt for a client that has left may begin up to this time later.
-const AFTER_LEAVING: Duration = Duration::from_millis(100);
+const AFTER_DISCONNECT: Duration = Duration::from_millis(100);
 /// By so much the time that a server is told may exceed what the client has left.
 const WAIT_SLACK: Duration = Duration::from_millis(150);
 /// The router says that nothing ran.
-const REFUSALS: [&str; 2] = ["53300", "57P03"];
+const REJECTIONS: [&str; 2] = ["53300", "57P03"];
 
-/// All breaches of the rules, in words.
+/// All violations of the rules, in words.
 pub fn check(run: &Run) -> Vec<String> {
     let requests = run.record.requests.lock().unwrap().clone();
     let arrivals = run.record.arrivals.lock().unwrap().clone();
@@ -27,29 +27,29 @@
     for arrival in &arrivals {
         by_id.entry(&arrival.id).or_default().push(arrival);
     }
-    by_id.values_mut().for_each(|arrivals| arrivals.sort_by_key(|arrival| arrival.whole));
+    by_id.values_mut().for_each(|arrivals| arrivals.sort_by_key(|arrival| arrival.complete));
     let checker = Checker { run };
     let of = |request: &Request| by_id.get(&*request.id).cloned().unwrap_or_default();
-    let mut breaches: Vec<String> =
+    let mut violations: Vec<String> =
         requests.iter().flat_map(|request| checker.request(request, &of(request))).collect();
     // A client that sends once more what a killed router had taken takes the risk on itself.
     let killed = requests.iter().filter(|request| checker.was_killed(request));
     let risked: BTreeSet<&str> = killed.map(|request| &*request.id).collect();
-    let owed = by_id.iter().filter(|(id, _)| !risked.contains(*id));
-    breaches.extend(owed.filter_map(|(_, arrivals)| twice(arrivals)));
-    breaches.extend(arrivals.iter().filter_map(|arrival| checker.drained(arrival)));
-    breaches.extend(run.lifetimes.iter().filter_map(|process| checker.stopped(process)));
+    let others = by_id.iter().filter(|(id, _)| !risked.contains(*id));
+    violations.extend(others.filter_map(|(_, arrivals)| duplicate_effect(arrivals)));
+    violations.extend(arrivals.iter().filter_map(|arrival| checker.drained(arrival)));
+    violations.extend(run.lifetimes.iter().filter_map(|process| checker.stopped(process)));
     if !requests.iter().any(|request| request.ending == Ending::Value) {
-        breaches.push("nothing was served".to_string());
+        violations.push("nothing was served".to_string());
     }
-    breaches
+    violations
 }
 
 /// An effect that may have happened twice.
-fn twice(arrivals: &[&Arrival]) -> Option<String> {
+fn duplicate_effect(arrivals: &[&Arrival]) -> Option<String> {
     let may_have_run = arrivals.iter().position(|arrival| !arrival.never_ran)?;
     let again = arrivals.get(may_have_run + 1).filter(|again| again.class == "enter")?;
-    let (first, later) = (arrivals[may_have_run], again.whole - arrivals[may_have_run].whole);
+    let (first, later) = (arrivals[may_have_run], again.complete - arrivals[may_have_run].complete);
     Some(format!(
         "duplicate: {} reached server {} from router {}, {later:?} after server {} from router {}",
         again.id, again.server, again.router, first.server, first.router
@@ -73,15 +73,15 @@
         let checks = [
             self.lost(request, arrivals),
             self.late(request),
-            self.refused_after_it_ran(request, arrivals),
-            self.sent_after_leaving(request, arrivals),
-            self.told_too_much_time(request, arrivals),
+            self.rejected_after_it_ran(request, arrivals),
+            self.sent_after_disconnect(request, arrivals),
+            self.given_too_much_time(request, arrivals),
             self.stale(request, arrivals),
         ];
         checks.into_iter().flatten().collect()
     }
 
-    /// Killed without a word before: what it held is gone with it.
+    /// Killed without a word before: what was pending is gone with it.
     fn was_killed(&self, request: &Request) -> bool {
         let killed = |process: &Lifetime| {
             process.told_to_stop.is_none()
@@ -104,7 +104,7 @@
             return None;
         }
         let Request { id, router, ending, .. } = request;
-        let forwarded = |arrival: &&Arrival| arrival.router == *router && arrival.whole >= request.begun;
+        let forwarded = |arrival: &&Arrival| arrival.router == *router && arrival.complete >= request.begun;
         match ending {
             Ending::Silent => Some(format!("lost: {id} had no answer from router {router}")),
             Ending::Closed if arrivals.iter().any(forwarded) => {
@@ -118,10 +118,10 @@
         }
     }
 
-    /// A router that stops closes connections that rest, and one whose descriptors are short.
+    /// A router that stops closes idle connections, and one whose descriptors are short.
     fn may_close(&self, request: &Request) -> bool {
         let stops = |process: &Lifetime| process.told_to_stop.is_some_and(|at| at <= request.ended);
-        self.run.plan.crowd > 0 || self.process(request).is_some_and(stops)
+        self.run.plan.idle_clients > 0 || self.process(request).is_some_and(stops)
     }
 
     fn late(&self, request: &Request) -> Option<String> {
@@ -132,17 +132,17 @@
         (answered && took > most).then(|| format!("lost: {id} was answered after {took:?} of {wait:?}"))
     }
 
-    fn refused_after_it_ran(&self, request: &Request, arrivals: &[&Arrival]) -> Option<String> {
+    fn rejected_after_it_ran(&self, request: &Request, arrivals: &[&Arrival]) -> Option<String> {
         let Ending::Error(code) = &request.ending else { return None };
-        let ran = arrivals.iter().any(|arrival| !arrival.never_ran && arrival.whole < request.ended);
-        let refused = request.class == "enter" && REFUSALS.contains(&&**code) && ran;
-        refused.then(|| format!("duplicate: {} was refused with {code} and may have run", request.id))
+        let ran = arrivals.iter().any(|arrival| !arrival.never_ran && arrival.complete < request.ended);
+        let rejected = request.class == "enter" && REJECTIONS.contains(&&**code) && ran;
+        rejected.then(|| format!("duplicate: {} was rejected with {code} and may have run", request.id))
     }
 
-    fn sent_after_leaving(&self, request: &Request, arrivals: &[&Arrival]) -> Option<String> {
-        let left = (request.ending == Ending::Left).then_some(request.ended)?;
+    fn sent_after_disconnect(&self, request: &Request, arrivals: &[&Arrival]) -> Option<String> {
+        let left = (request.ending == Ending::ClientDisconnected).then_some(request.ended)?;
         let after = arrivals.iter().find(|arrival| {
-            arrival.first > left + AFTER_LEAVING + ON_SOCKETS + self.lateness(left, arrival.first)
+            arrival.first > left + AFTER_DISCONNECT + ON_SOCKETS + self.lateness(left, arrival.first)
         })?;
         let later = after.first - left;
         Some(format!(
@@ -158,14 +158,14 @@
         later.map(|other| other.begun).min()
     }
 
-    fn told_too_much_time(&self, request: &Request, arrivals: &[&Arrival]) -> Option<String> {
+    fn given_too_much_time(&self, request: &Request, arrivals: &[&Arrival]) -> Option<String> {
         let Request { id, sent, wait, .. } = request;
         let ends = *sent + *wait;
         // An earlier send of the same request has a time of its own, and so has a later one.
         let again = self.sent_again(request);
         let own = arrivals.iter().filter(|arrival| {
             let by_this_send =
-                arrival.whole >= request.begun && again.is_none_or(|again| arrival.whole < again);
+                arrival.complete >= request.begun && again.is_none_or(|again| arrival.complete < again);
             by_this_send && arrival.router == request.router
         });
         let too_much = own.filter(|arrival| {
@@ -186,45 +186,47 @@
 
     fn drained(&self, arrival: &Arrival) -> Option<String> {
         let Arrival { id, server, router, first, .. } = arrival;
-        let told = self.told_of_drain(*router, *server, *first)?;
-        let most = self.run.plan.drain_grace + ON_SOCKETS + self.lateness(told, *first);
-        let after = first.saturating_duration_since(told);
+        let notified = self.notified_of_drain(*router, *server, *first)?;
+        let most = self.run.plan.drain_grace + ON_SOCKETS + self.lateness(notified, *first);
+        let after = first.saturating_duration_since(notified);
         let late = after > most;
         late.then(|| {
-            format!("drain: {id} from router {router} reached server {server} {after:?} after it was told")
+            format!(
+                "drain: {id} from router {router} reached server {server} {after:?} after it was notified"
+            )
         })
     }
 
-    /// When the process that this router had at this time was first told, or counts as told, that the server drains.
-    fn told_of_drain(&self, router: RouterNo, server: ServerNo, by: Instant) -> Option<Instant> {
+    /// When the process that this router had at this time was first notified, or counts as notified, that the server drains.
+    fn notified_of_drain(&self, router: RouterIndex, server: ServerIndex, by: Instant) -> Option<Instant> {
         let record = &self.run.record;
         let drains = record.drains.lock().unwrap();
         let (_, version) = *drains.iter().find(|(drains, _)| *drains == server)?;
         let of_router = self.run.lifetimes.iter().filter(|process| process.router == router);
         let process =
             of_router.filter(|process| process.started <= by).max_by_key(|process| process.started)?;
-        let from_start = (process.known >= version).then_some(process.started);
-        let told = record.told.lock().unwrap();
-        let heard = |told: &&crate::record::Told| {
-            told.router == router && told.version >= version && told.at >= process.started
+        let from_start = (process.known_version >= version).then_some(process.started);
+        let deliveries = record.list_deliveries.lock().unwrap();
+        let notifies = |delivery: &&crate::record::ListDelivery| {
+            delivery.router == router && delivery.version >= version && delivery.at >= process.started
         };
-        let written = told.iter().filter(heard).map(|told| told.at).min();
+        let delivered = deliveries.iter().filter(notifies).map(|delivery| delivery.at).min();
         let made = record.versions.lock().unwrap()[version].max(process.started);
         let reachable = record.reachable.lock().unwrap();
         let counts = reachable.iter().filter_map(|span| {
-            let at = made.max(span.from) + TOLD_BY;
+            let at = made.max(span.from) + DELIVERED_BY;
             (at <= span.to).then_some(at)
         });
-        from_start.into_iter().chain(written).chain(counts.min()).min().filter(|told| *told <= by)
+        from_start.into_iter().chain(delivered).chain(counts.min()).min().filter(|at| *at <= by)
     }
 
     fn stopped(&self, process: &Lifetime) -> Option<String> {
         let told = process.told_to_stop?;
         let (ended, by_itself) = process.ended?;
-        // A machine that held it up for longer than its margin says nothing of it.
-        let held_up = self.lateness(told, ended) > Duration::from_millis(200);
+        // A machine that delayed it for longer than its margin says nothing of it.
+        let was_delayed = self.lateness(told, ended) > Duration::from_millis(200);
         let router = process.router;
-        (!by_itself && !held_up)
+        (!by_itself && !was_delayed)
             .then(|| format!("lost: router {router} had not ended {:?} after SIGTERM", ended - told))
     }
 }
--- a/crates/router/tests/soak/servers.rs
+++ b/crates/router/tests/soak/servers.rs
@@ -9,8 +9,8 @@
 use quillpoint_router::pg::{self, Asked, Opening};
 use quillpoint_testbed::store::{parameter, row};
 
-use crate::plan::{Plan, Serving};
-use crate::record::{Arrival, Record, RouterNo, ServerNo};
+use crate::plan::{Plan, ServerBehavior};
+use crate::record::{Arrival, Record, RouterIndex, ServerIndex};
 use crate::standin::{VALUE, unix_ms};
 
 /// The bound on bounded reads in the settings, and the allowance of the rules.
@@ -20,15 +20,15 @@
 const NEVER: Duration = Duration::from_secs(20);
 
 struct State {
-    serving: Serving,
+    behavior: ServerBehavior,
     /// The log stands still since then, as Unix time in milliseconds.
-    stands_since: Option<u128>,
+    stopped_since: Option<u128>,
 }
 
 pub struct Server {
-    number: ServerNo,
+    number: ServerIndex,
     is_primary: bool,
-    takes: Duration,
+    service_time: Duration,
     /// By router.
     pub addresses: Vec<SocketAddr>,
     state: (Mutex<State>, Condvar),
@@ -42,14 +42,14 @@
 }
 
 impl Server {
-    pub fn start(number: ServerNo, plan: &Plan, record: &Arc<Record>) -> Arc<Self> {
+    pub fn start(number: ServerIndex, plan: &Plan, record: &Arc<Record>) -> Arc<Self> {
         let listeners: Vec<TcpListener> =
             (0..plan.routers).map(|_| TcpListener::bind("127.0.0.1:0").unwrap()).collect();
-        let state = State { serving: Serving::Answers, stands_since: None };
+        let state = State { behavior: ServerBehavior::Answer, stopped_since: None };
         let server = Arc::new(Self {
             number,
             is_primary: number == 0,
-            takes: plan.takes,
+            service_time: plan.service_time,
             addresses: listeners.iter().map(|listener| listener.local_addr().unwrap()).collect(),
             state: (Mutex::new(state), Condvar::new()),
             record: Arc::clone(record),
@@ -66,26 +66,26 @@
         server
     }
 
-    pub fn set(&self, serving: Serving) {
-        self.state.0.lock().unwrap().serving = serving;
+    pub fn set_behavior(&self, behavior: ServerBehavior) {
+        self.state.0.lock().unwrap().behavior = behavior;
         self.state.1.notify_all();
     }
 
-    pub fn applies(&self, goes_on: bool) {
-        self.state.0.lock().unwrap().stands_since = (!goes_on).then(unix_ms);
+    pub fn set_replication(&self, goes_on: bool) {
+        self.state.0.lock().unwrap().stopped_since = (!goes_on).then(unix_ms);
     }
 
-    fn serving(&self) -> Serving {
-        self.state.0.lock().unwrap().serving
+    fn behavior(&self) -> ServerBehavior {
+        self.state.0.lock().unwrap().behavior
     }
 
     /// Up to when it has applied the log.
     fn position_ms(&self) -> u128 {
-        self.state.0.lock().unwrap().stands_since.unwrap_or_else(unix_ms)
+        self.state.0.lock().unwrap().stopped_since.unwrap_or_else(unix_ms)
     }
 
-    fn serve(&self, router: RouterNo, mut stream: TcpStream) -> Option<()> {
-        if self.serving() == Serving::Refuses {
+    fn serve(&self, router: RouterIndex, mut stream: TcpStream) -> Option<()> {
+        if self.behavior() == ServerBehavior::RefuseConnections {
             return None;
         }
         _ = stream.set_nodelay(true);
@@ -98,9 +98,9 @@
             let (Asked::Query(text), first) = next(&mut stream, &mut unread, pg::asked)? else { return None };
             let text = String::from_utf8(text).ok()?;
             let out = if text == "SHOW load" {
-                self.probed()
+                self.health_check_response()
             } else {
-                self.asked(router, Arrived { text, first })?
+                self.statement_response(router, Arrived { text, first })?
             };
             self.write(&mut stream, &out)?;
         }
@@ -111,7 +111,7 @@
         format!("x0={x0:.3},x1={}", u8::from(self.is_primary))
     }
 
-    fn probed(&self) -> Vec<u8> {
+    fn health_check_response(&self) -> Vec<u8> {
         let mut out = Vec::new();
         pg::put_answer(&mut out, &row(self.load().as_bytes()));
         pg::put_ready(&mut out);
@@ -119,17 +119,17 @@
     }
 
     /// The answer to a statement; none where its connection is to end.
-    fn asked(&self, router: RouterNo, arrived: Arrived) -> Option<Vec<u8>> {
+    fn statement_response(&self, router: RouterIndex, arrived: Arrived) -> Option<Vec<u8>> {
         let Arrived { text, first } = arrived;
-        let whole = Instant::now();
+        let complete = Instant::now();
         let field = |name: &str| {
             let rest = text.split(name).nth(1).unwrap_or_default();
             rest.split([',', ' ']).next().unwrap_or_default().to_string()
         };
-        let (position, serving) = (self.position_ms(), self.serving());
+        let (position, behavior) = (self.position_ms(), self.behavior());
         let class = field(",c=");
-        let misplaced = class == "enter" && !self.is_primary;
-        let refused = misplaced || serving == Serving::IsFull;
+        let misrouted = class == "enter" && !self.is_primary;
+        let never_ran = misrouted || behavior == ServerBehavior::Reject;
         let stale = class == "recent" && !self.is_primary && position + BOUND_MS + ALLOWED_MS < unix_ms();
         self.record.arrivals.lock().unwrap().push(Arrival {
             id: field("id="),
@@ -137,20 +137,21 @@
             server: self.number,
             router,
             first,
-            whole,
+            complete,
             wait: Duration::from_millis(field(",d=").parse().unwrap_or(u64::MAX)),
             stale,
-            never_ran: refused,
+            never_ran,
         });
         let mut out = Vec::new();
-        match serving {
-            _ if misplaced => pg::put_error(&mut out, false, "25006", "this is a replica", None),
-            Serving::IsFull => pg::put_error(&mut out, false, "53300", "full", None),
-            Serving::Errs => pg::put_error(&mut out, false, "XX000", "as planned", None),
-            Serving::Resets | Serving::Refuses => return None,
-            Serving::Answers | Serving::Dribbles | Serving::Hangs => {
-                thread::sleep(self.takes);
-                let hangs = |state: &mut State| state.serving == Serving::Hangs && !self.record.is_over();
+        match behavior {
+            _ if misrouted => pg::put_error(&mut out, false, "25006", "this is a replica", None),
+            ServerBehavior::Reject => pg::put_error(&mut out, false, "53300", "full", None),
+            ServerBehavior::Error => pg::put_error(&mut out, false, "XX000", "as planned", None),
+            ServerBehavior::Reset | ServerBehavior::RefuseConnections => return None,
+            ServerBehavior::Answer | ServerBehavior::Trickle | ServerBehavior::Hang => {
+                thread::sleep(self.service_time);
+                let hangs =
+                    |state: &mut State| state.behavior == ServerBehavior::Hang && !self.record.is_over();
                 let state = self.state.0.lock().unwrap();
                 drop(self.state.1.wait_timeout_while(state, NEVER, hangs).unwrap());
                 pg::put_answer(&mut out, &row(VALUE));
@@ -164,7 +165,7 @@
     }
 
     fn write(&self, stream: &mut TcpStream, out: &[u8]) -> Option<()> {
-        if self.serving() != Serving::Dribbles {
+        if self.behavior() != ServerBehavior::Trickle {
             return stream.write_all(out).ok();
         }
         for piece in out.chunks(16) {
--- a/crates/router/tests/soak/breaches.rs
+++ b/crates/router/tests/soak/violations.rs
@@ -1,9 +1,9 @@
-//! That the checks of a soak find each breach of a rule: a record without any, and one for each.
+//! That the checks of a soak find each violation of a rule: a record without any, and one for each.
 
 use std::time::{Duration, Instant};
 
 use crate::plan::Plan;
-use crate::record::{Arrival, Ending, Lifetime, Record, Request, Span, Told};
+use crate::record::{Arrival, Ending, Lifetime, ListDelivery, Record, Request, Span};
 use crate::routers::Run;
 use crate::rules::check;
 
@@ -41,13 +41,19 @@
             server: 0,
             router: 0,
             first: sent + ms(5),
-            whole: sent + ms(5),
+            complete: sent + ms(5),
             wait: ms(490),
             stale: false,
             never_ran: false,
         });
-        let lifetime =
-            Lifetime { router: 0, process: 0, started: start, known: 0, told_to_stop: None, ended: None };
+        let lifetime = Lifetime {
+            router: 0,
+            process: 0,
+            started: start,
+            known_version: 0,
+            told_to_stop: None,
+            ended: None,
+        };
         Self { start, record, lifetime }
     }
 
@@ -61,9 +67,9 @@
         self
     }
 
-    fn again(self, change: impl FnOnce(&mut Arrival)) -> Self {
+    fn sent_again(self, change: impl FnOnce(&mut Arrival)) -> Self {
         let mut again = self.record.arrivals.lock().unwrap()[0].clone();
-        again.whole += ms(1);
+        again.complete += ms(1);
         change(&mut again);
         self.record.arrivals.lock().unwrap().push(again);
         self
@@ -79,10 +85,13 @@
 
     /// What is found, by the first word of each.
     fn found(self) -> Vec<String> {
-        let mut plan = Plan::of(1);
-        (plan.crowd, plan.drain_grace) = (0, ms(1000));
-        let breaches = check(&Run::recorded(plan, self.record, vec![self.lifetime]));
-        breaches.iter().map(|breach| breach.split(':').next().unwrap_or_default().to_string()).collect()
+        let mut plan = Plan::from_seed(1);
+        (plan.idle_clients, plan.drain_grace) = (0, ms(1000));
+        let violations = check(&Run::recorded(plan, self.record, vec![self.lifetime]));
+        violations
+            .iter()
+            .map(|violation| violation.split(':').next().unwrap_or_default().to_string())
+            .collect()
     }
 }
 
@@ -93,7 +102,7 @@
     assert!(
         Case::new()
             .arrival(|first| first.never_ran = true)
-            .again(|again| again.never_ran = false)
+            .sent_again(|again| again.never_ran = false)
             .found()
             .is_empty()
     );
@@ -113,7 +122,10 @@
     let without_need = Case::new().served().arrival(|other| other.id = "c".into());
     assert_eq!(without_need.request(|request| request.ending = Ending::Closed).found(), ["lost"]);
     let after_leaving = Case::new().served().arrival(|sent| sent.first += ms(400));
-    assert_eq!(after_leaving.request(|request| request.ending = Ending::Left).found(), ["lost", "deadline"]);
+    assert_eq!(
+        after_leaving.request(|request| request.ending = Ending::ClientDisconnected).found(),
+        ["lost", "deadline"]
+    );
     let mut not_ended = Case::new();
     not_ended.lifetime.told_to_stop = Some(not_ended.start);
     not_ended.lifetime.ended = Some((not_ended.start + ms(1000), false));
@@ -122,9 +134,9 @@
 
 #[test]
 fn each_effect_that_may_have_happened_twice_is_found() {
-    assert_eq!(Case::new().again(|_| ()).found(), ["duplicate"]);
-    let refused = Case::new().served().request(|request| request.ending = Ending::Error("53300".into()));
-    assert_eq!(refused.found(), ["duplicate"]);
+    assert_eq!(Case::new().sent_again(|_| ()).found(), ["duplicate"]);
+    let rejected = Case::new().served().request(|request| request.ending = Ending::Error("53300".into()));
+    assert_eq!(rejected.found(), ["duplicate"]);
 }
 
 #[test]
@@ -136,8 +148,8 @@
 #[test]
 fn a_request_that_was_sent_once_more_has_the_time_of_its_last_send() {
     // Its first connection broke with a router that was killed; 300 ms later it was sent once more.
-    let mut case =
-        Case::new().arrival(|sent| (sent.first, sent.whole) = (sent.first + ms(300), sent.whole + ms(300)));
+    let mut case = Case::new()
+        .arrival(|sent| (sent.first, sent.complete) = (sent.first + ms(300), sent.complete + ms(300)));
     case.lifetime.ended = Some((case.start + ms(10_010), false));
     let mut again = case.record.requests.lock().unwrap()[0].clone();
     (again.begun, again.sent, again.process) = (again.begun + ms(300), again.sent + ms(300), 1);
@@ -148,25 +160,25 @@
 }
 
 #[test]
-fn a_send_to_a_server_that_drains_is_found_whichever_way_its_router_was_told() {
+fn a_send_to_a_server_that_drains_is_found_whichever_way_its_router_was_notified() {
     let to_drained = || Case::new().arrival(|sent| sent.server = 1);
     let reach = |case: &Case, from: u64, to: u64| {
         let span = Span { from: case.start + ms(from), to: case.start + ms(to) };
         case.record.reachable.lock().unwrap().push(span);
     };
-    let told = |case: &Case, at: u64| {
-        let told = Told { router: 0, version: 1, at: case.start + ms(at) };
-        case.record.told.lock().unwrap().push(told);
+    let deliver = |case: &Case, at: u64| {
+        let delivery = ListDelivery { router: 0, version: 1, at: case.start + ms(at) };
+        case.record.list_deliveries.lock().unwrap().push(delivery);
     };
-    assert!(to_drained().found().is_empty(), "it was not told");
+    assert!(to_drained().found().is_empty(), "it was not notified");
     let written = to_drained();
-    told(&written, 8900);
+    deliver(&written, 8900);
     assert_eq!(written.found(), ["drain"]);
     let in_the_grace = to_drained();
-    told(&in_the_grace, 9100);
+    deliver(&in_the_grace, 9100);
     assert!(in_the_grace.found().is_empty());
     let mut from_the_start = to_drained();
-    from_the_start.lifetime.known = 1;
+    from_the_start.lifetime.known_version = 1;
     assert_eq!(from_the_start.found(), ["drain"]);
     let reachable = to_drained();
     reach(&reachable, 2000, 10_000);
--- a/crates/router/tests/standin/mod.rs
+++ b/crates/router/tests/standin/mod.rs
@@ -139,17 +139,9 @@
 
     /// The connection that so many came before.
     fn serve(&self, index: usize, mut stream: TcpStream) {
-        let hangs = |state: &mut NodeState| match state.connect_behavior {
-            ConnectBehavior::Hang => true,
-            ConnectBehavior::AcceptFirst(count) => index >= count,
-            ConnectBehavior::Accept | ConnectBehavior::Close => false,
-        };
-        let state = self.state.0.lock().unwrap();
-        let (state, _) = self.state.1.wait_timeout_while(state, NEVER, hangs).unwrap();
-        if state.connect_behavior == ConnectBehavior::Close {
+        if !self.accepts(index) {
             return;
         }
-        drop(state);
         let mut unread = Vec::new();
         if next(&mut stream, &mut unread, pg::opening) != Some(Opening::Startup) {
             return;
@@ -160,74 +152,116 @@
         self.accepted.fetch_add(1, Ordering::SeqCst);
         while let Some(Asked::Query(text)) = next(&mut stream, &mut unread, pg::asked) {
             let text = String::from_utf8(text).unwrap();
-            let mut state = self.state.0.lock().unwrap();
-            let now = unix_ms();
-            let (x0, x1, in_flight) = (now as f64 / 1000.0, u8::from(state.primary), state.in_flight);
-            let load = format!("x0={x0:.3},x1={x1},inflight={in_flight},queue=0");
-            let mut out = Vec::new();
             if text == "SHOW load" {
-                match state.behavior {
-                    NodeBehavior::Down => pg::put_error(&mut out, false, "57P03", "down", None),
-                    _ => pg::put_answer(&mut out, &answer(load.as_bytes())),
-                }
-                pg::put_ready(&mut out);
-                drop(state);
-                _ = stream.write_all(&out);
-                continue;
-            }
-            // As every replica does with a write.
-            let misrouted = text.contains("INSERT") && !state.primary;
-            let id = text.split("id=").nth(1).and_then(|rest| rest.split(',').next());
-            let id = id.unwrap_or_default().as_bytes().to_vec();
-            state.queries.push(text);
-            state.in_flight += 1;
-            self.state.1.notify_all();
-            let (state, _) = self
-                .state
-                .1
-                .wait_timeout_while(state, NEVER, |state| state.behavior == NodeBehavior::Hang)
-                .unwrap();
-            let role = if state.primary { "primary" } else { "replica" };
-            let behavior = state.behavior;
-            drop(state);
-            if let NodeBehavior::Delay(ms) = behavior {
-                thread::sleep(Duration::from_millis(ms));
-            }
-            self.state.0.lock().unwrap().in_flight -= 1;
-            match behavior {
-                _ if misrouted => pg::put_error(&mut out, false, "25006", "this is a replica", None),
-                NodeBehavior::Disconnect => return,
-                NodeBehavior::Down => pg::put_error(&mut out, false, "57P03", "down", None),
-                NodeBehavior::Error(code) => pg::put_error(&mut out, false, code, "as told", None),
-                NodeBehavior::RawBytes(bytes) => out.extend(bytes),
-                NodeBehavior::LargeValue(length) => pg::put_answer(&mut out, &answer(&vec![b'v'; length])),
-                NodeBehavior::EchoId => pg::put_answer(&mut out, &answer(&id)),
-                NodeBehavior::Flood(bytes) => {
-                    let many = bytes.repeat(4096 / bytes.len());
-                    while stream.write_all(&many).is_ok() {}
-                    return;
-                }
-                _ => pg::put_answer(&mut out, &answer(VALUE)),
-            }
-            if behavior == NodeBehavior::Truncate {
-                _ = stream.write_all(&out[..out.len() / 2]);
+                _ = stream.write_all(&self.health_check_response());
+            } else if !self.answer_rpc(&mut stream, text) {
                 return;
             }
-            parameter(&mut out, "role", role);
-            parameter(&mut out, "applied_ms", &now.to_string());
-            parameter(
-                &mut out,
-                "load",
-                if behavior == NodeBehavior::MalformedReport { "x0=?,,=" } else { &load },
-            );
-            pg::put_ready(&mut out);
-            if let NodeBehavior::TrailingBytes(bytes) = behavior {
-                out.extend(bytes);
-            }
-            if stream.write_all(&out).is_err() || behavior == NodeBehavior::AnswerAndClose {
-                return;
+        }
+    }
+
+    /// Waits while the node hangs on new connections. Whether this one is accepted.
+    fn accepts(&self, index: usize) -> bool {
+        let hangs = |state: &mut NodeState| match state.connect_behavior {
+            ConnectBehavior::Hang => true,
+            ConnectBehavior::AcceptFirst(count) => index >= count,
+            ConnectBehavior::Accept | ConnectBehavior::Close => false,
+        };
+        let state = self.state.0.lock().unwrap();
+        let (state, _) = self.state.1.wait_timeout_while(state, NEVER, hangs).unwrap();
+        state.connect_behavior != ConnectBehavior::Close
+    }
+
+    fn health_check_response(&self) -> Vec<u8> {
+        let state = self.state.0.lock().unwrap();
+        let mut out = Vec::new();
+        match state.behavior {
+            NodeBehavior::Down => pg::put_error(&mut out, false, "57P03", "down", None),
+            _ => pg::put_answer(&mut out, &answer(state.load(unix_ms()).as_bytes())),
+        }
+        pg::put_ready(&mut out);
+        out
+    }
+
+    /// Answers an RPC as the node behaves then. Whether its connection goes on.
+    fn answer_rpc(&self, stream: &mut TcpStream, text: String) -> bool {
+        let rpc = self.begin_rpc(text);
+        let behavior = rpc.behavior;
+        if let NodeBehavior::Delay(ms) = behavior {
+            thread::sleep(Duration::from_millis(ms));
+        }
+        self.state.0.lock().unwrap().in_flight -= 1;
+        let mut out = Vec::new();
+        match behavior {
+            _ if rpc.misrouted => pg::put_error(&mut out, false, "25006", "this is a replica", None),
+            NodeBehavior::Disconnect => return false,
+            NodeBehavior::Down => pg::put_error(&mut out, false, "57P03", "down", None),
+            NodeBehavior::Error(code) => pg::put_error(&mut out, false, code, "as told", None),
+            NodeBehavior::RawBytes(bytes) => out.extend(bytes),
+            NodeBehavior::LargeValue(length) => pg::put_answer(&mut out, &answer(&vec![b'v'; length])),
+            NodeBehavior::EchoId => pg::put_answer(&mut out, &answer(&rpc.id)),
+            NodeBehavior::Flood(bytes) => {
+                let many = bytes.repeat(4096 / bytes.len());
+                while stream.write_all(&many).is_ok() {}
+                return false;
             }
+            _ => pg::put_answer(&mut out, &answer(VALUE)),
         }
+        if behavior == NodeBehavior::Truncate {
+            _ = stream.write_all(&out[..out.len() / 2]);
+            return false;
+        }
+        let load = if behavior == NodeBehavior::MalformedReport { "x0=?,,=" } else { &rpc.load };
+        parameter(&mut out, "role", rpc.role);
+        parameter(&mut out, "applied_ms", &rpc.applied_ms.to_string());
+        parameter(&mut out, "load", load);
+        pg::put_ready(&mut out);
+        if let NodeBehavior::TrailingBytes(bytes) = behavior {
+            out.extend(bytes);
+        }
+        stream.write_all(&out).is_ok() && behavior != NodeBehavior::AnswerAndClose
+    }
+
+    /// Takes an RPC on, and waits while the node hangs. What it reports with its answer is as of now. The lock is kept
+    /// up to the wait: a test that has seen the query changes nothing of what this RPC meets.
+    fn begin_rpc(&self, text: String) -> NodeRpc {
+        let mut state = self.state.0.lock().unwrap();
+        let applied_ms = unix_ms();
+        let id = text.split("id=").nth(1).and_then(|rest| rest.split(',').next());
+        let mut rpc = NodeRpc {
+            id: id.unwrap_or_default().as_bytes().to_vec(),
+            // As every replica does with a write.
+            misrouted: text.contains("INSERT") && !state.primary,
+            role: if state.primary { "primary" } else { "replica" },
+            applied_ms,
+            load: state.load(applied_ms),
+            behavior: state.behavior,
+        };
+        state.queries.push(text);
+        state.in_flight += 1;
+        self.state.1.notify_all();
+        let hangs = |state: &mut NodeState| state.behavior == NodeBehavior::Hang;
+        let (state, _) = self.state.1.wait_timeout_while(state, NEVER, hangs).unwrap();
+        rpc.behavior = state.behavior;
+        rpc
+    }
+}
+
+/// An RPC that a node has taken on.
+struct NodeRpc {
+    id: Vec<u8>,
+    misrouted: bool,
+    role: &'static str,
+    applied_ms: u128,
+    load: String,
+    behavior: NodeBehavior,
+}
+
+impl NodeState {
+    /// The load report, with the log applied up to this time.
+    fn load(&self, applied_ms: u128) -> String {
+        let (x0, x1) = (applied_ms as f64 / 1000.0, u8::from(self.primary));
+        format!("x0={x0:.3},x1={x1},inflight={},queue=0", self.in_flight)
     }
 }
 
