--- a/crates/control-plane/tests/queue.rs
+++ b/crates/control-plane/tests/queue.rs
@@ -19,7 +19,7 @@
     MemberVersion, Observation, PeerName,
 };
 use quillpoint_observation_feed::message::{
-    CLASSES, Chunk, Digest, DigestNo, LagClass, PARTITIONS, PartitionId, Revision,
+    Digest, DigestNumber, LAG_CLASSES, LagClass, PARTITIONS, PartitionId, Revision, SnapshotChunk,
 };
 use quillpoint_observation_feed::{
     ControlInstance, Entry, Envelope, FeedObservation, Message, NodeStatus, subscriber,
@@ -85,13 +85,19 @@
     let probe = TaskParams {
         kind: TaskKind(0),
         period: Duration::from_secs(60),
-        grace: Duration::from_secs(60),
-        floor: Duration::from_secs(60),
-        longest: Duration::from_secs(1),
+        takeover_delay: Duration::from_secs(60),
+        min_interval: Duration::from_secs(60),
+        max_duration: Duration::from_secs(1),
         priority: Priority(0),
         cost: 1.0,
     };
-    let plans = FleetParams { probe, work_rate: 100.0, work_burst: 100.0, news_rate: 1e6, grows: false };
+    let plans = FleetParams {
+        health_check: probe,
+        work_rate: 100.0,
+        work_burst: 100.0,
+        gossip_bytes_per_second: 1e6,
+        budgets_grow_with_nodes: false,
+    };
     let port = UdpSocket::bind(local()).unwrap();
     let listen = port.local_addr().unwrap();
     drop(port);
@@ -108,14 +114,14 @@
     };
     let peers = FleetMember::new(part, Rc::<Books>::clone(&books), 1).unwrap();
     peers.listed();
-    let start = peers.fleet().members().me().life.incarnation;
+    let start = peers.fleet().members().own_record().version.incarnation;
     let other = UdpSocket::bind(local()).unwrap();
     let (mut sealer, keys) = (Sealer::default(), keys());
     let mut tell = |position: u64| {
-        let life = MemberVersion { incarnation: Incarnation(5), version: 0 };
+        let version = MemberVersion { incarnation: Incarnation(5), revision: 0 };
         let address = other.local_addr().unwrap();
         let from =
-            MemberRecord { name: name("r2"), life, address, zone: 0, weight: 1, state: MemberState::Up };
+            MemberRecord { name: name("r2"), version, address, zone: 0, weight: 1, state: MemberState::Up };
         let news = Observation {
             node: node(),
             age: Duration::from_millis(10),
@@ -125,7 +131,7 @@
             started: None,
             failed: false,
         };
-        let letter = GossipMessage { from, body: GossipBody::Observations(vec![news]), cards: Vec::new() };
+        let letter = GossipMessage { from, body: GossipBody::Observations(vec![news]), records: Vec::new() };
         let bytes = sealer.seal(&keys, Some(start), &letter).unwrap();
         other.send_to(&bytes, listen).unwrap();
     };
@@ -161,9 +167,9 @@
     control.set_read_timeout(Some(Duration::from_secs(10))).unwrap();
     let plan = subscriber::SubscriberParams {
         region: None,
-        every: Duration::from_millis(100),
-        period: Duration::from_millis(150),
-        routers: 1,
+        digest_interval: Duration::from_millis(100),
+        health_check_period: Duration::from_millis(150),
+        router_count: 1,
     };
     let line =
         vec![ControlInstance { name: name("c0"), address: control.local_addr().unwrap(), region: None }];
@@ -177,26 +183,26 @@
     };
     let subscription = SubscriberService::new(part, Rc::<Books>::clone(&books), 1).unwrap();
     subscription.listed();
-    let (mut sealer, mut opener, keys) = (Sealer::default(), Opener::<Envelope>::of(4), keys());
+    let (mut sealer, mut opener, keys) = (Sealer::default(), Opener::<Envelope>::new(4), keys());
     let mut address = None;
     let mut tell = |message: Message, address: Option<(SocketAddr, Incarnation)>| {
         let (to, session) = address.unwrap();
-        let envelope = Envelope { from: name("c0"), start: Incarnation(7), message };
+        let envelope = Envelope { from: name("c0"), incarnation: Incarnation(7), message };
         control.send_to(&sealer.seal(&keys, Some(session), &envelope).unwrap(), to).unwrap();
     };
-    let part = PartitionId::of(node());
+    let partition = PartitionId::of(node());
     let digest = |number: u32, now: Duration| {
         let mut revisions = vec![Revision::default(); PARTITIONS];
-        revisions[usize::from(part.0)] = Revision(1);
+        revisions[partition.index()] = Revision(1);
         Message::Digest(Digest {
-            number: DigestNo(number),
+            number: DigestNumber(number),
             sent: now,
             age: Duration::from_millis(10),
-            watermarks: [Some(Duration::from_secs(1)); CLASSES],
+            watermarks: [Some(Duration::from_secs(1)); LAG_CLASSES],
             revisions,
             changes: Vec::new(),
-            period: Duration::from_millis(150),
-            routers: 1,
+            health_check_period: Duration::from_millis(150),
+            router_count: 1,
         })
     };
     let mut asked = [0; 1500];
@@ -205,10 +211,15 @@
         Timer::after(Duration::from_millis(200)).await;
         let (length, from) = control.recv_from(&mut asked).unwrap();
         let said = opener.open(&keys, Incarnation(7), &asked[..length]);
-        address = Some((from, said.unwrap().start));
-        let entry = Entry { primary: Some(true), started: None, standing: NodeStatus::Seen(LagClass(0)) };
-        let chunk =
-            Chunk { part, revision: Revision(1), place: 0, of: 1, alike: vec![(entry, vec![node()])] };
+        address = Some((from, said.unwrap().incarnation));
+        let entry = Entry { primary: Some(true), started: None, status: NodeStatus::Seen(LagClass(0)) };
+        let chunk = SnapshotChunk {
+            partition,
+            revision: Revision(1),
+            index: 0,
+            chunk_count: 1,
+            groups: vec![(entry, vec![node()])],
+        };
         // One, and then the process stands still whenever digests come, so that none is read as it comes.
         for number in 1..=4 {
             if number == 2 {
@@ -220,8 +231,8 @@
             Timer::after(PAUSE).await;
             if let Some(word) = subscription.known(node()) {
                 let seen = sent - Duration::from_millis(10);
-                assert!(word.at <= seen + SLACK, "dated {:?} after it was seen", word.at - seen);
-                assert!(word.at + SLACK >= seen, "dated {:?} before it was seen", seen - word.at);
+                assert!(word.seen_at <= seen + SLACK, "dated {:?} after it was seen", word.seen_at - seen);
+                assert!(word.seen_at + SLACK >= seen, "dated {:?} before it was seen", seen - word.seen_at);
             }
         }
         assert!(subscription.known(node()).is_some(), "the first measure only");
--- a/crates/router/src/client/intake.rs
+++ b/crates/router/src/client/intake.rs
@@ -10,11 +10,11 @@
 use super::response_writer::{TOO_MANY_RPCS, put_no_room};
 use super::session::Session;
 use super::session_end::{SessionEnd, SessionResult};
-use crate::pg::{self, Asked};
+use crate::pg::{self, FrontendMessage};
 use crate::receive_buffer::ReceivedMessage;
 use crate::request_pipeline::RequestPipeline;
 use crate::socket_liveness::ClientLiveness;
-use crate::statement::{Kept, Statement};
+use crate::statement::{InFlightStatement, Statement};
 
 /// This many statements in a row that cannot be used end a session: it is no client of this service.
 const MAX_UNUSABLE_STATEMENTS: usize = 8;
@@ -22,7 +22,7 @@
 /// What a query comes to. Bytes are the messages that answer it, without ReadyForQuery.
 enum QueryIntake {
     /// A statement to run, with the resources that it takes up.
-    Statement { method: MethodId, statement: Kept },
+    Statement { method: MethodId, statement: InFlightStatement },
     /// It is answered at once.
     Answered(Vec<u8>),
     /// It cannot be used.
@@ -31,7 +31,7 @@
 
 fn unusable(code: &str, message: &str) -> QueryIntake {
     let mut out = Vec::new();
-    pg::put_error(&mut out, false, code, message, None);
+    pg::encode_error(&mut out, false, code, message, None);
     QueryIntake::Unusable(out)
 }
 
@@ -39,23 +39,23 @@
     /// Puts a message into the pipeline. How the session ends, where it is the last one.
     pub(super) fn take_message(
         &mut self,
-        received: ReceivedMessage<Asked>,
+        received: ReceivedMessage<FrontendMessage>,
         pipeline: &mut RequestPipeline,
     ) -> Option<SessionResult> {
         let ReceivedMessage { message, arrived } = received;
         let mut out = Vec::new();
         match message {
-            Asked::Terminate => return Some(Ok(())),
-            Asked::Sync => {
+            FrontendMessage::Terminate => return Some(Ok(())),
+            FrontendMessage::Sync => {
                 self.discards_until_sync = false;
-                pg::put_ready(&mut out);
+                pg::encode_ready_for_query(&mut out);
             }
             _ if self.discards_until_sync => return None,
-            Asked::Extended => {
+            FrontendMessage::ExtendedQuery => {
                 self.discards_until_sync = true;
-                pg::put_error(&mut out, false, "0A000", "only simple queries are taken", None);
+                pg::encode_error(&mut out, false, "0A000", "only simple queries are taken", None);
             }
-            Asked::Query(text) => return self.take_query(text, arrived, pipeline),
+            FrontendMessage::Query(text) => return self.take_query(text, arrived, pipeline),
         }
         pipeline.push_response(self.clients.encoded(out));
         None
@@ -96,7 +96,7 @@
     fn push_statement(
         &mut self,
         method: MethodId,
-        statement: Kept,
+        statement: InFlightStatement,
         arrived: Instant,
         pipeline: &mut RequestPipeline,
     ) {
@@ -117,7 +117,7 @@
         }
         let statement = match Statement::parse(text) {
             Ok(statement) => statement,
-            Err(error) => return unusable(error.code(), &error.to_string()),
+            Err(error) => return unusable(error.sqlstate(), &error.to_string()),
         };
         let Some(method) = engine.method_by_name(&statement.method) else {
             let message = format!("the comment's c names no class: {:?}", statement.method);
@@ -136,16 +136,19 @@
             return QueryIntake::Answered(out);
         };
         let client = ClientLiveness::new(Rc::downgrade(&self.stream));
-        QueryIntake::Statement { method, statement: Kept { statement, client, _memory: memory, _open: id } }
+        QueryIntake::Statement {
+            method,
+            statement: InFlightStatement { statement, client, memory, open_id: id },
+        }
     }
 
     /// An empty query asks whether the router serves.
     fn answer_empty_query(&self) -> QueryIntake {
         let mut out = Vec::new();
         if self.clients.engine.is_ready() {
-            pg::put_empty_query(&mut out);
+            pg::encode_empty_query_response(&mut out);
         } else {
-            pg::put_error(&mut out, false, "57P03", "no list of nodes has come yet", None);
+            pg::encode_error(&mut out, false, "57P03", "no list of nodes has come yet", None);
         }
         QueryIntake::Answered(out)
     }
--- a/crates/router/src/client/request.rs
+++ b/crates/router/src/client/request.rs
@@ -14,12 +14,12 @@
 use crate::pg;
 use crate::request_pipeline::EncodedResponse;
 use crate::session_commits::SessionCommits;
-use crate::statement::Kept;
+use crate::statement::InFlightStatement;
 
 /// An RPC as its session hands it over.
 pub(super) struct RpcRequest {
     pub(super) method: MethodId,
-    pub(super) statement: Rc<Kept>,
+    pub(super) statement: Rc<InFlightStatement>,
     /// When its last byte arrived: its time runs from then.
     pub(super) arrived: Instant,
     /// What RPCs of its connection have written.
@@ -43,9 +43,15 @@
             return self.encoded_with_ready(out);
         }
         let last_commit =
-            statement.session.and_then(|key| commits.borrow().last_commit(statement.group, key));
+            statement.session.and_then(|key| commits.borrow().last_commit(statement.replica_set, key));
         let Some(pending) = engine.rpc_arrived(method, statement, arrived, last_commit) else {
-            pg::put_error(&mut out, false, "53300", "its time was over before its turn: nothing ran", None);
+            pg::encode_error(
+                &mut out,
+                false,
+                "53300",
+                "its time was over before its turn: nothing ran",
+                None,
+            );
             return self.encoded_with_ready(out);
         };
         loop {
@@ -56,9 +62,9 @@
                 }
                 Some(Command::Answer { answer, position }) => {
                     if let Some(commit) = position.filter(|_| statement.writes) {
-                        commits.borrow_mut().record(statement.group, statement.session, commit);
+                        commits.borrow_mut().record(statement.replica_set, statement.session, commit);
                     }
-                    pg::put_answer(&mut out, &answer);
+                    pg::encode_result(&mut out, &answer);
                 }
                 Some(Command::Reject { retry_after }) => put_rejection(&mut out, retry_after),
                 Some(Command::Abort { last_outcome }) => put_abort(&mut out, last_outcome),
--- a/crates/router/src/client/request_loop.rs
+++ b/crates/router/src/client/request_loop.rs
@@ -74,7 +74,7 @@
     /// Takes complete messages into the pipeline, as far as it has capacity.
     fn fill_pipeline(&mut self) {
         while self.result.is_none() && self.pipeline.has_capacity(self.session.clients.is_memory_critical()) {
-            match self.session.buffer.decode_next(pg::asked) {
+            match self.session.buffer.decode_next(pg::decode_frontend_message) {
                 Ok(None) => break,
                 Ok(Some(received)) => {
                     self.session.opening_deadline = None;
@@ -148,7 +148,7 @@
             SessionEvent::Answered => {}
             SessionEvent::Cancelled => {
                 let mut out = Vec::new();
-                pg::put_error(&mut out, false, "57014", "cancelled by its client; it may have run", None);
+                pg::encode_error(&mut out, false, "57014", "cancelled by its client; it may have run", None);
                 self.pipeline.cancel_first(self.session.clients.encoded_with_ready(out));
             }
             SessionEvent::Written(result) => {
--- a/crates/router/src/client/response_writer.rs
+++ b/crates/router/src/client/response_writer.rs
@@ -31,7 +31,7 @@
 
     /// A response with the end that each response to a query has.
     pub(super) fn encoded_with_ready(&self, mut bytes: Vec<u8>) -> EncodedResponse {
-        pg::put_ready(&mut bytes);
+        pg::encode_ready_for_query(&mut bytes);
         self.encoded(bytes)
     }
 
@@ -75,15 +75,15 @@
 
 /// The error for a client that there is no room for: nothing has run, and soon there may be some.
 pub(super) fn put_no_room(out: &mut Vec<u8>, fatal: bool, message: &str) {
-    let retry_after_ms = quillpoint::HOLD.as_millis().to_string();
-    pg::put_error(out, fatal, "53300", message, Some(&retry_after_ms));
+    let retry_after_ms = quillpoint::FRESHNESS_WAIT.as_millis().to_string();
+    pg::encode_error(out, fatal, "53300", message, Some(&retry_after_ms));
 }
 
 /// The error for an RPC that is rejected, with Retry-After unless it is zero.
 pub(super) fn put_rejection(out: &mut Vec<u8>, retry_after: Duration) {
     let retry_after_ms = retry_after.as_millis().to_string();
     let detail = (!retry_after.is_zero()).then_some(retry_after_ms.as_str());
-    pg::put_error(out, false, "53300", "nothing ran, so trying again is harmless", detail);
+    pg::encode_error(out, false, "53300", "nothing ran, so trying again is harmless", detail);
 }
 
 /// The error for an RPC that is aborted, by how its last attempt ended.
@@ -94,5 +94,5 @@
         Some(Outcome::Error) => ("58000", "the node failed with it; it may have run"),
         _ => ("57014", "no answer came in time; it may have run"),
     };
-    pg::put_error(out, false, code, message, None);
+    pg::encode_error(out, false, code, message, None);
 }
--- a/crates/router/src/client/session.rs
+++ b/crates/router/src/client/session.rs
@@ -14,7 +14,7 @@
 use super::response_writer::write_response;
 use super::session_end::{SessionEnd, SessionResult};
 use crate::descriptors::{DescriptorPermit, EvictionPriority};
-use crate::pg::{self, CancelKey, Opening};
+use crate::pg::{self, CancelKey, StartupPacket};
 use crate::receive_buffer::{READ_CHUNK_BYTES, ReceiveBuffer};
 use crate::session_commits::SessionCommits;
 use crate::socket;
@@ -69,12 +69,12 @@
         loop {
             let mut out = Vec::new();
             match self.next_opening().await? {
-                Opening::Cancel(key) => {
+                StartupPacket::CancelRequest(key) => {
                     self.clients.cancel(key);
                     return Ok(false);
                 }
-                Opening::Encryption => out.push(b'N'),
-                Opening::Startup => pg::put_welcome(&mut out, Some(self.key)),
+                StartupPacket::EncryptionRequest => out.push(b'N'),
+                StartupPacket::Startup => pg::encode_session_start(&mut out, Some(self.key)),
             }
             let begins = out.len() > 1;
             self.write(out).await?;
@@ -89,10 +89,10 @@
         }
     }
 
-    async fn next_opening(&mut self) -> Result<Opening, SessionEnd> {
+    async fn next_opening(&mut self) -> Result<StartupPacket, SessionEnd> {
         let mut message_deadline = self.opening_deadline;
         loop {
-            if let Some(received) = self.buffer.decode_next(pg::opening)? {
+            if let Some(received) = self.buffer.decode_next(pg::decode_startup_packet)? {
                 return Ok(received.message);
             }
             self.receive_next(&mut message_deadline).await?;
@@ -113,7 +113,7 @@
         }
         if let Some(code) = end.code() {
             let mut out = Vec::new();
-            pg::put_error(&mut out, true, code, &end.to_string(), None);
+            pg::encode_error(&mut out, true, code, &end.to_string(), None);
             if self.write(out).await.is_err() {
                 return;
             }
--- a/crates/router/src/client/session_end.rs
+++ b/crates/router/src/client/session_end.rs
@@ -3,7 +3,7 @@
 use std::io;
 
 use crate::budget::ReservationRefused;
-use crate::pg::Broken;
+use crate::pg::ProtocolViolation;
 use crate::receive_buffer::ReceiveError;
 
 /// How a session ends: in order, or for a reason.
@@ -15,7 +15,7 @@
     #[error("{0}")]
     Io(#[from] io::Error),
     #[error("{0}")]
-    Malformed(#[from] Broken),
+    ProtocolViolation(#[from] ProtocolViolation),
     #[error("the client disconnected")]
     ClientDisconnected,
     #[error("closed while idle")]
@@ -34,7 +34,7 @@
     /// The SQLSTATE for the client, where it has caused the end.
     pub(super) fn code(&self) -> Option<&'static str> {
         match self {
-            Self::Malformed(broken) => Some(broken.code()),
+            Self::ProtocolViolation(violation) => Some(violation.sqlstate()),
             Self::TimedOut => Some("57014"),
             Self::OutOfMemory(_) => Some("53200"),
             Self::TooManyUnusableStatements => Some("08P01"),
--- a/crates/router/src/discovery.rs
+++ b/crates/router/src/discovery.rs
@@ -97,7 +97,7 @@
             address,
             reader,
             versions: Versions::new((!lines.is_empty()).then_some(known.rev)),
-            watch: ListWatch::new(deployment.ask_every, deployment.list_comes, seed),
+            watch: ListWatch::new(deployment.poll_interval, deployment.pushes_endpoints, seed),
             connection: None,
             newest: None,
             late: VecDeque::new(),
@@ -244,7 +244,7 @@
         let waited_ms = self.waited_ms(call);
         let stops: Vec<String> = lines
             .iter()
-            .filter(|line| line.condition != EndpointStatus::InService)
+            .filter(|line| line.status != EndpointStatus::InService)
             .map(|line| line.node.0.to_string())
             .collect();
         let named = stops[..stops.len().min(MOST_NAMED)].join(" ");
--- a/crates/router/src/engine/command.rs
+++ b/crates/router/src/engine/command.rs
@@ -4,7 +4,7 @@
 
 use quillpoint::host::{AttemptNumber, LoadReport, NodeId, Outcome, Role, RpcId};
 
-use crate::pg::Answer;
+use crate::pg::QueryResult;
 
 /// A command to the task of one RPC. All but an attempt are final responses.
 pub enum Command {
@@ -13,7 +13,7 @@
     /// Send a node's answer to the client.
     Answer {
         /// The row and its tag.
-        answer: Answer,
+        answer: QueryResult,
         /// The log position that the node reported with it; of a write, its commit time.
         position: Option<Duration>,
     },
@@ -57,7 +57,7 @@
 #[derive(Default)]
 pub struct NodeResponse {
     /// The answer to the statement, where it is complete.
-    pub answer: Option<Answer>,
+    pub answer: Option<QueryResult>,
     /// The node's role.
     pub role: Option<Role>,
     /// The node's log position, or the commit time of a write.
--- a/crates/router/src/engine/host.rs
+++ b/crates/router/src/engine/host.rs
@@ -16,7 +16,7 @@
 /// An RPC whose final response is pending.
 pub(super) struct PendingRpc {
     pub(super) commands: Sender<Command>,
-    pub(super) group: ReplicaSetId,
+    pub(super) replica_set: ReplicaSetId,
     pub(super) deadline: Duration,
     pub(super) attempts: u32,
     pub(super) last_outcome: Option<Outcome>,
@@ -82,7 +82,7 @@
         self.0.finish(rpc, |pending| Command::Abort { last_outcome: pending.last_outcome });
     }
 
-    fn probe(&mut self, node: NodeId) {
+    fn health_check(&mut self, node: NodeId) {
         _ = self.0.background_tasks.try_send(BackgroundTask::HealthCheck(node));
     }
 
--- a/crates/router/src/engine/methods.rs
+++ b/crates/router/src/engine/methods.rs
@@ -68,7 +68,7 @@
     pub(super) fn scope(&self, method: MethodId, statement: &Statement) -> StatementScope {
         let method = self.get(method);
         StatementScope {
-            group: statement.group,
+            replica_set: statement.replica_set,
             key: statement.session,
             writes: method.writes,
             reads_fresh: method.reads_fresh,
--- a/crates/router/src/engine/observations.rs
+++ b/crates/router/src/engine/observations.rs
@@ -24,7 +24,7 @@
     /// Whether the node is the primary.
     pub primary: Option<bool>,
     /// Requests queued at the node.
-    pub waiting: Option<f64>,
+    pub queued: Option<f64>,
     /// When the node's process started.
     pub started: Option<Duration>,
 }
@@ -34,7 +34,7 @@
 pub(super) struct ObservedState {
     pub(super) position: Option<Duration>,
     pub(super) primary: Option<bool>,
-    pub(super) waiting: Option<f64>,
+    pub(super) queued: Option<f64>,
 }
 
 /// Where the observation comes from.
@@ -52,7 +52,7 @@
     fn endpoints_changed(&self);
     /// Whether a health check that the decisions ask for is made here, and not left to another router.
     fn permits_health_check(&self, node: NodeId) -> bool;
-    /// What others have observed of the node last; what was returned before may be left out. Asked for when an RPC
+    /// What others have observed of the node last; what was returned before may be left out. FrontendMessage for when an RPC
     /// needs it, since observations of all nodes may come often.
     fn latest_observation(&self, _node: NodeId) -> Option<PeerObservation> {
         None
@@ -86,7 +86,7 @@
             failed: matches!(source, ObservationSource::HealthCheck { failed: true }),
             position: observed.position,
             primary: observed.primary,
-            waiting: observed.waiting,
+            queued: observed.queued,
             started,
         });
     }
@@ -97,9 +97,9 @@
     }
 
     /// Tells the decisions what others have observed of a replica set's nodes.
-    pub(super) fn refresh_observations(&self, group: ReplicaSetId) {
+    pub(super) fn refresh_observations(&self, replica_set: ReplicaSetId) {
         let Some(exchange) = self.exchange.get() else { return };
-        let nodes: Vec<NodeId> = self.decisions.borrow().nodes_of(group).collect();
+        let nodes: Vec<NodeId> = self.decisions.borrow().nodes_of(replica_set).collect();
         for observation in nodes.into_iter().filter_map(|node| exchange.latest_observation(node)) {
             self.peer_observed(observation);
         }
@@ -108,8 +108,8 @@
     /// Others have observed something new, which may let pending RPCs go on.
     pub fn refresh_pending_rpcs(&self) {
         let pending: BTreeSet<ReplicaSetId> =
-            self.host.pending.borrow().values().map(|pending| pending.group).collect();
-        pending.into_iter().for_each(|group| self.refresh_observations(group));
+            self.host.pending.borrow().values().map(|pending| pending.replica_set).collect();
+        pending.into_iter().for_each(|replica_set| self.refresh_observations(replica_set));
     }
 
     /// Begins a health check that is assigned to this router. False if one is under way already.
@@ -131,7 +131,7 @@
 
     /// Whether the node is ejected: only a health check of this router tells it anything of the node.
     pub fn is_ejected(&self, node: NodeId) -> bool {
-        self.decisions.borrow().is_shut(node)
+        self.decisions.borrow().is_ejected(node)
     }
 
     /// The nodes on the endpoint list, with their zones.
--- a/crates/router/src/engine/rpcs.rs
+++ b/crates/router/src/engine/rpcs.rs
@@ -28,17 +28,17 @@
         let time_to_shutdown =
             self.shutdown_deadline.get().map_or(Duration::MAX, |deadline| deadline.saturating_sub(now));
         let deadline = self.methods.get(method).deadline;
-        let wait = statement.wait.min(deadline).saturating_sub(received.elapsed());
+        let wait = statement.remaining.min(deadline).saturating_sub(received.elapsed());
         let remaining = wait.min(time_to_shutdown);
         if wait.is_zero() {
             return None;
         }
         let (commands, command_receiver) = async_channel::unbounded();
         let id = self.next_rpc_id();
-        let group = statement.group;
-        self.refresh_observations(group);
+        let replica_set = statement.replica_set;
+        self.refresh_observations(replica_set);
         let deadline = now + remaining;
-        let pending = PendingRpc { commands, group, deadline, attempts: 0, last_outcome: None };
+        let pending = PendingRpc { commands, replica_set, deadline, attempts: 0, last_outcome: None };
         self.host.pending.borrow_mut().insert(id, pending);
         self.admit(id, method, statement, remaining, last_commit);
         Some(PendingResponse::new(Rc::clone(self), id, command_receiver))
@@ -61,14 +61,14 @@
         last_commit: Option<Duration>,
     ) {
         let has_sessions = self.methods.get(method).has_sessions;
-        let last_write = statement.after.max(last_commit);
+        let last_write = statement.last_write.max(last_commit);
         // By the time that the decisions read too: with a later one, the write would lie past its commit.
         self.with_decisions(|decisions, now| {
             let rpc = Rpc {
                 id,
                 method,
                 session: statement.session.filter(|_| has_sessions),
-                group: statement.group,
+                replica_set: statement.replica_set,
                 remaining,
                 work: None,
                 since_write: last_write.map(|at| now.saturating_sub(at)),
@@ -111,7 +111,7 @@
         }
         let finished = !self.record_outcome(rpc, outcome);
         let took = now.saturating_sub(started);
-        let end = AttemptEnd { rpc, call: number, node, outcome, finished, took, role, position, report };
+        let end = AttemptEnd { rpc, attempt: number, node, outcome, finished, took, role, position, report };
         self.decisions.borrow_mut().attempt_ended(now, end);
         self.share_attempt(node, started, role, position, report);
     }
@@ -143,8 +143,8 @@
             return;
         }
         let primary = role.map(|role| role == Role::Primary);
-        let waiting = report.and_then(|report| report.waiting);
-        let observed = ObservedState { position, primary, waiting };
+        let queued = report.and_then(|report| report.queued);
+        let observed = ObservedState { position, primary, queued };
         self.share(node, started, ObservationSource::Attempt, observed);
     }
 
@@ -158,8 +158,8 @@
     ) {
         self.with_decisions(|decisions, now| decisions.health_check_ended(now, node, outcome, report));
         let failed = !matches!(outcome, Outcome::Ok | Outcome::Error | Outcome::Rejected);
-        let LoadReport { position, primary, waiting, .. } = report.filter(|_| !failed).unwrap_or_default();
-        let observed = ObservedState { position, primary, waiting };
+        let LoadReport { position, primary, queued, .. } = report.filter(|_| !failed).unwrap_or_default();
+        let observed = ObservedState { position, primary, queued };
         self.share(node, asked, ObservationSource::HealthCheck { failed }, observed);
     }
 }
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -1,6 +1,6 @@
 //! quillpoint on sockets: a router between PostgreSQL clients and a primary with its replicas.
 //!
-//! [`briefing::Briefing`] holds what a router is told; [`serve::serve`] runs one until it has drained. Every
+//! [`runtime_config::RuntimeConfig`] holds what a router is told; [`serve::serve`] runs one until it has drained. Every
 //! choice is made by the `quillpoint` package; this one carries it out.
 //!
 //! Each resource has one owner and one place of return:
@@ -14,11 +14,11 @@
 //! - ids of RPCs: [`active_request_ids::ActiveRequestId`], released when it is dropped
 
 pub mod active_request_ids;
-pub mod briefing;
 pub mod budget;
 pub mod client;
 pub mod command;
 pub mod config;
+pub mod config_error;
 pub mod deployment;
 pub mod descriptors;
 pub mod discovery;
@@ -36,6 +36,7 @@
 pub mod pool;
 pub mod receive_buffer;
 pub mod request_pipeline;
+pub mod runtime_config;
 pub mod serve;
 pub mod session_commits;
 pub mod signals;
--- a/crates/router/src/peers.rs
+++ b/crates/router/src/peers.rs
@@ -13,20 +13,21 @@
 
 /// Whoever says it, it is hearsay to the module.
 fn peer_word(word: FeedObservation) -> PeerObservation {
-    let FeedObservation { node, at, position, primary, started, failed } = word;
-    PeerObservation { node: NodeId(node), at, position, primary, waiting: None, started, failed }
+    let FeedObservation { node, seen_at: at, position, primary, started, failed } = word;
+    PeerObservation { node: NodeId(node), at, position, primary, queued: None, started, failed }
 }
 
 /// The same of what members of a fleet tell.
 pub(crate) fn heard_word(evidence: DatedObservation) -> PeerObservation {
     let DatedObservation { node, at, position, primary, waiting, started, failed } = evidence;
     let (node, waiting) = (NodeId(node), waiting.map(f64::from));
-    PeerObservation { node, at, position, primary, waiting, started, failed }
+    PeerObservation { node, at, position, primary, queued: waiting, started, failed }
 }
 
 /// What a router has found out, as its fleet takes it.
 pub(crate) fn news(finding: &LocalObservation) -> Observation {
-    let LocalObservation { node: NodeId(node), failed, position, primary, waiting, started, .. } = *finding;
+    let LocalObservation { node: NodeId(node), failed, position, primary, queued: waiting, started, .. } =
+        *finding;
     let waiting = waiting.map(|waiting| waiting.clamp(0.0, f64::from(u32::MAX)) as u32);
     Observation { node, age: Duration::ZERO, position, primary, waiting, started, failed }
 }
--- a/crates/router/src/pool.rs
+++ b/crates/router/src/pool.rs
@@ -23,7 +23,7 @@
 use crate::engine::{Attempt, BackgroundTask, Engine};
 use crate::log_rate_limiter::LogRateLimiter;
 use crate::pg;
-use crate::statement::Kept;
+use crate::statement::InFlightStatement;
 use checkout::CheckoutResult;
 use connection::NodeConnection;
 use exchange::Exchange;
@@ -91,7 +91,8 @@
             next_idle_id: Cell::new(0),
             connect_timeout: deployment.connect_timeout,
             // A query may be under way for as long as a connect may take; the node must not close meanwhile.
-            idle_timeout: deployment.idle_time - deployment.connect_timeout.min(deployment.idle_time / 2),
+            idle_timeout: deployment.idle_connection_timeout
+                - deployment.connect_timeout.min(deployment.idle_connection_timeout / 2),
             report_fields: deployment.report_fields.clone(),
         })
     }
@@ -134,7 +135,12 @@
     }
 
     /// Makes an attempt. The engine is notified of its end, whether or not its RPC is over by then.
-    pub fn make_attempt(self: &Rc<Self>, engine: Rc<Engine>, attempt: Attempt, statement: Rc<Kept>) {
+    pub fn make_attempt(
+        self: &Rc<Self>,
+        engine: Rc<Engine>,
+        attempt: Attempt,
+        statement: Rc<InFlightStatement>,
+    ) {
         let pool = Rc::clone(self);
         let task = async move {
             let deadline = engine.clock.instant(attempt.deadline);
@@ -143,7 +149,7 @@
             let query = || {
                 let permitted = statement.client.is_connected() && engine.permits_attempt(&attempt);
                 let wait = attempt.deadline.saturating_sub(engine.clock.now());
-                permitted.then(|| pg::query(&statement.statement.with_wait(wait)))
+                permitted.then(|| pg::query_message(&statement.statement.with_remaining(wait)))
             };
             let Exchange { outcome, response } = pool.exchange(attempt.node, deadline, query).await;
             pool.log_reachability(attempt.node, outcome);
--- a/crates/router/src/pool/connection.rs
+++ b/crates/router/src/pool/connection.rs
@@ -11,7 +11,7 @@
 
 use crate::budget::{Reservation, ReservationRefused, SharedBudget};
 use crate::descriptors::DescriptorPermit;
-use crate::pg::{self, Broken, Told};
+use crate::pg::{self, BackendMessage, ProtocolViolation};
 use crate::socket;
 
 /// How much is read at once.
@@ -28,7 +28,7 @@
     #[error("{0}")]
     Io(#[from] io::Error),
     #[error("{0}")]
-    Broken(#[from] Broken),
+    ProtocolViolation(#[from] ProtocolViolation),
     #[error("the connection ended")]
     Closed,
     #[error("it did not come up in time")]
@@ -81,7 +81,7 @@
             _permit: permit,
         };
         let mut startup = Vec::new();
-        pg::put_startup(&mut startup, USER, DATABASE);
+        pg::encode_startup(&mut startup, USER, DATABASE);
         socket::write_all(&connection.stream, &startup).await?;
         connection.await_greeting(node).await?;
         Ok(connection)
@@ -90,12 +90,12 @@
     async fn await_greeting(&mut self, node: NodeId) -> Result<(), ConnectionError> {
         loop {
             match self.next_message().await? {
-                Told::Ready => return Ok(()),
-                Told::Error { code, message, .. } => {
+                BackendMessage::ReadyForQuery => return Ok(()),
+                BackendMessage::ErrorResponse { code, message, .. } => {
                     log::debug!("{} rejected a connection with {code}: {message}", node.0);
                     return Err(ConnectionError::Closed);
                 }
-                Told::Authentication(kind) if kind != 0 => {
+                BackendMessage::Authentication(kind) if kind != 0 => {
                     log::debug!("{} asks for a password, which routers have none of", node.0);
                     return Err(ConnectionError::Closed);
                 }
@@ -144,9 +144,9 @@
     ///
     /// # Errors
     /// The connection is broken, the bytes are no message, or there is no memory for them.
-    pub(super) async fn next_message(&mut self) -> Result<Told, ConnectionError> {
+    pub(super) async fn next_message(&mut self) -> Result<BackendMessage, ConnectionError> {
         loop {
-            if let Some((message, length)) = pg::told(&self.unread)? {
+            if let Some((message, length)) = pg::decode_backend_message(&self.unread)? {
                 self.unread.drain(..length);
                 if self.unread.is_empty() {
                     // What a long value took is not kept for the next.
--- a/crates/router/src/pool/exchange.rs
+++ b/crates/router/src/pool/exchange.rs
@@ -9,7 +9,7 @@
 use super::connection::{ConnectionError, NodeConnection};
 use super::{ConnectionPool, at};
 use crate::engine::NodeResponse;
-use crate::pg::{self, Broken, Said, Told};
+use crate::pg::{self, BackendMessage, ProtocolViolation, Response};
 
 /// How an exchange ended.
 pub(super) struct Exchange {
@@ -101,23 +101,27 @@
         response: &mut NodeResponse,
     ) -> Result<Outcome, ExchangeError> {
         connection.write(query).await.map_err(without_outcome)?;
-        let mut reading = pg::Reading::default();
+        let mut reading = pg::ResponseReader::default();
         let mut outcome = None;
         loop {
             // What comes behind a complete answer can cost the connection, but no longer the answer.
             let message =
                 connection.next_message().await.map_err(|cause| ExchangeError { outcome, cause })?;
             match message {
-                Told::Parameter { name, value } => self.record_parameter(&name, &value, response),
-                Told::Passing => {}
-                Told::Ready => return outcome.ok_or_else(|| without_outcome(Broken::Order)),
+                BackendMessage::ParameterStatus { name, value } => {
+                    self.record_parameter(&name, &value, response)
+                }
+                BackendMessage::Ignored => {}
+                BackendMessage::ReadyForQuery => {
+                    return outcome.ok_or_else(|| without_outcome(ProtocolViolation::UnexpectedOrder));
+                }
                 message if outcome.is_none() => match reading.take(message).map_err(without_outcome)? {
                     None => {}
-                    Some(Said::Value(answer)) => {
+                    Some(Response::Result(answer)) => {
                         outcome = Some(Outcome::Ok);
                         response.answer = Some(answer);
                     }
-                    Some(Said::Error { code, message, fatal }) => {
+                    Some(Response::Error { code, message, fatal }) => {
                         log::debug!("a node answered {code}: {message}");
                         outcome = Some(outcome_of_error(&code));
                         if fatal {
@@ -125,7 +129,7 @@
                         }
                     }
                 },
-                _ => return Err(ExchangeError { outcome, cause: Broken::Order.into() }),
+                _ => return Err(ExchangeError { outcome, cause: ProtocolViolation::UnexpectedOrder.into() }),
             }
         }
     }
@@ -150,9 +154,9 @@
         return Outcome::ConnectFailed;
     }
     match cause {
-        ConnectionError::Broken(_) | ConnectionError::OutOfMemory(_) | ConnectionError::ResponseTooLong => {
-            Outcome::Malformed
-        }
+        ConnectionError::ProtocolViolation(_)
+        | ConnectionError::OutOfMemory(_)
+        | ConnectionError::ResponseTooLong => Outcome::Malformed,
         _ => Outcome::Reset,
     }
 }
--- a/crates/router/src/pool/health_check.rs
+++ b/crates/router/src/pool/health_check.rs
@@ -25,7 +25,7 @@
 
     async fn check_health(self: &Rc<Self>, engine: &Engine, node: NodeId, asked: Duration) {
         let deadline = Instant::now() + self.connect_timeout;
-        let query = || Some(pg::query(HEALTH_CHECK_QUERY));
+        let query = || Some(pg::query_message(HEALTH_CHECK_QUERY));
         let Exchange { outcome, response } = self.exchange(node, deadline, query).await;
         let row = response.answer.and_then(|answer| answer.value);
         let row = row.and_then(|bytes| String::from_utf8(bytes).ok());
--- a/crates/router/src/pool/node_status.rs
+++ b/crates/router/src/pool/node_status.rs
@@ -26,7 +26,12 @@
         for (index, pair) in text.split(',').enumerate() {
             let field = self.report_fields.get(index).map_or("", String::as_str);
             let (name, value) = pair.split_once('=').unwrap_or((field, pair));
-            quillpoint_settings::enter(&mut report, name.trim(), value.trim().parse().ok()?, Duration::ZERO);
+            quillpoint_settings::set_report_field(
+                &mut report,
+                name.trim(),
+                value.trim().parse().ok()?,
+                Duration::ZERO,
+            );
         }
         Some(report)
     }
--- a/crates/router/src/receive_buffer.rs
+++ b/crates/router/src/receive_buffer.rs
@@ -11,7 +11,7 @@
 use async_io::Async;
 
 use crate::budget::{Reservation, ReservationRefused};
-use crate::pg::Broken;
+use crate::pg::ProtocolViolation;
 use crate::socket;
 use crate::socket_liveness::unread_bytes;
 
@@ -90,8 +90,8 @@
     /// What the decoder says.
     pub fn decode_next<T>(
         &mut self,
-        decode: impl Fn(&[u8]) -> Result<Option<(T, usize)>, Broken>,
-    ) -> Result<Option<ReceivedMessage<T>>, Broken> {
+        decode: impl Fn(&[u8]) -> Result<Option<(T, usize)>, ProtocolViolation>,
+    ) -> Result<Option<ReceivedMessage<T>>, ProtocolViolation> {
         let Some((message, length)) = decode(&self.unread)? else { return Ok(None) };
         self.unread.drain(..length);
         self.decoded_bytes += length as u64;
--- a/crates/router/src/request_pipeline.rs
+++ b/crates/router/src/request_pipeline.rs
@@ -19,7 +19,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct StatementScope {
     /// The replica set that it goes to.
-    pub group: ReplicaSetId,
+    pub replica_set: ReplicaSetId,
     /// The session that it belongs to; none may be any.
     pub key: Option<SessionKey>,
     /// Whether it writes.
@@ -38,7 +38,8 @@
         let both_write = self.writes && earlier.writes;
         let must_see_write = self.reads_fresh && earlier.writes;
         let one_writes = self.writes || earlier.writes;
-        self.group == earlier.group && (both_write || must_see_write || (one_writes && same_session))
+        self.replica_set == earlier.replica_set
+            && (both_write || must_see_write || (one_writes && same_session))
     }
 }
 
--- a/crates/router/src/serve.rs
+++ b/crates/router/src/serve.rs
@@ -8,7 +8,6 @@
 use async_io::Async;
 use quillpoint::host::EndpointUpdate;
 
-use crate::briefing::{Briefing, Refusal};
 use crate::budget::SharedBudget;
 use crate::client::{ClientResources, ClientSessions};
 use crate::descriptors::DescriptorLimiter;
@@ -18,6 +17,7 @@
 use crate::events;
 use crate::memory_report;
 use crate::pool::ConnectionPool;
+use crate::runtime_config::{RuntimeConfig, RuntimeConfigError};
 use crate::signals::{self, ReloadTargets};
 use crate::ties::Ties;
 
@@ -25,37 +25,40 @@
 ///
 /// # Errors
 /// Signals cannot be handled, or a socket cannot be opened.
-pub fn serve(briefing: Briefing, reread: impl Fn() -> Result<Briefing, Refusal> + 'static) -> io::Result<()> {
+pub fn serve(
+    config: RuntimeConfig,
+    reread: impl Fn() -> Result<RuntimeConfig, RuntimeConfigError> + 'static,
+) -> io::Result<()> {
     let executor = Rc::new(LocalExecutor::new());
-    async_io::block_on(executor.run(run(briefing, reread, Rc::clone(&executor))))
+    async_io::block_on(executor.run(run(config, reread, Rc::clone(&executor))))
 }
 
 async fn run(
-    briefing: Briefing,
-    reread: impl Fn() -> Result<Briefing, Refusal> + 'static,
+    config: RuntimeConfig,
+    reread: impl Fn() -> Result<RuntimeConfig, RuntimeConfigError> + 'static,
     executor: Rc<LocalExecutor<'static>>,
 ) -> io::Result<()> {
     // Before anything else: a signal that comes early must not end the process.
     let signals = signals::install()?;
-    let launch = &briefing.launch;
-    let deployment = &launch.deployment;
-    let descriptors = DescriptorLimiter::new(launch.sockets);
-    let listener = Rc::new(Async::<TcpListener>::bind(launch.listen)?);
+    let startup = &config.startup;
+    let deployment = &startup.deployment;
+    let descriptors = DescriptorLimiter::new(startup.max_sockets);
+    let listener = Rc::new(Async::<TcpListener>::bind(startup.listen)?);
     let listener_permit = descriptors.acquire().await;
-    let (engine, outputs) = Engine::new(launch.seed, deployment);
-    events::whose(&launch.name, engine.clock.now().as_micros() as u64);
+    let (engine, outputs) = Engine::new(startup.seed, deployment);
+    events::set_origin(&startup.name, engine.clock.now().as_micros() as u64);
     let (discovery, known) = DiscoveryClient::new(
-        launch.discovery,
+        startup.discovery,
         deployment,
-        &launch.known,
-        launch.seed,
+        &startup.known,
+        startup.seed,
         engine.clock,
         (Rc::clone(&executor), &descriptors),
     )
     .await;
     engine.endpoints_changed(EndpointUpdate::CachedSnapshot, &known);
-    let ties = Rc::new(Ties::open(&briefing.parts, &engine, &descriptors, launch.seed).await?);
-    let budget = SharedBudget::new(launch.memory);
+    let ties = Rc::new(Ties::open(&config.parts, &engine, &descriptors, startup.seed).await?);
+    let budget = SharedBudget::new(startup.memory_bytes);
     executor.spawn(memory_report::run(budget.clone())).detach();
     let resources = client_resources(&executor, &engine, &descriptors, &budget, deployment);
     let pool = Rc::clone(&resources.pool);
@@ -71,11 +74,11 @@
     let address = listener.get_ref().local_addr()?;
     log::info!(
         event = "serves", address:% = address, nodes = known.len();
-        "{} serves at {address}, {} nodes known", launch.name, known.len()
+        "{} serves at {address}, {} nodes known", startup.name, known.len()
     );
     let (stop, stopped) = async_channel::bounded(1);
     let targets = ReloadTargets { discovery: discovery_address, ties: Rc::clone(&ties) };
-    executor.spawn(signals::handle(signals, briefing, reread, targets, stop)).detach();
+    executor.spawn(signals::handle(signals, config, reread, targets, stop)).detach();
     _ = stopped.recv().await;
     drain::drain(&clients, &engine, listener, accepting).await;
     ties.leave();
--- a/crates/router/src/session_commits.rs
+++ b/crates/router/src/session_commits.rs
@@ -22,14 +22,14 @@
 
 impl SessionCommits {
     /// The last commit that a read of this session must see, as far as it was written on the connection.
-    pub fn last_commit(&self, group: ReplicaSetId, key: SessionKey) -> Option<Duration> {
-        self.sessions.get(&(group, key)).max(self.any_session.get(&group)).copied()
+    pub fn last_commit(&self, replica_set: ReplicaSetId, key: SessionKey) -> Option<Duration> {
+        self.sessions.get(&(replica_set, key)).max(self.any_session.get(&replica_set)).copied()
     }
 
     /// A write has been committed.
-    pub fn record(&mut self, group: ReplicaSetId, key: Option<SessionKey>, commit: Duration) {
-        let Some(key) = key else { return self.record_for_any_session(group, commit) };
-        let known = self.sessions.entry((group, key)).or_default();
+    pub fn record(&mut self, replica_set: ReplicaSetId, key: Option<SessionKey>, commit: Duration) {
+        let Some(key) = key else { return self.record_for_any_session(replica_set, commit) };
+        let known = self.sessions.entry((replica_set, key)).or_default();
         *known = commit.max(*known);
         if self.sessions.len() > MAX_SESSIONS {
             self.drop_oldest();
@@ -47,8 +47,8 @@
     }
 
     /// Only replica sets that have a primary commit, so that there are no more of these than replica sets.
-    fn record_for_any_session(&mut self, group: ReplicaSetId, commit: Duration) {
-        let known = self.any_session.entry(group).or_default();
+    fn record_for_any_session(&mut self, replica_set: ReplicaSetId, commit: Duration) {
+        let known = self.any_session.entry(replica_set).or_default();
         *known = commit.max(*known);
     }
 }
--- a/crates/router/src/signals.rs
+++ b/crates/router/src/signals.rs
@@ -8,7 +8,7 @@
 use async_signal::{Signal, Signals};
 use futures_lite::StreamExt;
 
-use crate::briefing::{Briefing, Refusal};
+use crate::runtime_config::{RuntimeConfig, RuntimeConfigError};
 use crate::ties::Ties;
 
 /// What takes over a configuration that was read anew.
@@ -30,14 +30,14 @@
 /// Handles signals as long as the process runs, so also while it drains. `stop` is closed when the router is to stop.
 pub async fn handle(
     mut signals: Signals,
-    mut briefing: Briefing,
-    reread: impl Fn() -> Result<Briefing, Refusal>,
+    mut config: RuntimeConfig,
+    reread: impl Fn() -> Result<RuntimeConfig, RuntimeConfigError>,
     targets: ReloadTargets,
     stop: Sender<()>,
 ) {
     while let Some(signal) = signals.next().await {
         match signal {
-            Ok(Signal::Hup) => reload(&mut briefing, reread(), &targets),
+            Ok(Signal::Hup) => reload(&mut config, reread(), &targets),
             Ok(_) => {
                 // Later ones change nothing.
                 if stop.close() {
@@ -51,19 +51,23 @@
 
 /// Takes over where discovery is, and where peers and control instances are and by which keys they speak. All else that
 /// differs waits for a restart.
-fn reload(briefing: &mut Briefing, reread: Result<Briefing, Refusal>, targets: &ReloadTargets) {
+fn reload(
+    config: &mut RuntimeConfig,
+    reread: Result<RuntimeConfig, RuntimeConfigError>,
+    targets: &ReloadTargets,
+) {
     let reread = match reread {
         Ok(reread) => reread,
         Err(error) => return log::warn!("configuration not taken over: {error}"),
     };
-    for key in briefing.held_back(&reread) {
+    for key in config.restart_required(&reread) {
         log::warn!("configuration: {key} has changed, which holds from the next start on");
     }
     targets.ties.reload(&reread.parts);
-    let discovery = reread.launch.discovery;
+    let discovery = reread.startup.discovery;
     log::info!("configuration read anew, discovery at {discovery}");
-    if discovery != briefing.launch.discovery {
-        briefing.launch.discovery = discovery;
+    if discovery != config.startup.discovery {
+        config.startup.discovery = discovery;
         _ = targets.discovery.try_send(discovery);
     }
 }
--- a/crates/router/tests/connection_checkout.rs
+++ b/crates/router/tests/connection_checkout.rs
@@ -13,13 +13,13 @@
 use quillpoint_memory_budget::Category;
 use quillpoint_router::active_request_ids::ActiveRequestIds;
 use quillpoint_router::budget::SharedBudget;
-use quillpoint_router::config::Launch;
+use quillpoint_router::config::StartupOptions;
 use quillpoint_router::descriptors::DescriptorLimiter;
 use quillpoint_router::engine::{Attempt, Command, Engine, EngineOutputs, PendingResponse};
 use quillpoint_router::list::Reader;
 use quillpoint_router::pool::ConnectionPool;
 use quillpoint_router::socket_liveness::{ClientLiveness, peer_has_closed};
-use quillpoint_router::statement::{Kept, Statement};
+use quillpoint_router::statement::{InFlightStatement, Statement};
 use standin::{ConnectBehavior, Discovery, Node, VALUE, configuration, count, statement, targets};
 
 /// Far longer than anything here takes.
@@ -45,7 +45,7 @@
 /// An RPC that has come, and its client's end of the connection.
 struct ArrivedRpc {
     pending: PendingResponse,
-    kept: Rc<Kept>,
+    kept: Rc<InFlightStatement>,
     session: Rc<Async<TcpStream>>,
     client: TcpStream,
 }
@@ -59,15 +59,15 @@
             assert!(text.contains(from), "{from}");
             text.replace(from, to)
         });
-        let launch = Launch::from_tree(&serde_json::from_str(&text).unwrap(), |_| None).unwrap();
-        let (engine, _outputs) = Engine::new(launch.seed, &launch.deployment);
+        let options = StartupOptions::from_json(&serde_json::from_str(&text).unwrap(), |_| None).unwrap();
+        let (engine, _outputs) = Engine::new(options.seed, &options.deployment);
         engine.endpoints_changed(
             EndpointUpdate::Snapshot,
-            &Reader::new(&launch.deployment).lines(&launch.known),
+            &Reader::new(&options.deployment).lines(&options.known),
         );
-        let budget = SharedBudget::new(launch.memory);
-        let descriptors = DescriptorLimiter::new(launch.sockets);
-        let pool = ConnectionPool::new(Rc::clone(executor), descriptors, budget.clone(), &launch.deployment);
+        let budget = SharedBudget::new(options.memory_bytes);
+        let descriptors = DescriptorLimiter::new(options.max_sockets);
+        let pool = ConnectionPool::new(Rc::clone(executor), descriptors, budget.clone(), &options.deployment);
         executor.spawn(Rc::clone(&pool).close_expired()).detach();
         let timer_engine = Rc::clone(&engine);
         executor.spawn(async move { timer_engine.run_timer().await }).detach();
@@ -83,10 +83,10 @@
         let method = self.engine.method_by_name(&statement.method).unwrap();
         let arrived = self.engine.rpc_arrived(method, &statement, Instant::now(), None);
         let pending = arrived.expect("its time is not over");
-        let kept = Kept {
+        let kept = InFlightStatement {
             client: ClientLiveness::new(Rc::downgrade(&session)),
-            _memory: self.budget.reserve(Category::Statements, statement.size()).unwrap(),
-            _open: self.active_ids.register(statement.id.clone()).unwrap(),
+            memory: self.budget.reserve(Category::Statements, statement.size()).unwrap(),
+            open_id: self.active_ids.register(statement.id.clone()).unwrap(),
             statement,
         };
         ArrivedRpc { pending, kept: Rc::new(kept), session, client }
--- a/crates/router/tests/soak/clients.rs
+++ b/crates/router/tests/soak/clients.rs
@@ -111,7 +111,7 @@
         admitted: Admitted,
         request: Statement,
     ) -> (Statement, Ending) {
-        let bytes = pg::query(request.text.as_bytes());
+        let bytes = pg::query_message(request.text.as_bytes());
         let (leaves, slow) = (rng.random_bool(0.06), rng.random_bool(0.06));
         let (first, rest) = bytes.split_at(if slow { bytes.len() / 2 } else { 0 });
         let mut written = write(client, first);
--- a/crates/router/tests/standin/mod.rs
+++ b/crates/router/tests/standin/mod.rs
@@ -11,7 +11,7 @@
 use std::thread;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use quillpoint_router::pg::{self, Asked, Opening, Told};
+use quillpoint_router::pg::{self, BackendMessage, FrontendMessage, StartupPacket};
 use quillpoint_testbed::store::{next, parameter, row as answer};
 
 /// Far longer than anything here takes: what is awaited for so long never comes.
@@ -143,14 +143,16 @@
             return;
         }
         let mut unread = Vec::new();
-        if next(&mut stream, &mut unread, pg::opening) != Some(Opening::Startup) {
+        if next(&mut stream, &mut unread, pg::decode_startup_packet) != Some(StartupPacket::Startup) {
             return;
         }
         let mut out = Vec::new();
-        pg::put_welcome(&mut out, None);
+        pg::encode_session_start(&mut out, None);
         _ = stream.write_all(&out);
         self.accepted.fetch_add(1, Ordering::SeqCst);
-        while let Some(Asked::Query(text)) = next(&mut stream, &mut unread, pg::asked) {
+        while let Some(FrontendMessage::Query(text)) =
+            next(&mut stream, &mut unread, pg::decode_frontend_message)
+        {
             let text = String::from_utf8(text).unwrap();
             if text == "SHOW load" {
                 _ = stream.write_all(&self.health_check_response());
@@ -176,10 +178,10 @@
         let state = self.state.0.lock().unwrap();
         let mut out = Vec::new();
         match state.behavior {
-            NodeBehavior::Down => pg::put_error(&mut out, false, "57P03", "down", None),
-            _ => pg::put_answer(&mut out, &answer(state.load(unix_ms()).as_bytes())),
+            NodeBehavior::Down => pg::encode_error(&mut out, false, "57P03", "down", None),
+            _ => pg::encode_result(&mut out, &answer(state.load(unix_ms()).as_bytes())),
         }
-        pg::put_ready(&mut out);
+        pg::encode_ready_for_query(&mut out);
         out
     }
 
@@ -193,19 +195,19 @@
         self.state.0.lock().unwrap().in_flight -= 1;
         let mut out = Vec::new();
         match behavior {
-            _ if rpc.misrouted => pg::put_error(&mut out, false, "25006", "this is a replica", None),
+            _ if rpc.misrouted => pg::encode_error(&mut out, false, "25006", "this is a replica", None),
             NodeBehavior::Disconnect => return false,
-            NodeBehavior::Down => pg::put_error(&mut out, false, "57P03", "down", None),
-            NodeBehavior::Error(code) => pg::put_error(&mut out, false, code, "as told", None),
+            NodeBehavior::Down => pg::encode_error(&mut out, false, "57P03", "down", None),
+            NodeBehavior::Error(code) => pg::encode_error(&mut out, false, code, "as told", None),
             NodeBehavior::RawBytes(bytes) => out.extend(bytes),
-            NodeBehavior::LargeValue(length) => pg::put_answer(&mut out, &answer(&vec![b'v'; length])),
-            NodeBehavior::EchoId => pg::put_answer(&mut out, &answer(&rpc.id)),
+            NodeBehavior::LargeValue(length) => pg::encode_result(&mut out, &answer(&vec![b'v'; length])),
+            NodeBehavior::EchoId => pg::encode_result(&mut out, &answer(&rpc.id)),
             NodeBehavior::Flood(bytes) => {
                 let many = bytes.repeat(4096 / bytes.len());
                 while stream.write_all(&many).is_ok() {}
                 return false;
             }
-            _ => pg::put_answer(&mut out, &answer(VALUE)),
+            _ => pg::encode_result(&mut out, &answer(VALUE)),
         }
         if behavior == NodeBehavior::Truncate {
             _ = stream.write_all(&out[..out.len() / 2]);
@@ -215,7 +217,7 @@
         parameter(&mut out, "role", rpc.role);
         parameter(&mut out, "applied_ms", &rpc.applied_ms.to_string());
         parameter(&mut out, "load", load);
-        pg::put_ready(&mut out);
+        pg::encode_ready_for_query(&mut out);
         if let NodeBehavior::TrailingBytes(bytes) = behavior {
             out.extend(bytes);
         }
@@ -531,7 +533,7 @@
     /// With a first query right behind the startup.
     pub fn connect_and_query(address: SocketAddr, text: &str) -> Self {
         let mut query = Vec::new();
-        pg::put_query(&mut query, text.as_bytes());
+        pg::encode_query(&mut query, text.as_bytes());
         Self::connect_with(address, &query)
     }
 
@@ -552,7 +554,7 @@
         stream.set_read_timeout(Some(NEVER))?;
         let mut client = Self { stream, unread: Vec::new() };
         let mut out = Vec::new();
-        pg::put_startup(&mut out, "portal", "crm");
+        pg::encode_startup(&mut out, "portal", "crm");
         client.stream.write_all(&out)?;
         Ok(client)
     }
@@ -562,8 +564,8 @@
     }
 
     /// The next message of a router.
-    pub fn next_message(&mut self) -> Option<Told> {
-        next(&mut self.stream, &mut self.unread, pg::told)
+    pub fn next_message(&mut self) -> Option<BackendMessage> {
+        next(&mut self.stream, &mut self.unread, pg::decode_backend_message)
     }
 
     /// Closes its sending, and waits until the router has taken notice.
@@ -574,7 +576,7 @@
 
     pub fn send_query(&mut self, text: &str) {
         let mut out = Vec::new();
-        pg::put_query(&mut out, text.as_bytes());
+        pg::encode_query(&mut out, text.as_bytes());
         self.send(&out);
     }
 
@@ -584,10 +586,12 @@
         loop {
             match self.next_message() {
                 None => return reply,
-                Some(Told::Row(value)) => reply = Reply::Value(value.unwrap()),
-                Some(Told::EmptyQuery) => reply = Reply::Empty,
-                Some(Told::Error { code, detail, .. }) => reply = Reply::Error(code, detail),
-                Some(Told::Ready) if reply != Reply::Closed => return reply,
+                Some(BackendMessage::DataRow(value)) => reply = Reply::Value(value.unwrap()),
+                Some(BackendMessage::EmptyQueryResponse) => reply = Reply::Empty,
+                Some(BackendMessage::ErrorResponse { code, detail, .. }) => {
+                    reply = Reply::Error(code, detail)
+                }
+                Some(BackendMessage::ReadyForQuery) if reply != Reply::Closed => return reply,
                 Some(_) => {}
             }
         }
@@ -595,7 +599,7 @@
 
     /// Queries on a connection that may have been closed.
     pub fn try_query(&mut self, text: &str) -> Reply {
-        let sent = self.stream.write_all(&pg::query(text.as_bytes()));
+        let sent = self.stream.write_all(&pg::query_message(text.as_bytes()));
         sent.map_or(Reply::Closed, |()| self.reply())
     }
 
--- a/crates/router/tests/told.rs
+++ b/crates/router/tests/told.rs
@@ -39,7 +39,7 @@
             at: now,
             position: Some(now),
             primary: Some(false),
-            waiting: None,
+            queued: None,
             started: None,
             failed: false,
         })
@@ -59,15 +59,15 @@
         "Extra": {"Checks": "none", "ClassBoundMs": [300], "NeedsByClass": ["recent"]},
         "Feedback": {"Fields": ["x0", "x1"], "Source": "answers"}, "Tariffs": {"Probe": 0.001},
     });
-    let deployment = Deployment::of(quillpoint_settings::flat_tree(&settings)).unwrap();
+    let deployment = Deployment::new(quillpoint_settings::settings_from_json(&settings)).unwrap();
     let (engine, work) = Engine::new(3, &deployment);
     let listed = |group: u64, place: u16| Endpoint {
         node: node(group, place),
-        group: ReplicaSetId(group),
+        replica_set: ReplicaSetId(group),
         zone: ZoneId(0),
         kind: 0,
         primary: false,
-        condition: EndpointStatus::InService,
+        status: EndpointStatus::InService,
         started: None,
     };
     let list: Vec<Endpoint> = (0..3).flat_map(|group| [listed(group, 0), listed(group, 1)]).collect();
@@ -134,7 +134,7 @@
     let at = engine.clock.now();
     let word = FeedObservation {
         node: node(0, 1).0,
-        at,
+        seen_at: at,
         position: None,
         primary: None,
         started: None,
