--- a/src/admission.rs
+++ b/src/admission.rs
@@ -7,38 +7,23 @@
 use crate::freshness::FRESHNESS_WAIT;
 use crate::host::{Host, MethodId, ReplicaSetId, Rpc, RpcId};
 use crate::maintenance::DueTime;
-use crate::method::FirstTryWait;
 use crate::pending_request::PendingRequest;
 use crate::router::Router;
 use crate::wait_queue::{AttemptStage, QueueHead};
 
 /// Past a utilization of 1, fewer reads are admitted by this power of it.
 const SHED_POWER: i32 = 8;
-/// A retry that is not marked is told by its wait only if the usual wait leads by more votes than this.
-const MIN_FIRST_TRY_VOTES: f64 = 20.0;
-/// Waits of first tries agree within this part of the method's deadline: deadline / this.
-const WAIT_TOLERANCE_DIVISOR: u32 = 50;
 /// The least work that a method's value is divided by, in seconds.
 const MIN_WORK_S: f64 = 1e-4;
 
 impl<H: Host> Router<H> {
     /// When the latency objective of a request ends that just arrived, counted from its first try: a retry that came
-    /// late must not crowd out first tries. Where clients mark nothing, a retry is told by its wait: most requests are
-    /// first tries, for which all clients wait alike. None for an unknown method.
+    /// late must not crowd out first tries. Where clients mark nothing, a retry is told by its wait. None for an unknown
+    /// method.
     pub(crate) fn objective_end(&mut self, now: Duration, rpc: &Rpc) -> Option<Duration> {
         let method = self.methods.get_mut(rpc.method.0)?;
-        let FirstTryWait { wait, votes } = method.first_try_wait;
-        let waits_as_usual = rpc.remaining.abs_diff(wait) < method.deadline / WAIT_TOLERANCE_DIVISOR;
-        method.first_try_wait = if votes == 0.0 {
-            FirstTryWait { wait: rpc.remaining, votes: 1.0 }
-        } else {
-            FirstTryWait { wait, votes: votes + if waits_as_usual { 1.0 } else { -1.0 } }
-        };
-        let is_first_try = if self.config.clients_mark_retries {
-            !rpc.retried
-        } else {
-            waits_as_usual || votes <= MIN_FIRST_TRY_VOTES
-        };
+        let waits_like_first_try = method.first_try_wait.count(rpc.remaining, method.deadline);
+        let is_first_try = if self.config.clients_mark_retries { !rpc.retried } else { waits_like_first_try };
         let left = if is_first_try { method.deadline } else { rpc.remaining };
         let since_first_try = method.deadline.saturating_sub(left);
         Some((now + method.latency_objective).saturating_sub(since_first_try))
@@ -47,7 +32,7 @@
     /// The part of the reads that is admitted, 0 to 1, by the utilization that nodes report. All routers add to an
     /// overload before their own answers tell of it.
     pub(crate) fn admitted_part(&self) -> f64 {
-        1.0 / self.fleet_utilization.powi(SHED_POWER).max(1.0)
+        1.0 / self.fleet_load.utilization().powi(SHED_POWER).max(1.0)
     }
 
     /// Keeps the request until it has its final answer.
--- a/src/attempt_check.rs
+++ b/src/attempt_check.rs
@@ -17,7 +17,7 @@
 use crate::router::Router;
 
 /// Present answer times after which an attempt counts as lost: by chance 1 in 33. A node that loses some attempts would
-/// else have its limit filled by them until they time out.
+/// otherwise have its limit filled by them until they time out.
 const LOST_ANSWER_TIMES: f64 = 3.5;
 /// The least present answer time that is used, in seconds.
 const MIN_ANSWER_TIME_S: f64 = 1e-3;
--- a/src/attempt_evidence.rs
+++ b/src/attempt_evidence.rs
@@ -39,7 +39,7 @@
             connect: self.connect_result(now, end, attempt.as_ref()),
             queued_before,
             lowest_zone_latency: self.zones.lowest(),
-            load_is_known: self.fleet_utilization > 0.0,
+            load_is_known: self.fleet_load.is_reported(),
             attempt,
         })
     }
--- a/src/balancing.rs
+++ b/src/balancing.rs
@@ -25,6 +25,7 @@
 /// Where a request goes now.
 pub(crate) enum RoutingChoice {
     Send(NodeId),
+    /// It stays in the queue until an event or the next round of dispatch.
     Wait,
     /// No node can answer it in time.
     Reject,
--- a/src/concurrency_limit.rs
+++ b/src/concurrency_limit.rs
@@ -90,7 +90,7 @@
 impl<H: Host> Router<H> {
     /// A node that is full, or has no connection left, is not answered with the next attempt at once. Where reports
     /// come with health checks alone, one of them must say that there is capacity again: hundreds of routers would
-    /// else come back after each rest.
+    /// otherwise come back after each rest.
     pub(crate) fn rest_after_rejection(
         &mut self,
         now: Duration,
--- a/src/load_reports.rs
+++ b/src/load_reports.rs
@@ -26,6 +26,36 @@
     pub report: LoadReport,
 }
 
+/// The load that the nodes of all replica sets report, if health checks tell what they have in flight.
+#[derive(Default)]
+pub(crate) struct FleetLoad {
+    /// In flight against the limits, as the mean of square roots, so that a few nodes do not stand for all; 0 where
+    /// nothing is reported.
+    utilization: f64,
+}
+
+impl FleetLoad {
+    pub fn utilization(&self) -> f64 {
+        self.utilization
+    }
+
+    /// Whether nodes report what they have in flight.
+    pub fn is_reported(&self) -> bool {
+        self.utilization > 0.0
+    }
+
+    /// Whether nodes have to be checked before they are sent to.
+    fn is_high(&self) -> bool {
+        self.utilization > CHECK_FIRST_UTILIZATION
+    }
+
+    /// Takes in one node's report of what it has in flight, against its limit for all routers.
+    fn record(&mut self, in_flight: f64, limit: f64) {
+        let utilization = (in_flight.max(0.0) / limit).sqrt().min(MAX_REPORTED_UTILIZATION);
+        add_sample(&mut self.utilization, utilization);
+    }
+}
+
 impl<H: Host> Router<H> {
     /// What the node last said of itself, while that is current.
     pub(crate) fn current_report(&self, now: Duration, node: &NodeState) -> Option<LoadReport> {
@@ -46,7 +76,7 @@
     /// its own is high, and its last report is no longer current.
     pub(crate) fn must_check_first(&self, now: Duration, node: &NodeState) -> bool {
         let has_no_capacity = node.load.is_some_and(|load| load.report.in_flight == NO_CAPACITY);
-        let load_is_high = has_no_capacity || self.fleet_utilization > CHECK_FIRST_UTILIZATION;
+        let load_is_high = has_no_capacity || self.fleet_load.is_high();
         self.config.reports_by_health_checks_only && load_is_high && self.current_report(now, node).is_none()
     }
 
@@ -67,9 +97,7 @@
         if self.config.reports_by_health_checks_only
             && let Some(in_flight) = report.in_flight
         {
-            let capacity = state.concurrency.limit * self.config.routers;
-            let utilization = (in_flight.max(0.0) / capacity).sqrt().min(MAX_REPORTED_UTILIZATION);
-            add_sample(&mut self.fleet_utilization, utilization);
+            self.fleet_load.record(in_flight, state.concurrency.limit * self.config.routers);
         }
     }
 
--- a/src/method.rs
+++ b/src/method.rs
@@ -12,6 +12,10 @@
 const MIN_WINDOW_ANSWERS: f64 = 20.0;
 /// The shortest answer time grows by this factor a window, so that a lasting change of the service is learned.
 const SHORTEST_GROWTH: f64 = 1.02;
+/// A retry that is not marked is told by its wait only if the usual wait leads by more votes than this.
+const MIN_FIRST_TRY_VOTES: f64 = 20.0;
+/// Waits of first tries agree within this part of the method's deadline: deadline / this.
+const WAIT_TOLERANCE_DIVISOR: u32 = 50;
 /// Until answers tell, an answer is taken to need this part of the latency objective: objective / 4.
 const INITIAL_OBJECTIVE_DIVISOR: f64 = 4.0;
 
@@ -121,12 +125,29 @@
     }
 }
 
-/// How long clients wait for a first try, by majority vote of the RPCs that came.
-#[derive(Clone, Copy, Default)]
+/// How long clients wait for a first try, by majority vote of the RPCs that came: most of them are first tries, for
+/// which all clients wait alike.
+#[derive(Default)]
 pub(crate) struct FirstTryWait {
-    pub wait: Duration,
+    wait: Duration,
     /// How many more RPCs came with this wait than with another one.
-    pub votes: f64,
+    votes: f64,
+}
+
+impl FirstTryWait {
+    /// Counts the vote of an RPC, whose client still waits for `remaining`. Returns whether it is taken for a first
+    /// try, as it waits like one or as the usual wait does not lead by enough votes. `deadline` is that of its method.
+    pub fn count(&mut self, remaining: Duration, deadline: Duration) -> bool {
+        let waits_as_usual = remaining.abs_diff(self.wait) < deadline / WAIT_TOLERANCE_DIVISOR;
+        let is_first_try = waits_as_usual || self.votes <= MIN_FIRST_TRY_VOTES;
+        if self.votes == 0.0 {
+            self.wait = remaining;
+            self.votes = 1.0;
+        } else {
+            self.votes += if waits_as_usual { 1.0 } else { -1.0 };
+        }
+        is_first_try
+    }
 }
 
 /// The answer times of a method, in seconds.
--- a/src/router.rs
+++ b/src/router.rs
@@ -17,6 +17,7 @@
     AttemptEnd, AttemptNumber, Endpoint, EndpointUpdate, Host, LoadReport, NodeId, Outcome, PeerObservation,
     ReplicaSetId, Rpc, RpcId, ValueMap,
 };
+use crate::load_reports::FleetLoad;
 use crate::maintenance::{DueTime, Maintenance};
 use crate::method::{Consistency, Method};
 use crate::node_state::NodeState;
@@ -30,6 +31,7 @@
     pub(crate) host: H,
     pub(crate) rng: ChaCha8Rng,
     pub(crate) config: Config,
+    /// By their place in the settings.
     pub(crate) methods: Vec<Method>,
     pub(crate) nodes: BTreeMap<NodeId, NodeState>,
     pub(crate) replica_sets: BTreeMap<ReplicaSetId, ReplicaSet>,
@@ -38,8 +40,7 @@
     /// When each pending request is to be looked at, at the latest.
     pub(crate) due: BTreeSet<DueTime>,
     pub(crate) session_tokens: SessionTokens,
-    /// What nodes report to have in flight against their limits: the mean of square roots, 0 where none reports it.
-    pub(crate) fleet_utilization: f64,
+    pub(crate) fleet_load: FleetLoad,
     pub(crate) zones: ZoneLatencies,
     /// Idle connections are given back until then.
     pub(crate) connection_shortage_until: Duration,
@@ -67,7 +68,7 @@
             pending: BTreeMap::new(),
             due: BTreeSet::new(),
             session_tokens: SessionTokens::new(),
-            fleet_utilization: 0.0,
+            fleet_load: FleetLoad::default(),
             zones: ZoneLatencies::default(),
             connection_shortage_until: now,
             maintenance: Maintenance { nodes_at: now, dispatch_at: now, timer_at: None },
@@ -100,7 +101,7 @@
         let is_write = self.methods[rpc.method.0].consistency == Consistency::Write;
         let admitted_part = self.admitted_part();
         self.earn_primary_quota(replica_set, is_write);
-        self.health_check_budget.earn(admitted_part, self.fleet_utilization > 0.0);
+        self.health_check_budget.earn(admitted_part, self.fleet_load.is_reported());
         self.admit(now, rpc, objective_at);
         let is_shed = !is_write && self.rng.random_bool(1.0 - admitted_part);
         if is_shed {
@@ -232,7 +233,7 @@
     }
 
     /// Whether the attempt may begin: asked right before its first byte, and before more of it where its write has
-    /// stalled. It is then paid for, so it must be sent.
+    /// stalled. One that is permitted counts against its node's slow-start budget, once for each start of the node.
     pub fn permits_attempt(&mut self, now: Duration, id: RpcId, attempt: AttemptNumber) -> bool {
         self.check_before_first_byte(now, id, attempt)
     }
