--- a/src/attempt_check.rs
+++ b/src/attempt_check.rs
@@ -39,7 +39,7 @@
         self.passes_attempt_check(now, id, node, CheckPoint::Order)
     }
 
-    /// Whether the attempt passes all five rules.
+    /// Whether the attempt passes all five rules, in the order 1, 2, 3, 5, 4.
     fn passes_attempt_check(&self, now: Duration, id: RpcId, node: NodeId, point: CheckPoint) -> bool {
         let (Some(request), Some(state)) = (self.pending.get(&id), self.nodes.get(&node)) else {
             return false;
--- a/src/freshness.rs
+++ b/src/freshness.rs
@@ -34,12 +34,12 @@
     pub role: Option<RoleEvidence>,
 }
 
-impl<H: Host> Router<H> {
-    /// Whether a position can be: it is not further ahead of the clock than clocks differ.
-    pub(crate) fn is_plausible(now: Duration, position: Duration) -> bool {
-        position <= now + MAX_POSITION_LEAD
-    }
+/// Whether a position can be: it is not further ahead of the clock than clocks differ.
+pub(crate) fn is_plausible(now: Duration, position: Duration) -> bool {
+    position <= now + MAX_POSITION_LEAD
+}
 
+impl<H: Host> Router<H> {
     /// The position that a node must have reached to answer the request.
     pub(crate) fn required_position(&self, now: Duration, request: &PendingRequest) -> Duration {
         match self.methods[request.rpc.method.0].consistency {
@@ -95,7 +95,7 @@
     ) -> bool {
         let attempt = self.pending.get(&id).and_then(|request| request.attempts.get(attempt.0 as usize));
         let Some(required) = attempt.and_then(|attempt| attempt.required) else { return true };
-        match position.filter(|position| Self::is_plausible(now, *position)) {
+        match position.filter(|position| is_plausible(now, *position)) {
             Some(position) => position >= required.position,
             None => required.proven_before,
         }
@@ -138,7 +138,7 @@
     pub(crate) fn note_report(&mut self, now: Duration, node: NodeId, report: Option<&LoadReport>) {
         let Some(report) = report else { return };
         self.note_load(now, node, report);
-        let position = report.position.filter(|position| Self::is_plausible(now, *position));
+        let position = report.position.filter(|position| is_plausible(now, *position));
         let Some(position) = position else { return };
         self.note_position(now, node, position);
         if let Some(primary) = report.primary {
--- a/src/health_checks.rs
+++ b/src/health_checks.rs
@@ -84,8 +84,8 @@
 }
 
 impl HealthCheckState {
-    /// An error is an answer too. A check that fails at once is made again, up to three times in a row: a link that
-    /// loses some of all, or a router that alone fails to reach a node, would otherwise eject nodes that serve.
+    /// An error is an answer too. A check that fails at once is made again, until it is the third in a row: a link
+    /// that loses some of all, or a router that alone fails to reach a node, would otherwise eject nodes that serve.
     fn result(&self, outcome: Outcome) -> CheckResult {
         match outcome {
             Outcome::Ok | Outcome::Error | Outcome::Rejected => CheckResult::Answered,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -22,8 +22,8 @@
 //! | `endpoints` | the endpoint list: nodes added, draining, removed; polling it |
 //! | `maintenance` | the periodic work and the one timer |
 //!
-//! What they share is in `config` (the settings), `method`, `node_state`, `replica_set`,
-//! `pending_request`, `attempt_evidence` and `moving_average`.
+//! What they share is in `config` (the settings), `method`, `node_state`, `replica_set`, `pending_request`,
+//! `attempt_evidence` and `moving_average`.
 //!
 //! Why each rule exists is in docs/design.md; the terms are in docs/glossary.md.
 
--- a/src/router.rs
+++ b/src/router.rs
@@ -11,7 +11,7 @@
 
 use crate::config::Config;
 use crate::endpoints::EndpointPoll;
-use crate::freshness::FRESHNESS_WAIT;
+use crate::freshness::{FRESHNESS_WAIT, is_plausible};
 use crate::health_checks::HealthCheckBudget;
 use crate::host::{
     AttemptEnd, AttemptNumber, Endpoint, EndpointUpdate, Host, LoadReport, NodeId, Outcome, PeerObservation,
@@ -113,7 +113,7 @@
 
     /// An attempt ended. Its request gets a further one or its final answer, if it is not finished.
     pub fn attempt_ended(&mut self, now: Duration, mut end: AttemptEnd) {
-        end.position = end.position.filter(|position| Self::is_plausible(now, *position));
+        end.position = end.position.filter(|position| is_plausible(now, *position));
         if let Some(request) = self.pending.get_mut(&end.rpc)
             && let Some(attempt) = request.attempts.get_mut(end.attempt.0 as usize)
         {
