--- a/crates/router/src/control_connections.rs
+++ b/crates/router/src/control_connections.rs
@@ -8,8 +8,8 @@
 use quillpoint_control_plane::{ControlHost, FleetMember, PublisherService, SubscriberService};
 
 use crate::control_instance::ControlInstanceRuntime;
-use crate::descriptors::{Descriptors, Slot};
-use crate::engine::{Engine, Sharing};
+use crate::descriptors::{DescriptorLimiter, DescriptorPermit};
+use crate::engine::{Engine, ObservationExchange};
 use crate::roles::Roles;
 
 /// A socket of the control side cannot be opened.
@@ -41,7 +41,7 @@
     control_instance: Option<Rc<ControlInstanceRuntime>>,
     subscriber: Option<Rc<SubscriberService>>,
     /// Kept for as long as the sockets are.
-    _slots: Vec<Slot>,
+    _permits: Vec<DescriptorPermit>,
 }
 
 impl ControlConnections {
@@ -52,7 +52,7 @@
     pub async fn open(
         roles: &Roles,
         engine: &Rc<Engine>,
-        descriptors: &Rc<Descriptors>,
+        descriptors: &Rc<DescriptorLimiter>,
         seed: u64,
     ) -> Result<Self, ControlSocketError> {
         let mut connections = Self::default();
@@ -63,7 +63,7 @@
             let runtime = ControlInstanceRuntime::new(Rc::clone(engine), Rc::clone(&publisher));
             connections.control_instance = Some(runtime);
             connections.publisher = Some(publisher);
-            connections._slots.push(descriptors.take().await);
+            connections._permits.push(descriptors.acquire().await);
         }
         if let Some(config) = &roles.fleet_member {
             let host = match &connections.control_instance {
@@ -76,33 +76,33 @@
                 control_instance.set_fleet_member(Rc::clone(&member));
             }
             connections.member = Some(member);
-            connections._slots.push(descriptors.take().await);
+            connections._permits.push(descriptors.acquire().await);
         }
         if let Some(config) = &roles.subscriber {
             let host = Rc::clone(engine) as Rc<dyn ControlHost>;
             let subscriber = SubscriberService::new(config.clone(), host, seed)
                 .map_err(ControlSocketError::of_section("subscribe"))?;
             connections.subscriber = Some(subscriber);
-            connections._slots.push(descriptors.take().await);
+            connections._permits.push(descriptors.acquire().await);
         }
         Ok(connections)
     }
 
     /// Whoever the engine exchanges observations with, if anybody.
-    fn observation_exchange(&self) -> Option<Rc<dyn Sharing>> {
+    fn observation_exchange(&self) -> Option<Rc<dyn ObservationExchange>> {
         if let Some(control_instance) = &self.control_instance {
-            return Some(Rc::clone(control_instance) as Rc<dyn Sharing>);
+            return Some(Rc::clone(control_instance) as Rc<dyn ObservationExchange>);
         }
         if let Some(member) = &self.member {
-            return Some(Rc::clone(member) as Rc<dyn Sharing>);
+            return Some(Rc::clone(member) as Rc<dyn ObservationExchange>);
         }
-        self.subscriber.clone().map(|subscriber| subscriber as Rc<dyn Sharing>)
+        self.subscriber.clone().map(|subscriber| subscriber as Rc<dyn ObservationExchange>)
     }
 
     /// Runs them as long as the process runs.
     pub fn run(&self, engine: &Engine, executor: &LocalExecutor<'static>) {
         if let Some(exchange) = self.observation_exchange() {
-            engine.share_with(exchange);
+            engine.set_observation_exchange(exchange);
         }
         if let Some(member) = &self.member {
             executor.spawn(Rc::clone(member).receive()).detach();
--- a/crates/router/src/control_instance.rs
+++ b/crates/router/src/control_instance.rs
@@ -13,7 +13,7 @@
 use quillpoint_membership::{DatedObservation, Observation};
 use quillpoint_observation_feed::FeedObservation;
 
-use crate::engine::{Engine, Finding, Sharing};
+use crate::engine::{Engine, LocalObservation, ObservationExchange};
 use crate::observations;
 
 /// How often the members of the fleet are counted.
@@ -65,7 +65,7 @@
     /// failure is handed on at once.
     fn observation_received(&self, observation: DatedObservation) {
         self.publisher.observe(observation);
-        if observation.failed || self.engine.held() > 0 {
+        if observation.failed || self.engine.pending_rpcs() > 0 {
             self.engine.observation_received(observation);
         }
     }
@@ -83,34 +83,34 @@
     }
 }
 
-impl Sharing for ControlInstanceRuntime {
-    fn found(&self, finding: Finding) {
-        let observation = observations::to_fleet(&finding);
+impl ObservationExchange for ControlInstanceRuntime {
+    fn observed(&self, own: LocalObservation) {
+        let observation = observations::to_fleet(&own);
         let Observation { node, position, primary, waiting, started, failed, .. } = observation;
         // A failure counts when several members have failed by themselves, which the fleet reports. An answer may have been
         // read when it was asked for, and no later.
         if !failed {
-            let at = finding.asked;
-            let own = DatedObservation { node, at, position, primary, waiting, started, failed };
-            self.publisher.observe(own);
+            let at = own.asked;
+            let dated = DatedObservation { node, at, position, primary, waiting, started, failed };
+            self.publisher.observe(dated);
         }
         if let Some(member) = self.member.get() {
-            Sharing::found(&**member, finding);
+            ObservationExchange::observed(&**member, own);
         }
     }
 
-    fn listed(&self) {
+    fn endpoints_changed(&self) {
         self.publisher.nodes_changed();
         if let Some(member) = self.member.get() {
             member.nodes_changed();
         }
     }
 
-    fn may_probe(&self, node: NodeId) -> bool {
+    fn permits_health_check(&self, node: NodeId) -> bool {
         self.member.get().is_none_or(|member| member.claim_health_check(node.0))
     }
 
-    fn news_of(&self, node: NodeId) -> Option<PeerObservation> {
+    fn latest_observation(&self, node: NodeId) -> Option<PeerObservation> {
         self.member.get()?.latest_observation(node.0).map(observations::from_fleet)
     }
 }
--- a/crates/router/src/engine_control_host.rs
+++ b/crates/router/src/engine_control_host.rs
@@ -30,7 +30,7 @@
     }
 
     fn digest_received(&self) {
-        self.catch_up_held();
+        self.refresh_pending_rpcs();
     }
 
     fn start_health_check(&self, node: SocketAddr) -> bool {
@@ -38,6 +38,6 @@
     }
 
     fn is_ejected(&self, node: SocketAddr) -> bool {
-        Engine::is_shut(self, NodeId(node))
+        Engine::is_ejected(self, NodeId(node))
     }
 }
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -2,7 +2,18 @@
 //!
 //! [`runtime_config::RuntimeConfig`] holds what a router is told; [`serve::serve`] runs one until it has drained. Every
 //! choice is made by the `quillpoint` package; this one carries it out.
+//!
+//! Each resource has one owner and one place of return:
+//!
+//! - the decisions, their clock and their timer: [`engine::Engine`]; an RPC ends by its final response, or when its
+//!   [`engine::PendingResponse`] is dropped
+//! - connections to nodes: [`pool::ConnectionPool`], checked out and checked in there
+//! - connections of clients: their session in [`client`], closed in one place
+//! - descriptors: [`descriptors::DescriptorPermit`], given back when it is dropped
+//! - memory: [`budget::Reservation`], given back when it is dropped
+//! - ids of RPCs: [`active_request_ids::ActiveRequestId`], released when it is dropped
 
+pub mod active_request_ids;
 pub mod budget;
 pub mod client;
 pub mod command;
@@ -18,22 +29,22 @@
 mod engine_control_host;
 pub mod events;
 pub mod http;
-pub mod incoming;
-pub mod line;
 pub mod list;
 pub mod list_call;
+pub mod memory_report;
 mod observation_exchange;
 mod observations;
-pub mod open_ids;
 pub mod pg;
 pub mod pool;
-pub mod presence;
-pub mod report;
+pub mod receive_buffer;
+pub mod request_pipeline;
 pub mod roles;
 pub mod runtime_config;
 pub mod serve;
+pub mod session_commits;
 pub mod signals;
 pub mod socket;
+pub mod socket_liveness;
 pub mod statement;
 
 pub use quillpoint_control_plane::log_rate_limiter;
--- a/crates/router/src/observation_exchange.rs
+++ b/crates/router/src/observation_exchange.rs
@@ -3,41 +3,41 @@
 use quillpoint::host::{NodeId, PeerObservation};
 use quillpoint_control_plane::{FleetMember, SubscriberService};
 
-use crate::engine::{Finding, Sharing};
+use crate::engine::{LocalObservation, ObservationExchange};
 use crate::observations;
 
-impl Sharing for FleetMember {
-    fn found(&self, finding: Finding) {
-        let observation = observations::to_fleet(&finding);
-        if finding.probe {
-            self.health_check_observed(finding.asked, observation);
+impl ObservationExchange for FleetMember {
+    fn observed(&self, own: LocalObservation) {
+        let observation = observations::to_fleet(&own);
+        if own.by_health_check {
+            self.health_check_observed(own.asked, observation);
         } else {
-            self.attempt_observed(finding.asked, observation);
+            self.attempt_observed(own.asked, observation);
         }
     }
 
-    fn listed(&self) {
+    fn endpoints_changed(&self) {
         self.nodes_changed();
     }
 
-    fn may_probe(&self, node: NodeId) -> bool {
+    fn permits_health_check(&self, node: NodeId) -> bool {
         self.claim_health_check(node.0)
     }
 }
 
-impl Sharing for SubscriberService {
+impl ObservationExchange for SubscriberService {
     /// The decisions have it already, and control instances make their own observations.
-    fn found(&self, _finding: Finding) {}
+    fn observed(&self, _finding: LocalObservation) {}
 
-    fn listed(&self) {
+    fn endpoints_changed(&self) {
         self.nodes_changed();
     }
 
-    fn may_probe(&self, node: NodeId) -> bool {
+    fn permits_health_check(&self, node: NodeId) -> bool {
         self.claim_health_check(node.0)
     }
 
-    fn news_of(&self, node: NodeId) -> Option<PeerObservation> {
+    fn latest_observation(&self, node: NodeId) -> Option<PeerObservation> {
         self.newer_observation(node.0).map(observations::from_feed)
     }
 }
--- a/crates/router/src/observations.rs
+++ b/crates/router/src/observations.rs
@@ -7,7 +7,7 @@
 use quillpoint_membership::{DatedObservation, Observation};
 use quillpoint_observation_feed::FeedObservation;
 
-use crate::engine::Finding;
+use crate::engine::LocalObservation;
 
 /// An observation from the feed, for the decisions.
 pub(crate) fn from_feed(observation: FeedObservation) -> PeerObservation {
@@ -23,8 +23,9 @@
 }
 
 /// What this router has found out, for its fleet.
-pub(crate) fn to_fleet(finding: &Finding) -> Observation {
-    let Finding { node: NodeId(node), failed, position, primary, waiting, started, .. } = *finding;
-    let waiting = waiting.map(|waiting| waiting.clamp(0.0, f64::from(u32::MAX)) as u32);
+pub(crate) fn to_fleet(observation: &LocalObservation) -> Observation {
+    let LocalObservation { node: NodeId(node), failed, position, primary, queued, started, .. } =
+        *observation;
+    let waiting = queued.map(|queued| queued.clamp(0.0, f64::from(u32::MAX)) as u32);
     Observation { node, age: Duration::ZERO, position, primary, waiting, started, failed }
 }
--- a/crates/router/tests/control_instance.rs
+++ b/crates/router/tests/control_instance.rs
@@ -22,7 +22,7 @@
 use quillpoint_observation_feed::publisher;
 use quillpoint_router::control_instance::ControlInstanceRuntime;
 use quillpoint_router::deployment::Deployment;
-use quillpoint_router::engine::{Engine, Order, Owed, Sharing, Work};
+use quillpoint_router::engine::{Command, Engine, EngineOutputs, ObservationExchange, PendingResponse};
 use quillpoint_router::statement::Statement;
 use serde_json::json;
 
@@ -48,7 +48,7 @@
     member: Rc<FleetMember>,
     other: UdpSocket,
     sealer: Cell<Sealer>,
-    _work: Work,
+    _work: EngineOutputs,
 }
 
 impl World {
@@ -108,7 +108,7 @@
             PublisherService::new(publisher_config, Rc::clone(&engine) as Rc<dyn ControlHost>, 1).unwrap();
         let instance = ControlInstanceRuntime::new(Rc::clone(&engine), publisher);
         let (listen, advertise, seeds, max_datagrams_per_second) = (local(), local(), Vec::new(), 20_000);
-        let config = MemberConfig {
+        let member_config = MemberConfig {
             name,
             listen,
             advertise,
@@ -119,9 +119,9 @@
             fleet_params,
             max_datagrams_per_second,
         };
-        let member = FleetMember::new(config, Rc::clone(&instance) as Rc<dyn ControlHost>, 1).unwrap();
+        let member = FleetMember::new(member_config, Rc::clone(&instance) as Rc<dyn ControlHost>, 1).unwrap();
         instance.set_fleet_member(Rc::clone(&member));
-        engine.share_with(Rc::clone(&instance) as Rc<dyn Sharing>);
+        engine.set_observation_exchange(Rc::clone(&instance) as Rc<dyn ObservationExchange>);
         let (other, sealer) = (UdpSocket::bind(local()).unwrap(), Cell::default());
         Self { engine, instance, member, other, sealer, _work: work }
     }
@@ -159,16 +159,16 @@
         future::block_on(future::or(async { Rc::clone(&self.member).receive().await }, taken));
     }
 
-    fn arrive(&self) -> Owed {
+    fn arrive(&self) -> PendingResponse {
         let text = "/* id=7,c=recent,d=60000,cluster=0 */ SELECT data FROM facts WHERE code = 'a'";
         let statement = Statement::parse(text.as_bytes().to_vec()).unwrap();
         self.engine.rpc_arrived(MethodId(0), &statement, Instant::now(), None).unwrap()
     }
 }
 
-fn sent(owed: &Owed) -> Option<NodeId> {
-    match owed.ordered()? {
-        Order::Attempt(attempt) => Some(attempt.node),
+fn sent(owed: &PendingResponse) -> Option<NodeId> {
+    match owed.try_next_command()? {
+        Command::Attempt(attempt) => Some(attempt.node),
         _ => panic!("an answer to what was never sent"),
     }
 }
@@ -177,7 +177,10 @@
 fn what_another_instance_observed_before_an_rpc_arrived_lets_it_go_at_once() {
     let world = World::new();
     world.receive_from("c2", node(1), false);
-    assert!(world.instance.news_of(node(1)).is_some() && world.instance.news_of(node(0)).is_none());
+    assert!(
+        world.instance.latest_observation(node(1)).is_some()
+            && world.instance.latest_observation(node(0)).is_none()
+    );
     assert_eq!(sent(&world.arrive()), Some(node(1)));
 }
 
