--- a/crates/observation-feed/tests/feed.rs
+++ b/crates/observation-feed/tests/feed.rs
@@ -119,7 +119,7 @@
     for router in 0..6 {
         assert!(world.known(router, 7).unwrap().failed);
     }
-    // One that is silent, though nothing says that it has failed, is as old as it is, alone.
+    // One that is silent, though nothing says that it has failed, is as old as it is, and no other.
     (0..4).for_each(|publisher| _ = world.blind.insert((publisher, 9)));
     let mut oldest = Duration::ZERO;
     for _ in 0..30 {
@@ -211,10 +211,10 @@
     let mut by_one = vec![BTreeMap::<usize, u64>::new(); routers];
     while world.now < until {
         world.run(ms(50));
-        for (router, probes) in by_one.iter_mut().enumerate() {
+        for (router, checks) in by_one.iter_mut().enumerate() {
             for database in (0..databases).cycle().skip(router * 17).take(databases) {
                 if world.claim(router, database, false) {
-                    *probes.entry(database).or_default() += 1;
+                    *checks.entry(database).or_default() += 1;
                 }
             }
         }
@@ -223,19 +223,19 @@
     let by_control = databases as f64 / 0.15;
     let most = most_a_second(world.isolated_checks.iter().map(|(at, count)| (*at, *count)));
     assert!(most as f64 <= 4.0 * by_control * 1.1, "{most} of {by_control}");
-    // Each gets its share all the same, and begins it neither at once nor late.
+    // Each uses its quota all the same, and begins it neither at once nor late.
     let all: u64 = world.isolated_checks.values().sum();
     assert!(all as f64 >= 4.0 * by_control * 12.0 * 0.6, "{all}");
     let first = world.isolated_checks.iter().next().unwrap();
-    let share = 4.0 * by_control / 10.0;
-    assert!((*first.1 as f64) < share, "{first:?}: not all at once");
-    for probes in &by_one {
-        assert!(probes.values().all(|count| *count as f64 <= 12.0 / 0.15 + 1.0), "once a period at the most");
+    let quota = 4.0 * by_control / 10.0;
+    assert!((*first.1 as f64) < quota, "{first:?}: not all at once");
+    for checks in &by_one {
+        assert!(checks.values().all(|count| *count as f64 <= 12.0 / 0.15 + 1.0), "once a period at the most");
     }
     let has_emitted =
         |router: usize, what: &Event| world.router_events(router).iter().any(|(_, event)| event == what);
     assert!((0..routers).all(|router| has_emitted(router, &Event::Isolated)));
-    // And once they speak again, nobody probes what they have seen.
+    // And once they send digests again, nobody checks what they have seen.
     (0..2).for_each(|place| world.start_publisher(place));
     world.run(ms(5000));
     world.agrees().unwrap();
@@ -250,16 +250,16 @@
     world.set_up(5, false);
     world.run(ms(2000));
     world.isolated_checks.clear();
-    let mut who = vec![0; 400];
+    let mut checks = vec![0; 400];
     for _ in 0..60 {
         world.run(ms(20));
-        for (router, looks) in who.iter_mut().enumerate() {
-            *looks += u32::from(world.claim(router, 5, true));
+        for (router, checks) in checks.iter_mut().enumerate() {
+            *checks += u32::from(world.claim(router, 5, true));
         }
     }
     let most = world.isolated_checks.values().max().unwrap();
     assert!(*most <= 440, "{most} in a tenth of a second");
-    assert!(who.iter().all(|looks| (1..=3).contains(looks)), "{who:?}");
+    assert!(checks.iter().all(|checks| (1..=3).contains(checks)), "{checks:?}");
 }
 
 #[test]
--- a/crates/observation-feed/tests/replays.rs
+++ b/crates/observation-feed/tests/replays.rs
@@ -79,7 +79,7 @@
         Self { publisher, host }
     }
 
-    fn asked(&mut self, now: u64, from: SocketAddr, message: Message) {
+    fn receive(&mut self, now: u64, from: SocketAddr, message: Message) {
         self.publisher.message_arrived(ms(now), from, &name("r1"), ROUTER, message);
     }
 
@@ -117,12 +117,12 @@
         Self { subscriber, host }
     }
 
-    fn told(&mut self, now: u64, start: Incarnation, message: Message) {
+    fn receive(&mut self, now: u64, start: Incarnation, message: Message) {
         self.subscriber.message_arrived(ms(now), &name("c1"), start, message);
     }
 
-    /// What it says that a process of that start would take.
-    fn says(&mut self, now: u64, start: Incarnation) -> Vec<Message> {
+    /// What it sends that a process of that incarnation would accept.
+    fn sent(&mut self, now: u64, start: Incarnation) -> Vec<Message> {
         if now.is_multiple_of(50) {
             self.subscriber.timer_fired(ms(now));
         }
@@ -145,11 +145,11 @@
 ) -> Vec<(u64, SocketAddr)> {
     let (mut instance, mut digests) = (Instance::started(from), Vec::new());
     for now in (from..until).step_by(10) {
-        for message in router.says(now, start) {
-            instance.asked(now, own(), message);
+        for message in router.sent(now, start) {
+            instance.receive(now, own(), message);
         }
         if replay(now) {
-            instance.asked(now, elsewhere(), Message::Subscribe);
+            instance.receive(now, elsewhere(), Message::Subscribe);
         }
         for (to, session, message) in instance.turn(now) {
             assert_eq!(session, Some(ROUTER));
@@ -157,7 +157,7 @@
                 digests.push((now, to));
             }
             if to == own() {
-                router.told(now, start, message);
+                router.receive(now, start, message);
             }
         }
     }
@@ -174,8 +174,8 @@
     let after = play(AFTER, 4000, 12_000, &mut router, replayed);
     let lost: Vec<_> = after.iter().filter(|(_, to)| *to == elsewhere()).collect();
     assert_eq!(lost, Vec::<&(u64, SocketAddr)>::new());
-    let told = after.iter().filter(|(at, _)| *at >= 6500).count();
-    assert!(told >= 50, "ten a second, whatever is replayed: {told}");
+    let digests = after.iter().filter(|(at, _)| *at >= 6500).count();
+    assert!(digests >= 50, "ten a second, whatever is replayed: {digests}");
 }
 
 #[test]
@@ -196,8 +196,8 @@
     let mut sent = Vec::new();
     for now in (1000..8000).step_by(10) {
         if now == 2000 {
-            instance.asked(now, elsewhere(), Message::Subscribe);
-            // What it could pull is asked for by the start that it does not know: such a datagram is not opened.
+            instance.receive(now, elsewhere(), Message::Subscribe);
+            // What it could pull is requested with the incarnation that it does not know: such a datagram is not opened.
         }
         sent.extend(instance.turn(now).into_iter().map(|_| now));
     }
@@ -214,13 +214,13 @@
         router.subscriber.timer_fired(ms(now));
         for (_, session, message) in router.host.take() {
             if session.is_none() || session == Some(AFTER) {
-                instance.asked(now, own(), message.clone());
+                instance.receive(now, own(), message.clone());
             }
             said.push((now, session, message));
         }
         for (_, _, message) in instance.turn(now) {
             first.get_or_insert(now);
-            router.told(now, AFTER, message);
+            router.receive(now, AFTER, message);
         }
     }
     let first = first.unwrap();
--- a/crates/observation-feed/tests/units/health_check_quota.rs
+++ b/crates/observation-feed/tests/units/health_check_quota.rs
@@ -109,7 +109,7 @@
         }
         first.push(*checks.values().flatten().min().unwrap());
         let all: usize = checks.values().map(Vec::len).sum();
-        // 40 a second are its part of all; but no database is asked for more than once a second by one of so many.
+        // 40 a second are its quota; but no database is checked more than once a second by one of so many.
         assert!((50..=80).contains(&all), "{all}");
         for times in checks.values() {
             assert!(times.windows(2).all(|pair| pair[1] - pair[0] >= 1000), "{times:?}");
--- a/crates/observation-feed/tests/units/partition_replicas.rs
+++ b/crates/observation-feed/tests/units/partition_replicas.rs
@@ -34,7 +34,7 @@
     assert_eq!((replicas.revision(PartitionId(5)), replicas.size()), (Revision(0), size(0, 1)));
     replicas.add_chunk(chunk(4, 0, 2, &[one]));
     assert_eq!((replicas.revision(PartitionId(5)), replicas.size()), (Revision(4), size(2, 0)));
-    // One for another part, or with databases of another, or out of its bounds, changes nothing.
+    // One for another partition, or with databases of another, or out of its bounds, changes nothing.
     let before = replicas.clone();
     replicas.add_chunk(SnapshotChunk { partition: PartitionId(6), ..chunk(9, 0, 1, &[one]) });
     replicas.add_chunk(SnapshotChunk { partition: PartitionId(200), ..chunk(9, 0, 1, &[one]) });
--- a/crates/observation-feed/tests/units/publisher.rs
+++ b/crates/observation-feed/tests/units/publisher.rs
@@ -83,10 +83,10 @@
     run(&mut publisher, 1000, 1400);
     let partitions = || Message::Pull((0..PARTITIONS as u8).map(PartitionId).collect());
     for router in 0..4 {
-        let who = name(&format!("r{router}"));
+        let router_name = name(&format!("r{router}"));
         let at = node(9000 + router);
-        publisher.message_arrived(ms(1400), at, &who, Incarnation(5), Message::Subscribe);
-        publisher.message_arrived(ms(1400), at, &who, Incarnation(5), partitions());
+        publisher.message_arrived(ms(1400), at, &router_name, Incarnation(5), Message::Subscribe);
+        publisher.message_arrived(ms(1400), at, &router_name, Incarnation(5), partitions());
     }
     run(&mut publisher, 1400, 1500);
     let mut chunks = BTreeMap::<SocketAddr, u32>::new();
@@ -106,19 +106,25 @@
     run(&mut publisher, 1000, 1400);
     let partitions = || Message::Pull((0..PARTITIONS as u8).map(PartitionId).collect());
     let (often, once) = (name("often"), name("once"));
-    let mut say = |at: u64, who: &PeerName, message: Message| {
-        publisher.message_arrived(ms(at), node(9000 + u16::from(*who == once)), who, Incarnation(5), message);
+    let mut send = |at: u64, router: &PeerName, message: Message| {
+        publisher.message_arrived(
+            ms(at),
+            node(9000 + u16::from(*router == once)),
+            router,
+            Incarnation(5),
+            message,
+        );
         publisher.state_bytes()
     };
-    say(1400, &often, Message::Subscribe);
-    let first = say(1400, &often, partitions());
+    send(1400, &often, Message::Subscribe);
+    let first = send(1400, &often, partitions());
     for cycle in 0..100 {
-        say(1400 + cycle, &often, Message::Unsubscribe);
-        say(1400 + cycle, &often, Message::Subscribe);
-        assert_eq!(say(1400 + cycle, &often, partitions()), first, "after {cycle} times");
+        send(1400 + cycle, &often, Message::Unsubscribe);
+        send(1400 + cycle, &often, Message::Subscribe);
+        assert_eq!(send(1400 + cycle, &often, partitions()), first, "after {cycle} times");
     }
-    say(1500, &once, Message::Subscribe);
-    say(1500, &once, partitions());
+    send(1500, &once, Message::Subscribe);
+    send(1500, &once, partitions());
     host.0.borrow_mut().sent.clear();
     run(&mut publisher, 1500, 1600);
     let sent = &host.0.borrow().sent;
@@ -139,10 +145,10 @@
     run(&mut publisher, 1000, 1500);
     let request_all = |publisher: &mut Publisher<RecordingHost>, at: Duration| {
         for router in 0..400 {
-            let (who, place) = (name(&format!("r{router}")), node(9000 + router));
+            let (router_name, address) = (name(&format!("r{router}")), node(9000 + router));
             let partitions = Message::Pull((0..PARTITIONS as u8).map(PartitionId).collect());
-            publisher.message_arrived(at, place, &who, Incarnation(5), Message::Subscribe);
-            publisher.message_arrived(at, place, &who, Incarnation(5), partitions);
+            publisher.message_arrived(at, address, &router_name, Incarnation(5), Message::Subscribe);
+            publisher.message_arrived(at, address, &router_name, Incarnation(5), partitions);
         }
     };
     // Nothing has been requested in a while, so the budget is saved up; and it stood still.
--- a/crates/observation-feed/tests/world/checks.rs
+++ b/crates/observation-feed/tests/world/checks.rs
@@ -13,7 +13,7 @@
 /// How much the rules of dating allow clocks to drift, a second.
 const MAX_CLOCK_DRIFT: f64 = 500e-6;
 
-/// How fresh digests of a publisher may have made what a router knows: the shortest of their delay_bounds as they were drawn,
+/// How fresh digests of a publisher may have made what a router knows: the shortest of their delays as they were drawn,
 /// by the rule. How long they then wait until the router reads them makes nothing fresher.
 #[derive(Clone, Copy)]
 pub(super) struct DelayBound {
@@ -21,7 +21,7 @@
     pub(super) least: f64,
     pub(super) at: Duration,
     pub(super) digests: u32,
-    /// The longest that it was since words were dated by it: some may date from then.
+    /// The longest that it was since observations were dated by it: some may date from then.
     pub(super) most: f64,
 }
 
--- a/crates/observation-feed/tests/world/costs.rs
+++ b/crates/observation-feed/tests/world/costs.rs
@@ -16,7 +16,7 @@
 pub struct Costs {
     pub messages: u64,
     pub bytes: u64,
-    /// Bytes sent in each tenth of a second, all and those of copies.
+    /// Bytes sent in each tenth of a second, all and those of snapshots.
     pub by_tenth: BTreeMap<u64, (u64, u64)>,
     pub subscribes: BTreeMap<u64, u64>,
 }
--- a/crates/observation-feed/tests/world/faults.rs
+++ b/crates/observation-feed/tests/world/faults.rs
@@ -25,9 +25,9 @@
             world.start_router(router);
         }
         5 => world.stop_publisher(publisher),
-        6 => world.go_on_publisher(publisher),
+        6 => world.resume_publisher(publisher),
         7 => world.stop_router(router),
-        8 => world.go_on_router(router),
+        8 => world.resume_router(router),
         9 => _ = world.cut.insert((publisher, router)),
         10 => (0..world.shape.routers).for_each(|router| _ = world.cut.insert((publisher, router))),
         11 => world.cut.clear(),
@@ -53,13 +53,13 @@
     world.cut.clear();
     world.blind.clear();
     for place in 0..world.shape.publishers {
-        world.go_on_publisher(place);
+        world.resume_publisher(place);
         if !world.runs_publisher(place) {
             world.start_publisher(place);
         }
     }
     for place in 0..world.shape.routers {
-        world.go_on_router(place);
+        world.resume_router(place);
         if !world.runs_router(place) {
             world.start_router(place);
         }
--- a/crates/observation-feed/tests/world/mod.rs
+++ b/crates/observation-feed/tests/world/mod.rs
@@ -45,7 +45,7 @@
 }
 
 enum Scheduled {
-    Probe { database: usize, by: usize },
+    HealthCheck { database: usize, by: usize },
     DatedObservation { to: usize, observation: DatedObservation },
     ToPublisher { index: usize, generation: u64, message_in_flight: InFlightMessage },
     ToRouter { index: usize, generation: u64, message_in_flight: InFlightMessage },
@@ -121,7 +121,7 @@
         for database in 0..world.shape.databases {
             let by = world.owner(database);
             let phase = world.shape.period.mul_f64(world.rng.random_range(0.0..1.0));
-            world.schedule(world.now + phase, Scheduled::Probe { database, by });
+            world.schedule(world.now + phase, Scheduled::HealthCheck { database, by });
         }
         (0..world.shape.publishers).for_each(|index| world.start_publisher(index));
         (0..world.shape.routers).for_each(|index| world.start_router(index));
@@ -133,7 +133,7 @@
         self.queue.insert((at, self.scheduled_count), due);
     }
 
-    /// Which publisher probes a database: the first in its line that runs and sees it.
+    /// Which publisher checks a database: the first in its ranking that runs and sees it.
     fn owner(&self, database: usize) -> usize {
         let all = self.shape.publishers;
         let runs = |index: &usize| {
@@ -210,7 +210,7 @@
 
     fn step(&mut self, due: Scheduled) {
         match due {
-            Scheduled::Probe { database, by } => self.probe(database, by),
+            Scheduled::HealthCheck { database, by } => self.check_database(database, by),
             Scheduled::DatedObservation { to, observation } => {
                 let now = self.now + self.publishers[to].clock_offset;
                 let at = observation.at + self.publishers[to].clock_offset;
@@ -259,12 +259,12 @@
         }
     }
 
-    fn probe(&mut self, index: usize, by: usize) {
+    fn check_database(&mut self, index: usize, by: usize) {
         let next = self.owner(index);
         let jitter = self.rng.random_range(0.95..1.05);
         self.schedule(
             self.now + self.shape.period.mul_f64(jitter),
-            Scheduled::Probe { database: index, by: next },
+            Scheduled::HealthCheck { database: index, by: next },
         );
         let (now, runs) = (self.now, self.runs_publisher(by) && !self.blind.contains(&(by, index)));
         let database = &mut self.databases[index];
--- a/crates/observation-feed/tests/world/network.rs
+++ b/crates/observation-feed/tests/world/network.rs
@@ -149,10 +149,10 @@
         let twice = self.rng.random_bool(self.shape.doubled);
         (0..=usize::from(twice))
             .map(|_| {
-                let (part, most) = self.shape.slow;
+                let (fraction, longest) = self.shape.slow;
                 let micros = self.rng.random_range(1000..3000);
-                if self.rng.random_bool(part) {
-                    most.mul_f64(self.rng.random_range(0.0..1.0)) + Duration::from_micros(micros)
+                if self.rng.random_bool(fraction) {
+                    longest.mul_f64(self.rng.random_range(0.0..1.0)) + Duration::from_micros(micros)
                 } else {
                     Duration::from_micros(micros)
                 }
--- a/crates/observation-feed/tests/world/processes.rs
+++ b/crates/observation-feed/tests/world/processes.rs
@@ -102,7 +102,7 @@
         self.routers[index].process.iter_mut().for_each(|process| process.stopped = true);
     }
 
-    pub fn go_on_publisher(&mut self, index: usize) {
+    pub fn resume_publisher(&mut self, index: usize) {
         let now = self.now + self.publishers[index].clock_offset;
         let Some(process) = &mut self.publishers[index].process else { return };
         process.stopped = false;
@@ -117,7 +117,7 @@
         }
     }
 
-    pub fn go_on_router(&mut self, index: usize) {
+    pub fn resume_router(&mut self, index: usize) {
         let Some(process) = &mut self.routers[index].process else { return };
         process.stopped = false;
         let (waiting, timer) = (std::mem::take(&mut process.waiting), std::mem::take(&mut process.timer_due));
--- a/crates/observation-feed/tests/world/shape.rs
+++ b/crates/observation-feed/tests/world/shape.rs
@@ -21,12 +21,12 @@
     pub period: Duration,
     pub snapshot_bytes_per_second: f64,
     pub max_subscribers: usize,
-    /// What part of the datagrams is lost, and what part arrives twice.
+    /// Which fraction of the datagrams is lost, and which arrives twice.
     pub loss: f64,
     pub doubled: f64,
-    /// What part is under bound for up to so long, instead of one to three milliseconds.
+    /// Which fraction is under way for up to so long, instead of one to three milliseconds.
     pub slow: (f64, Duration),
-    /// What part of the observation does not reach a publisher, and how late it may be.
+    /// Which fraction of the observations does not reach a publisher, and how late they may be.
     pub unseen: f64,
     pub observation_delay: Duration,
     /// How far clocks are apart.
