--- a/crates/discovery-watch/src/lib.rs
+++ b/crates/discovery-watch/src/lib.rs
@@ -1,204 +1,241 @@
-//! The watch of the list of nodes: when discovery is called, and how long each part of a call may take.
+//! The long poll of the endpoint list: when discovery is polled, and how long each phase of a poll may take.
 //!
-//! The one owner of the state "resting, calling, waiting to call again". It has no I/O, no clock and no threads:
-//! times are handed in, as spans since any fixed moment.
+//! [`DiscoveryWatch`] is the one owner of the state "idle, polling, backing off". It has no I/O, no clock and no threads: times
+//! are handed in, as spans since any fixed moment.
 //!
-//! What it keeps, whatever fails: 6 s after discovery had a change and could be reached, the change is known here.
-//! The longest ways to it, with an answer to a fresh call in [`ANSWERED`] at most:
+//! It guarantees, whatever fails: [`MAX_PROPAGATION`] after discovery had a change and could be reached, the change is known
+//! here. The longest ways to it, with an answer to a fresh poll within [`FRESH_POLL_ANSWER`]:
 //!
-//! | what fails first | spans until the answer |
+//! | what fails first | time until the answer |
 //! | --- | --- |
-//! | a watch falls silent | `HOLD` + `SLACK`, then a call at once |
-//! | its answer begins at the last moment and stalls | `HOLD` + `SLACK` + `BODY`, then `LONGEST_BACKOFF` |
-//! | a call is connected to and never answered | `CONNECT` + `HEAD`, then `LONGEST_BACKOFF` |
-//! | the same, and its answer stalls | `CONNECT` + `HEAD` + `BODY`, then `LONGEST_BACKOFF` |
-//! | a call is refused, or breaks off | `LONGEST_BACKOFF` |
+//! | a watch falls silent | `MAX_HOLD` + `HOLD_SLACK`, then a poll at once |
+//! | its answer begins at the last moment and stalls | `MAX_HOLD` + `HOLD_SLACK` + `BODY_TIMEOUT`, then `MAX_BACKOFF` |
+//! | a poll is connected and never answered | `CONNECT_TIMEOUT` + `HEAD_TIMEOUT`, then `MAX_BACKOFF` |
+//! | the same, and its answer stalls | `CONNECT_TIMEOUT` + `HEAD_TIMEOUT` + `BODY_TIMEOUT`, then `MAX_BACKOFF` |
+//! | a poll is rejected, or breaks off | `MAX_BACKOFF` |
 //!
-//! A call whose time is over is not closed: discovery may be writing its answer just then, and what it has written
-//! counts as told. A new call is made beside it, and whichever answers is heard; [`Versions`] says what of it is taken.
+//! A poll that has timed out is not closed: discovery may be writing its answer just then, and what it has written counts as
+//! notified. A new poll is made beside it, and whichever is answered is heard; [`ListVersions`] decides what is applied.
 
-mod versions;
+#![warn(missing_docs)]
 
-pub use versions::{Basis, Use, Versions};
+mod list_versions;
+
+pub use list_versions::{AnswerUse, ListBasis, ListVersions};
 
 use std::time::Duration;
 
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-const fn millis(ms: u64) -> Duration {
-    Duration::from_millis(ms)
-}
-
-/// By when a change counts as told, once discovery has it and can be reached.
-pub const TOLD: Duration = millis(6000);
-/// How long a fresh call is granted, within the sum, to be answered by a discovery that can be reached.
-pub const ANSWERED: Duration = millis(500);
-/// A router that no list has come to serves from then on all the same. It pushes RPCs back at once, with a time to
-/// come back; one that never says it is ready passes for one that cannot start.
-pub const READY: Duration = millis(5000);
-/// The longest wait that a watch asks for: a silent one is found out only after it. The shortest keeps calls few.
-const LONGEST_HOLD: Duration = millis(2750);
-const SHORTEST_HOLD: Duration = millis(1000);
-/// The part of the wait by which routers differ, by their seeds: a fleet that was cut off or started together would
-/// else call together for good.
-const SPREAD: f64 = 0.125;
-/// A connection may take so long to come up: one lost packet is made up for.
-const CONNECT: Duration = millis(1000);
-/// A call that does not wait may take so long to be answered. Where discovery has many callers it refuses those that
-/// have waited for [`REFUSED_AFTER`]: its own word comes first.
-const HEAD: Duration = millis(2500);
-/// The platform's discovery refuses a call that it has not come to by then.
-const REFUSED_AFTER: Duration = millis(2000);
-/// A watch is answered no later than this after its wait, or has fallen silent.
-const SLACK: Duration = millis(1000);
-/// The rest of an answer that has begun.
-const BODY: Duration = millis(750);
-/// An answer is still taken so long after the call for it began and its wait ended. Nothing is told by it then that
-/// has not been told by calls that came later.
-pub const ANSWER_TAKEN: Duration = millis(12_000);
-/// So many calls whose time is over are kept open beside the newest one.
-pub const MOST_LATE_CALLS: usize = 2;
-/// The interval within which a failed call is made again, by chance anywhere in it; then twice as long each time.
-const FIRST_BACKOFF: Duration = millis(500);
-const LONGEST_BACKOFF: Duration = millis(1000);
-/// The next call of a watch comes no later than 200 ms after an answer. If discovery answers at once that there is
-/// nothing new, half of that keeps its calls from spinning.
-const PAUSE: Duration = millis(100);
+/// By when a change of the list is known here, once discovery has it and can be reached.
+pub const MAX_PROPAGATION: Duration = Duration::from_millis(6000);
+/// How long, within that, a discovery that can be reached may take to answer a fresh poll.
+pub const FRESH_POLL_ANSWER: Duration = Duration::from_millis(500);
+/// A router that has no list serves all the same after this, and rejects RPCs with Retry-After: one that never says it is
+/// ready is taken for one that cannot start.
+pub const SERVE_WITHOUT_LIST_AFTER: Duration = Duration::from_millis(5000);
+/// The longest hold of a watch. A silent one is found out only after it.
+const MAX_HOLD: Duration = Duration::from_millis(2750);
+/// The shortest hold of a watch, which keeps polls few.
+const MIN_HOLD: Duration = Duration::from_millis(1000);
+/// The fraction of the hold by which routers differ, by their seeds: routers that were cut off or started together would else
+/// poll together for good.
+const HOLD_JITTER: f64 = 0.125;
+/// How long a connection may take: one lost packet is made up for.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(1000);
+/// How long a poll without a hold may take to the end of the answer's head.
+const HEAD_TIMEOUT: Duration = Duration::from_millis(2500);
+/// The platform's discovery rejects a poll that has been queued for this long. Its answer is to come before the timeout.
+const DISCOVERY_REJECTS_AFTER: Duration = Duration::from_millis(2000);
+/// How long after its hold a watch may be answered, before it counts as silent.
+const HOLD_SLACK: Duration = Duration::from_millis(1000);
+/// How long the rest of an answer may take that has begun.
+const BODY_TIMEOUT: Duration = Duration::from_millis(750);
+/// How long after its start and its hold the answer to a poll is still accepted. A later one holds nothing that later polls
+/// have not brought.
+pub const LATE_ANSWER_WINDOW: Duration = Duration::from_millis(12_000);
+/// How many polls that have timed out are kept open beside the newest one.
+pub const MAX_LATE_POLLS: usize = 2;
+/// The interval within which a failed poll is repeated, at a random moment. It doubles with each further failure.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(500);
+/// The longest such interval.
+const MAX_BACKOFF: Duration = Duration::from_millis(1000);
+/// The pause after an answer that came at once and held no change, which keeps polls from spinning. The platform allows 200
+/// ms between an answer and the next poll.
+const EMPTY_ANSWER_PAUSE: Duration = Duration::from_millis(100);
 
 // The table above holds.
 const _: () = {
-    let after = LONGEST_BACKOFF.as_millis() + ANSWERED.as_millis();
-    let watch = LONGEST_HOLD.as_millis() + SLACK.as_millis() + BODY.as_millis() + after;
-    let call = CONNECT.as_millis() + HEAD.as_millis() + BODY.as_millis() + after;
-    assert!(watch <= TOLD.as_millis() && call <= TOLD.as_millis());
-    assert!(HEAD.as_millis() >= REFUSED_AFTER.as_millis() + ANSWERED.as_millis());
+    let after_failure = MAX_BACKOFF.as_millis() + FRESH_POLL_ANSWER.as_millis();
+    let watch = MAX_HOLD.as_millis() + HOLD_SLACK.as_millis() + BODY_TIMEOUT.as_millis() + after_failure;
+    let poll =
+        CONNECT_TIMEOUT.as_millis() + HEAD_TIMEOUT.as_millis() + BODY_TIMEOUT.as_millis() + after_failure;
+    assert!(watch <= MAX_PROPAGATION.as_millis() && poll <= MAX_PROPAGATION.as_millis());
+    assert!(HEAD_TIMEOUT.as_millis() >= DISCOVERY_REJECTS_AFTER.as_millis() + FRESH_POLL_ANSWER.as_millis());
 };
 
-/// The parts of a call, in their order.
+/// When the list is polled for the first time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Part {
+pub enum WatchStart {
+    /// At once.
+    Immediate,
+    /// When the list is requested.
+    OnRequest,
+}
+
+/// The phases of a call to discovery, in their order.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum CallPhase {
+    /// Until the connection is up.
     Connect,
-    /// From the call to the end of the answer's head; what a watch waits is within it.
+    /// From the request to the end of the answer's head. The hold is within it.
     Head,
+    /// Until the end of the answer.
     Body,
 }
 
-/// What a call that failed was.
+/// What has failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Failed {
-    /// A watch has fallen silent: it is begun anew at once.
-    Watch,
-    Call,
+pub enum FailureKind {
+    /// A watch has fallen silent. It is begun again at once.
+    SilentWatch,
+    /// A poll. It is repeated after a backoff.
+    Poll,
 }
 
 #[derive(Clone, Copy, Debug)]
 enum State {
-    /// Nobody has asked for the list yet.
-    Resting,
-    /// To call from then on.
-    Waiting(Duration),
-    Calling {
-        part: Part,
-        since: Duration,
-        began: Duration,
+    /// The list has not been requested yet.
+    Idle,
+    /// The next poll is due then.
+    Scheduled(Duration),
+    Polling {
+        phase: CallPhase,
+        phase_started: Duration,
+        poll_started: Duration,
     },
 }
 
-pub struct ListWatch {
+/// When to poll the endpoint list.
+pub struct DiscoveryWatch {
     state: State,
-    /// What the next call, or the one that is out, waits for news.
+    /// How long discovery may hold the next poll, or the current one, until there is a change.
     hold: Duration,
     full_hold: Duration,
-    /// Calls that have failed in a row.
-    failures: u32,
-    chance: ChaCha8Rng,
+    failures_in_a_row: u32,
+    rng: ChaCha8Rng,
 }
 
-impl ListWatch {
-    /// A duty to ask each `ask_every`; `unasked` where the list is watched from the start.
-    pub fn new(ask_every: Duration, unasked: bool, seed: u64) -> Self {
-        let full_hold = ask_every.clamp(SHORTEST_HOLD, LONGEST_HOLD);
+impl DiscoveryWatch {
+    /// A watch that polls at least once in `poll_interval`. The seed spreads the holds and backoffs of routers.
+    pub fn new(poll_interval: Duration, start: WatchStart, seed: u64) -> Self {
+        let full_hold = poll_interval.clamp(MIN_HOLD, MAX_HOLD);
         Self {
-            state: if unasked { State::Waiting(Duration::ZERO) } else { State::Resting },
+            state: match start {
+                WatchStart::Immediate => State::Scheduled(Duration::ZERO),
+                WatchStart::OnRequest => State::Idle,
+            },
             hold: Duration::ZERO,
-            full_hold: full_hold.mul_f64(1.0 - SPREAD * (seed % 1024) as f64 / 1024.0),
-            failures: 0,
-            chance: ChaCha8Rng::seed_from_u64(seed),
+            full_hold: full_hold.mul_f64(1.0 - HOLD_JITTER * (seed % 1024) as f64 / 1024.0),
+            failures_in_a_row: 0,
+            rng: ChaCha8Rng::seed_from_u64(seed),
         }
     }
 
-    /// The list is wanted. A watch that stands, or is to be called for again, answers that.
-    pub fn asked(&mut self, now: Duration) {
-        if let State::Resting = self.state {
-            self.state = State::Waiting(now);
+    /// The list is requested. A poll that is under way or scheduled serves that.
+    pub fn requested(&mut self, now: Duration) {
+        if let State::Idle = self.state {
+            self.state = State::Scheduled(now);
         }
     }
 
-    /// Discovery is elsewhere from now on; whatever is out is given up.
-    pub fn moved(&mut self, now: Duration) {
-        (self.state, self.hold, self.failures) = (State::Waiting(now), Duration::ZERO, 0);
+    /// Discovery has another address from now on. A poll that is under way no longer counts.
+    pub fn address_changed(&mut self, now: Duration) {
+        self.state = State::Scheduled(now);
+        self.hold = Duration::ZERO;
+        self.failures_in_a_row = 0;
     }
 
-    /// When something is due: a call, or the end of the part that one is in.
-    pub fn due(&self) -> Option<Duration> {
+    /// When the next poll is due, or the phase of the current one times out.
+    pub fn deadline(&self) -> Option<Duration> {
         match self.state {
-            State::Resting => None,
-            State::Waiting(until) => Some(until),
-            State::Calling { part: Part::Connect, since, .. } => Some(since + CONNECT),
-            State::Calling { part: Part::Head, since, .. } if self.hold.is_zero() => Some(since + HEAD),
-            State::Calling { part: Part::Head, since, .. } => Some(since + self.hold + SLACK),
-            State::Calling { part: Part::Body, since, .. } => Some(since + BODY),
+            State::Idle => None,
+            State::Scheduled(at) => Some(at),
+            State::Polling { phase, phase_started, .. } => Some(phase_started + self.timeout(phase)),
         }
     }
 
-    /// Begins a call if one is due by now: how long it waits for news.
-    pub fn begin(&mut self, now: Duration) -> Option<Duration> {
+    fn timeout(&self, phase: CallPhase) -> Duration {
+        match phase {
+            CallPhase::Connect => CONNECT_TIMEOUT,
+            CallPhase::Head if self.hold.is_zero() => HEAD_TIMEOUT,
+            CallPhase::Head => self.hold + HOLD_SLACK,
+            CallPhase::Body => BODY_TIMEOUT,
+        }
+    }
+
+    /// Begins a poll if one is due. Returns how long discovery may hold it until there is a change.
+    pub fn begin_if_due(&mut self, now: Duration) -> Option<Duration> {
         match self.state {
-            State::Waiting(until) if until <= now => {
-                self.state = State::Calling { part: Part::Connect, since: now, began: now };
+            State::Scheduled(at) if at <= now => {
+                self.state =
+                    State::Polling { phase: CallPhase::Connect, phase_started: now, poll_started: now };
                 Some(self.hold)
             }
             _ => None,
         }
     }
 
-    /// The call that is out has come to this part.
-    pub fn reached(&mut self, now: Duration, next: Part) {
-        if let State::Calling { part, since, .. } = &mut self.state {
-            (*part, *since) = (next, now);
+    /// The current poll has come to this phase.
+    pub fn phase_reached(&mut self, now: Duration, next: CallPhase) {
+        if let State::Polling { phase, phase_started, .. } = &mut self.state {
+            *phase = next;
+            *phase_started = now;
         }
     }
 
-    /// The call has its whole answer, which held news or none.
-    pub fn answered(&mut self, now: Duration, news: bool) {
-        let State::Calling { began, .. } = self.state else { return };
-        let at_once = !news && now.saturating_sub(began) < self.hold / 2;
-        (self.hold, self.failures) = (self.full_hold, 0);
-        self.state = State::Waiting(if at_once { now + PAUSE } else { now });
+    /// The current poll has its complete answer, with changes of the list or without.
+    pub fn answered(&mut self, now: Duration, has_changes: bool) {
+        let State::Polling { poll_started, .. } = self.state else { return };
+        let came_at_once = now.saturating_sub(poll_started) < self.hold / 2;
+        let pause = if !has_changes && came_at_once { EMPTY_ANSWER_PAUSE } else { Duration::ZERO };
+        self.watch_from(now + pause);
     }
 
-    /// A call whose time was over has its whole answer after all. Discovery answers again, so that what was to be asked
-    /// for after a pause is watched for from now on. A call that is out goes on.
+    /// A poll that had timed out has its complete answer after all. Discovery answers again, so a backoff ends here. A poll
+    /// that is under way goes on.
     pub fn answered_late(&mut self, now: Duration) {
-        if let State::Waiting(_) = self.state {
-            (self.hold, self.failures, self.state) = (self.full_hold, 0, State::Waiting(now));
+        if let State::Scheduled(_) = self.state {
+            self.watch_from(now);
         }
     }
 
-    /// The call has come to nothing, or its part to its end.
-    pub fn failed(&mut self, now: Duration) -> Failed {
-        let silent = matches!(self.state, State::Calling { part: Part::Head, since, .. }
-            if !self.hold.is_zero() && since + self.hold + SLACK <= now);
+    fn watch_from(&mut self, at: Duration) {
+        self.hold = self.full_hold;
+        self.failures_in_a_row = 0;
+        self.state = State::Scheduled(at);
+    }
+
+    /// The current poll has failed, or its phase has timed out.
+    pub fn failed(&mut self, now: Duration) -> FailureKind {
+        let is_silent = self.is_silent(now);
         self.hold = Duration::ZERO;
-        if silent {
-            self.state = State::Waiting(now);
-            return Failed::Watch;
+        if is_silent {
+            self.state = State::Scheduled(now);
+            return FailureKind::SilentWatch;
         }
-        // Guards against routers that were refused together and come back together: anywhere in the interval.
-        let longest = (FIRST_BACKOFF * 2u32.pow(self.failures.min(8))).min(LONGEST_BACKOFF);
-        self.failures += 1;
-        self.state = State::Waiting(now + longest.mul_f64(self.chance.random_range(0.0..1.0)));
-        Failed::Call
+        let interval = (INITIAL_BACKOFF * 2u32.pow(self.failures_in_a_row.min(8))).min(MAX_BACKOFF);
+        self.failures_in_a_row += 1;
+        // Anywhere in the interval: routers that were rejected together must not come back together.
+        let backoff = interval.mul_f64(self.rng.random_range(0.0..1.0));
+        self.state = State::Scheduled(now + backoff);
+        FailureKind::Poll
+    }
+
+    /// Whether a watch has had no answer by the end of its hold.
+    fn is_silent(&self, now: Duration) -> bool {
+        let State::Polling { phase: CallPhase::Head, phase_started, .. } = self.state else { return false };
+        !self.hold.is_zero() && phase_started + self.timeout(CallPhase::Head) <= now
     }
 }
--- a/crates/router/src/config.rs
+++ b/crates/router/src/config.rs
@@ -9,7 +9,7 @@
 use serde_json::Value as Json;
 
 use crate::deployment::{Deployment, Fault, fault};
-use crate::list::Page;
+use crate::endpoint_list::EndpointList;
 
 /// Descriptors that are no sockets of peers: the standard streams, the reactor's own, the signal pipe.
 const RESERVED: usize = 16;
@@ -28,7 +28,7 @@
     /// How many bytes the router may take in all.
     pub memory: u64,
     /// The list of nodes as this router had it last.
-    pub known: Page,
+    pub known: EndpointList,
     pub deployment: Deployment,
 }
 
@@ -92,8 +92,8 @@
         }
         let deployment = Deployment::of(quillpoint_settings::flat_tree(settings))?;
         let known = match &tree["known"] {
-            Json::Null => Page::default(),
-            page => Page::of(page)
+            Json::Null => EndpointList::default(),
+            page => EndpointList::from_json(page)
                 .map_err(|error| fault("known", "a list of nodes in discovery's form", error))?,
         };
         Ok(Self {
--- a/crates/router/src/discovery.rs
+++ b/crates/router/src/discovery.rs
@@ -1,8 +1,8 @@
-//! The client of discovery: it makes the calls that `quillpoint_discovery_watch` times, and hands the module what they tell.
+//! The client of discovery: makes the polls that `quillpoint_discovery_watch` times, and hands the decisions what they bring.
 //!
-//! Each call is a task of its own, which tells here how far it has come. A call whose time is over, or that was made to
-//! where discovery was before, stays open for a while beside the one that takes its place: an answer that discovery has
-//! written is heard, whenever it comes.
+//! Each poll is a task of its own, which reports its progress here. A poll that has timed out, or that was made to an earlier
+//! address of discovery, stays open for a while beside the one that takes its place: an answer that discovery has written is
+//! heard, whenever it comes.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -15,300 +15,324 @@
 use futures_lite::{FutureExt, future};
 use quillpoint::host::{Endpoint, EndpointStatus, EndpointUpdate};
 use quillpoint_discovery_watch::{
-    ANSWER_TAKEN, Basis, Failed, ListWatch, MOST_LATE_CALLS, Part, Use, Versions,
+    AnswerUse, CallPhase, DiscoveryWatch, FailureKind, LATE_ANSWER_WINDOW, ListBasis, ListVersions,
+    MAX_LATE_POLLS, WatchStart,
 };
 
 use crate::deployment::Deployment;
 use crate::descriptors::{Descriptors, Slot};
+use crate::endpoint_list::{EndpointList, EndpointParser};
+use crate::endpoint_poll::{Connection, EndpointPoll, PollAnswer, PollError};
 use crate::engine::{Clock, Engine};
-use crate::list::{Page, Reader};
-use crate::list_call::{Answered, Connection, Failure, ListCall};
 
-/// The newest call, the late ones, and a connection that is kept for the next: each holds a socket.
-const SOCKETS: usize = 1 + MOST_LATE_CALLS;
-/// So many nodes that drain or are gone are named in one line of the log.
-const MOST_NAMED: usize = 8;
+/// The sockets of the newest poll and the late ones; a connection that is kept takes the place of the newest poll's.
+const SOCKETS: usize = 1 + MAX_LATE_POLLS;
+/// The most nodes that are draining or removed that a log line names.
+const MAX_NODES_NAMED: usize = 8;
 
-/// A call that has been made and not ended.
-struct CallOut {
+/// What a client of discovery is started with.
+pub struct DiscoveryParams<'a> {
+    /// The address of discovery.
+    pub address: SocketAddr,
+    /// The settings.
+    pub deployment: &'a Deployment,
+    /// The list that the router had last.
+    pub cached: &'a EndpointList,
+    /// Spreads the polls of routers.
+    pub seed: u64,
+    /// The clock of the router.
+    pub clock: Clock,
+    /// Runs the polls.
+    pub executor: Rc<LocalExecutor<'static>>,
+    /// Where the sockets of the polls are counted.
+    pub descriptors: &'a Rc<Descriptors>,
+}
+
+/// A poll that has been made and has not ended.
+struct PollInFlight {
     number: u64,
-    basis: Basis,
-    began: Duration,
-    /// Dropped, the call is over and its connection closed.
+    basis: ListBasis,
+    started: Duration,
+    /// The poll ends and its connection is closed when this is dropped.
     _task: Task<()>,
 }
 
-/// What a call's task tells.
-struct Progress {
-    call: u64,
-    step: Step,
+/// What the task of a poll reports.
+struct Report {
+    poll: u64,
+    progress: Progress,
 }
 
-enum Step {
-    Reached(Part),
-    Ended(Result<Answered, Failure>),
+enum Progress {
+    PhaseReached(CallPhase),
+    Ended(Result<PollAnswer, PollError>),
 }
 
 enum Event {
-    Progress(Progress),
-    Moved(SocketAddr),
-    /// The module wants the list.
-    Asked,
-    /// Something is due by the watch.
-    Due,
+    PollReported(Report),
+    AddressChanged(SocketAddr),
+    /// The decisions want the list.
+    ListRequested,
+    /// The deadline of the watch has come.
+    Deadline,
 }
 
-/// The one that calls discovery.
+/// The client of discovery.
 pub struct DiscoveryClient {
     address: SocketAddr,
-    reader: Reader,
-    versions: Versions,
-    watch: ListWatch,
-    /// Of the last call that was answered.
-    connection: Option<Connection>,
-    newest: Option<CallOut>,
-    /// Calls whose time is over, the oldest first.
-    late: VecDeque<CallOut>,
+    parser: EndpointParser,
+    versions: ListVersions,
+    watch: DiscoveryWatch,
+    /// The connection of the last poll that was answered.
+    kept_connection: Option<Connection>,
+    newest: Option<PollInFlight>,
+    /// Polls that have timed out, the oldest first.
+    late: VecDeque<PollInFlight>,
     next_number: u64,
-    progress: (Sender<Progress>, Receiver<Progress>),
+    report_sender: Sender<Report>,
+    reports: Receiver<Report>,
     clock: Clock,
     executor: Rc<LocalExecutor<'static>>,
-    /// Kept for as long as the router runs, so that no client can have them while discovery is down.
+    /// Held for as long as the router runs, so that no client can have them while discovery is down.
     _slots: Vec<Slot>,
 }
 
 impl DiscoveryClient {
-    /// Reads the list that the router had last; the lines are for the module. Waits until it has its sockets.
-    pub async fn new(
-        address: SocketAddr,
-        deployment: &Deployment,
-        known: &Page,
-        seed: u64,
-        clock: Clock,
-        (executor, descriptors): (Rc<LocalExecutor<'static>>, &Rc<Descriptors>),
-    ) -> (Self, Vec<Endpoint>) {
-        let mut reader = Reader::new(deployment);
-        let lines = reader.lines(known);
+    /// Waits for its sockets, and returns the client with the endpoints of the cached list.
+    pub async fn new(params: DiscoveryParams<'_>) -> (Self, Vec<Endpoint>) {
+        let DiscoveryParams { address, deployment, cached, seed, clock, executor, descriptors } = params;
+        let mut parser = EndpointParser::new(deployment);
+        let endpoints = parser.apply(cached);
         let mut slots = Vec::new();
         for _ in 0..SOCKETS {
             slots.push(descriptors.take().await);
         }
+        let start = if deployment.list_comes { WatchStart::Immediate } else { WatchStart::OnRequest };
+        let (report_sender, reports) = async_channel::unbounded();
         let client = Self {
             address,
-            reader,
-            versions: Versions::new((!lines.is_empty()).then_some(known.rev)),
-            watch: ListWatch::new(deployment.ask_every, deployment.list_comes, seed),
-            connection: None,
+            parser,
+            versions: ListVersions::new((!endpoints.is_empty()).then_some(cached.version)),
+            watch: DiscoveryWatch::new(deployment.ask_every, start, seed),
+            kept_connection: None,
             newest: None,
             late: VecDeque::new(),
             next_number: 0,
-            progress: async_channel::unbounded(),
+            report_sender,
+            reports,
             clock,
             executor,
             _slots: slots,
         };
-        (client, lines)
+        (client, endpoints)
     }
 
-    /// Calls whenever the watch of the list is due to, until the router ends. `asked` is the module's wish for the
-    /// list, `moves` tells where discovery is from now on.
-    pub async fn run(mut self, engine: Rc<Engine>, asked: Receiver<()>, moves: Receiver<SocketAddr>) {
+    /// Polls whenever the watch is due to, until the router ends. `requests` are the decisions' requests for the list,
+    /// `addresses` the addresses that discovery gets.
+    pub async fn run(mut self, engine: Rc<Engine>, requests: Receiver<()>, addresses: Receiver<SocketAddr>) {
         loop {
             let now = self.clock.now();
-            if let Some(hold) = self.watch.begin(now) {
-                self.call(now, hold);
+            if let Some(hold) = self.watch.begin_if_due(now) {
+                self.begin_poll(now, hold);
             }
-            match self.event(&asked, &moves).await {
-                Event::Progress(progress) => self.progressed(progress, &engine),
-                Event::Moved(address) => self.move_to(address),
-                Event::Asked => self.watch.asked(self.clock.now()),
-                Event::Due => self.time_over(),
+            match self.next_event(&requests, &addresses).await {
+                Event::PollReported(report) => self.poll_reported(report, &engine),
+                Event::AddressChanged(address) => self.address_changed(address),
+                Event::ListRequested => self.watch.requested(self.clock.now()),
+                Event::Deadline => self.deadline_came(),
             }
         }
     }
 
-    /// What happens next. What a call tells goes before the end of its time.
-    async fn event(&self, asked: &Receiver<()>, moves: &Receiver<SocketAddr>) -> Event {
-        let progressed = async { Event::Progress(received(&self.progress.1).await) };
-        let moved = async { Event::Moved(received(moves).await) };
-        let asked = async {
-            received(asked).await;
-            Event::Asked
+    /// What happens next. The report of a poll precedes the end of its time.
+    async fn next_event(&self, requests: &Receiver<()>, addresses: &Receiver<SocketAddr>) -> Event {
+        let reported = async { Event::PollReported(receive(&self.reports).await) };
+        let changed = async { Event::AddressChanged(receive(addresses).await) };
+        let requested = async {
+            receive(requests).await;
+            Event::ListRequested
         };
-        let due = async {
-            match self.watch.due() {
-                Some(due) => _ = Timer::at(self.clock.instant(due)).await,
+        let deadline = async {
+            match self.watch.deadline() {
+                Some(deadline) => Timer::at(self.clock.instant(deadline)).await,
                 None => future::pending().await,
-            }
-            Event::Due
+            };
+            Event::Deadline
         };
-        progressed.or(moved).or(asked).or(due).await
+        reported.or(changed).or(requested).or(deadline).await
     }
 
-    fn call(&mut self, now: Duration, hold: Duration) {
-        let (basis, number) = (self.versions.basis(), self.next_number);
+    fn begin_poll(&mut self, now: Duration, hold: Duration) {
+        let basis = self.versions.basis();
+        let number = self.next_number;
         self.next_number += 1;
         let path = match basis.from {
             None => "/catalog/members".to_string(),
             Some(from) => format!("/catalog/members?from={from}&hold_ms={}", hold.as_millis()),
         };
-        let call = ListCall { address: self.address, path };
-        let (kept, progress) = (self.connection.take(), self.progress.0.clone());
+        let poll = EndpointPoll { address: self.address, path };
+        let kept_connection = self.kept_connection.take();
+        let sender = self.report_sender.clone();
         let task = async move {
-            let tell = |step| _ = progress.try_send(Progress { call: number, step });
-            let made = call.make(kept, |part| tell(Step::Reached(part)));
-            let over = async {
-                Timer::after(hold + ANSWER_TAKEN).await;
-                Err(Failure::Late)
+            let report = |progress| report(&sender, number, progress);
+            let answer = poll.run(kept_connection, |phase| report(Progress::PhaseReached(phase)));
+            let timeout = async {
+                Timer::after(hold + LATE_ANSWER_WINDOW).await;
+                Err(PollError::TimedOut)
             };
-            tell(Step::Ended(made.or(over).await));
+            report(Progress::Ended(answer.or(timeout).await));
         };
         let task = self.executor.spawn(task);
-        self.newest = Some(CallOut { number, basis, began: now, _task: task });
+        self.newest = Some(PollInFlight { number, basis, started: now, _task: task });
     }
 
-    fn progressed(&mut self, Progress { call, step }: Progress, engine: &Engine) {
-        let is_newest = self.newest.as_ref().is_some_and(|newest| newest.number == call);
-        match step {
-            Step::Reached(part) if is_newest => self.watch.reached(self.clock.now(), part),
-            Step::Reached(_) => {}
-            Step::Ended(result) if is_newest => {
-                if let Some(call) = self.newest.take() {
-                    self.newest_ended(&call, result, engine);
+    fn poll_reported(&mut self, Report { poll, progress }: Report, engine: &Engine) {
+        let is_newest = self.newest.as_ref().is_some_and(|newest| newest.number == poll);
+        match progress {
+            Progress::PhaseReached(phase) if is_newest => self.watch.phase_reached(self.clock.now(), phase),
+            Progress::PhaseReached(_) => {}
+            Progress::Ended(result) if is_newest => {
+                if let Some(poll) = self.newest.take() {
+                    self.newest_ended(&poll, result, engine);
                 }
             }
-            Step::Ended(result) => {
-                let place = self.late.iter().position(|late| late.number == call);
-                if let Some(call) = place.and_then(|place| self.late.remove(place)) {
-                    self.late_ended(&call, result, engine);
+            Progress::Ended(result) => {
+                let index = self.late.iter().position(|late| late.number == poll);
+                if let Some(poll) = index.and_then(|index| self.late.remove(index)) {
+                    self.late_ended(&poll, result, engine);
                 }
             }
         }
     }
 
-    fn newest_ended(&mut self, call: &CallOut, result: Result<Answered, Failure>, engine: &Engine) {
-        match result.and_then(|answered| self.take(call, answered, engine)) {
-            Ok(news) => self.watch.answered(self.clock.now(), news),
-            Err(failure) => self.failed(call, &failure),
+    fn newest_ended(&mut self, poll: &PollInFlight, result: Result<PollAnswer, PollError>, engine: &Engine) {
+        match result.and_then(|answer| self.apply(poll, answer, engine)) {
+            Ok(has_changes) => self.watch.answered(self.clock.now(), has_changes),
+            Err(error) => self.poll_failed(poll, &error),
         }
     }
 
-    fn late_ended(&mut self, call: &CallOut, result: Result<Answered, Failure>, engine: &Engine) {
-        match result.and_then(|answered| self.take(call, answered, engine)) {
-            Ok(_) if self.versions.is_present(call.basis) => self.watch.answered_late(self.clock.now()),
+    fn late_ended(&mut self, poll: &PollInFlight, result: Result<PollAnswer, PollError>, engine: &Engine) {
+        match result.and_then(|answer| self.apply(poll, answer, engine)) {
+            Ok(_) if self.versions.is_present(poll.basis) => self.watch.answered_late(self.clock.now()),
             Ok(_) => {}
-            Err(failure) => log::debug!("list call {}, late, failed: {failure}", call.number),
+            Err(error) => log::debug!("poll {} of the endpoint list, late, failed: {error}", poll.number),
         }
     }
 
-    /// Hands the module what an answer tells. Whether it told anything.
-    fn take(&mut self, call: &CallOut, answered: Answered, engine: &Engine) -> Result<bool, Failure> {
-        let Answered { page, connection } = answered;
-        if self.versions.is_present(call.basis) {
-            self.connection = connection;
+    /// Hands the decisions what an answer brings, and says whether that is anything.
+    fn apply(&mut self, poll: &PollInFlight, answer: PollAnswer, engine: &Engine) -> Result<bool, PollError> {
+        let PollAnswer { list, connection } = answer;
+        if self.versions.is_present(poll.basis) {
+            self.kept_connection = connection;
         }
-        let (extent, lines) = match self.versions.judge(call.basis, page.rev) {
-            Use::All => {
-                let lines = self.reader.lines(&page);
-                // Guards against taking a list in a form that is not known here for one on which nobody is left.
-                if lines.is_empty() && !page.targets.is_empty() {
-                    return Err(Failure::Entries);
-                }
-                self.taken(page.rev);
-                (if page.all { EndpointUpdate::Snapshot } else { EndpointUpdate::Delta }, lines)
-            }
-            Use::Stops => (EndpointUpdate::Delta, self.reader.stops(&page)),
-            Use::Nothing => {
+        let (update, endpoints) = match self.versions.judge(poll.basis, list.version) {
+            AnswerUse::All => self.apply_list(&list)?,
+            AnswerUse::DrainingOnly => (EndpointUpdate::Delta, self.parser.draining_or_removed(&list)),
+            AnswerUse::Nothing => {
                 log::info!(
-                    event = "endpoint_list_superseded", call = call.number, version = page.rev;
-                    "an answer with version {} of the list came behind a newer one", page.rev
+                    event = "endpoint_list_superseded", call = poll.number, version = list.version;
+                    "an answer with version {} of the endpoint list came behind a newer one", list.version
                 );
                 return Ok(false);
             }
         };
-        if !lines.is_empty() {
-            self.tell_list(call, page.rev, &lines);
+        if !endpoints.is_empty() {
+            self.log_list(poll, list.version, &endpoints);
         }
-        engine.endpoints_changed(extent, &lines);
-        Ok(!lines.is_empty())
+        engine.endpoints_changed(update, &endpoints);
+        Ok(!endpoints.is_empty())
     }
 
-    /// All of an answer is taken: calls to where discovery was before have nothing to add.
-    fn taken(&mut self, version: u64) {
-        self.versions.taken(version);
+    fn apply_list(&mut self, list: &EndpointList) -> Result<(EndpointUpdate, Vec<Endpoint>), PollError> {
+        let endpoints = self.parser.apply(list);
+        // A list in a form that is not known here must not pass for one without nodes.
+        if endpoints.is_empty() && !list.entries.is_empty() {
+            return Err(PollError::NoReadableEntry { entries: list.entries.len() });
+        }
+        self.versions.applied(list.version);
+        // Polls to earlier addresses of discovery have nothing to add.
         let versions = &self.versions;
         self.late.retain(|late| versions.is_present(late.basis));
+        let update = if list.is_snapshot { EndpointUpdate::Snapshot } else { EndpointUpdate::Delta };
+        Ok((update, endpoints))
     }
 
-    fn tell_list(&self, call: &CallOut, version: u64, lines: &[Endpoint]) {
-        let waited_ms = self.waited_ms(call);
-        let stops: Vec<String> = lines
+    fn log_list(&self, poll: &PollInFlight, version: u64, endpoints: &[Endpoint]) {
+        let waited_ms = self.waited_ms(poll);
+        let stopped: Vec<String> = endpoints
             .iter()
-            .filter(|line| line.condition != EndpointStatus::InService)
-            .map(|line| line.node.0.to_string())
+            .filter(|endpoint| endpoint.condition != EndpointStatus::InService)
+            .map(|endpoint| endpoint.node.0.to_string())
             .collect();
-        let named = stops[..stops.len().min(MOST_NAMED)].join(" ");
+        let named = stopped[..stopped.len().min(MAX_NODES_NAMED)].join(" ");
         log::info!(
-            event = "endpoint_list", version = version, call = call.number, waited_ms = waited_ms,
-            stops = stops.len(), stopped = named.as_str();
-            "list {version}: {} entries", lines.len()
+            event = "endpoint_list", version = version, call = poll.number, waited_ms = waited_ms,
+            stops = stopped.len(), stopped = named.as_str();
+            "endpoint list {version}: {} entries", endpoints.len()
         );
     }
 
-    fn failed(&mut self, call: &CallOut, failure: &Failure) {
-        let waited_ms = self.waited_ms(call);
+    fn poll_failed(&mut self, poll: &PollInFlight, error: &PollError) {
+        let waited_ms = self.waited_ms(poll);
         match self.watch.failed(self.clock.now()) {
-            Failed::Watch => log::warn!(
-                event = "endpoint_poll_failed", call = call.number, waited_ms = waited_ms;
-                "the watch of the list has fallen silent"
+            FailureKind::SilentWatch => log::warn!(
+                event = "endpoint_poll_failed", call = poll.number, waited_ms = waited_ms;
+                "the watch of the endpoint list has fallen silent"
             ),
-            Failed::Call => log::warn!(
-                event = "endpoint_poll_failed", call = call.number, waited_ms = waited_ms;
-                "list call failed: {failure}"
+            FailureKind::Poll => log::warn!(
+                event = "endpoint_poll_failed", call = poll.number, waited_ms = waited_ms;
+                "poll of the endpoint list failed: {error}"
             ),
         }
     }
 
-    fn waited_ms(&self, call: &CallOut) -> u64 {
-        self.clock.now().saturating_sub(call.began).as_millis() as u64
+    fn waited_ms(&self, poll: &PollInFlight) -> u64 {
+        self.clock.now().saturating_sub(poll.started).as_millis() as u64
     }
 
-    /// What was due is a call, which begins by itself, or the end of the newest call's time.
-    fn time_over(&mut self) {
-        if self.watch.due().is_none_or(|due| due > self.clock.now()) {
+    /// The deadline is that of the next poll, which begins by itself, or of the newest poll.
+    fn deadline_came(&mut self) {
+        if self.watch.deadline().is_none_or(|deadline| deadline > self.clock.now()) {
             return;
         }
-        if let Some(call) = self.newest.take() {
-            self.failed(&call, &Failure::Late);
-            self.keep_late(call);
+        if let Some(poll) = self.newest.take() {
+            self.poll_failed(&poll, &PollError::TimedOut);
+            self.keep_late(poll);
         }
     }
 
-    fn keep_late(&mut self, call: CallOut) {
-        self.late.push_back(call);
-        if self.late.len() > MOST_LATE_CALLS
+    fn keep_late(&mut self, poll: PollInFlight) {
+        self.late.push_back(poll);
+        if self.late.len() > MAX_LATE_POLLS
             && let Some(oldest) = self.late.pop_front()
         {
             log::info!(
                 event = "endpoint_poll_abandoned", call = oldest.number, waited_ms = self.waited_ms(&oldest);
-                "a call for the list was closed without an answer"
+                "a poll of the endpoint list was closed without an answer"
             );
         }
     }
 
-    /// Elsewhere the versions may be others, so the whole list is asked for, on a connection of its own.
-    fn move_to(&mut self, address: SocketAddr) {
-        (self.connection, self.address) = (None, address);
-        self.versions.moved();
-        self.watch.moved(self.clock.now());
-        if let Some(call) = self.newest.take() {
-            self.keep_late(call);
+    /// Versions may be numbered otherwise there, so a snapshot is requested, on a new connection.
+    fn address_changed(&mut self, address: SocketAddr) {
+        self.address = address;
+        self.kept_connection = None;
+        self.versions.address_changed();
+        self.watch.address_changed(self.clock.now());
+        if let Some(poll) = self.newest.take() {
+            self.keep_late(poll);
         }
     }
 }
 
-/// The next that comes; never, where nothing more can come.
-async fn received<T>(channel: &Receiver<T>) -> T {
+/// Reports the progress of a poll. It can fail only when the client has ended, and nobody wants to know.
+fn report(sender: &Sender<Report>, poll: u64, progress: Progress) {
+    sender.try_send(Report { poll, progress }).ok();
+}
+
+/// The next message; waits for ever where none can come any more.
+async fn receive<T>(channel: &Receiver<T>) -> T {
     match channel.recv().await {
         Ok(message) => message,
         Err(_) => future::pending().await,
--- /dev/null
+++ b/crates/router/src/endpoint_list.rs
@@ -0,0 +1,127 @@
+//! The endpoint list in discovery's JSON, and its entries as endpoints for the decisions.
+
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+
+use quillpoint::host::{Endpoint, EndpointStatus, NodeId, ReplicaSetId, ZoneId};
+use serde::Deserialize;
+use serde_json::Value as Json;
+
+use crate::deployment::Deployment;
+
+/// One answer of discovery: a snapshot of the endpoint list, or a delta.
+#[derive(Clone, Debug, Default, Deserialize)]
+pub struct EndpointList {
+    /// The version of the list.
+    #[serde(rename = "rev")]
+    pub version: u64,
+    /// Whether these are all entries, or only those that have changed.
+    #[serde(rename = "all")]
+    pub is_snapshot: bool,
+    /// The entries. They are read one by one, so that one that cannot be read does not spoil the others.
+    #[serde(rename = "targets")]
+    pub entries: Vec<Json>,
+}
+
+#[derive(Debug, Deserialize)]
+struct Entry {
+    /// Identifies the machine, which may come up again at another address.
+    uid: String,
+    #[serde(rename = "endpoint")]
+    address: SocketAddr,
+    #[serde(default, rename = "az")]
+    zone: String,
+    #[serde(default, rename = "model")]
+    kind: String,
+    #[serde(default, rename = "pod_group")]
+    replica_set: u64,
+    #[serde(rename = "state")]
+    status: Status,
+    #[serde(default, rename = "boot_ms")]
+    started_ms: f64,
+    #[serde(default)]
+    role: String,
+}
+
+#[derive(Clone, Copy, Debug, Deserialize)]
+enum Status {
+    #[serde(rename = "in_service")]
+    InService,
+    #[serde(rename = "terminating")]
+    Draining,
+    #[serde(rename = "terminated")]
+    Removed,
+}
+
+impl EndpointList {
+    /// The list in this JSON.
+    ///
+    /// # Errors
+    /// It lacks the version, the mark of a snapshot, or the entries.
+    pub fn from_json(json: &Json) -> Result<Self, serde_json::Error> {
+        Self::deserialize(json)
+    }
+}
+
+/// Turns lists to endpoints. It remembers which endpoint each machine had.
+pub struct EndpointParser {
+    zones: Vec<String>,
+    kinds: Vec<String>,
+    by_uid: BTreeMap<String, Endpoint>,
+}
+
+impl EndpointParser {
+    /// A parser that knows no machines, with the zones and kinds of the deployment.
+    pub fn new(deployment: &Deployment) -> Self {
+        Self { zones: deployment.zones.clone(), kinds: deployment.kinds.clone(), by_uid: BTreeMap::new() }
+    }
+
+    /// The endpoints of a list that is applied. Entries that cannot be read are logged and left out.
+    pub fn apply(&mut self, list: &EndpointList) -> Vec<Endpoint> {
+        let mut endpoints = Vec::with_capacity(list.entries.len());
+        let before = if list.is_snapshot { std::mem::take(&mut self.by_uid) } else { BTreeMap::new() };
+        for entry in list.entries.iter().filter_map(read_entry) {
+            let endpoint = self.endpoint(&entry);
+            let previous = match endpoint.condition {
+                EndpointStatus::Removed => self.by_uid.remove(&entry.uid),
+                _ => self.by_uid.insert(entry.uid.clone(), endpoint.clone()),
+            };
+            // A machine that shows up at another address: its old node is gone, and a new one has come.
+            if let Some(previous) = previous.or_else(|| before.get(&entry.uid).cloned())
+                && previous.node != endpoint.node
+            {
+                endpoints.push(Endpoint { condition: EndpointStatus::Removed, ..previous });
+            }
+            endpoints.push(endpoint);
+        }
+        endpoints
+    }
+
+    /// The endpoints of a list that are draining or removed. Nothing of it is remembered.
+    pub fn draining_or_removed(&self, list: &EndpointList) -> Vec<Endpoint> {
+        let endpoints = list.entries.iter().filter_map(read_entry).map(|entry| self.endpoint(&entry));
+        endpoints.filter(|endpoint| endpoint.condition != EndpointStatus::InService).collect()
+    }
+
+    fn endpoint(&self, entry: &Entry) -> Endpoint {
+        let index = |names: &[String], name: &str| names.iter().position(|known| known == name).unwrap_or(0);
+        Endpoint {
+            node: NodeId(entry.address),
+            group: ReplicaSetId(entry.replica_set),
+            zone: ZoneId(index(&self.zones, &entry.zone)),
+            kind: index(&self.kinds, &entry.kind),
+            primary: entry.role == "primary",
+            condition: match entry.status {
+                Status::InService => EndpointStatus::InService,
+                Status::Draining => EndpointStatus::Draining,
+                Status::Removed => EndpointStatus::Removed,
+            },
+            started: Some(entry.started_ms).filter(|ms| *ms > 0.0).map(quillpoint_settings::span),
+        }
+    }
+}
+
+fn read_entry(entry: &Json) -> Option<Entry> {
+    let parsed = Entry::deserialize(entry);
+    parsed.inspect_err(|error| log::warn!("endpoint list entry skipped, {error}: {entry}")).ok()
+}
--- a/crates/router/src/engine.rs
+++ b/crates/router/src/engine.rs
@@ -399,7 +399,8 @@
 
     /// Whether RPCs are taken: the list of nodes has come, or has been waited for long enough.
     pub fn is_ready(&self) -> bool {
-        self.listed.get() || self.clock.start.elapsed() >= quillpoint_discovery_watch::READY
+        self.listed.get()
+            || self.clock.start.elapsed() >= quillpoint_discovery_watch::SERVE_WITHOUT_LIST_AFTER
     }
 
     /// How many RPCs are held.
--- a/crates/router/src/http.rs
+++ b/crates/router/src/http.rs
@@ -1,92 +1,145 @@
-//! Reading one HTTP/1.1 response from the bytes that have come so far.
+//! Parses one HTTP/1.1 response from the bytes that have been received so far.
 
-/// No list of a deployment comes near this.
-const LONGEST_BODY: usize = 4 << 20;
-const LONGEST_HEAD: usize = 16 << 10;
-const MOST_HEADERS: usize = 64;
+/// The largest body. No endpoint list of a deployment comes near it.
+const MAX_BODY_BYTES: usize = 4 << 20;
+const MAX_HEAD_BYTES: usize = 16 << 10;
+const MAX_HEADERS: usize = 64;
 
 /// Why bytes are no response that can be used.
 #[derive(Debug, thiserror::Error)]
-pub enum BadResponse {
-    #[error("the answer is no HTTP: {0}")]
+pub enum InvalidResponse {
+    /// They are no HTTP.
+    #[error("expected an HTTP response: {0}")]
     Http(#[from] httparse::Error),
-    #[error("status {0}")]
-    Status(u16),
-    #[error("the answer ends early, or is too long")]
-    Length,
+    /// The request was not served.
+    #[error("expected status 200, found status {found}")]
+    Status {
+        /// The status code.
+        found: u16,
+    },
+    /// The head does not end in time.
+    #[error("expected a head of at most {MAX_HEAD_BYTES} bytes, found {found} without its end")]
+    HeadTooLong {
+        /// The bytes received.
+        found: usize,
+    },
+    /// The body is larger than any list.
+    #[error("expected a body of at most {MAX_BODY_BYTES} bytes, found {found}")]
+    BodyTooLong {
+        /// The bytes announced or received.
+        found: usize,
+    },
+    /// The length of the body is no number.
+    #[error("expected a number as Content-Length, found {found:?}")]
+    ContentLength {
+        /// The value of the header.
+        found: String,
+    },
+    /// The body is announced in chunks, and is not.
+    #[error("expected the size of a chunk")]
+    ChunkSize,
+    /// The stream has ended before the response.
+    #[error("expected a complete response, found {found} bytes of one")]
+    Truncated {
+        /// The bytes received.
+        found: usize,
+    },
 }
 
-/// The body of a response that is whole.
+/// Whether more bytes can come.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum StreamState {
+    /// More may come.
+    Open,
+    /// The peer has ended the stream.
+    Ended,
+}
+
+/// The body of a complete response.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Body {
+    /// The bytes, with the chunks joined.
     pub bytes: Vec<u8>,
-    /// Whether its connection may carry another request.
+    /// Whether the connection may carry another request.
     pub keeps_connection: bool,
 }
 
-/// Whether the head is whole, or is none and need not be waited for.
-pub fn has_head(bytes: &[u8]) -> bool {
-    let mut headers = [httparse::EMPTY_HEADER; MOST_HEADERS];
+/// Whether the head is complete, or cannot become one and need not be waited for.
+pub fn is_head_complete(bytes: &[u8]) -> bool {
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let status = httparse::Response::new(&mut headers).parse(bytes);
-    bytes.len() > LONGEST_HEAD || !matches!(status, Ok(httparse::Status::Partial))
+    bytes.len() > MAX_HEAD_BYTES || !matches!(status, Ok(httparse::Status::Partial))
 }
 
-/// The body of a response with status 200, once it is whole. `ended` says that no more bytes will come.
+/// The body of a response with status 200, or `None` if it is not complete yet.
 ///
 /// # Errors
-/// The bytes can become no such response.
-pub fn body(bytes: &[u8], ended: bool) -> Result<Option<Body>, BadResponse> {
-    let mut headers = [httparse::EMPTY_HEADER; MOST_HEADERS];
+/// The bytes cannot become such a response.
+pub fn parse_body(bytes: &[u8], stream: StreamState) -> Result<Option<Body>, InvalidResponse> {
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Response::new(&mut headers);
-    let start = match head.parse(bytes)? {
-        httparse::Status::Complete(start) => start,
-        httparse::Status::Partial if bytes.len() > LONGEST_HEAD => return Err(BadResponse::Length),
+    let body_start = match head.parse(bytes)? {
+        httparse::Status::Complete(body_start) => body_start,
+        httparse::Status::Partial if bytes.len() > MAX_HEAD_BYTES => {
+            return Err(InvalidResponse::HeadTooLong { found: bytes.len() });
+        }
         httparse::Status::Partial => return Ok(None),
     };
-    let header = |name: &str| {
-        let found = head.headers.iter().find(|header| header.name.eq_ignore_ascii_case(name));
-        found.map(|header| String::from_utf8_lossy(header.value).trim().to_ascii_lowercase())
-    };
     if head.code != Some(200) {
-        return Err(BadResponse::Status(head.code.unwrap_or(0)));
+        return Err(InvalidResponse::Status { found: head.code.unwrap_or(0) });
     }
-    let keeps = head.version == Some(1) && header("connection").is_none_or(|word| word != "close");
-    let rest = &bytes[start..];
-    if rest.len() > LONGEST_BODY {
-        return Err(BadResponse::Length);
+    let rest = &bytes[body_start..];
+    if rest.len() > MAX_BODY_BYTES {
+        return Err(InvalidResponse::BodyTooLong { found: rest.len() });
     }
-    if header("transfer-encoding").is_some_and(|word| word.ends_with("chunked")) {
-        return Ok(chunks(rest)?.map(|bytes| Body { bytes, keeps_connection: keeps }));
+    let keeps_connection =
+        head.version == Some(1) && header(&head, "connection").is_none_or(|value| value != "close");
+    if header(&head, "transfer-encoding").is_some_and(|value| value.ends_with("chunked")) {
+        return Ok(join_chunks(rest)?.map(|bytes| Body { bytes, keeps_connection }));
     }
-    match header("content-length").map(|digits| digits.parse::<usize>()) {
-        Some(Ok(length)) if length <= LONGEST_BODY => {
-            let keeps_connection = keeps && rest.len() == length;
-            Ok(rest.get(..length).map(|body| Body { bytes: body.to_vec(), keeps_connection }))
-        }
-        Some(_) => Err(BadResponse::Length),
-        None => Ok(ended.then(|| Body { bytes: rest.to_vec(), keeps_connection: false })),
+    if let Some(value) = header(&head, "content-length") {
+        let length = content_length(value)?;
+        let keeps_connection = keeps_connection && rest.len() == length;
+        return Ok(rest.get(..length).map(|body| Body { bytes: body.to_vec(), keeps_connection }));
+    }
+    // Without a length, the body goes on to the end of the stream.
+    Ok((stream == StreamState::Ended).then(|| Body { bytes: rest.to_vec(), keeps_connection: false }))
+}
+
+/// The value of a header in lower case, if it is there.
+fn header(head: &httparse::Response<'_, '_>, name: &str) -> Option<String> {
+    let found = head.headers.iter().find(|header| header.name.eq_ignore_ascii_case(name))?;
+    Some(String::from_utf8_lossy(found.value).trim().to_ascii_lowercase())
+}
+
+fn content_length(value: String) -> Result<usize, InvalidResponse> {
+    match value.parse() {
+        Ok(length) if length <= MAX_BODY_BYTES => Ok(length),
+        Ok(found) => Err(InvalidResponse::BodyTooLong { found }),
+        Err(_) => Err(InvalidResponse::ContentLength { found: value }),
     }
 }
 
-fn chunks(mut rest: &[u8]) -> Result<Option<Vec<u8>>, BadResponse> {
+/// The chunks of a body joined, or `None` if they are not complete yet.
+fn join_chunks(mut rest: &[u8]) -> Result<Option<Vec<u8>>, InvalidResponse> {
     let mut body = Vec::new();
     loop {
         let (start, length) = match httparse::parse_chunk_size(rest) {
             Ok(httparse::Status::Complete((start, length))) => (start, length as usize),
             Ok(httparse::Status::Partial) => return Ok(None),
-            Err(_) => return Err(BadResponse::Length),
+            Err(_) => return Err(InvalidResponse::ChunkSize),
         };
-        if length > LONGEST_BODY {
-            return Err(BadResponse::Length);
+        if length > MAX_BODY_BYTES {
+            return Err(InvalidResponse::BodyTooLong { found: length });
         }
         rest = &rest[start..];
         if length == 0 {
-            // Trailers are passed over; an empty line ends them.
-            let ended = rest.starts_with(b"\r\n") || rest.windows(4).any(|four| four == b"\r\n\r\n");
-            return Ok(ended.then_some(body));
+            // Trailers are skipped. An empty line ends them.
+            let is_complete = rest.starts_with(b"\r\n") || rest.windows(4).any(|four| four == b"\r\n\r\n");
+            return Ok(is_complete.then_some(body));
         }
-        let Some(piece) = rest.get(..length + 2) else { return Ok(None) };
-        body.extend(&piece[..length]);
+        let Some(chunk) = rest.get(..length + 2) else { return Ok(None) };
+        body.extend(&chunk[..length]);
         rest = &rest[length + 2..];
     }
 }
--- a/crates/router/src/serve.rs
+++ b/crates/router/src/serve.rs
@@ -11,7 +11,7 @@
 use crate::budget::Accounts;
 use crate::client::Clients;
 use crate::descriptors::Descriptors;
-use crate::discovery::DiscoveryClient;
+use crate::discovery::{DiscoveryClient, DiscoveryParams};
 use crate::drain;
 use crate::engine::Engine;
 use crate::events;
@@ -43,14 +43,15 @@
     let listener_slot = descriptors.take().await;
     let (engine, work) = Engine::new(launch.seed, deployment);
     events::whose(&launch.name, engine.clock.now().as_micros() as u64);
-    let (discovery, known) = DiscoveryClient::new(
-        launch.discovery,
+    let (discovery, known) = DiscoveryClient::new(DiscoveryParams {
+        address: launch.discovery,
         deployment,
-        &launch.known,
-        launch.seed,
-        engine.clock,
-        (Rc::clone(&executor), &descriptors),
-    )
+        cached: &launch.known,
+        seed: launch.seed,
+        clock: engine.clock,
+        executor: Rc::clone(&executor),
+        descriptors: &descriptors,
+    })
     .await;
     engine.endpoints_changed(EndpointUpdate::CachedSnapshot, &known);
     let ties = Rc::new(Ties::open(&briefing.parts, &engine, &descriptors, launch.seed).await?);
--- a/crates/router/tests/crossings.rs
+++ b/crates/router/tests/crossings.rs
@@ -355,7 +355,7 @@
     stream.read_exact(&mut [0; 4]).unwrap();
     stream.write_all(b"HTTP/1.1 200 OK\r\n\r\n{\"rev\":9,\"all\":true,\"targets\":[]}").unwrap();
     drop(stream);
-    router.await_line("list call failed");
+    router.await_line("poll of the endpoint list failed");
     assert_eq!(router.client().rpc("enter", 9000), ok(), "the node is known on");
 }
 
@@ -369,7 +369,7 @@
     drop(listener);
     let down = Discovery::start(list.clone()).told_at(address);
     let router = Running::start(&configuration(down.address, &list, 64));
-    router.await_line("list call failed");
+    router.await_line("poll of the endpoint list failed");
     let mut clients: Vec<Client> = (0..60).map(|_| router.client()).collect();
     let back = Instant::now();
     let drains = targets(&[(&primary, "primary", "in_service"), (&replica, "replica", "terminating")]);
--- a/crates/router/tests/lending.rs
+++ b/crates/router/tests/lending.rs
@@ -14,8 +14,8 @@
 use quillpoint_router::budget::Accounts;
 use quillpoint_router::config::Launch;
 use quillpoint_router::descriptors::Descriptors;
+use quillpoint_router::endpoint_list::EndpointParser;
 use quillpoint_router::engine::{Attempt, Engine, Order, Owed, Work};
-use quillpoint_router::list::Reader;
 use quillpoint_router::open_ids::OpenIds;
 use quillpoint_router::pool::Pool;
 use quillpoint_router::presence::{Presence, has_hung_up};
@@ -63,7 +63,7 @@
         let (engine, _work) = Engine::new(launch.seed, &launch.deployment);
         engine.endpoints_changed(
             EndpointUpdate::Snapshot,
-            &Reader::new(&launch.deployment).lines(&launch.known),
+            &EndpointParser::new(&launch.deployment).apply(&launch.known),
         );
         let accounts = Accounts::of(launch.memory);
         let descriptors = Descriptors::new(launch.sockets);
--- a/crates/router/tests/messages.rs
+++ b/crates/router/tests/messages.rs
@@ -1,4 +1,4 @@
-//! Messages, the comment and discovery's pages, by seeded random runs.
+//! Messages, the comment, HTTP responses and endpoint lists, by seeded random runs.
 
 use std::time::Duration;
 
@@ -6,8 +6,8 @@
 use quillpoint_memory_budget::Purpose::{Answers, Coming, Statements};
 use quillpoint_router::budget::{Accounts, Held};
 use quillpoint_router::config::Launch;
-use quillpoint_router::http;
-use quillpoint_router::list::{Page, Reader};
+use quillpoint_router::endpoint_list::{EndpointList, EndpointParser};
+use quillpoint_router::http::{self, StreamState};
 use quillpoint_router::pg::{self, Answer, Asked, Column, Opening, Reading, Said, Told};
 use quillpoint_router::statement::Statement;
 
@@ -182,7 +182,10 @@
                 let text = [b"/* id=1,", bytes, b"*/ SELECT"].concat();
                 _ = (Statement::parse(bytes.to_vec()), Statement::parse(text));
                 let answer = [b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", bytes].concat();
-                _ = (http::body(bytes, true), http::body(&answer, true));
+                _ = (
+                    http::parse_body(bytes, StreamState::Ended),
+                    http::parse_body(&answer, StreamState::Ended),
+                );
             }
         }) as fn(Mangled, Vec<u8>),
     );
@@ -293,13 +296,15 @@
                 [format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len()).as_bytes(), body]
                     .concat();
             [chunked, sized].iter().all(|bytes| {
-                let cut = (0..bytes.len()).all(|cut| http::body(&bytes[..cut], false).unwrap().is_none());
-                cut && http::body(bytes, false).unwrap()
+                let open = StreamState::Open;
+                let cut =
+                    (0..bytes.len()).all(|cut| http::parse_body(&bytes[..cut], open).unwrap().is_none());
+                cut && http::parse_body(bytes, open).unwrap()
                     == Some(http::Body { bytes: body.to_vec(), keeps_connection: true })
             })
         }) as fn(Vec<u8>) -> bool,
     );
-    assert!(http::body(b"HTTP/1.1 503 Busy\r\n\r\n", false).is_err());
+    assert!(http::parse_body(b"HTTP/1.1 503 Busy\r\n\r\n", StreamState::Open).is_err());
 }
 
 const SETTINGS: &str = r#"{"name":"n0","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"5",
@@ -310,27 +315,28 @@
 fn a_machine_that_moves_is_its_old_node_gone_and_a_new_one_come() {
     use quillpoint::host::EndpointStatus::{Draining, InService, Removed};
     let tree = serde_json::from_str(SETTINGS).unwrap();
-    let mut reader = Reader::new(&Launch::from_tree(&tree, |_| None).unwrap().deployment);
-    let mut lines = |all: bool, entries: &[(&str, u16, &str)]| {
+    let mut parser = EndpointParser::new(&Launch::from_tree(&tree, |_| None).unwrap().deployment);
+    let mut endpoints = |all: bool, entries: &[(&str, u16, &str)]| {
         let entry = |(uid, port, state): &(&str, u16, &str)| {
             serde_json::json!({"uid": uid, "endpoint": format!("127.0.0.1:{port}"), "az": "y", "model": "n",
                 "pod_group": 3, "state": state, "boot_ms": 1500, "role": "replica"})
         };
         let targets: Vec<_> = entries.iter().map(entry).collect();
-        let page = Page::of(&serde_json::json!({"rev": 1, "all": all, "targets": targets})).unwrap();
-        let lines = reader.lines(&page);
-        lines
+        let list =
+            EndpointList::from_json(&serde_json::json!({"rev": 1, "all": all, "targets": targets})).unwrap();
+        let endpoints = parser.apply(&list);
+        endpoints
             .iter()
-            .map(|line| (line.node.0.port(), line.condition, line.zone.0, line.kind))
+            .map(|endpoint| (endpoint.node.0.port(), endpoint.condition, endpoint.zone.0, endpoint.kind))
             .collect::<Vec<_>>()
     };
     assert_eq!(
-        lines(true, &[("a", 1, "in_service"), ("b", 2, "terminating")]),
+        endpoints(true, &[("a", 1, "in_service"), ("b", 2, "terminating")]),
         [(1, InService, 1, 1), (2, Draining, 1, 1)]
     );
-    assert_eq!(lines(false, &[("a", 3, "in_service")]), [(1, Removed, 1, 1), (3, InService, 1, 1)]);
+    assert_eq!(endpoints(false, &[("a", 3, "in_service")]), [(1, Removed, 1, 1), (3, InService, 1, 1)]);
     assert_eq!(
-        lines(true, &[("a", 3, "terminated"), ("b", 4, "in_service")]),
+        endpoints(true, &[("a", 3, "terminated"), ("b", 4, "in_service")]),
         [(3, Removed, 1, 1), (2, Removed, 1, 1), (4, InService, 1, 1)]
     );
 }
