--- a/crates/datagram/tests/envelopes.rs
+++ b/crates/datagram/tests/envelopes.rs
@@ -5,13 +5,14 @@
 
 use quickcheck::{Gen, QuickCheck};
 use quillpoint_datagram::keys::Keyring;
-use quillpoint_datagram::{LONGEST, Opener, Refusal, Sealer};
+use quillpoint_datagram::{MAX_DATAGRAM_BYTES, OpenError, Opener, Sealer};
 use quillpoint_membership::ids::MAX_PEER_NAME_BYTES;
 use quillpoint_membership::{
     GossipBody, GossipMessage, Incarnation, MemberRecord, MemberState, MemberVersion, PeerName,
 };
 use quillpoint_observation_feed::message::{
-    CHANGES_ALONG, CLASSES, Chunk, DigestNo, ENTRIES_ALONG, LagClass, PARTITIONS, PartitionId, Revision,
+    DigestNumber, LAG_CLASSES, LagClass, MAX_CHANGES_PER_DIGEST, MAX_ENTRIES_PER_CHUNK, PARTITIONS,
+    PartitionId, Revision, SnapshotChunk,
 };
 use quillpoint_observation_feed::{Change, Digest, Entry, Envelope, Message, NodeStatus, encoded_size};
 
@@ -23,39 +24,39 @@
 }
 
 fn envelope(from: &str, start: u64, message: Message) -> Envelope {
-    Envelope { from: PeerName::new(from).unwrap(), start: Incarnation(start), message }
+    Envelope { from: PeerName::new(from).unwrap(), incarnation: Incarnation(start), message }
 }
 
 fn entry(started: Option<Duration>) -> Entry {
-    Entry { primary: Some(true), started, standing: NodeStatus::Seen(LagClass(7)) }
+    Entry { primary: Some(true), started, status: NodeStatus::Seen(LagClass(7)) }
 }
 
 fn digest(changes: usize) -> Message {
     let node: SocketAddr = "[2001:db8:ffff:ffff:ffff:ffff:ffff:ffff]:65535".parse().unwrap();
     let change = Change { revision: Revision(u32::MAX), node, entry: Some(entry(LONG_AGO)) };
     Message::Digest(Digest {
-        number: DigestNo(u32::MAX),
+        number: DigestNumber(u32::MAX),
         sent: LONG_AGO.unwrap(),
         age: Duration::new(10, 999_999_999),
-        watermarks: [LONG_AGO; CLASSES],
+        watermarks: [LONG_AGO; LAG_CLASSES],
         revisions: vec![Revision(u32::MAX); PARTITIONS],
         changes: vec![change; changes],
-        period: Duration::new(3600, 999_999_999),
-        routers: u32::MAX,
+        health_check_period: Duration::new(3600, 999_999_999),
+        router_count: u32::MAX,
     })
 }
 
-fn taken(opener: &mut Opener<Envelope>, bytes: &[u8]) -> Result<Envelope, Refusal> {
+fn taken(opener: &mut Opener<Envelope>, bytes: &[u8]) -> Result<Envelope, OpenError> {
     opener.open(&keys("a"), OWN, bytes)
 }
 
 #[test]
 fn an_envelope_passes_once() {
-    let (mut sealer, mut opener) = (Sealer::default(), Opener::of(4));
+    let (mut sealer, mut opener) = (Sealer::default(), Opener::new(4));
     let sent = envelope("c1", 5, digest(2));
     let bytes = sealer.seal(&keys("a"), Some(OWN), &sent).unwrap();
     assert_eq!(taken(&mut opener, &bytes), Ok(sent));
-    assert_eq!(taken(&mut opener, &bytes), Err(Refusal::Replayed));
+    assert_eq!(taken(&mut opener, &bytes), Err(OpenError::Replayed));
 }
 
 #[test]
@@ -65,27 +66,32 @@
     for node in ["[2001:db8:ffff:ffff:ffff:ffff:ffff:ffff]:65535", "255.255.255.255:65535", "1.1.1.1:1"] {
         let node: SocketAddr = node.parse().unwrap();
         for started in [None, LONG_AGO] {
-            let (part, revision, entry) = (PartitionId(63), Revision(u32::MAX), entry(started));
-            let chunk = |alike| Chunk { part, revision, place: 126, of: 127, alike };
+            let (partition, revision, entry) = (PartitionId(63), Revision(u32::MAX), entry(started));
+            let chunk = |groups| SnapshotChunk { partition, revision, index: 126, chunk_count: 127, groups };
             // One entry that holds for many, or as many entries that hold for one each.
-            let fits = |chunk: &Chunk| encoded_size::chunk(chunk) <= encoded_size::ROOM;
+            let fits = |chunk: &SnapshotChunk| encoded_size::chunk(chunk) <= encoded_size::MAX_PAYLOAD_BYTES;
             let many = |count| chunk(vec![(entry, vec![node; count])]);
             let single = |count| chunk(vec![(entry, vec![node]); count]);
-            let many = (1..ENTRIES_ALONG).map(many).take_while(fits).last().unwrap();
-            let single = (1..ENTRIES_ALONG).map(single).take_while(fits).last().unwrap();
+            let many = (1..MAX_ENTRIES_PER_CHUNK).map(many).take_while(fits).last().unwrap();
+            let single = (1..MAX_ENTRIES_PER_CHUNK).map(single).take_while(fits).last().unwrap();
             let change = Change { revision, node, entry: Some(entry) };
             let Message::Digest(mut digest) = digest(0) else { unreachable!() };
-            while encoded_size::digest(&digest) + encoded_size::change(&change) <= encoded_size::ROOM
-                && digest.changes.len() < CHANGES_ALONG
+            while encoded_size::digest(&digest) + encoded_size::change(&change)
+                <= encoded_size::MAX_PAYLOAD_BYTES
+                && digest.changes.len() < MAX_CHANGES_PER_DIGEST
             {
                 digest.changes.push(change);
             }
-            assert!(digest.changes.len() > 10 && many.alike[0].1.len() > 25 && single.alike.len() > 10);
+            assert!(digest.changes.len() > 10 && many.groups[0].1.len() > 25 && single.groups.len() > 10);
             let pull = Message::Pull((0..PARTITIONS as u8).map(PartitionId).collect());
             for message in [Message::Digest(digest), Message::Chunk(many), Message::Chunk(single), pull] {
                 let sealed =
                     Sealer::default().seal(&keys("a"), Some(OWN), &envelope(&name, u64::MAX, message));
-                assert!(sealed.as_ref().is_ok_and(|bytes| bytes.len() <= LONGEST), "{:?}", sealed.err());
+                assert!(
+                    sealed.as_ref().is_ok_and(|bytes| bytes.len() <= MAX_DATAGRAM_BYTES),
+                    "{:?}",
+                    sealed.err()
+                );
             }
         }
     }
@@ -96,24 +102,27 @@
     let mut sealer = Sealer::default();
     let sent = envelope("c1", 5, digest(1));
     let good = sealer.seal(&keys("a"), Some(OWN), &sent).unwrap();
-    let mut opener = Opener::of(4);
+    let mut opener = Opener::new(4);
     let of_others = sealer.seal(&keys("b"), Some(OWN), &sent).unwrap();
-    assert_eq!(taken(&mut opener, &of_others), Err(Refusal::UnknownKey));
+    assert_eq!(taken(&mut opener, &of_others), Err(OpenError::UnknownKey));
     // The id of a key is no secret: whoever writes it into a datagram has no key by that.
     let mut forged = of_others;
     forged[3..7].copy_from_slice(&good[3..7]);
-    assert_eq!(taken(&mut opener, &forged), Err(Refusal::Forged));
+    assert_eq!(taken(&mut opener, &forged), Err(OpenError::Forged));
     for session in [Some(Incarnation(78)), None] {
         let bytes = sealer.seal(&keys("a"), session, &sent).unwrap();
-        assert_eq!(taken(&mut opener, &bytes), Err(Refusal::OtherSession), "only asking may leave it open");
+        assert_eq!(taken(&mut opener, &bytes), Err(OpenError::OtherSession), "only asking may leave it open");
     }
     let asking = sealer.seal(&keys("a"), None, &envelope("r1", 5, Message::Subscribe)).unwrap();
     assert!(taken(&mut opener, &asking).is_ok());
-    for message in
-        [Message::Pull(vec![PartitionId(1)]), Message::Unsubscribe, Message::Leaving, Message::Full]
-    {
+    for message in [
+        Message::Pull(vec![PartitionId(1)]),
+        Message::Unsubscribe,
+        Message::Leaving,
+        Message::SubscriptionRejected,
+    ] {
         let bytes = sealer.seal(&keys("a"), None, &envelope("r1", 5, message)).unwrap();
-        assert_eq!(taken(&mut opener, &bytes), Err(Refusal::OtherSession));
+        assert_eq!(taken(&mut opener, &bytes), Err(OpenError::OtherSession));
     }
     for bit in 0..good.len() * 8 {
         let mut bytes = good.clone();
@@ -121,7 +130,7 @@
         assert!(taken(&mut opener, &bytes).is_err(), "bit {bit}");
     }
     assert!((0..good.len()).all(|cut| taken(&mut opener, &good[..cut]).is_err()));
-    assert_eq!(taken(&mut opener, &good), Ok(sent), "none of them spoilt the window");
+    assert_eq!(taken(&mut opener, &good), Ok(sent), "none of them changed the window");
 }
 
 #[test]
@@ -134,21 +143,21 @@
         weight: 1,
         state: MemberState::Up,
     };
-    let letter = GossipMessage { from: card, body: GossipBody::JoinRequest, records: Vec::new() };
+    let message = GossipMessage { from: card, body: GossipBody::JoinRequest, records: Vec::new() };
     let (mut sealer, keys) = (Sealer::default(), keys("a"));
-    let mut letter = sealer.seal(&keys, None, &letter).unwrap();
+    let mut gossip = sealer.seal(&keys, None, &message).unwrap();
     let mut asking = sealer.seal(&keys, None, &envelope("r1", 5, Message::Subscribe)).unwrap();
-    assert_eq!(Opener::<Envelope>::of(4).open(&keys, OWN, &letter), Err(Refusal::OtherKind));
-    assert_eq!(Opener::<GossipMessage>::default().open(&keys, OWN, &asking), Err(Refusal::OtherKind));
-    // Nor by another word in its head.
-    (letter[1], asking[1]) = (asking[1], letter[1]);
-    assert_eq!(Opener::<Envelope>::of(4).open(&keys, OWN, &letter), Err(Refusal::Forged));
-    assert_eq!(Opener::<GossipMessage>::default().open(&keys, OWN, &asking), Err(Refusal::Forged));
+    assert_eq!(Opener::<Envelope>::new(4).open(&keys, OWN, &gossip), Err(OpenError::OtherKind));
+    assert_eq!(Opener::<GossipMessage>::default().open(&keys, OWN, &asking), Err(OpenError::OtherKind));
+    // Nor by another word in its header.
+    (gossip[1], asking[1]) = (asking[1], gossip[1]);
+    assert_eq!(Opener::<Envelope>::new(4).open(&keys, OWN, &gossip), Err(OpenError::Forged));
+    assert_eq!(Opener::<GossipMessage>::default().open(&keys, OWN, &asking), Err(OpenError::Forged));
 }
 
 #[test]
 fn a_sender_whose_clock_went_back_over_a_restart_is_heard_and_its_old_words_are_not_again() {
-    let (keys, mut opener) = (keys("a"), Opener::<Envelope>::of(4));
+    let (keys, mut opener) = (keys("a"), Opener::<Envelope>::new(4));
     let sealed = |sealer: &mut Sealer, start| {
         sealer.seal(&keys, Some(OWN), &envelope("c1", start, digest(0))).unwrap()
     };
@@ -157,7 +166,7 @@
     let mut after = Sealer::default();
     for _ in 0..3 {
         assert!(opener.open(&keys, OWN, &sealed(&mut after, 4)).is_ok());
-        assert_eq!(opener.open(&keys, OWN, &old), Err(Refusal::Replayed));
+        assert_eq!(opener.open(&keys, OWN, &old), Err(OpenError::Replayed));
     }
 }
 
@@ -168,14 +177,18 @@
         sealer.seal(&keys, None, &envelope(&format!("r{place}"), 5, Message::Subscribe)).unwrap()
     };
     for most in [1, 3, 2000] {
-        let mut opener = Opener::<Envelope>::of(most);
+        let mut opener = Opener::<Envelope>::new(most);
         let first = asking(0);
         assert!(opener.open(&keys, OWN, &first).is_ok());
         let others: Vec<_> = (1..most).map(&mut asking).collect();
         assert!(others.iter().all(|bytes| opener.open(&keys, OWN, bytes).is_ok()));
         let again = others.last().unwrap_or(&first);
-        assert_eq!(opener.open(&keys, OWN, again), Err(Refusal::Replayed));
-        assert_eq!(opener.open(&keys, OWN, &first), Err(Refusal::Replayed), "all of so many are remembered");
+        assert_eq!(opener.open(&keys, OWN, again), Err(OpenError::Replayed));
+        assert_eq!(
+            opener.open(&keys, OWN, &first),
+            Err(OpenError::Replayed),
+            "all of so many are remembered"
+        );
         // One more, and whoever has been silent longest is forgotten.
         let more: Vec<_> = (most..=most * 2).map(&mut asking).collect();
         assert!(more.iter().all(|bytes| opener.open(&keys, OWN, bytes).is_ok()));
@@ -191,8 +204,8 @@
         let mut bytes = [head[..23].to_vec(), noise].concat();
         bytes.extend(blake3::keyed_hash(&[0xaa; 32], &bytes).as_bytes());
         matches!(
-            Opener::<Envelope>::of(4).open(&keys("a"), OWN, &bytes),
-            Ok(_) | Err(Refusal::Garbled | Refusal::OtherSession)
+            Opener::<Envelope>::new(4).open(&keys("a"), OWN, &bytes),
+            Ok(_) | Err(OpenError::Garbled | OpenError::OtherSession)
         )
     }
     QuickCheck::new()
--- a/crates/router/src/discovery.rs
+++ b/crates/router/src/discovery.rs
@@ -107,13 +107,13 @@
         for _ in 0..SOCKETS {
             slots.push(descriptors.take().await);
         }
-        let start = if deployment.list_comes { WatchStart::Immediate } else { WatchStart::OnRequest };
+        let start = if deployment.pushes_endpoints { WatchStart::Immediate } else { WatchStart::OnRequest };
         let (report_sender, reports) = async_channel::unbounded();
         let client = Self {
             address,
             parser,
             versions: ListVersions::new((!endpoints.is_empty()).then_some(cached.version)),
-            watch: DiscoveryWatch::new(deployment.ask_every, start, seed),
+            watch: DiscoveryWatch::new(deployment.poll_interval, start, seed),
             kept_connection: None,
             newest: None,
             late: VecDeque::new(),
@@ -262,7 +262,7 @@
         let waited_ms = self.waited_ms(poll);
         let stopped: Vec<String> = endpoints
             .iter()
-            .filter(|endpoint| endpoint.condition != EndpointStatus::InService)
+            .filter(|endpoint| endpoint.status != EndpointStatus::InService)
             .map(|endpoint| endpoint.node.0.to_string())
             .collect();
         let named = stopped[..stopped.len().min(MAX_NODES_NAMED)].join(" ");
--- a/crates/router/src/endpoint_list.rs
+++ b/crates/router/src/endpoint_list.rs
@@ -82,7 +82,7 @@
         let before = if list.is_snapshot { std::mem::take(&mut self.by_uid) } else { BTreeMap::new() };
         for entry in list.entries.iter().filter_map(read_entry) {
             let endpoint = self.endpoint(&entry);
-            let previous = match endpoint.condition {
+            let previous = match endpoint.status {
                 EndpointStatus::Removed => self.by_uid.remove(&entry.uid),
                 _ => self.by_uid.insert(entry.uid.clone(), endpoint.clone()),
             };
@@ -90,7 +90,7 @@
             if let Some(previous) = previous.or_else(|| before.get(&entry.uid).cloned())
                 && previous.node != endpoint.node
             {
-                endpoints.push(Endpoint { condition: EndpointStatus::Removed, ..previous });
+                endpoints.push(Endpoint { status: EndpointStatus::Removed, ..previous });
             }
             endpoints.push(endpoint);
         }
@@ -100,23 +100,23 @@
     /// The endpoints of a list that are draining or removed. Nothing of it is remembered.
     pub fn draining_or_removed(&self, list: &EndpointList) -> Vec<Endpoint> {
         let endpoints = list.entries.iter().filter_map(read_entry).map(|entry| self.endpoint(&entry));
-        endpoints.filter(|endpoint| endpoint.condition != EndpointStatus::InService).collect()
+        endpoints.filter(|endpoint| endpoint.status != EndpointStatus::InService).collect()
     }
 
     fn endpoint(&self, entry: &Entry) -> Endpoint {
         let index = |names: &[String], name: &str| names.iter().position(|known| known == name).unwrap_or(0);
         Endpoint {
             node: NodeId(entry.address),
-            group: ReplicaSetId(entry.replica_set),
+            replica_set: ReplicaSetId(entry.replica_set),
             zone: ZoneId(index(&self.zones, &entry.zone)),
             kind: index(&self.kinds, &entry.kind),
             primary: entry.role == "primary",
-            condition: match entry.status {
+            status: match entry.status {
                 Status::InService => EndpointStatus::InService,
                 Status::Draining => EndpointStatus::Draining,
                 Status::Removed => EndpointStatus::Removed,
             },
-            started: Some(entry.started_ms).filter(|ms| *ms > 0.0).map(quillpoint_settings::span),
+            started: Some(entry.started_ms).filter(|ms| *ms > 0.0).map(quillpoint_settings::duration_from_ms),
         }
     }
 }
--- a/crates/router/src/engine.rs
+++ b/crates/router/src/engine.rs
@@ -21,7 +21,7 @@
 
 use crate::deployment::Deployment;
 use crate::line::Reach;
-use crate::pg::Answer;
+use crate::pg::QueryResult;
 use crate::statement::Statement;
 
 /// Unix time, read once, with a monotonic clock on top: it never goes back.
@@ -47,7 +47,7 @@
 pub enum Order {
     Attempt(Attempt),
     /// Final answers. A value comes with the position that its node told, of a write its commit.
-    Answer(Answer, Option<Duration>),
+    Answer(QueryResult, Option<Duration>),
     PushBack(Duration),
     /// With how its last attempt ended, if one has.
     Abort(Option<Outcome>),
@@ -103,7 +103,7 @@
 /// What a node's answer told.
 #[derive(Default)]
 pub struct Heard {
-    pub answer: Option<Answer>,
+    pub answer: Option<QueryResult>,
     pub role: Option<Role>,
     pub position: Option<Duration>,
     pub report: Option<LoadReport>,
@@ -170,7 +170,7 @@
     fn abort(&mut self, rpc: RpcId) {
         self.0.finish(rpc, |live| Order::Abort(live.last));
     }
-    fn probe(&mut self, node: NodeId) {
+    fn health_check(&mut self, node: NodeId) {
         _ = self.0.chores.try_send(Chore::Probe(node));
     }
     fn close_idle(&mut self, node: NodeId) {
@@ -316,14 +316,14 @@
         };
         let took = now.saturating_sub(at);
         let (role, position, report) = (heard.role, heard.position, heard.report);
-        let end = AttemptEnd { rpc, call, node, outcome, finished, took, role, position, report };
+        let end = AttemptEnd { rpc, attempt: call, node, outcome, finished, took, role, position, report };
         self.router.borrow_mut().attempt_ended(now, end);
         // A commit is rounded up, so that as a position it is told a millisecond lower.
         let position = position.map(|at| at.saturating_sub(Duration::from_millis(1)));
         let position = position.max(report.and_then(|report| report.position));
         if position.is_some() || role.is_some() {
             let primary = role.map(|role| role == Role::Primary);
-            let waiting = report.and_then(|report| report.waiting);
+            let waiting = report.and_then(|report| report.queued);
             self.share(node, at, false, false, (position, primary, waiting));
         }
     }
@@ -389,7 +389,7 @@
 
     /// Whether only an own probe tells this router anything of the node.
     pub fn is_shut(&self, node: NodeId) -> bool {
-        self.router.borrow().is_shut(node)
+        self.router.borrow().is_ejected(node)
     }
 
     /// The nodes on the list, with the places of their zones.
@@ -419,7 +419,7 @@
     /// What a statement of this method reaches.
     pub fn reach(&self, method: MethodId, statement: &Statement) -> Reach {
         let Known { writes, fresh, .. } = self.methods[method.0];
-        Reach { group: statement.group, key: statement.session, writes, fresh }
+        Reach { group: statement.replica_set, key: statement.session, writes, fresh }
     }
 
     /// The shortest deadline of a method, and the longest.
@@ -449,7 +449,7 @@
         let now = self.clock.now();
         let known = &self.methods[method.0];
         let left = self.ends.get().map_or(Duration::MAX, |end| end.saturating_sub(now));
-        let wait = statement.wait.min(known.deadline).saturating_sub(arrived.elapsed());
+        let wait = statement.remaining.min(known.deadline).saturating_sub(arrived.elapsed());
         let remaining = wait.min(left);
         if wait.is_zero() {
             return None;
@@ -458,18 +458,18 @@
         // Counted here: a client's own id could come twice, and must not mix up two RPCs.
         let id = RpcId(self.next_rpc.get());
         self.next_rpc.set(id.0 + 1);
-        let group = statement.group;
+        let group = statement.replica_set;
         self.catch_up(group);
         let live = Live { mailbox, group, deadline: now + remaining, attempts: 0, last: None };
         self.desk.live.borrow_mut().insert(id, live);
-        let after = statement.after.max(written);
+        let after = statement.last_write.max(written);
         // By the clock that the module reads too: later by a little, the mark would lie past the commit.
         self.tell(|router, now| {
             let rpc = Rpc {
                 id,
                 method,
                 session: statement.session.filter(|_| known.has_sessions),
-                group,
+                replica_set: group,
                 remaining,
                 work: None,
                 since_write: after.map(|at| now.saturating_sub(at)),
@@ -507,7 +507,7 @@
         self.tell(|router, now| router.health_check_ended(now, node, outcome, report));
         let failed = !matches!(outcome, Outcome::Ok | Outcome::Error | Outcome::Rejected);
         let report = report.filter(|_| !failed).unwrap_or_default();
-        self.share(node, asked, true, failed, (report.position, report.primary, report.waiting));
+        self.share(node, asked, true, failed, (report.position, report.primary, report.queued));
     }
 
     pub fn endpoints_changed(&self, extent: EndpointUpdate, lines: &[Endpoint]) {
--- a/crates/router/tests/instance.rs
+++ b/crates/router/tests/instance.rs
@@ -60,15 +60,15 @@
             "Extra": {"Checks": "none", "ClassBoundMs": [5000], "NeedsByClass": ["recent"]},
             "Feedback": {"Fields": ["x0", "x1"], "Source": "answers"}, "Tariffs": {"Probe": 0.001},
         });
-        let deployment = Deployment::of(quillpoint_settings::flat_tree(&settings)).unwrap();
+        let deployment = Deployment::new(quillpoint_settings::settings_from_json(&settings)).unwrap();
         let (engine, work) = Engine::new(3, &deployment);
         let listed = |place| Endpoint {
             node: node(place),
-            group: ReplicaSetId(0),
+            replica_set: ReplicaSetId(0),
             zone: ZoneId(0),
             kind: 0,
             primary: false,
-            condition: EndpointStatus::InService,
+            status: EndpointStatus::InService,
             started: None,
         };
         engine.endpoints_changed(EndpointUpdate::Snapshot, &[listed(0), listed(1)]);
@@ -92,10 +92,10 @@
         };
         let name = PeerName::new("c1").unwrap();
         let plan = publisher::PublisherParams {
-            period,
-            every: Duration::from_millis(100),
-            copy_rate: 1e6,
-            most_subscribers: 10,
+            health_check_period: period,
+            digest_interval: Duration::from_millis(100),
+            snapshot_bytes_per_second: 1e6,
+            max_subscribers: 10,
         };
         let publish =
             PublisherConfig { name: name.clone(), listen: local(), keys: keys(), plan, letters: 20_000 };
--- a/crates/router/tests/lending.rs
+++ b/crates/router/tests/lending.rs
@@ -12,14 +12,14 @@
 use quillpoint::host::EndpointUpdate;
 use quillpoint_memory_budget::Purpose;
 use quillpoint_router::budget::Accounts;
-use quillpoint_router::config::Launch;
+use quillpoint_router::config::StartupOptions;
 use quillpoint_router::descriptors::Descriptors;
 use quillpoint_router::endpoint_list::EndpointParser;
 use quillpoint_router::engine::{Attempt, Engine, Order, Owed, Work};
 use quillpoint_router::open_ids::OpenIds;
 use quillpoint_router::pool::Pool;
 use quillpoint_router::presence::{Presence, has_hung_up};
-use quillpoint_router::statement::{Kept, Statement};
+use quillpoint_router::statement::{InFlightStatement, Statement};
 use standin::{Discovery, Greets, Node, VALUE, configuration, count, statement, targets};
 
 /// Far longer than anything here takes.
@@ -45,7 +45,7 @@
 /// An RPC that has come, and its client's end of the connection.
 struct Asked {
     owed: Owed,
-    kept: Rc<Kept>,
+    kept: Rc<InFlightStatement>,
     session: Rc<Async<TcpStream>>,
     client: TcpStream,
 }
@@ -59,15 +59,15 @@
             assert!(text.contains(from), "{from}");
             text.replace(from, to)
         });
-        let launch = Launch::from_tree(&serde_json::from_str(&text).unwrap(), |_| None).unwrap();
-        let (engine, _work) = Engine::new(launch.seed, &launch.deployment);
+        let options = StartupOptions::from_json(&serde_json::from_str(&text).unwrap(), |_| None).unwrap();
+        let (engine, _work) = Engine::new(options.seed, &options.deployment);
         engine.endpoints_changed(
             EndpointUpdate::Snapshot,
-            &EndpointParser::new(&launch.deployment).apply(&launch.known),
+            &EndpointParser::new(&options.deployment).apply(&options.known),
         );
-        let accounts = Accounts::of(launch.memory);
-        let descriptors = Descriptors::new(launch.sockets);
-        let pool = Pool::new(Rc::clone(executor), descriptors, accounts.clone(), &launch.deployment);
+        let accounts = Accounts::of(options.memory_bytes);
+        let descriptors = Descriptors::new(options.max_sockets);
+        let pool = Pool::new(Rc::clone(executor), descriptors, accounts.clone(), &options.deployment);
         executor.spawn(Rc::clone(&pool).close_old()).detach();
         let timed = Rc::clone(&engine);
         executor.spawn(async move { timed.keep_time().await }).detach();
@@ -83,10 +83,10 @@
         let method = self.engine.method(&statement.method).unwrap();
         let arrived = self.engine.rpc_arrived(method, &statement, Instant::now(), None);
         let owed = arrived.expect("its time is not over");
-        let kept = Kept {
+        let kept = InFlightStatement {
             client: Presence::new(Rc::downgrade(&session)),
-            _memory: self.accounts.hold(Purpose::Statements, statement.size()).unwrap(),
-            _open: self.open_ids.open(statement.id.clone()).unwrap(),
+            memory: self.accounts.hold(Purpose::Statements, statement.size()).unwrap(),
+            open_id: self.open_ids.open(statement.id.clone()).unwrap(),
             statement,
         };
         Asked { owed, kept: Rc::new(kept), session, client }
