--- a/crates/router/tests/messages.rs
+++ b/crates/router/tests/messages.rs
@@ -291,7 +291,7 @@
 }
 
 #[test]
-fn a_page_is_read_cut_at_any_byte_and_chunked_anyhow() {
+fn a_response_is_parsed_cut_at_any_byte_and_chunked_anyhow() {
     check(
         (|sizes: Vec<u8>| {
             let body = br#"{"rev":7,"all":true,"targets":[]}"#;
