--- a/crates/router/src/discovery.rs
+++ b/crates/router/src/discovery.rs
@@ -20,7 +20,7 @@
 };
 
 use crate::deployment::Deployment;
-use crate::descriptors::{Descriptors, Slot};
+use crate::descriptors::{DescriptorLimiter, DescriptorPermit};
 use crate::endpoint_list::{EndpointList, EndpointParser};
 use crate::endpoint_poll::{Connection, EndpointPoll, PollAnswer, PollError};
 use crate::engine::{Clock, Engine};
@@ -45,7 +45,7 @@
     /// Runs the polls.
     pub executor: Rc<LocalExecutor<'static>>,
     /// Where the sockets of the polls are counted.
-    pub descriptors: &'a Rc<Descriptors>,
+    pub descriptors: &'a Rc<DescriptorLimiter>,
 }
 
 /// A poll that has been made and has not ended.
@@ -94,7 +94,7 @@
     clock: Clock,
     executor: Rc<LocalExecutor<'static>>,
     /// Held for as long as the router runs, so that no client can have them while discovery is down.
-    _slots: Vec<Slot>,
+    _permits: Vec<DescriptorPermit>,
 }
 
 impl DiscoveryClient {
@@ -103,9 +103,9 @@
         let DiscoveryParams { address, deployment, cached, seed, clock, executor, descriptors } = params;
         let mut parser = EndpointParser::new(deployment);
         let endpoints = parser.apply(cached);
-        let mut slots = Vec::new();
+        let mut permits = Vec::new();
         for _ in 0..SOCKETS {
-            slots.push(descriptors.take().await);
+            permits.push(descriptors.acquire().await);
         }
         let start = if deployment.pushes_endpoints { WatchStart::Immediate } else { WatchStart::OnRequest };
         let (report_sender, reports) = async_channel::unbounded();
@@ -122,7 +122,7 @@
             reports,
             clock,
             executor,
-            _slots: slots,
+            _permits: permits,
         };
         (client, endpoints)
     }
--- a/crates/router/src/statement.rs
+++ b/crates/router/src/statement.rs
@@ -12,9 +12,9 @@
 
 use quillpoint::host::{ReplicaSetId, SessionKey};
 
-use crate::budget::Held;
-use crate::open_ids::OpenId;
-use crate::presence::Presence;
+use crate::active_request_ids::ActiveRequestId;
+use crate::budget::Reservation;
+use crate::socket_liveness::ClientLiveness;
 
 use comment::Comment;
 pub use error::StatementError;
@@ -48,11 +48,11 @@
     /// The statement.
     pub statement: Statement,
     /// Whether its client is still there.
-    pub client: Presence,
+    pub client: ClientLiveness,
     /// The memory that is reserved for its text.
-    pub memory: Held,
+    pub memory: Reservation,
     /// Its id, which no other RPC here can have meanwhile.
-    pub open_id: OpenId,
+    pub open_id: ActiveRequestId,
 }
 
 impl Statement {
--- a/crates/router/tests/endpoint_polls.rs
+++ b/crates/router/tests/endpoint_polls.rs
@@ -14,8 +14,8 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use quillpoint_router::presence::has_hung_up;
-use standin::{Client, Node, Reply, Running, VALUE, configuration, targets};
+use quillpoint_router::socket_liveness::peer_has_closed;
+use standin::{Client, Node, Reply, RouterProcess, VALUE, configuration, targets};
 
 /// The time in which a drain is to be obeyed, in these tests' settings.
 const DRAIN_GRACE: Duration = Duration::from_millis(1000);
@@ -62,7 +62,7 @@
         let mut most = 0;
         while let Some(left) = end.checked_duration_since(Instant::now()) {
             open.extend(self.polls.recv_timeout(left));
-            open.retain(|poll| !has_hung_up(&poll.stream));
+            open.retain(|poll| !peer_has_closed(&poll.stream));
             most = most.max(open.len());
         }
         most
@@ -120,7 +120,7 @@
 struct Installation {
     nodes: [Node; 3],
     discovery: ManualDiscovery,
-    router: Running,
+    router: RouterProcess,
 }
 
 impl Installation {
@@ -128,7 +128,7 @@
     fn start() -> Self {
         let (nodes, discovery) = ([true, false, false].map(Node::start), ManualDiscovery::start());
         let before = Self::list(&nodes, "in_service");
-        let router = Running::start(&configuration(discovery.address, &before, 200));
+        let router = RouterProcess::start(&configuration(discovery.address, &before, 200));
         Self { nodes, discovery, router }
     }
 
