--- a/crates/router/src/config.rs
+++ b/crates/router/src/config.rs
@@ -7,7 +7,7 @@
 
 use crate::config_error::ConfigError;
 use crate::deployment::Deployment;
-use crate::list::Page;
+use crate::endpoint_list::EndpointList;
 
 /// Descriptors that are no sockets of peers: the standard streams, the reactor's own, the signal pipe.
 const RESERVED_DESCRIPTORS: usize = 16;
@@ -31,7 +31,7 @@
     /// How many bytes the router may take in all.
     pub memory_bytes: u64,
     /// The endpoint list as this router had it last.
-    pub known: Page,
+    pub known: EndpointList,
     /// What holds for all routers.
     pub deployment: Deployment,
 }
@@ -169,10 +169,10 @@
     Deployment::new(quillpoint_settings::settings_from_json(json))
 }
 
-fn known_endpoints(json: &Json) -> Result<Page, ConfigError> {
+fn known_endpoints(json: &Json) -> Result<EndpointList, ConfigError> {
     if json.is_null() {
-        return Ok(Page::default());
+        return Ok(EndpointList::default());
     }
-    Page::of(json)
+    EndpointList::from_json(json)
         .map_err(|error| ConfigError::invalid("known", "a list of nodes in discovery's form", error))
 }
--- a/crates/router/src/engine.rs
+++ b/crates/router/src/engine.rs
@@ -102,7 +102,8 @@
 
     /// Whether RPCs are taken: the endpoint list has come, or has been waited for long enough.
     pub fn is_ready(&self) -> bool {
-        self.has_endpoint_list.get() || self.clock.uptime() >= quillpoint_discovery_watch::READY
+        self.has_endpoint_list.get()
+            || self.clock.uptime() >= quillpoint_discovery_watch::SERVE_WITHOUT_LIST_AFTER
     }
 
     /// How many RPCs are pending.
--- a/crates/router/src/serve.rs
+++ b/crates/router/src/serve.rs
@@ -12,7 +12,7 @@
 use crate::client::{ClientResources, ClientSessions};
 use crate::control_connections::ControlConnections;
 use crate::descriptors::DescriptorLimiter;
-use crate::discovery::DiscoveryClient;
+use crate::discovery::{DiscoveryClient, DiscoveryParams};
 use crate::drain;
 use crate::engine::Engine;
 use crate::events;
@@ -47,14 +47,15 @@
     let listener_permit = descriptors.acquire().await;
     let (engine, outputs) = Engine::new(startup.seed, deployment);
     events::set_origin(&startup.name, engine.clock.now().as_micros() as u64);
-    let (discovery, known) = DiscoveryClient::new(
-        startup.discovery,
+    let (discovery, known) = DiscoveryClient::new(DiscoveryParams {
+        address: startup.discovery,
         deployment,
-        &startup.known,
-        startup.seed,
-        engine.clock,
-        (Rc::clone(&executor), &descriptors),
-    )
+        cached: &startup.known,
+        seed: startup.seed,
+        clock: engine.clock,
+        executor: Rc::clone(&executor),
+        descriptors: &descriptors,
+    })
     .await;
     engine.endpoints_changed(EndpointUpdate::CachedSnapshot, &known);
     let connections =
--- a/crates/router/tests/connection_checkout.rs
+++ b/crates/router/tests/connection_checkout.rs
@@ -15,8 +15,8 @@
 use quillpoint_router::budget::SharedBudget;
 use quillpoint_router::config::StartupOptions;
 use quillpoint_router::descriptors::DescriptorLimiter;
+use quillpoint_router::endpoint_list::EndpointParser;
 use quillpoint_router::engine::{Attempt, Command, Engine, EngineOutputs, PendingResponse};
-use quillpoint_router::list::Reader;
 use quillpoint_router::pool::ConnectionPool;
 use quillpoint_router::socket_liveness::{ClientLiveness, peer_has_closed};
 use quillpoint_router::statement::{InFlightStatement, Statement};
@@ -63,7 +63,7 @@
         let (engine, _outputs) = Engine::new(options.seed, &options.deployment);
         engine.endpoints_changed(
             EndpointUpdate::Snapshot,
-            &Reader::new(&options.deployment).lines(&options.known),
+            &EndpointParser::new(&options.deployment).apply(&options.known),
         );
         let budget = SharedBudget::new(options.memory_bytes);
         let descriptors = DescriptorLimiter::new(options.max_sockets);
