--- /dev/null
+++ b/crates/router/tests/standin/client.rs
@@ -0,0 +1,126 @@
+//! A client of a router, and its statements.
+
+use std::io::Write;
+use std::net::{SocketAddr, TcpStream};
+use std::sync::atomic::{AtomicUsize, Ordering};
+
+use quillpoint_router::pg::{self, BackendMessage};
+use quillpoint_testbed::store::next;
+
+use super::NEVER;
+
+/// How a query was answered.
+#[derive(Clone, Debug, PartialEq)]
+pub enum Reply {
+    Value(Vec<u8>),
+    /// The code, and the field D.
+    Error(String, Option<String>),
+    Empty,
+    /// The connection ended without an answer.
+    Closed,
+}
+
+pub struct Client {
+    pub stream: TcpStream,
+    unread: Vec<u8>,
+}
+
+impl Client {
+    pub fn connect(address: SocketAddr) -> Self {
+        Self::connect_with(address, &[])
+    }
+
+    /// With a first query right behind the startup.
+    pub fn connect_and_query(address: SocketAddr, text: &str) -> Self {
+        let mut query = Vec::new();
+        pg::encode_query(&mut query, text.as_bytes());
+        Self::connect_with(address, &query)
+    }
+
+    fn connect_with(address: SocketAddr, query: &[u8]) -> Self {
+        let mut client = Self::from_stream(TcpStream::connect(address).unwrap());
+        client.send(query);
+        client
+    }
+
+    /// On a connection of the test's own making.
+    pub fn from_stream(stream: TcpStream) -> Self {
+        Self::try_from_stream(stream).unwrap()
+    }
+
+    /// # Errors
+    /// The connection has ended.
+    pub fn try_from_stream(stream: TcpStream) -> std::io::Result<Self> {
+        stream.set_read_timeout(Some(NEVER))?;
+        let mut client = Self { stream, unread: Vec::new() };
+        let mut out = Vec::new();
+        pg::encode_startup(&mut out, "portal", "crm");
+        client.stream.write_all(&out)?;
+        Ok(client)
+    }
+
+    pub fn send(&mut self, bytes: &[u8]) {
+        self.stream.write_all(bytes).unwrap();
+    }
+
+    /// The next message of a router.
+    pub fn next_message(&mut self) -> Option<BackendMessage> {
+        next(&mut self.stream, &mut self.unread, pg::decode_backend_message)
+    }
+
+    /// Closes its sending, and waits until the router has taken notice.
+    pub fn disconnect(mut self) {
+        self.stream.shutdown(std::net::Shutdown::Write).unwrap();
+        while self.next_message().is_some() {}
+    }
+
+    pub fn send_query(&mut self, text: &str) {
+        let mut out = Vec::new();
+        pg::encode_query(&mut out, text.as_bytes());
+        self.send(&out);
+    }
+
+    /// Up to the ReadyForQuery that follows an answer.
+    pub fn reply(&mut self) -> Reply {
+        let mut reply = Reply::Closed;
+        loop {
+            match self.next_message() {
+                None => return reply,
+                Some(BackendMessage::DataRow(value)) => reply = Reply::Value(value.unwrap()),
+                Some(BackendMessage::EmptyQueryResponse) => reply = Reply::Empty,
+                Some(BackendMessage::ErrorResponse { code, detail, .. }) => {
+                    reply = Reply::Error(code, detail)
+                }
+                Some(BackendMessage::ReadyForQuery) if reply != Reply::Closed => return reply,
+                Some(_) => {}
+            }
+        }
+    }
+
+    /// Queries on a connection that may have been closed.
+    pub fn try_query(&mut self, text: &str) -> Reply {
+        let sent = self.stream.write_all(&pg::query_message(text.as_bytes()));
+        sent.map_or(Reply::Closed, |()| self.reply())
+    }
+
+    pub fn try_rpc(&mut self, class: &str, wait_ms: u64) -> Reply {
+        self.try_query(&statement(class, wait_ms))
+    }
+
+    pub fn rpc(&mut self, class: &str, wait_ms: u64) -> Reply {
+        self.send_query(&statement(class, wait_ms));
+        self.reply()
+    }
+}
+
+/// A statement under an id of its own.
+pub fn statement(class: &str, wait_ms: u64) -> String {
+    static NEXT: AtomicUsize = AtomicUsize::new(0);
+    let id = NEXT.fetch_add(1, Ordering::SeqCst);
+    let verb = if class == "enter" {
+        "INSERT INTO facts (code, data) VALUES ('7f3a', '\\x9f03') RETURNING data"
+    } else {
+        "SELECT data FROM facts WHERE code = '7f3a'"
+    };
+    format!("/* id=9b1f03aa{id:08x},c={class},d={wait_ms},cluster=0,k=ab12 */ {verb}")
+}
