--- a/crates/simulator/src/command.rs
+++ b/crates/simulator/src/command.rs
@@ -8,8 +8,9 @@
 use lexopt::Parser;
 use lexopt::prelude::{Long, Short, Value, ValueExt};
 
-use crate::experiment::{self, Experiment};
-use crate::plot::{Axes, Line};
+use crate::experiment::{self, Experiment, Unusable};
+use crate::feed_run::TooLarge;
+use crate::plot::{Axes, Line, PlotError};
 use crate::{detectors, feed_run, plot, record};
 
 const HELP: &str = "\
@@ -36,6 +37,31 @@
 /// The status for a fault of the command line or of a file.
 const MISUSED: u8 = 2;
 
+/// What is wrong with the command line, or with a file that it names.
+#[derive(Debug, thiserror::Error)]
+enum CommandError {
+    #[error(transparent)]
+    Option(#[from] lexopt::Error),
+    #[error("--fault: expected restart, stop, cut, control or control-all, found {0}")]
+    UnknownFault(String),
+    #[error("expected run, check, plot, detectors, feed or schema, found {0}")]
+    UnknownCommand(String),
+    #[error("plot: expected --x, --y and --to, found {0}")]
+    IncompletePlot(String),
+    #[error("{}: expected a figure of each run, found no {figure}", record.display())]
+    NoFigure { record: PathBuf, figure: String },
+    #[error(transparent)]
+    Experiment(#[from] Unusable),
+    #[error(transparent)]
+    FeedSizes(#[from] TooLarge),
+    #[error(transparent)]
+    Plot(#[from] PlotError),
+    #[error(transparent)]
+    Io(#[from] std::io::Error),
+    #[error(transparent)]
+    Json(#[from] serde_json::Error),
+}
+
 #[derive(Default)]
 struct Words {
     deed: Vec<String>,
@@ -68,7 +94,7 @@
     }
 }
 
-fn read(mut words: Parser) -> Result<Option<Words>, lexopt::Error> {
+fn read(mut words: Parser) -> Result<Option<Words>, CommandError> {
     let mut told = Words::default();
     while let Some(word) = words.next()? {
         match word {
@@ -92,16 +118,16 @@
             Long("fault") => {
                 let name = words.value()?.string()?;
                 let fault = feed_run::Fault::named(&name);
-                told.feed.fault = Some(fault.ok_or_else(|| format!("there is no such fault: {name}"))?);
+                told.feed.fault = Some(fault.ok_or(CommandError::UnknownFault(name))?);
             }
             Value(word) if told.deed.len() < 2 => told.deed.push(word.string()?),
-            other => return Err(other.unexpected()),
+            other => return Err(other.unexpected().into()),
         }
     }
     Ok(if told.deed.is_empty() { None } else { Some(told) })
 }
 
-fn obey(words: &Words) -> Result<(), Box<dyn std::error::Error>> {
+fn obey(words: &Words) -> Result<(), CommandError> {
     let deed: Vec<&str> = words.deed.iter().map(String::as_str).collect();
     match deed.as_slice() {
         ["schema"] => println!("{}", serde_json::to_string_pretty(&experiment::schema())?),
@@ -113,7 +139,7 @@
         ["detectors"] => compare(words.record.as_deref())?,
         ["feed"] => feed(&words.feed, words.record.as_deref())?,
         ["plot", file] => draw(Path::new(file), words)?,
-        other => return Err(format!("there is no such deed: {}", other.join(" ")).into()),
+        other => return Err(CommandError::UnknownCommand(other.join(" "))),
     }
     Ok(())
 }
@@ -144,7 +170,7 @@
     Ok(())
 }
 
-fn feed(sizes: &feed_run::Sizes, to: Option<&Path>) -> Result<(), Box<dyn std::error::Error>> {
+fn feed(sizes: &feed_run::Sizes, to: Option<&Path>) -> Result<(), CommandError> {
     let outcome = sizes.play()?;
     println!(
         "{} routers, {} nodes, {} control instances, {}:",
@@ -189,13 +215,14 @@
     Ok(())
 }
 
-fn draw(file: &Path, words: &Words) -> Result<(), Box<dyn std::error::Error>> {
+fn draw(file: &Path, words: &Words) -> Result<(), CommandError> {
     let (Some(x), Some(y), Some(to)) = (&words.x, &words.y, &words.to) else {
-        return Err("a plot needs --x, --y and --to".into());
+        return Err(CommandError::IncompletePlot(given_plot_options(words)));
     };
     let runs = record::read(file)?;
     let figure = |run: &record::Run, name: &str| {
-        run.figure(name).ok_or_else(|| format!("{}: no figure {name}", file.display()))
+        run.figure(name)
+            .ok_or_else(|| CommandError::NoFigure { record: file.to_path_buf(), figure: name.to_string() })
     };
     let mut lines = Vec::new();
     for (shared, name) in [(true, "shared"), (false, "each alone")] {
@@ -210,5 +237,13 @@
     }
     lines.retain(|line| !line.points.is_empty());
     let title = words.title.clone().unwrap_or_else(|| format!("{y} by {x}"));
-    plot::lines(to, &Axes { title: &title, x, y }, &lines)
+    plot::lines(to, &Axes { title: &title, x, y }, &lines)?;
+    Ok(())
+}
+
+fn given_plot_options(words: &Words) -> String {
+    let given = [("--x", words.x.is_some()), ("--y", words.y.is_some()), ("--to", words.to.is_some())];
+    let given: Vec<&str> =
+        given.into_iter().filter(|(_, is_given)| *is_given).map(|(name, _)| name).collect();
+    if given.is_empty() { "none of them".to_string() } else { format!("only {}", given.join(" and ")) }
 }
--- a/crates/testbed/src/bin/capacity.rs
+++ b/crates/testbed/src/bin/capacity.rs
@@ -1,7 +1,7 @@
 //! `measure/capacity`: writes the tables of `docs/CAPACITY.md` from the records under `docs/measurements`, and draws what
 //! it links to.
 
-use std::error::Error;
+use std::io;
 use std::path::PathBuf;
 use std::process::ExitCode;
 
@@ -16,7 +16,18 @@
   --check            writes nothing, and ends with status 1 where the page is not what the records say
 ";
 
-fn run() -> Result<ExitCode, Box<dyn Error>> {
+/// Why the page cannot be held against the records.
+#[derive(Debug, thiserror::Error)]
+enum CapacityError {
+    #[error(transparent)]
+    Option(#[from] lexopt::Error),
+    #[error("{}: expected a page that can be read and written, {error}", page.display())]
+    Page { page: PathBuf, error: io::Error },
+    #[error(transparent)]
+    Records(#[from] capacity::Fault),
+}
+
+fn run() -> Result<ExitCode, CapacityError> {
     let mut page = PathBuf::from("docs/CAPACITY.md");
     let mut records = PathBuf::from("docs/measurements");
     let mut check = false;
@@ -33,7 +44,8 @@
             other => return Err(other.unexpected().into()),
         }
     }
-    let old = std::fs::read_to_string(&page).map_err(|error| format!("{}: {error}", page.display()))?;
+    let page_error = |error| CapacityError::Page { page: page.clone(), error };
+    let old = std::fs::read_to_string(&page).map_err(page_error)?;
     let new = capacity::fill(&old, &records)?;
     if !check {
         capacity::draw(&records)?.iter().for_each(|file| println!("{}: drawn", records.join(file).display()));
@@ -44,7 +56,7 @@
         println!("{}: not what the records say", page.display());
         return Ok(ExitCode::FAILURE);
     } else {
-        std::fs::write(&page, new)?;
+        std::fs::write(&page, new).map_err(page_error)?;
         println!("{}: written", page.display());
     }
     Ok(ExitCode::SUCCESS)
--- a/crates/testbed/src/bin/duties.rs
+++ b/crates/testbed/src/bin/duties.rs
@@ -9,6 +9,7 @@
 
 use hdrhistogram::Histogram;
 use lexopt::prelude::{Long, ValueExt};
+use plotters::drawing::DrawingAreaErrorKind;
 use plotters::prelude::*;
 use quillpoint_testbed::listing::{Entry, Listing, targets};
 use quillpoint_testbed::load::{Load, Outages};
@@ -270,13 +271,21 @@
     busy.chain(quiet).map(entry).collect()
 }
 
+/// A plot that cannot be drawn.
+#[derive(Debug, thiserror::Error)]
+#[error("{}: expected to write a plot, {error}", path.display())]
+struct PlotError {
+    path: PathBuf,
+    error: DrawingAreaErrorKind<std::io::Error>,
+}
+
 /// The longest time that ended in each second in which nothing told any router of some node, and when kills were.
 fn plot(
     path: &std::path::Path,
     bench: &Bench,
     from: Duration,
     kills: &[Duration],
-) -> Result<(), Box<dyn std::error::Error>> {
+) -> Result<(), DrawingAreaErrorKind<std::io::Error>> {
     let seconds = (now() - from).as_secs() as usize;
     let mut longest = vec![0.0_f64; seconds + 1];
     for node in bench.nodes() {
@@ -384,7 +393,7 @@
     bench.phase("kills", from, &routers, &before);
     if let Some(path) = &wanted.plot {
         let drawn = plot(path, &bench, from, &killed);
-        drawn.map_err(|error| std::io::Error::other(format!("{}: {error}", path.display())))?;
+        drawn.map_err(|error| std::io::Error::other(PlotError { path: path.clone(), error }))?;
     }
     sleep(SETTLED);
 
--- a/crates/testbed/src/bin/fit.rs
+++ b/crates/testbed/src/bin/fit.rs
@@ -1,10 +1,11 @@
 //! `measure/fit`: what the runs of a record say of other sizes. Writes the fits into the record, in place of older ones.
 
-use std::error::Error;
+use std::io;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
 use lexopt::prelude::{Long, Value, ValueExt};
+use quillpoint_simulator::plot::PlotError;
 use quillpoint_testbed::fit::{self, FEWEST_SIZES};
 use quillpoint_testbed::record::{self, Axis, Fit, Line};
 use quillpoint_testbed::{chart, simulated};
@@ -21,6 +22,27 @@
 Records are those of measure/scale, and those of quillpoint-simulator, whose runs are then entered as simulated.
 ";
 
+/// What is wrong with the command line, or with a record.
+#[derive(Debug, thiserror::Error)]
+enum FitError {
+    #[error(transparent)]
+    Option(#[from] lexopt::Error),
+    #[error("--axis: expected routers, databases, connections, statements or changes, found {0:?}")]
+    UnknownAxis(String),
+    #[error("expected a record, found none")]
+    NoRecord,
+    #[error("--to: expected a file for what is made of {0} records, found none")]
+    NoTarget(usize),
+    #[error("--plot: expected --figure and --axis beside it, found {0}")]
+    IncompletePlot(&'static str),
+    #[error("expected a figure at {FEWEST_SIZES} sizes of an axis with all else held, found none")]
+    NothingToFit,
+    #[error(transparent)]
+    Plot(#[from] PlotError),
+    #[error(transparent)]
+    Record(#[from] io::Error),
+}
+
 struct Wanted {
     records: Vec<PathBuf>,
     to: Option<PathBuf>,
@@ -29,7 +51,7 @@
     axis: Option<Axis>,
 }
 
-fn wanted() -> Result<Option<Wanted>, Box<dyn Error>> {
+fn wanted() -> Result<Option<Wanted>, FitError> {
     let mut wanted = Wanted { records: Vec::new(), to: None, plot: None, figure: None, axis: None };
     let mut words = lexopt::Parser::from_env();
     while let Some(word) = words.next()? {
@@ -40,7 +62,7 @@
             Long("axis") => {
                 let name = words.value()?.string()?;
                 let axis = Axis::ALL.into_iter().find(|axis| axis.name() == name);
-                wanted.axis = Some(axis.ok_or_else(|| format!("there is no axis {name:?}"))?);
+                wanted.axis = Some(axis.ok_or(FitError::UnknownAxis(name))?);
             }
             Long("help") => return Ok(None),
             Value(record) => wanted.records.push(record.into()),
@@ -48,15 +70,15 @@
         }
     }
     if wanted.records.is_empty() {
-        return Err("a record is needed".into());
+        return Err(FitError::NoRecord);
     }
     if wanted.plot.is_none() && wanted.to.is_none() && wanted.records.len() > 1 {
-        return Err("--to is needed to make one record of several".into());
+        return Err(FitError::NoTarget(wanted.records.len()));
     }
     Ok(Some(wanted))
 }
 
-fn read(path: &Path) -> Result<Vec<Line>, Box<dyn Error>> {
+fn read(path: &Path) -> Result<Vec<Line>, FitError> {
     Ok(if simulated::is_record(path)? { simulated::read(path)? } else { record::read(path)? })
 }
 
@@ -77,23 +99,23 @@
     }
 }
 
-fn obey(wanted: &Wanted) -> Result<(), Box<dyn Error>> {
+fn obey(wanted: &Wanted) -> Result<(), FitError> {
     let mut lines = Vec::new();
     for record in &wanted.records {
         lines.extend(read(record)?);
     }
     lines.retain(|line| matches!(line, Line::Run { .. }));
     if let Some(path) = &wanted.plot {
-        let (Some(figure), Some(axis)) = (&wanted.figure, wanted.axis) else {
-            return Err("a plot needs --figure and --axis".into());
+        return match (&wanted.figure, wanted.axis) {
+            (Some(figure), Some(axis)) => Ok(chart::draw(path, &lines, axis, figure)?),
+            (Some(_), None) => Err(FitError::IncompletePlot("--figure")),
+            (None, Some(_)) => Err(FitError::IncompletePlot("--axis")),
+            (None, None) => Err(FitError::IncompletePlot("neither")),
         };
-        return chart::draw(path, &lines, axis, figure);
     }
     let fits = fit::fit_all(&lines);
     if fits.is_empty() {
-        return Err(
-            format!("no figure was played at {FEWEST_SIZES} sizes of an axis with all else held").into()
-        );
+        return Err(FitError::NothingToFit);
     }
     fits.iter().for_each(print);
     lines.extend(fits.into_iter().map(Line::Fit));
--- a/crates/testbed/src/bin/scale.rs
+++ b/crates/testbed/src/bin/scale.rs
@@ -47,16 +47,27 @@
     programs: Programs,
 }
 
-fn mode(word: &str) -> Result<Mode, lexopt::Error> {
+/// What is wrong with the command line.
+#[derive(Debug, thiserror::Error)]
+enum UsageError {
+    #[error(transparent)]
+    Option(#[from] lexopt::Error),
+    #[error("mode: expected off, shared or feed, found {0}")]
+    UnknownMode(String),
+    #[error(transparent)]
+    Bound(#[from] report::BoundError),
+}
+
+fn mode(word: &str) -> Result<Mode, UsageError> {
     match word {
         "off" => Ok(Mode::Off),
         "shared" => Ok(Mode::Shared),
         "feed" => Ok(Mode::Feed),
-        other => Err(format!("mode: expected off, shared or feed, found {other}").into()),
+        other => Err(UsageError::UnknownMode(other.to_string())),
     }
 }
 
-fn wanted() -> Result<Option<Wanted>, lexopt::Error> {
+fn wanted() -> Result<Option<Wanted>, UsageError> {
     let mut sizes = sizes::usual(Mode::Shared, 200, 250);
     let (mut one, mut long, mut quiet, mut with_cpu) = (false, false, false, true);
     let (mut real, mut control, mut processes, mut fault) = (None, None, None, None);
@@ -93,7 +104,7 @@
             Long("program") => programs.router = words.value()?.into(),
             Long("folder") => programs.folder = words.value()?.into(),
             Long("help") => return Ok(None),
-            other => return Err(other.unexpected()),
+            other => return Err(other.unexpected().into()),
         }
     }
     programs.router = std::fs::canonicalize(&programs.router).unwrap_or(programs.router);
--- a/crates/testbed/src/capacity.rs
+++ b/crates/testbed/src/capacity.rs
@@ -14,6 +14,7 @@
 use std::path::Path;
 
 use asks::{PLAYED, SECTIONS, SIMULATED, Side};
+use quillpoint_simulator::plot::PlotError;
 pub use rows::is_simulated;
 
 use crate::fit;
@@ -32,6 +33,8 @@
     NoEnd(String),
     #[error("the page's marker {0} is not known")]
     Unknown(String),
+    #[error(transparent)]
+    Plot(#[from] PlotError),
 }
 
 /// The records that the rows rest on, by name. One that is not there holds nothing.
@@ -121,7 +124,7 @@
 ///
 /// # Errors
 /// A record cannot be read or has not been fitted, or a file cannot be written.
-pub fn draw(folder: &Path) -> Result<Vec<String>, Box<dyn std::error::Error>> {
+pub fn draw(folder: &Path) -> Result<Vec<String>, Fault> {
     let books = Books::read(folder)?;
     let mut drawn = Vec::new();
     for (file, figure, axis) in tables::drawings(&books) {
--- a/crates/testbed/src/chart.rs
+++ b/crates/testbed/src/chart.rs
@@ -1,9 +1,8 @@
 //! A figure of a record against a size, as SVG by the lab's plotter.
 
-use std::error::Error;
 use std::path::Path;
 
-use quillpoint_simulator::plot::{self, Axes};
+use quillpoint_simulator::plot::{self, Axes, PlotError};
 
 use crate::fit::{self, MOST_ERROR};
 use crate::record::{Axis, Fit, Form, Line, Mode};
@@ -24,7 +23,7 @@
 ///
 /// # Errors
 /// The file cannot be written, or there is nothing to draw.
-pub fn draw(path: &Path, lines: &[Line], axis: Axis, figure: &str) -> Result<(), Box<dyn Error>> {
+pub fn draw(path: &Path, lines: &[Line], axis: Axis, figure: &str) -> Result<(), PlotError> {
     let mut drawn = Vec::new();
     for mode in Mode::ALL {
         let Some(played) = fit::points(lines, axis, mode, figure) else { continue };
--- a/crates/testbed/src/scale/report.rs
+++ b/crates/testbed/src/scale/report.rs
@@ -12,14 +12,25 @@
 use crate::scale::bounds;
 use crate::scale::play::{Failed, Play, Programs, play};
 
+/// A text of the command line that is no bound.
+#[derive(Debug, PartialEq, Eq, thiserror::Error)]
+pub enum BoundError {
+    /// It has no `=`.
+    #[error("bound: expected FIGURE=VALUE, found {0}")]
+    InvalidForm(String),
+    /// What stands behind the `=` is no number.
+    #[error("bound: expected FIGURE=VALUE, found {0}")]
+    InvalidValue(String),
+}
+
 /// A bound as the command line says it.
 ///
 /// # Errors
 /// It is no `FIGURE=VALUE`.
-pub fn bound(text: &str) -> Result<(String, f64), String> {
-    let fault = || format!("bound: expected FIGURE=VALUE, found {text}");
-    let (figure, value) = text.split_once('=').ok_or_else(fault)?;
-    Ok((figure.to_string(), value.parse().map_err(|_| fault())?))
+pub fn bound(text: &str) -> Result<(String, f64), BoundError> {
+    let (figure, value) = text.split_once('=').ok_or_else(|| BoundError::InvalidForm(text.to_string()))?;
+    let value = value.parse().map_err(|_| BoundError::InvalidValue(text.to_string()))?;
+    Ok((figure.to_string(), value))
 }
 
 /// The last line.
