--- a/crates/datagram/src/payload.rs
+++ b/crates/datagram/src/payload.rs
@@ -46,7 +46,7 @@
     const LATEST_INCARNATION_ONLY: bool = false;
 
     fn sender(&self) -> Sender<'_> {
-        Sender { name: &self.from, incarnation: self.start }
+        Sender { name: &self.from, incarnation: self.incarnation }
     }
 
     fn is_request(&self) -> bool {
--- a/crates/testbed/src/capacity/asks.rs
+++ b/crates/testbed/src/capacity/asks.rs
@@ -5,7 +5,9 @@
 
 use quillpoint_membership::membership::MAX_PEERS;
 use quillpoint_membership::message::MAX_JOIN_REPLY_RECORDS;
-use quillpoint_observation_feed::health_check_quota::{CROWD, TIMES};
+use quillpoint_observation_feed::health_check_quota::{
+    ISOLATED_RATE_MULTIPLE, MAX_ROUTERS_PER_NODE_AND_PERIOD,
+};
 
 use crate::listing;
 use crate::record::{Axis, Mode};
@@ -660,7 +662,11 @@
                 "probes a second, no control instance left, the mean over all databases",
                 feed,
                 Budget::None,
-                computed(&[TIMES, PROBES_S], 1.0, "crates/observation-feed/src/health_check_quota.rs"),
+                computed(
+                    &[ISOLATED_RATE_MULTIPLE, PROBES_S],
+                    1.0,
+                    "crates/observation-feed/src/health_check_quota.rs",
+                ),
                 "observation-feed: paced share",
             ),
             ask(
@@ -668,7 +674,11 @@
                 "probes a second, no control instance left, at one that all use, over time no more than",
                 feed,
                 Budget::None,
-                computed(&[CROWD, PROBES_S], 1.0, "crates/observation-feed/src/health_check_quota.rs"),
+                computed(
+                    &[MAX_ROUTERS_PER_NODE_AND_PERIOD, PROBES_S],
+                    1.0,
+                    "crates/observation-feed/src/health_check_quota.rs",
+                ),
                 "observation-feed: paced share",
             ),
             // Each probes it once before its floor has passed, and nothing but chance keeps them from the same second.
--- a/src/attempt_check.rs
+++ b/src/attempt_check.rs
@@ -1,4 +1,5 @@
-//! The attempt check: the five rules that every attempt passes when it is ordered, and again right before its first byte.
+//! The attempt check: the five rules that every attempt passes when it is ordered, and again right before its first
+//! byte.
 //!
 //! 1. Only a request without a final answer is sent, and only while the answer is of use.
 //! 2. What may have run is sent again only as its method allows.
@@ -16,9 +17,9 @@
 use crate::router::Router;
 
 /// Present answer times after which an attempt counts as lost: by chance 1 in 33. A node that loses some attempts would
-/// else have its limit filled by them until they time out.
+/// otherwise have its limit filled by them until they time out.
 const LOST_ANSWER_TIMES: f64 = 3.5;
-/// The least present answer time that is reckoned with, in seconds.
+/// The least present answer time that is used, in seconds.
 const MIN_ANSWER_TIME_S: f64 = 1e-3;
 /// The least timeout of an attempt.
 const MIN_TIMEOUT: Duration = Duration::from_millis(1);
@@ -38,7 +39,7 @@
         self.passes_attempt_check(now, id, node, CheckPoint::Order)
     }
 
-    /// Whether the attempt passes all five rules.
+    /// Whether the attempt passes all five rules, in the order 1, 2, 3, 5, 4.
     fn passes_attempt_check(&self, now: Duration, id: RpcId, node: NodeId, point: CheckPoint) -> bool {
         let (Some(request), Some(state)) = (self.pending.get(&id), self.nodes.get(&node)) else {
             return false;
--- a/src/concurrency_limit.rs
+++ b/src/concurrency_limit.rs
@@ -5,11 +5,11 @@
 
 use std::time::Duration;
 
+use crate::attempt_evidence::AttemptEvidence;
 use crate::connection_shortage::ConnectResult;
 use crate::host::{AttemptEnd, Host, Outcome};
 use crate::moving_average::SAMPLE_WEIGHT;
 use crate::node_state::NodeState;
-use crate::outlier_detection::AttemptEvidence;
 use crate::router::Router;
 
 /// Limit at a node until answers tell, of all routers together.
@@ -22,7 +22,7 @@
 const UNQUEUED_LATENCY_TOLERANCE: f64 = 2.0;
 /// The limit shrinks by half at the most for one answer, before the answer's weight.
 const MIN_LIMIT_RATIO: f64 = 0.5;
-/// Guards the ratio against division by zero.
+/// The least relative latency that is used: answers that take no time would divide by zero.
 const MIN_RELATIVE_LATENCY: f64 = 0.1;
 /// The part of a limit that must be in use for it to grow.
 const GROWTH_UTILIZATION: f64 = 0.7;
@@ -32,7 +32,7 @@
 const REJECTED_REST: Duration = Duration::from_millis(50);
 /// So many rests may be saved up, as requests come in clumps.
 const SAVED_RESTS: u32 = 3;
-/// The longest rest after one answer: after a jam, a rest must not outlast it by much.
+/// The longest rest after one answer: after an overload, a rest must not outlast it by much.
 const MAX_REST: Duration = Duration::from_millis(10_000);
 /// A latency of all zones past this lengthens the rests, by its square.
 const CROWDED_LATENCY: f64 = 1.5;
@@ -90,7 +90,7 @@
 impl<H: Host> Router<H> {
     /// A node that is full, or has no connection left, is not answered with the next attempt at once. Where reports
     /// come with health checks alone, one of them must say that there is capacity again: hundreds of routers would
-    /// else come back after each rest.
+    /// otherwise come back after each rest.
     pub(crate) fn rest_after_rejection(
         &mut self,
         now: Duration,
