--- a/crates/conf/src/reader.rs
+++ b/crates/conf/src/reader.rs
@@ -35,10 +35,17 @@
     reader.draft.finish(path)
 }
 
+/// A file that is longer than any configuration.
+#[derive(Debug, thiserror::Error)]
+#[error("{bytes} bytes, where {MAX_FILE_BYTES} are the most")]
+struct FileTooLong {
+    bytes: u64,
+}
+
 fn load_file(path: &Path) -> io::Result<String> {
     let bytes = std::fs::metadata(path)?.len();
     if bytes > MAX_FILE_BYTES {
-        return Err(io::Error::other(format!("{bytes} bytes, where {MAX_FILE_BYTES} are the most")));
+        return Err(io::Error::other(FileTooLong { bytes }));
     }
     std::fs::read_to_string(path)
 }
--- a/crates/datagram/tests/datagrams.rs
+++ b/crates/datagram/tests/datagrams.rs
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn a_letter_passes_once() {
+fn a_message_passes_once() {
     let (keys, mut sealer, mut opener) = (keys("a"), Sealer::default(), Opener::default());
     let bytes = sealer.seal(&keys, Some(OWN), &ping()).unwrap();
     assert_eq!(opener.open(&keys, OWN, &bytes), Ok(ping()));
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn the_largest_letters_fit_a_datagram() {
+fn the_largest_messages_fit_a_datagram() {
     let name = "n".repeat(MAX_PEER_NAME_BYTES);
     let card = member_record(&name, u64::MAX);
     let news = Observation {
@@ -141,7 +141,7 @@
 }
 
 #[test]
-fn letters_out_of_order_pass_within_the_window() {
+fn messages_out_of_order_pass_within_the_window() {
     let (keys, mut sealer, mut opener) = (keys("a"), Sealer::default(), Opener::default());
     let all: Vec<Vec<u8>> = (0..600).map(|_| sealer.seal(&keys, Some(OWN), &ping()).unwrap()).collect();
     assert!(opener.open(&keys, OWN, &all[300]).is_ok());
--- a/crates/datagram/tests/gossip_size.rs
+++ b/crates/datagram/tests/gossip_size.rs
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn a_piece_of_news_takes_no_more_bytes_than_are_reckoned() {
+fn an_observation_takes_no_more_bytes_than_are_reckoned() {
     let empty = sealed_bytes(Vec::new());
     for node in ["[2001:db8:ffff:ffff:ffff:ffff:ffff:ffff]:65535", "255.255.255.255:65535", "1.1.1.1:1"] {
         for long in [true, false] {
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn findings_fill_letters_that_fit_a_datagram_beside_the_longest_cards() {
+fn observations_fill_messages_that_fit_a_datagram_beside_the_longest_records() {
     for v4 in [true, false] {
         for long in [true, false] {
             let node = |port: u16| match v4 {
--- a/crates/router/tests/messages.rs
+++ b/crates/router/tests/messages.rs
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn a_spoilt_answer_is_never_taken_for_one_with_other_lengths() {
+fn a_malformed_response_is_never_taken_for_one_with_other_lengths() {
     check(
         (|value: Vec<u8>, places: Vec<(usize, u8)>, cut: usize, extra: Vec<u8>| {
             let column = Column { name: b"data".to_vec(), type_oid: 17, type_size: u16::MAX, binary: true };
