--- a/crates/simulator/src/record.rs
+++ b/crates/simulator/src/record.rs
@@ -1,7 +1,7 @@
 //! What came of a run: one JSON object a line, each of which says all that it was made from.
 
 use std::io::{BufRead, BufReader, Write};
-use std::path::Path;
+use std::path::{Path, PathBuf};
 
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
@@ -48,14 +48,24 @@
     writeln!(file, "{}", serde_json::to_string(run)?)
 }
 
+/// A line of a record that is no run.
+#[derive(Debug, thiserror::Error)]
+#[error("{}:{number}: {error}", path.display())]
+struct InvalidLine {
+    path: PathBuf,
+    /// Counts from 1.
+    number: usize,
+    error: serde_json::Error,
+}
+
 /// # Errors
 /// The file cannot be read, or a line is no run; it is named.
 pub fn read(path: &Path) -> std::io::Result<Vec<Run>> {
     let mut runs = Vec::new();
     for (number, line) in (1..).zip(BufReader::new(std::fs::File::open(path)?).lines()) {
         let run = serde_json::from_str(&line?);
-        let told = |error| std::io::Error::other(format!("{}:{number}: {error}", path.display()));
-        runs.push(run.map_err(told)?);
+        let invalid = |error| InvalidLine { path: path.to_path_buf(), number, error };
+        runs.push(run.map_err(|error| std::io::Error::other(invalid(error)))?);
     }
     Ok(runs)
 }
--- a/crates/testbed/src/record.rs
+++ b/crates/testbed/src/record.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 use std::fs::File;
 use std::io::{self, BufRead, BufReader};
-use std::path::Path;
+use std::path::{Path, PathBuf};
 
 use serde::{Deserialize, Serialize};
 
@@ -151,13 +151,23 @@
     }
 }
 
+/// A line that is no record's.
+#[derive(Debug, thiserror::Error)]
+#[error("{}:{number}: {error}", path.display())]
+struct InvalidLine {
+    path: PathBuf,
+    /// Counts from 1.
+    number: usize,
+    error: serde_json::Error,
+}
+
 /// # Errors
 /// The file cannot be read, or a line of it is no record's; it is named.
 pub fn read(path: &Path) -> io::Result<Vec<Line>> {
     let mut lines = Vec::new();
     for (number, line) in (1..).zip(BufReader::new(File::open(path)?).lines()) {
-        let told = |error| io::Error::other(format!("{}:{number}: {error}", path.display()));
-        lines.push(serde_json::from_str(&line?).map_err(told)?);
+        let invalid = |error| InvalidLine { path: path.to_path_buf(), number, error };
+        lines.push(serde_json::from_str(&line?).map_err(|error| io::Error::other(invalid(error)))?);
     }
     Ok(lines)
 }
