--- a/crates/router/tests/platform_config.rs
+++ b/crates/router/tests/platform_config.rs
@@ -42,7 +42,10 @@
     assert_eq!(options.seed, 0x8c1f_30d2_7a5b_e964);
     assert_eq!(options.max_sockets, 1024 - 16);
     assert_eq!(options.memory_bytes, 192 << 20);
-    assert_eq!((options.known.rev, options.known.all, options.known.targets.len()), (41, true, 2));
+    assert_eq!(
+        (options.known.version, options.known.is_snapshot, options.known.entries.len()),
+        (41, true, 2)
+    );
 }
 
 #[test]
