--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -13,6 +13,8 @@
 //! - memory: [`budget::Reservation`], given back when it is dropped
 //! - ids of RPCs: [`active_request_ids::ActiveRequestId`], released when it is dropped
 
+#![warn(missing_docs)]
+
 pub mod active_request_ids;
 pub mod budget;
 pub mod client;
