--- a/crates/membership/src/host.rs
+++ b/crates/membership/src/host.rs
@@ -69,7 +69,7 @@
     Restored,
     /// The table of peers is full: this one is not recorded.
     TooManyPeers(PeerName),
-    /// A node's own answer contradicts what this peer has told of it. The peer is not believed for a while.
+    /// A node's own answer contradicts what this peer has reported of it. The peer is not believed for a while.
     PeerContradicted {
         /// The peer.
         peer: PeerName,
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -3,7 +3,7 @@
 //!
 //! No I/O, no clock, no threads. [`Fleet`] has one method for each thing that can happen, and acts by calling its
 //! [`Host`]. Time is handed in as a [`Duration`](std::time::Duration) since a fixed moment, on a clock of the router's own
-//! that never goes back; randomness comes from the given seed. Start reading at `fleet.rs`; docs/duties.md has the reasons.
+//! that never goes back; randomness comes from the given seed. Start reading at `fleet.rs`; docs/duties.md gives the reasons.
 
 #![warn(missing_docs)]
 
--- a/crates/membership/src/node_observations.rs
+++ b/crates/membership/src/node_observations.rs
@@ -45,7 +45,7 @@
     }
 }
 
-/// A log position that a peer has told.
+/// A log position that a peer has reported.
 struct PositionClaim {
     peer: PeerName,
     position: Duration,
@@ -60,7 +60,7 @@
     own: Option<TimedObservation>,
     /// The latest observation of a peer that was no failure.
     from_peers: Option<TimedObservation>,
-    /// The highest log position that a peer has told.
+    /// The highest log position that a peer has reported.
     highest_claim: Option<PositionClaim>,
     /// When routers have lately failed to reach it, this one among them.
     failures: BTreeMap<PeerName, Duration>,
