--- a/crates/router/src/client.rs
+++ b/crates/router/src/client.rs
@@ -80,7 +80,7 @@
             active_ids: Rc::default(),
             message_timeout: deployment.longest_deadline.min(MAX_MESSAGE_TIMEOUT),
             longest_deadline: deployment.longest_deadline,
-            max_pending_rpcs: deployment.max_queued,
+            max_pending_rpcs: deployment.max_pending_rpcs,
             open: RefCell::default(),
             cancels: RefCell::default(),
             next_session: Cell::new(0),
--- a/crates/router/src/client/intake.rs
+++ b/crates/router/src/client/intake.rs
@@ -7,7 +7,7 @@
 use quillpoint_memory_budget::Category;
 
 use super::request::RpcRequest;
-use super::response_writer::{TOO_MANY_RPCS, put_no_room};
+use super::response_writer::{TOO_MANY_RPCS, encode_no_capacity};
 use super::session::Session;
 use super::session_end::{SessionEnd, SessionResult};
 use crate::pg::{self, FrontendMessage};
@@ -69,7 +69,7 @@
     ) -> Option<SessionResult> {
         if !self.permit.try_admit() {
             let mut out = Vec::new();
-            put_no_room(&mut out, true, "this router has no socket left for it");
+            encode_no_capacity(&mut out, true, "this router has no socket left for it");
             pipeline.push_response(self.clients.encoded(out));
             return Some(Ok(()));
         }
@@ -132,7 +132,7 @@
         };
         let Ok(memory) = clients.budget.reserve(Category::Statements, statement.size()) else {
             let mut out = Vec::new();
-            put_no_room(&mut out, false, TOO_MANY_RPCS);
+            encode_no_capacity(&mut out, false, TOO_MANY_RPCS);
             return QueryIntake::Answered(out);
         };
         let client = ClientLiveness::new(Rc::downgrade(&self.stream));
@@ -145,7 +145,7 @@
     /// An empty query asks whether the router serves.
     fn answer_empty_query(&self) -> QueryIntake {
         let mut out = Vec::new();
-        if self.clients.engine.is_ready() {
+        if self.clients.engine.reports_ready() {
             pg::encode_empty_query_response(&mut out);
         } else {
             pg::encode_error(&mut out, false, "57P03", "no list of nodes has come yet", None);
--- a/crates/router/src/client/request.rs
+++ b/crates/router/src/client/request.rs
@@ -9,7 +9,7 @@
 
 use super::ClientSessions;
 use super::receive::DISCONNECT_CHECK_INTERVAL;
-use super::response_writer::{TOO_MANY_RPCS, put_abort, put_no_room, put_rejection};
+use super::response_writer::{TOO_MANY_RPCS, encode_abort, encode_no_capacity, encode_rejection};
 use crate::engine::Command;
 use crate::pg;
 use crate::request_pipeline::EncodedResponse;
@@ -30,16 +30,16 @@
     /// Runs an RPC from its turn, which comes at once where nothing ahead of it on its connection must end first, to its
     /// response.
     pub(super) async fn run_rpc(self: Rc<Self>, request: RpcRequest) -> EncodedResponse {
-        let RpcRequest { method, statement: kept, arrived, commits } = request;
+        let RpcRequest { method, statement: in_flight, arrived, commits } = request;
         let mut out = Vec::new();
         let engine = &self.engine;
-        let statement = &kept.statement;
-        if arrived.elapsed() >= DISCONNECT_CHECK_INTERVAL && !kept.client.is_connected() {
+        let statement = &in_flight.statement;
+        if arrived.elapsed() >= DISCONNECT_CHECK_INTERVAL && !in_flight.client.is_connected() {
             // It is not begun. Its session has not checked since, and is about to.
             return future::pending().await;
         }
         if engine.pending_rpcs() >= self.max_pending_rpcs {
-            put_no_room(&mut out, false, TOO_MANY_RPCS);
+            encode_no_capacity(&mut out, false, TOO_MANY_RPCS);
             return self.encoded_with_ready(out);
         }
         let last_commit =
@@ -57,7 +57,7 @@
         loop {
             match pending.next_command().await {
                 Some(Command::Attempt(attempt)) => {
-                    self.pool.make_attempt(Rc::clone(engine), attempt, Rc::clone(&kept));
+                    self.pool.make_attempt(Rc::clone(engine), attempt, Rc::clone(&in_flight));
                     continue;
                 }
                 Some(Command::Answer { answer, position }) => {
@@ -66,8 +66,8 @@
                     }
                     pg::encode_result(&mut out, &answer);
                 }
-                Some(Command::Reject { retry_after }) => put_rejection(&mut out, retry_after),
-                Some(Command::Abort { last_outcome }) => put_abort(&mut out, last_outcome),
+                Some(Command::Reject { retry_after }) => encode_rejection(&mut out, retry_after),
+                Some(Command::Abort { last_outcome }) => encode_abort(&mut out, last_outcome),
                 // The engine gives each RPC that is pending its final response.
                 None => return future::pending().await,
             }
--- a/crates/router/src/client/response_writer.rs
+++ b/crates/router/src/client/response_writer.rs
@@ -20,6 +20,9 @@
 /// The mean rate at which a client must read a response; one on a slow connection does.
 const MIN_READ_BYTES_PER_SECOND: u64 = 16 * 1024;
 
+/// After this long a client that found no capacity may come back.
+const NO_CAPACITY_RETRY_AFTER: Duration = Duration::from_millis(50);
+
 /// Tells a client that there is neither memory nor a place left for its RPC.
 pub(super) const TOO_MANY_RPCS: &str = "this router holds all the RPCs it may";
 
@@ -74,20 +77,20 @@
 }
 
 /// The error for a client that there is no room for: nothing has run, and soon there may be some.
-pub(super) fn put_no_room(out: &mut Vec<u8>, fatal: bool, message: &str) {
-    let retry_after_ms = quillpoint::FRESHNESS_WAIT.as_millis().to_string();
+pub(super) fn encode_no_capacity(out: &mut Vec<u8>, fatal: bool, message: &str) {
+    let retry_after_ms = NO_CAPACITY_RETRY_AFTER.as_millis().to_string();
     pg::encode_error(out, fatal, "53300", message, Some(&retry_after_ms));
 }
 
 /// The error for an RPC that is rejected, with Retry-After unless it is zero.
-pub(super) fn put_rejection(out: &mut Vec<u8>, retry_after: Duration) {
+pub(super) fn encode_rejection(out: &mut Vec<u8>, retry_after: Duration) {
     let retry_after_ms = retry_after.as_millis().to_string();
     let detail = (!retry_after.is_zero()).then_some(retry_after_ms.as_str());
     pg::encode_error(out, false, "53300", "nothing ran, so trying again is harmless", detail);
 }
 
 /// The error for an RPC that is aborted, by how its last attempt ended.
-pub(super) fn put_abort(out: &mut Vec<u8>, last_outcome: Option<Outcome>) {
+pub(super) fn encode_abort(out: &mut Vec<u8>, last_outcome: Option<Outcome>) {
     let (code, message) = match last_outcome {
         Some(Outcome::Reset) => ("08006", "the connection to the node broke; it may have run"),
         Some(Outcome::Malformed) => ("08P01", "the node's answer cannot be read; it has run"),
--- a/crates/router/src/command.rs
+++ b/crates/router/src/command.rs
@@ -99,14 +99,14 @@
     if let Some(conf) = &config.conf {
         print!("{}", conf.to_text());
     }
-    if let Some(part) = &config.roles.fleet_member {
+    if let Some(member) = &config.roles.fleet_member {
         // What follows from the deployment stands in neither file.
-        let plan = &part.fleet_params.health_check;
+        let health_check = &member.fleet_params.health_check;
         println!(
             "# duty probe: every {}, grace {}, floor {}",
-            format_duration(plan.period),
-            format_duration(plan.takeover_delay),
-            format_duration(plan.min_interval)
+            format_duration(health_check.period),
+            format_duration(health_check.takeover_delay),
+            format_duration(health_check.min_interval)
         );
     }
     println!("the configuration is in order");
--- a/crates/router/src/control_instance.rs
+++ b/crates/router/src/control_instance.rs
@@ -87,8 +87,8 @@
     fn observed(&self, own: LocalObservation) {
         let observation = observations::to_fleet(&own);
         let Observation { node, position, primary, waiting, started, failed, .. } = observation;
-        // A failure counts when several members have failed by themselves, which the fleet reports. An answer may have been
-        // read when it was asked for, and no later.
+        // A failure counts when several members have failed by themselves, which the fleet reports. The node may have
+        // read its state as early as the request was sent, so the observation is dated then.
         if !failed {
             let at = own.asked;
             let dated = DatedObservation { node, at, position, primary, waiting, started, failed };
--- a/crates/router/src/deployment.rs
+++ b/crates/router/src/deployment.rs
@@ -34,12 +34,12 @@
     pub connect_timeout: Duration,
     /// A connection that has been idle for so long is closed by a node.
     pub idle_connection_timeout: Duration,
-    /// How many RPCs may be held at once.
-    pub max_queued: usize,
+    /// How many RPCs may be pending at once, queued or in flight.
+    pub max_pending_rpcs: usize,
     /// How often the endpoint list is polled at least.
     pub poll_interval: Duration,
-    /// Changes of the endpoint list come without a poll: the watch is the program's to begin.
-    pub pushes_endpoints: bool,
+    /// Whether the program polls the endpoint list from its start on; else from the decisions' first request.
+    pub polls_from_start: bool,
     /// The tightest bound on the age of what a read may be answered with, if there is one.
     pub tightest_staleness_bound: Option<Duration>,
 }
@@ -67,9 +67,11 @@
             longest_deadline,
             connect_timeout: duration(&values, "allowed.connect_timeout")?,
             idle_connection_timeout: idle_connection_timeout?.max(MIN_IDLE_CONNECTION_TIMEOUT),
-            max_queued: values.number("allowed.max_queued").map_or(usize::MAX, |count| count as usize),
+            max_pending_rpcs: values
+                .number("allowed.max_pending_rpcs")
+                .map_or(usize::MAX, |count| count as usize),
             poll_interval: values.span("rules.poll_interval").unwrap_or(DEFAULT_POLL_INTERVAL),
-            pushes_endpoints: values.text("discovery") == "automatic",
+            polls_from_start: values.text("discovery") == "automatic",
             tightest_staleness_bound: tightest_staleness_bound(&values),
             values,
         })
--- a/crates/router/src/deployment/words.rs
+++ b/crates/router/src/deployment/words.rs
@@ -100,7 +100,7 @@
     if values.text("reports.source") != "probe" || values.flag("allowed.health_checks") {
         return Ok(());
     }
-    let expected = "answers or none, as allowed.probes is not true";
+    let expected = "answers or none, as allowed.health_checks is not true";
     Err(ConfigError::invalid_setting("reports.source", expected, "probe"))
 }
 
--- a/crates/router/src/discovery.rs
+++ b/crates/router/src/discovery.rs
@@ -58,7 +58,7 @@
 }
 
 /// What the task of a poll reports.
-struct Report {
+struct PollReport {
     poll: u64,
     progress: Progress,
 }
@@ -69,7 +69,7 @@
 }
 
 enum Event {
-    PollReported(Report),
+    PollReported(PollReport),
     AddressChanged(SocketAddr),
     /// The decisions want the list.
     ListRequested,
@@ -89,8 +89,8 @@
     /// Polls that have timed out, the oldest first.
     late: VecDeque<PollInFlight>,
     next_number: u64,
-    report_sender: Sender<Report>,
-    reports: Receiver<Report>,
+    report_sender: Sender<PollReport>,
+    reports: Receiver<PollReport>,
     clock: Clock,
     executor: Rc<LocalExecutor<'static>>,
     /// Held for as long as the router runs, so that no client can have them while discovery is down.
@@ -107,7 +107,7 @@
         for _ in 0..SOCKETS {
             permits.push(descriptors.acquire().await);
         }
-        let start = if deployment.pushes_endpoints { WatchStart::Immediate } else { WatchStart::OnRequest };
+        let start = if deployment.polls_from_start { WatchStart::Immediate } else { WatchStart::OnRequest };
         let (report_sender, reports) = async_channel::unbounded();
         let client = Self {
             address,
@@ -186,7 +186,7 @@
         self.newest = Some(PollInFlight { number, basis, started: now, _task: task });
     }
 
-    fn poll_reported(&mut self, Report { poll, progress }: Report, engine: &Engine) {
+    fn poll_reported(&mut self, PollReport { poll, progress }: PollReport, engine: &Engine) {
         let is_newest = self.newest.as_ref().is_some_and(|newest| newest.number == poll);
         match progress {
             Progress::PhaseReached(phase) if is_newest => self.watch.phase_reached(self.clock.now(), phase),
@@ -327,8 +327,8 @@
 }
 
 /// Reports the progress of a poll. It can fail only when the client has ended, and nobody wants to know.
-fn report(sender: &Sender<Report>, poll: u64, progress: Progress) {
-    sender.try_send(Report { poll, progress }).ok();
+fn report(sender: &Sender<PollReport>, poll: u64, progress: Progress) {
+    sender.try_send(PollReport { poll, progress }).ok();
 }
 
 /// The next message; waits for ever where none can come any more.
--- a/crates/router/src/engine.rs
+++ b/crates/router/src/engine.rs
@@ -29,7 +29,7 @@
 use methods::MethodTable;
 
 pub use clock::Clock;
-pub use command::{Attempt, BackgroundTask, Command, NodeResponse};
+pub use command::{AttemptCommand, BackgroundTask, Command, NodeResponse};
 pub use methods::DeadlineRange;
 pub use observations::{LocalObservation, ObservationExchange};
 pub use pending_response::PendingResponse;
@@ -96,12 +96,13 @@
         let result = call(&mut self.decisions.borrow_mut(), self.clock.now());
         loop {
             let Some(unsent) = self.host.unsent.borrow_mut().pop() else { return result };
-            self.end_attempt(unsent, Outcome::NotSent, NodeResponse::default());
+            self.record_attempt_end(unsent, Outcome::NotSent, NodeResponse::default());
         }
     }
 
-    /// Whether RPCs are taken: the endpoint list has come, or has been waited for long enough.
-    pub fn is_ready(&self) -> bool {
+    /// Whether an empty query is answered as ready: the endpoint list has come, or has been waited for long enough. RPCs are not
+    /// held back: without nodes each is rejected at once.
+    pub fn reports_ready(&self) -> bool {
         self.has_endpoint_list.get()
             || self.clock.uptime() >= quillpoint_discovery_watch::SERVE_WITHOUT_LIST_AFTER
     }
--- a/crates/router/src/engine/command.rs
+++ b/crates/router/src/engine/command.rs
@@ -9,7 +9,7 @@
 /// A command to the task of one RPC. All but an attempt are final responses.
 pub enum Command {
     /// Make an attempt.
-    Attempt(Attempt),
+    Attempt(AttemptCommand),
     /// Send a node's answer to the client.
     Answer {
         /// The row and its tag.
@@ -30,7 +30,7 @@
 }
 
 /// One attempt that is to be made. Times are those of the engine's clock.
-pub struct Attempt {
+pub struct AttemptCommand {
     /// The RPC that it is made for.
     pub rpc: RpcId,
     /// Which attempt of its RPC it is.
--- a/crates/router/src/engine/host.rs
+++ b/crates/router/src/engine/host.rs
@@ -11,7 +11,7 @@
 use quillpoint::host::{AttemptNumber, Host, NodeId, Outcome, ReplicaSetId, RpcId};
 
 use super::clock::Clock;
-use super::command::{Attempt, BackgroundTask, Command};
+use super::command::{AttemptCommand, BackgroundTask, Command};
 
 /// An RPC whose final response is pending.
 pub(super) struct PendingRpc {
@@ -28,7 +28,7 @@
     pub(super) pending: RefCell<BTreeMap<RpcId, PendingRpc>>,
     pub(super) max_attempts: u32,
     /// Attempts that cannot be made, to be ended as such once the decisions have returned.
-    pub(super) unsent: RefCell<Vec<Attempt>>,
+    pub(super) unsent: RefCell<Vec<AttemptCommand>>,
     pub(super) background_tasks: Sender<BackgroundTask>,
     pub(super) endpoint_requests: Sender<()>,
     pub(super) timer_due: Cell<Option<Duration>>,
@@ -61,13 +61,13 @@
         let Some(entry) = pending.get_mut(&rpc) else {
             // The attempt's number is unknown here, but so is the RPC to the decisions by then.
             let number = AttemptNumber(u32::MAX);
-            let unsent = Attempt { rpc, number, node, started, deadline: started };
+            let unsent = AttemptCommand { rpc, number, node, started, deadline: started };
             return state.unsent.borrow_mut().push(unsent);
         };
         let number = AttemptNumber(entry.attempts);
         entry.attempts += 1;
         let deadline = (started + timeout).min(entry.deadline);
-        let attempt = Attempt { rpc, number, node, started, deadline };
+        let attempt = AttemptCommand { rpc, number, node, started, deadline };
         if number.0 >= state.max_attempts {
             return state.unsent.borrow_mut().push(attempt);
         }
--- a/crates/router/src/engine/methods.rs
+++ b/crates/router/src/engine/methods.rs
@@ -18,7 +18,7 @@
 }
 
 /// One method of the deployment.
-pub(super) struct Method {
+pub(super) struct MethodInfo {
     name: String,
     /// The longest that a client waits: an RPC that claims more would be pending for ever.
     pub(super) deadline: Duration,
@@ -28,7 +28,7 @@
     reads_fresh: bool,
 }
 
-impl Method {
+impl MethodInfo {
     fn new(index: usize, name: &str, deployment: &Deployment) -> Self {
         let values = &deployment.values;
         let consistency = values.text(&format!("replication.consistency.{index}"));
@@ -45,15 +45,15 @@
 }
 
 /// The methods, by their place in the settings.
-pub(super) struct MethodTable(Vec<Method>);
+pub(super) struct MethodTable(Vec<MethodInfo>);
 
 impl MethodTable {
     pub(super) fn new(deployment: &Deployment) -> Self {
         let methods = deployment.methods.iter().enumerate();
-        Self(methods.map(|(index, name)| Method::new(index, name, deployment)).collect())
+        Self(methods.map(|(index, name)| MethodInfo::new(index, name, deployment)).collect())
     }
 
-    pub(super) fn get(&self, method: MethodId) -> &Method {
+    pub(super) fn get(&self, method: MethodId) -> &MethodInfo {
         &self.0[method.0]
     }
 
--- a/crates/router/src/engine/observations.rs
+++ b/crates/router/src/engine/observations.rs
@@ -17,7 +17,7 @@
     pub asked: Duration,
     /// Whether it comes from a health check, which has ended then.
     pub by_health_check: bool,
-    /// Whether the health check had no answer.
+    /// Whether the health check brought nothing of use: no answer, or one that could not be read.
     pub failed: bool,
     /// The node's log position.
     pub position: Option<Duration>,
@@ -52,8 +52,8 @@
     fn endpoints_changed(&self);
     /// Whether a health check that the decisions ask for is made here, and not left to another router.
     fn permits_health_check(&self, node: NodeId) -> bool;
-    /// What others have observed of the node last; what was returned before may be left out. FrontendMessage for when an RPC
-    /// needs it, since observations of all nodes may come often.
+    /// The latest observation of the node by others; one that was returned before may be left out. Asked for when an RPC needs
+    /// it, since observations of all nodes may come often.
     fn latest_observation(&self, _node: NodeId) -> Option<PeerObservation> {
         None
     }
--- a/crates/router/src/engine/rpcs.rs
+++ b/crates/router/src/engine/rpcs.rs
@@ -6,7 +6,7 @@
 use quillpoint::host::{AttemptEnd, LoadReport, MethodId, NodeId, Outcome, Role, Rpc, RpcId};
 
 use super::Engine;
-use super::command::{Attempt, Command, NodeResponse};
+use super::command::{AttemptCommand, Command, NodeResponse};
 use super::host::PendingRpc;
 use super::observations::{ObservationSource, ObservedState};
 use super::pending_response::PendingResponse;
@@ -30,6 +30,7 @@
         let deadline = self.methods.get(method).deadline;
         let wait = statement.remaining.min(deadline).saturating_sub(received.elapsed());
         let remaining = wait.min(time_to_shutdown);
+        // Its own time alone: an RPC that the shutdown cuts short is handed over, and so rejected with Retry-After.
         if wait.is_zero() {
             return None;
         }
@@ -85,20 +86,27 @@
     }
 
     /// Whether an attempt may be written, or more of it.
-    pub fn permits_attempt(&self, attempt: &Attempt) -> bool {
+    pub fn permits_attempt(&self, attempt: &AttemptCommand) -> bool {
         let is_pending = self.host.pending.borrow().contains_key(&attempt.rpc);
         is_pending
             && self.decisions.borrow_mut().permits_attempt(self.clock.now(), attempt.rpc, attempt.number)
     }
 
     /// An attempt has ended; its RPC may be over by then.
-    pub fn attempt_ended(&self, attempt: Attempt, outcome: Outcome, response: NodeResponse) {
-        self.end_attempt(attempt, outcome, response);
+    pub fn attempt_ended(&self, attempt: AttemptCommand, outcome: Outcome, response: NodeResponse) {
+        self.record_attempt_end(attempt, outcome, response);
+        // Ends what the call above commanded and cannot be made.
         self.with_decisions(|_, _| ());
     }
 
-    pub(super) fn end_attempt(&self, attempt: Attempt, mut outcome: Outcome, response: NodeResponse) {
-        let Attempt { rpc, number, node, started, .. } = attempt;
+    /// Records the end of an attempt; the caller ends what this commanded and cannot be made.
+    pub(super) fn record_attempt_end(
+        &self,
+        attempt: AttemptCommand,
+        mut outcome: Outcome,
+        response: NodeResponse,
+    ) {
+        let AttemptCommand { rpc, number, node, started, .. } = attempt;
         let NodeResponse { answer, role, position, report } = response;
         let now = self.clock.now();
         if outcome == Outcome::Ok && !self.decisions.borrow().permits_response(now, rpc, number, position) {
--- a/crates/router/src/observation_exchange.rs
+++ b/crates/router/src/observation_exchange.rs
@@ -27,7 +27,7 @@
 
 impl ObservationExchange for SubscriberService {
     /// The decisions have it already, and control instances make their own observations.
-    fn observed(&self, _finding: LocalObservation) {}
+    fn observed(&self, _observation: LocalObservation) {}
 
     fn endpoints_changed(&self) {
         self.nodes_changed();
--- a/crates/router/src/pg/backend.rs
+++ b/crates/router/src/pg/backend.rs
@@ -4,7 +4,7 @@
 use super::response::QueryResult;
 use super::{CancelKey, Decoded, MAX_TEXT_MESSAGE_BYTES, ProtocolViolation};
 
-/// The longest value that is passed on. It is held complete, and counted where it is.
+/// The longest value that is forwarded. A value is buffered until it is complete; its bytes are reserved where it is buffered.
 const MAX_VALUE_BYTES: usize = 1 << 20;
 /// What a row of one column holds beside its value: its own length, the count of columns, the value's length.
 const ROW_OVERHEAD_BYTES: usize = 4 + 2 + 4;
--- a/crates/router/src/pool.rs
+++ b/crates/router/src/pool.rs
@@ -20,7 +20,7 @@
 use crate::budget::SharedBudget;
 use crate::deployment::Deployment;
 use crate::descriptors::{DescriptorLimiter, EvictableRegistration};
-use crate::engine::{Attempt, BackgroundTask, Engine};
+use crate::engine::{AttemptCommand, BackgroundTask, Engine};
 use crate::log_rate_limiter::LogRateLimiter;
 use crate::pg;
 use crate::statement::InFlightStatement;
@@ -33,7 +33,7 @@
 const ENTRY_LIFETIME_IDLE_TIMEOUTS: u32 = 10;
 
 /// `value`, at that time.
-async fn at<T>(time: Instant, value: T) -> T {
+async fn value_at<T>(time: Instant, value: T) -> T {
     Timer::at(time).await;
     value
 }
@@ -138,7 +138,7 @@
     pub fn make_attempt(
         self: &Rc<Self>,
         engine: Rc<Engine>,
-        attempt: Attempt,
+        attempt: AttemptCommand,
         statement: Rc<InFlightStatement>,
     ) {
         let pool = Rc::clone(self);
--- a/crates/router/src/pool/checkout.rs
+++ b/crates/router/src/pool/checkout.rs
@@ -11,7 +11,7 @@
 use quillpoint::host::{NodeId, Outcome};
 
 use super::connection::{ConnectionError, NodeConnection};
-use super::{ConnectionPool, IdleConnection, at};
+use super::{ConnectionPool, IdleConnection, value_at};
 use crate::descriptors::{DescriptorUse, EvictionPriority};
 
 /// How long past its time a dial may still come up: a lost packet is sent again after one second, and after three.
@@ -52,7 +52,7 @@
         }
         // The dial goes on when its exchange has ended: what has been paid for serves the next.
         let mut dial = pin!(NodeConnection::open(node, permit, &self.budget));
-        let timeout = at(Instant::now() + self.connect_timeout, Err(ConnectionError::ConnectTimeout));
+        let timeout = value_at(Instant::now() + self.connect_timeout, Err(ConnectionError::ConnectTimeout));
         match dial.as_mut().or(timeout).await {
             Ok(connection) => {
                 if !connection.is_reusable() {
@@ -87,7 +87,7 @@
             _ = closed.recv().await;
             Err(ConnectionError::ConnectTimeout)
         };
-        let timeout = at(Instant::now() + LATE_DIAL_TIMEOUT, Err(ConnectionError::ConnectTimeout));
+        let timeout = value_at(Instant::now() + LATE_DIAL_TIMEOUT, Err(ConnectionError::ConnectTimeout));
         if let Ok(connection) = dial.or(evicted).or(timeout).await {
             self.check_in(node, connection);
         }
--- a/crates/router/src/pool/connection.rs
+++ b/crates/router/src/pool/connection.rs
@@ -19,8 +19,8 @@
 /// Bounds what one response may make the router read; an answer of one value comes nowhere near it.
 const MAX_RESPONSE_BYTES: usize = 2 << 20;
 /// Nodes accept any user; these are the ones that clients name.
-const USER: &str = "portal";
-const DATABASE: &str = "crm";
+const STARTUP_USER: &str = "portal";
+const STARTUP_DATABASE: &str = "crm";
 
 /// Why an exchange on a connection came to no complete response.
 #[derive(Debug, thiserror::Error)]
@@ -81,13 +81,13 @@
             _permit: permit,
         };
         let mut startup = Vec::new();
-        pg::encode_startup(&mut startup, USER, DATABASE);
+        pg::encode_startup(&mut startup, STARTUP_USER, STARTUP_DATABASE);
         socket::write_all(&connection.stream, &startup).await?;
-        connection.await_greeting(node).await?;
+        connection.await_ready_for_query(node).await?;
         Ok(connection)
     }
 
-    async fn await_greeting(&mut self, node: NodeId) -> Result<(), ConnectionError> {
+    async fn await_ready_for_query(&mut self, node: NodeId) -> Result<(), ConnectionError> {
         loop {
             match self.next_message().await? {
                 BackendMessage::ReadyForQuery => return Ok(()),
--- a/crates/router/src/pool/exchange.rs
+++ b/crates/router/src/pool/exchange.rs
@@ -7,7 +7,7 @@
 use quillpoint::host::{NodeId, Outcome};
 
 use super::connection::{ConnectionError, NodeConnection};
-use super::{ConnectionPool, at};
+use super::{ConnectionPool, value_at};
 use crate::engine::NodeResponse;
 use crate::pg::{self, BackendMessage, ProtocolViolation, Response};
 
@@ -44,13 +44,13 @@
             let was_idle = idle.is_some();
             let mut connection = match idle {
                 Some(connection) => connection,
-                None => match self.check_out(node).or(at(deadline, Err(Outcome::NotSent))).await {
+                None => match self.check_out(node).or(value_at(deadline, Err(Outcome::NotSent))).await {
                     Ok(connection) => connection,
                     Err(outcome) => return Exchange { outcome, response },
                 },
             };
             let sent = async { Some(self.send_query(&mut connection, &query, &mut response).await) };
-            let result = sent.or(at(deadline, None)).await;
+            let result = sent.or(value_at(deadline, None)).await;
             // A node may close an idle connection at any time. What it has not been sent completely cannot have run,
             // so one that breaks before that is no failure of the attempt.
             if was_idle && broke_before_it_could_run(&result, &connection) {
--- a/crates/router/src/statement.rs
+++ b/crates/router/src/statement.rs
@@ -31,15 +31,15 @@
     pub method: String,
     /// Whether it changes anything.
     pub writes: bool,
-    /// How long the client still waits for this try; never zero.
+    /// How long the client still waits; never zero.
     pub remaining: Duration,
     /// The replica set that has its data.
     pub replica_set: ReplicaSetId,
     /// When the session's last write was committed, in Unix time, where clients carry that.
     pub last_write: Option<Duration>,
-    /// Whether the client marks it as a repeat.
+    /// Whether the client marks it as a retry of its own.
     pub retried: bool,
-    /// By the first quoted literal; the same for the same literal on all routers.
+    /// The session that it belongs to: a hash of the first quoted literal, the same on all routers.
     pub session: Option<SessionKey>,
 }
 
--- a/crates/router/tests/connection_checkout.rs
+++ b/crates/router/tests/connection_checkout.rs
@@ -16,7 +16,7 @@
 use quillpoint_router::config::StartupOptions;
 use quillpoint_router::descriptors::DescriptorLimiter;
 use quillpoint_router::endpoint_list::EndpointParser;
-use quillpoint_router::engine::{Attempt, Command, Engine, EngineOutputs, PendingResponse};
+use quillpoint_router::engine::{AttemptCommand, Command, Engine, EngineOutputs, PendingResponse};
 use quillpoint_router::pool::ConnectionPool;
 use quillpoint_router::socket_liveness::{ClientLiveness, peer_has_closed};
 use quillpoint_router::statement::{InFlightStatement, Statement};
@@ -93,7 +93,7 @@
     }
 
     /// Makes the attempt, and waits until it is over: then nothing holds its statement but the RPC.
-    async fn make_attempt(&self, rpc: &ArrivedRpc, attempt: Attempt) {
+    async fn make_attempt(&self, rpc: &ArrivedRpc, attempt: AttemptCommand) {
         self.pool.make_attempt(Rc::clone(&self.engine), attempt, Rc::clone(&rpc.kept));
         until(|| Rc::strong_count(&rpc.kept) == 1).await;
     }
@@ -119,7 +119,7 @@
 }
 
 impl ArrivedRpc {
-    fn commanded_attempt(&self) -> Attempt {
+    fn commanded_attempt(&self) -> AttemptCommand {
         match self.pending.try_next_command() {
             Some(Command::Attempt(attempt)) => attempt,
             _ => panic!("no attempt was commanded at once"),
@@ -191,7 +191,7 @@
         let first = parts.begin_rpc();
         let attempt = first.commanded_attempt();
         let deadline = attempt.started + connect / 10;
-        parts.make_attempt(&first, Attempt { deadline, ..attempt }).await;
+        parts.make_attempt(&first, AttemptCommand { deadline, ..attempt }).await;
         drop(first);
         Timer::after(connect / 4).await;
         // The next one has a dial with a time of its own.
--- a/crates/router/tests/platform_config.rs
+++ b/crates/router/tests/platform_config.rs
@@ -58,9 +58,9 @@
     assert_eq!(deployment.longest_deadline, Duration::from_secs(3));
     assert_eq!(deployment.connect_timeout, Duration::from_micros(251_500));
     assert_eq!(deployment.idle_connection_timeout, Duration::from_secs(31));
-    assert_eq!(deployment.max_queued, 15_000);
+    assert_eq!(deployment.max_pending_rpcs, 15_000);
     assert_eq!(deployment.poll_interval, Duration::from_secs(8));
-    assert!(deployment.pushes_endpoints);
+    assert!(deployment.polls_from_start);
     assert_eq!(deployment.tightest_staleness_bound, Some(Duration::from_millis(300)));
 }
 
--- a/crates/settings/src/names.rs
+++ b/crates/settings/src/names.rs
@@ -42,7 +42,7 @@
     ("MaxAttempts", "attempts"),
     ("MaxRetryAfterMs", "max_retry_after"),
     ("MayDuplicate", "hedging"),
-    ("MostHeld", "max_queued"),
+    ("MostHeld", "max_pending_rpcs"),
     ("Multiplex", "streams"),
     ("MyZone", "zone"),
     ("Name", "name"),
