--- a/crates/testbed/src/scale/play/strike.rs
+++ b/crates/testbed/src/scale/play/fault_injection.rs
@@ -5,7 +5,8 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-use super::{CALM, CALM_TIMES, CALMS, Failed, LOOKS, Window, World};
+use super::window::Window;
+use super::{Failed, World};
 use crate::now;
 use crate::record::{Bound, Mode};
 use crate::scale::border::Border;
@@ -17,6 +18,14 @@
 use crate::scale::member::Member;
 use crate::scale::orders::{CrowdReport, Order};
 
+/// How long after a fault the fleet is watched for its return to calm.
+const RECOVERY_TIMEOUT: Duration = Duration::from_secs(20);
+/// How often hollow routers are counted meanwhile.
+const COUNT_INTERVAL: Duration = Duration::from_secs(1);
+/// How long the traffic must have been calm.
+const CALM_DURATION: Duration = Duration::from_secs(4);
+/// Calm is at most so many times the traffic before the fault.
+const CALM_TIMES: f64 = 1.25;
 /// How often real processes are asked for their counts.
 const ASKED_EVERY: Duration = Duration::from_millis(200);
 /// What passes in a shorter time, as right after a return, is a part of what is counted by the next look: divided by so
@@ -24,7 +33,7 @@
 const SHORTEST_S: f64 = 0.15;
 
 /// Plays the fault, and looks at the fleet until it is calm again.
-pub(super) fn strike(
+pub(super) fn inject(
     world: &mut World,
     fault: Fault,
     calm: &Window,
@@ -65,15 +74,16 @@
         }
         control.look(&world.control, world.sizes.mode)?;
         real.look(&world.real, world.sizes.mode)?;
-        if now() < looked_at + LOOKS && now() < ended + CALMS {
+        if now() < looked_at + COUNT_INTERVAL && now() < ended + RECOVERY_TIMEOUT {
             continue;
         }
         looked_at = now();
         let reports = world.order_crowds(&Order::Count)?;
         let calm_after = calm_after(&by_quarter(&reports), ended_us, calm_bytes, CALM_TIMES);
         let follow = reports.iter().map(|report| report.following).sum::<usize>() == hollow;
-        let quiet = calm_after.is_some_and(|after| now() > ended + Duration::from_secs_f64(after) + CALM);
-        if (follow && real.missing() == 0 && quiet) || now() >= ended + CALMS {
+        let quiet =
+            calm_after.is_some_and(|after| now() > ended + Duration::from_secs_f64(after) + CALM_DURATION);
+        if (follow && real.missing() == 0 && quiet) || now() >= ended + RECOVERY_TIMEOUT {
             break (reports, calm_after);
         }
     };
--- /dev/null
+++ b/crates/testbed/src/scale/play/window.rs
@@ -0,0 +1,235 @@
+//! What is counted between two snapshots of a run, as figures of its record.
+
+use std::collections::BTreeMap;
+use std::time::{Duration, Instant};
+
+use super::World;
+use super::stand_in::StandIn;
+use crate::listing;
+use crate::record::Mode;
+use crate::scale::counters::{Rates, Sums, mean, merged, rates};
+use crate::scale::member::Member;
+use crate::scale::orders::{CrowdReport, DatabasesReport, Order};
+
+/// Rates and figures between two snapshots.
+pub(super) struct Window {
+    pub(super) hollow: Rates,
+    pub(super) control: Rates,
+    pub(super) figures: BTreeMap<String, f64>,
+}
+
+/// All counters at one time.
+pub(super) struct Snapshot {
+    pub(super) at: Instant,
+    crowds: Vec<CrowdReport>,
+    real: Vec<Sums>,
+    control: Vec<Sums>,
+    stores: Vec<DatabasesReport>,
+    discovery: listing::Counts,
+    cpu: Cpu,
+}
+
+/// Processor time so far, by role; of roles with a process each, by process.
+#[derive(Clone)]
+struct Cpu {
+    at: Instant,
+    shared: Duration,
+    alone: Vec<Duration>,
+    real: Vec<Duration>,
+    untied: Vec<Duration>,
+    control: Vec<Duration>,
+}
+
+/// The part of a core that each process used between the two times.
+fn parts(before: &[Duration], after: &[Duration], seconds: f64) -> Vec<f64> {
+    let part =
+        |(before, after): (&Duration, &Duration)| after.saturating_sub(*before).as_secs_f64() / seconds;
+    before.iter().zip(after).map(part).collect()
+}
+
+/// The sums of a process of hollow routers, in the form of a real one's.
+fn as_sums(report: &CrowdReport) -> Sums {
+    Sums {
+        at_us: report.at_us,
+        sent: report.sent,
+        sent_bytes: report.sent_bytes,
+        read: report.read,
+        read_bytes: report.read_bytes,
+        probes: report.probes,
+        state: (report.state_bytes * report.routers as f64) as u64,
+        following: 0,
+    }
+}
+
+impl Cpu {
+    fn seconds_since(&self, before: &Self) -> f64 {
+        (self.at - before.at).as_secs_f64()
+    }
+}
+
+impl World {
+    /// All counts by now. Those of real processes come from their logs, for which they read their files anew, so
+    /// processor time is looked at on the side of that where it is not in the span that is counted.
+    pub(super) fn snapshot(&mut self, begins: bool) -> std::io::Result<Snapshot> {
+        let mut cpu = self.cpu();
+        let asked: Vec<usize> = self.real.iter().chain(&self.control).map(Member::ask).collect();
+        let crowds = self.order_crowds(if begins { &Order::Mark } else { &Order::Count })?;
+        let mode = self.sizes.mode;
+        let told: Vec<Sums> = self
+            .real
+            .iter()
+            .chain(&self.control)
+            .zip(asked)
+            .map(|(member, place)| if member.runs() { member.told(place, mode) } else { Ok(Sums::default()) })
+            .collect::<Result<_, _>>()?;
+        let (real, control) = told.split_at(self.real.len());
+        let mut stores = Vec::new();
+        for store in &mut self.stores {
+            let place = store.order(&Order::Count)?;
+            stores.push(store.report(place)?);
+        }
+        if begins {
+            cpu = self.cpu();
+        }
+        Ok(Snapshot {
+            at: Instant::now(),
+            crowds,
+            real: real.to_vec(),
+            control: control.to_vec(),
+            stores,
+            discovery: self.listing.counts(),
+            cpu,
+        })
+    }
+
+    /// Processor time of all processes by now.
+    fn cpu(&self) -> Cpu {
+        let shared = self.crowds.len() - self.alone;
+        let time = |crowd: &StandIn| crowd.process.usage().map(|(_, time)| time);
+        let of = |members: &[Member]| {
+            let time = |member: &Member| member.usage().map_or(Duration::ZERO, |(_, time)| time);
+            members.iter().map(time).collect()
+        };
+        Cpu {
+            at: Instant::now(),
+            shared: self.crowds[..shared].iter().filter_map(time).sum(),
+            alone: self.crowds[shared..].iter().filter_map(time).collect(),
+            real: of(&self.real),
+            untied: of(&self.untied),
+            control: of(&self.control),
+        }
+    }
+
+    /// The figures of what was counted between two snapshots.
+    pub(super) fn window(&self, before: &Snapshot, after: &Snapshot) -> Window {
+        let pair = |(before, after): (&Sums, &Sums)| (*before, *after, 1);
+        let crowds = before.crowds.iter().zip(&after.crowds);
+        let hollow: Vec<_> =
+            crowds.map(|(before, after)| (as_sums(before), as_sums(after), after.routers)).collect();
+        let real: Vec<_> = before.real.iter().zip(&after.real).map(pair).collect();
+        let control: Vec<_> = before.control.iter().zip(&after.control).map(pair).collect();
+        let hollow = rates(&hollow);
+        let control = rates(&control);
+        let mut figures = BTreeMap::new();
+        let mut put = |name: &str, value: f64| {
+            figures.insert(name.to_string(), value);
+        };
+        if self.sizes.routers > self.sizes.real {
+            self.put_hollow(&mut put, before, after, &hollow);
+        }
+        if self.sizes.real > 0 {
+            self.put_real(&mut put, &before.cpu, &after.cpu, &rates(&real));
+        }
+        if self.sizes.control > 0 {
+            self.put_control(&mut put, &before.cpu, &after.cpu, &control);
+        }
+        self.put_surroundings(&mut put, before, after);
+        if !self.real.is_empty() {
+            put("real_memory_bytes", self.real_memory());
+        }
+        Window { hollow, control, figures }
+    }
+
+    /// Figures of hollow routers: processor time of those with a process to themselves, memory of those that share one.
+    fn put_hollow(
+        &self,
+        put: &mut impl FnMut(&str, f64),
+        before: &Snapshot,
+        after: &Snapshot,
+        rates: &Rates,
+    ) {
+        let cpu_seconds = after.cpu.seconds_since(&before.cpu);
+        let (alone, _) = mean(&parts(&before.cpu.alone, &after.cpu.alone, cpu_seconds));
+        for role in ["router", "hollow"] {
+            put_rates(put, role, rates);
+            put(&format!("{role}_cpu_part"), alone);
+        }
+        let sharing = &after.crowds[..after.crowds.len() - self.alone];
+        if !sharing.is_empty() {
+            let routers: usize = sharing.iter().map(|report| report.routers).sum();
+            let cpu = (after.cpu.shared - before.cpu.shared).as_secs_f64() / cpu_seconds;
+            put("hollow_sharing_cpu_part", cpu / routers as f64);
+            let grown = |report: &CrowdReport| report.resident_bytes.saturating_sub(report.base_bytes);
+            let bytes: u64 = sharing.iter().map(grown).sum();
+            put("router_memory_bytes", bytes as f64 / routers as f64);
+        }
+        let ages = merged(after.crowds.iter().map(|report| &report.ages));
+        put("age_p50_s", ages.value_at_quantile(0.5) as f64 / 1e6);
+        put("age_p99_s", ages.value_at_quantile(0.99) as f64 / 1e6);
+        put("age_max_s", ages.max() as f64 / 1e6);
+        put("router_probes_s", rates.probes);
+    }
+
+    /// Figures of real routers: what the control side costs is what they use more than those without one.
+    fn put_real(&self, put: &mut impl FnMut(&str, f64), before: &Cpu, after: &Cpu, rates: &Rates) {
+        let cpu_seconds = after.seconds_since(before);
+        let (on, on_error) = mean(&parts(&before.real, &after.real, cpu_seconds));
+        put("real_on_cpu_part", on);
+        if !self.untied.is_empty() {
+            let (off, off_error) = mean(&parts(&before.untied, &after.untied, cpu_seconds));
+            put("real_off_cpu_part", off);
+            put("real_cpu_part", on - off);
+            if let (Some(on), Some(off)) = (on_error, off_error) {
+                put("real_cpu_error_part", on.hypot(off));
+            }
+        }
+        if self.sizes.mode != Mode::Off {
+            put_rates(put, "real", rates);
+        }
+    }
+
+    /// Figures of control instances: the mean processor time, and the most memory.
+    fn put_control(&self, put: &mut impl FnMut(&str, f64), before: &Cpu, after: &Cpu, rates: &Rates) {
+        put_rates(put, "control", rates);
+        let parts = parts(&before.control, &after.control, after.seconds_since(before));
+        put("control_cpu_part", parts.iter().sum::<f64>() / parts.len() as f64);
+        let most = self.control.iter().filter_map(Member::usage).map(|(bytes, _)| bytes).max();
+        put("control_memory_bytes", most.unwrap_or(0) as f64);
+    }
+
+    /// Figures of what is around the routers: databases and discovery.
+    fn put_surroundings(&self, put: &mut impl FnMut(&str, f64), before: &Snapshot, after: &Snapshot) {
+        let seconds = (after.at - before.at).as_secs_f64();
+        let probes = |snapshot: &Snapshot| snapshot.stores.iter().map(|store| store.probes).sum::<u64>();
+        put(
+            "database_probes_s",
+            (probes(after) - probes(before)) as f64 / seconds / self.sizes.databases as f64,
+        );
+        // Whoever is a process of its own has the list from discovery; hollow routers are given it.
+        let callers = (self.real.len() + self.control.len()).max(1) as f64;
+        let discovery = after.discovery.since(before.discovery);
+        put("discovery_calls_s", discovery.calls as f64 / seconds / callers);
+        put("discovery_bytes_s", (discovery.bytes_in + discovery.bytes_out) as f64 / seconds / callers);
+    }
+}
+
+/// The rates of one role; the size of its state where that is known.
+fn put_rates(put: &mut impl FnMut(&str, f64), role: &str, rates: &Rates) {
+    put(&format!("{role}_messages_in_s"), rates.messages_in);
+    put(&format!("{role}_messages_out_s"), rates.messages_out);
+    put(&format!("{role}_bytes_in_s"), rates.bytes_in);
+    put(&format!("{role}_bytes_out_s"), rates.bytes_out);
+    if rates.state > 0.0 {
+        put(&format!("{role}_state_bytes"), rates.state);
+    }
+}
