--- a/crates/testbed/src/scale/play.rs
+++ b/crates/testbed/src/scale/play.rs
@@ -1,6 +1,7 @@
 //! One run of one size: everything is started, settles, is counted for a while, and is ended.
 
 mod fault_injection;
+mod member_watch;
 mod stand_in;
 mod start;
 mod window;
--- a/crates/testbed/src/scale/play/fault_injection.rs
+++ b/crates/testbed/src/scale/play/fault_injection.rs
@@ -1,18 +1,20 @@
-//! A fault, played in a fleet that is calm: what is done to hollow and real routers and to control instances, and how
-//! all are looked at until it is calm again.
+//! Fault injection into a calm fleet: what is done to hollow and real routers and to control instances, and how all are
+//! observed until the fleet is calm again.
 
 use std::collections::BTreeMap;
 use std::thread::sleep;
-use std::time::{Duration, Instant};
+use std::time::Duration;
 
+use super::member_watch::MemberWatch;
 use super::window::Window;
 use super::{Failed, World};
+use crate::listing::Counts;
 use crate::now;
 use crate::record::{Bound, Mode};
 use crate::scale::border::Border;
-use crate::scale::counters::{Sums, merged};
+use crate::scale::counters::merged;
 use crate::scale::faults::{
-    CUT, DOWN, Fault, ONE_IN, STOPPED, calm_after, follows, is_struck, shares_with_all_after, was_cut,
+    CUT, DOWN, Fault, ONE_IN, STOPPED, calm_after, is_struck, shares_with_all_after, was_cut,
 };
 use crate::scale::hollow::{REGIONS, side};
 use crate::scale::member::Member;
@@ -28,11 +30,80 @@
 const CALM_TIMES: f64 = 1.25;
 /// How often real processes are asked for their counts.
 const ASKED_EVERY: Duration = Duration::from_millis(200);
-/// What passes in a shorter time, as right after a return, is a part of what is counted by the next look: divided by so
-/// little time it would be no rate.
-const SHORTEST_S: f64 = 0.15;
 
-/// Plays the fault, and looks at the fleet until it is calm again.
+/// When a fault begins and ends, since the epoch.
+#[derive(Clone, Copy)]
+struct FaultSpan {
+    began: Duration,
+    ended: Duration,
+}
+
+impl FaultSpan {
+    fn ended_us(&self) -> u64 {
+        self.ended.as_micros() as u64
+    }
+}
+
+/// What is still to be done of a fault, and when.
+struct Schedule {
+    end: Option<Duration>,
+    /// Last first.
+    promotions: Vec<Duration>,
+}
+
+impl Schedule {
+    /// Primaries change while the routers of a fault start; of a cut, in its middle and when it has just healed.
+    fn new(fault: Fault, span: FaultSpan) -> Self {
+        let promotions = match fault {
+            Fault::Primary => vec![span.began + DOWN / 2],
+            Fault::Cut => vec![span.ended, span.began + CUT / 2],
+            Fault::Restart | Fault::Stop | Fault::Control => Vec::new(),
+        };
+        Self { end: Some(span.ended), promotions }
+    }
+
+    /// When something is due next: at the latest, to look at real processes.
+    fn next(&self) -> Duration {
+        let due = [self.promotions.last().copied(), self.end];
+        due.into_iter().flatten().fold(now() + ASKED_EVERY, Duration::min)
+    }
+}
+
+/// Real processes, as they are seen during a fault.
+#[derive(Default)]
+struct RealWatches {
+    control: MemberWatch,
+    routers: MemberWatch,
+}
+
+impl RealWatches {
+    fn look(&mut self, world: &World) -> std::io::Result<()> {
+        self.control.look(&world.control, world.sizes.mode)?;
+        self.routers.look(&world.real, world.sizes.mode)
+    }
+}
+
+/// What was last seen of a fleet after a fault.
+struct Recovery {
+    /// Of hollow routers.
+    reports: Vec<CrowdReport>,
+    /// The same at the end of a cut.
+    while_cut: Option<Vec<CrowdReport>>,
+    /// How long after the fault the traffic was calm, in seconds, if it was within the timeout.
+    calm_after: Option<f64>,
+}
+
+impl Recovery {
+    fn following(&self) -> usize {
+        self.reports.iter().map(|report| report.following).sum()
+    }
+}
+
+/// Injects the fault into the fleet, watches it until it is calm again, and enters figures. Returns the bounds on whether
+/// all follow again, the traffic is calm again, and a cut was a cut.
+///
+/// # Errors
+/// A process cannot be started or does not report.
 pub(super) fn inject(
     world: &mut World,
     fault: Fault,
@@ -40,93 +111,132 @@
     figures: &mut BTreeMap<String, f64>,
 ) -> Result<Vec<Bound>, Failed> {
     world.order_crowds(&Order::Mark)?;
-    let (mut control, mut real) = (Watch::default(), Watch::default());
-    control.look(&world.control, world.sizes.mode)?;
-    real.look(&world.real, world.sizes.mode)?;
-    real.hold_as_before();
+    let mut watches = RealWatches::default();
+    watches.look(world)?;
+    watches.routers.hold_as_before();
     let discovery = world.listing.counts();
-    world.begin(fault, &mut real)?;
+    world.begin(fault, &mut watches.routers)?;
     let began = now();
-    let ended = began + fault.lasts();
-    // Last first: while the routers start; in the middle of a cut, and when it has just healed.
-    let mut promotes = match fault {
-        Fault::Primary => vec![began + DOWN / 2],
-        Fault::Cut => vec![ended, began + CUT / 2],
-        Fault::Restart | Fault::Stop | Fault::Control => Vec::new(),
-    };
-    let mut while_cut = None;
-    let mut ends = Some(ended);
+    let span = FaultSpan { began, ended: began + fault.lasts() };
     let hollow = world.sizes.routers - world.sizes.real;
     let calm_bytes = (calm.hollow.bytes_in + calm.hollow.bytes_out) * hollow as f64;
-    let (ended_us, mut looked_at) = (ended.as_micros() as u64, now());
-    let (reports, calm_after) = loop {
-        let next =
-            [promotes.last().copied(), ends].into_iter().flatten().fold(now() + ASKED_EVERY, Duration::min);
-        sleep(next.saturating_sub(now()));
-        if ends.take_if(|at| *at <= now()).is_some() {
-            if fault == Fault::Cut {
-                while_cut = Some(world.order_crowds(&Order::Count)?);
-            }
-            world.end(fault, &mut real)?;
-        }
-        if promotes.pop_if(|at| *at <= now()).is_some() {
-            world.promote()?;
-        }
-        control.look(&world.control, world.sizes.mode)?;
-        real.look(&world.real, world.sizes.mode)?;
-        if now() < looked_at + COUNT_INTERVAL && now() < ended + RECOVERY_TIMEOUT {
-            continue;
-        }
-        looked_at = now();
-        let reports = world.order_crowds(&Order::Count)?;
-        let calm_after = calm_after(&by_quarter(&reports), ended_us, calm_bytes, CALM_TIMES);
-        let follow = reports.iter().map(|report| report.following).sum::<usize>() == hollow;
-        let quiet =
-            calm_after.is_some_and(|after| now() > ended + Duration::from_secs_f64(after) + CALM_DURATION);
-        if (follow && real.missing() == 0 && quiet) || now() >= ended + RECOVERY_TIMEOUT {
-            break (reports, calm_after);
-        }
+    let recovery = world.recover(fault, span, calm_bytes, &mut watches)?;
+    let missing = (hollow - recovery.following() + watches.routers.missing()) as f64;
+    let mut put = |name: &str, value: f64| {
+        figures.insert(name.to_string(), value);
     };
+    put("follow_missing", missing);
+    put_hollow(&mut put, &recovery, span.ended_us());
+    world.put_struck(&mut put, fault, &watches.routers, span.ended_us());
+    if !world.control.is_empty() {
+        put_control(&mut put, &watches.control, calm);
+    }
+    put_discovery(&mut put, &world.listing.counts().since(discovery));
+    world.known(&recovery.reports, figures);
+    if let Some(reports) = &recovery.while_cut {
+        world.of_cut(reports, span, figures);
+    }
+    Ok(bounds(missing, recovery.calm_after, figures))
+}
+
+/// None may be missing at the end: no follower, no calm, no side of a cut.
+fn bounds(missing: f64, calm_after: Option<f64>, figures: &BTreeMap<String, f64>) -> Vec<Bound> {
+    let held = |figure: &str, is: f64| Bound { figure: figure.to_string(), is, most: 0.0, held: is <= 0.0 };
+    let calm_missing = f64::from(u8::from(calm_after.is_none()));
+    let mut bounds = vec![held("follow_missing", missing), held("calm_missing", calm_missing)];
+    let of_cut = ["cut_missing", "agree_missing"];
+    bounds.extend(of_cut.iter().filter_map(|name| Some(held(name, *figures.get(*name)?))));
+    bounds
+}
+
+/// When hollow routers follow again, their most traffic, and the age of what they know.
+fn put_hollow(put: &mut impl FnMut(&str, f64), recovery: &Recovery, ended_us: u64) {
+    let reports = &recovery.reports;
     let unfollowed = reports.iter().map(|report| report.unfollowed_us).max().unwrap_or(0);
-    let following: usize = reports.iter().map(|report| report.following).sum();
-    let missing = (hollow - following + real.missing()) as f64;
     let peak = reports.iter().map(|report| report.peak_quarter).max().unwrap_or(0);
-    let mut put = |name: &str, value: f64| _ = figures.insert(name.to_string(), value);
     put("follow_max_s", unfollowed.saturating_sub(ended_us) as f64 / 1e6);
-    put("follow_missing", missing);
     put("peak_router_bytes_s", peak as f64 * 4.0);
-    if !world.real.is_empty() && world.sizes.mode != Mode::Off {
-        put("real_struck", world.struck(fault).len() as f64);
-        put("real_follow_max_s", real.followed_us().saturating_sub(ended_us) as f64 / 1e6);
-        put("peak_real_bytes_s", real.peak_bytes);
-    }
-    if let Some(after) = calm_after {
+    if let Some(after) = recovery.calm_after {
         put("calm_after_s", after);
     }
     let ages = merged(reports.iter().map(|report| &report.ages));
     put("fault_age_p99_s", ages.value_at_quantile(0.99) as f64 / 1e6);
     put("fault_age_max_s", ages.max() as f64 / 1e6);
-    if !world.control.is_empty() {
-        put("peak_control_bytes_s", control.peak_bytes);
-        put("peak_control_cpu_part", control.peak_cpu);
-        let calm = calm.control.bytes_in + calm.control.bytes_out;
-        put("peak_control_times", control.peak_bytes / calm.max(1.0));
-    }
-    let discovery = world.listing.counts().since(discovery);
+}
+
+/// The most traffic and processor time of control instances.
+fn put_control(put: &mut impl FnMut(&str, f64), control: &MemberWatch, calm: &Window) {
+    put("peak_control_bytes_s", control.peak_bytes);
+    put("peak_control_cpu_part", control.peak_cpu);
+    let calm = calm.control.bytes_in + calm.control.bytes_out;
+    put("peak_control_times", control.peak_bytes / calm.max(1.0));
+}
+
+/// What discovery was asked since the fault began.
+fn put_discovery(put: &mut impl FnMut(&str, f64), discovery: &Counts) {
     put("fault_discovery_calls", discovery.calls as f64);
     put("fault_discovery_lists", discovery.lists as f64);
     put("fault_discovery_bytes_in", discovery.bytes_in as f64);
     put("fault_discovery_bytes_out", discovery.bytes_out as f64);
-    world.known(&reports, figures);
-    if let Some(reports) = while_cut {
-        world.of_cut(&reports, (began.as_micros() as u64, ended_us), figures);
+}
+
+impl World {
+    /// Ends the fault in time, and watches the fleet until all follow and the traffic has been calm for a while, or until
+    /// the timeout. `calm_bytes` is the traffic of all hollow routers before the fault, in bytes a second.
+    fn recover(
+        &mut self,
+        fault: Fault,
+        span: FaultSpan,
+        calm_bytes: f64,
+        watches: &mut RealWatches,
+    ) -> std::io::Result<Recovery> {
+        let hollow = self.sizes.routers - self.sizes.real;
+        let mut schedule = Schedule::new(fault, span);
+        let mut while_cut = None;
+        let mut counted_at = now();
+        loop {
+            sleep(schedule.next().saturating_sub(now()));
+            if schedule.end.take_if(|at| *at <= now()).is_some() {
+                if fault == Fault::Cut {
+                    while_cut = Some(self.order_crowds(&Order::Count)?);
+                }
+                self.end(fault, &mut watches.routers)?;
+            }
+            if schedule.promotions.pop_if(|at| *at <= now()).is_some() {
+                self.promote()?;
+            }
+            watches.look(self)?;
+            if now() < counted_at + COUNT_INTERVAL && now() < span.ended + RECOVERY_TIMEOUT {
+                continue;
+            }
+            counted_at = now();
+            let reports = self.order_crowds(&Order::Count)?;
+            let calm_after = calm_after(&by_quarter(&reports), span.ended_us(), calm_bytes, CALM_TIMES);
+            let follow = reports.iter().map(|report| report.following).sum::<usize>() == hollow;
+            let quiet = calm_after
+                .is_some_and(|after| now() > span.ended + Duration::from_secs_f64(after) + CALM_DURATION);
+            let recovered = follow && watches.routers.missing() == 0 && quiet;
+            if recovered || now() >= span.ended + RECOVERY_TIMEOUT {
+                return Ok(Recovery { reports, while_cut, calm_after });
+            }
+        }
+    }
+
+    /// How many real routers are struck, when the last of them follows again, and the most traffic of one.
+    fn put_struck(
+        &self,
+        put: &mut impl FnMut(&str, f64),
+        fault: Fault,
+        routers: &MemberWatch,
+        ended_us: u64,
+    ) {
+        if self.real.is_empty() || self.sizes.mode == Mode::Off {
+            return;
+        }
+        put("real_struck", self.struck(fault).len() as f64);
+        put("real_follow_max_s", routers.followed_us().saturating_sub(ended_us) as f64 / 1e6);
+        put("peak_real_bytes_s", routers.peak_bytes);
     }
-    let held = |figure: &str, is: f64| Bound { figure: figure.to_string(), is, most: 0.0, held: is <= 0.0 };
-    let calm_missing = f64::from(u8::from(calm_after.is_none()));
-    let mut bounds = vec![held("follow_missing", missing), held("calm_missing", calm_missing)];
-    let of_cut = ["cut_missing", "agree_missing"];
-    bounds.extend(of_cut.iter().filter_map(|name| Some(held(name, *figures.get(*name)?))));
-    Ok(bounds)
 }
 
 impl World {
@@ -140,7 +250,7 @@
         }
     }
 
-    fn begin(&mut self, fault: Fault, watch: &mut Watch) -> std::io::Result<()> {
+    fn begin(&mut self, fault: Fault, watch: &mut MemberWatch) -> std::io::Result<()> {
         let ms = |span: Duration| span.as_millis() as u64;
         let struck = self.struck(fault);
         match fault {
@@ -170,7 +280,7 @@
     }
 
     /// Hollow routers return, or reach the others again, by themselves.
-    fn end(&mut self, fault: Fault, watch: &mut Watch) -> std::io::Result<()> {
+    fn end(&mut self, fault: Fault, watch: &mut MemberWatch) -> std::io::Result<()> {
         if fault == Fault::Cut {
             self.border.iter().for_each(Border::open);
         }
@@ -188,13 +298,11 @@
 impl World {
     /// What each side knew while it was cut off, by these reports of its end, and when all agreed again: routers by what
     /// they know, control instances by whom they share duties with.
-    fn of_cut(
-        &self,
-        reports: &[CrowdReport],
-        (began_us, ended_us): (u64, u64),
-        figures: &mut BTreeMap<String, f64>,
-    ) {
-        let mut put = |name: &str, value: f64| _ = figures.insert(name.to_string(), value);
+    fn of_cut(&self, reports: &[CrowdReport], span: FaultSpan, figures: &mut BTreeMap<String, f64>) {
+        let (began_us, ended_us) = (span.began.as_micros() as u64, span.ended_us());
+        let mut put = |name: &str, value: f64| {
+            figures.insert(name.to_string(), value);
+        };
         let mut oldest: f64 = 0.0;
         for (side, name) in REGIONS.iter().enumerate() {
             let ages = merged(reports.iter().map(|report| &report.ages_by_side[side]));
@@ -208,7 +316,9 @@
             let near = |other: &&Member| side(other.address.feed) == side(member.address.feed);
             self.control.iter().filter(near).count() as u64
         };
-        let (mut uncut, mut apart, mut last) = (0.0, 0.0, 0.0_f64);
+        let mut uncut = 0.0;
+        let mut apart = 0.0;
+        let mut last: f64 = 0.0;
         for member in &self.control {
             let duties = member.duties();
             let was_cut = half(member) == all || was_cut(&duties, (began_us, ended_us), half(member));
@@ -238,90 +348,3 @@
     all.pop_last();
     all.into_iter().collect()
 }
-
-/// What was last seen of a real process.
-#[derive(Clone, Copy, Default)]
-struct Seen {
-    /// Its counts, with its processor time and when that was read. None before it has been asked, and while it is down.
-    last: Option<(Sums, Duration, Instant)>,
-    /// As before the fault.
-    before: Sums,
-    /// It follows as before, and since when.
-    follows: bool,
-    followed_us: u64,
-}
-
-/// Real processes, asked for their counts again and again.
-#[derive(Default)]
-struct Watch {
-    seen: Vec<Seen>,
-    peak_bytes: f64,
-    peak_cpu: f64,
-}
-
-impl Watch {
-    fn look(&mut self, members: &[Member], mode: Mode) -> std::io::Result<()> {
-        self.seen.resize(members.len(), Seen::default());
-        let asked: Vec<Option<usize>> =
-            members.iter().map(|member| member.answers().then(|| member.ask())).collect();
-        for ((member, place), seen) in members.iter().zip(asked).zip(&mut self.seen) {
-            let Some(place) = place else {
-                seen.follows = false;
-                continue;
-            };
-            let sums = member.told(place, mode)?;
-            let follows = follows(mode, &sums, &seen.before);
-            if follows && !seen.follows {
-                seen.followed_us = sums.at_us;
-            }
-            seen.follows = follows;
-            let cpu = member.usage().map_or(Duration::ZERO, |(_, time)| time);
-            let at = Instant::now();
-            if let Some((before, cpu_before, at_before)) = seen.last {
-                let seconds = sums.at_us.saturating_sub(before.at_us) as f64 / 1e6;
-                if seconds < SHORTEST_S {
-                    continue;
-                }
-                let bytes = (sums.sent_bytes + sums.read_bytes) - (before.sent_bytes + before.read_bytes);
-                self.peak_bytes = self.peak_bytes.max(bytes as f64 / seconds);
-                let spent = cpu.saturating_sub(cpu_before).as_secs_f64();
-                self.peak_cpu = self.peak_cpu.max(spent / (at - at_before).as_secs_f64());
-            }
-            seen.last = Some((sums, cpu, at));
-        }
-        Ok(())
-    }
-
-    /// What they held by the last look is what they must hold again.
-    fn hold_as_before(&mut self) {
-        for seen in &mut self.seen {
-            seen.before = seen.last.map(|(sums, ..)| sums).unwrap_or_default();
-            (seen.follows, seen.followed_us) = (true, 0);
-        }
-    }
-
-    /// The process is gone, and its counts with it.
-    fn lost(&mut self, place: usize) {
-        (self.seen[place].last, self.seen[place].follows) = (None, false);
-    }
-
-    /// It runs from now on: what has passed by the next look has passed since then. A process that stood still finds
-    /// at its socket what came meanwhile.
-    fn returned(&mut self, place: usize) {
-        let (sums, cpu, _) =
-            self.seen[place].last.unwrap_or((Sums::default(), Duration::ZERO, Instant::now()));
-        let sums = Sums { at_us: now().as_micros() as u64, ..sums };
-        self.seen[place].last = Some((sums, cpu, Instant::now()));
-        self.seen[place].follows = false;
-    }
-
-    /// Those that did not follow by the last look.
-    fn missing(&self) -> usize {
-        self.seen.iter().filter(|seen| !seen.follows).count()
-    }
-
-    /// When the last of them came to follow again.
-    fn followed_us(&self) -> u64 {
-        self.seen.iter().map(|seen| seen.followed_us).max().unwrap_or(0)
-    }
-}
