--- a/crates/testbed/src/capacity/rows.rs
+++ b/crates/testbed/src/capacity/rows.rs
@@ -1,7 +1,10 @@
 //! A question and the records become rows of a table.
 
+mod single;
+
 use std::collections::BTreeMap;
 
+use self::single::single;
 use super::Books;
 use super::asks::{
     AGREE, Ask, Budget, CUT, DATABASES, NEVER, Over, PERIOD_S, PLAYED, ROUTERS, SIMULATED, Side, Source,
@@ -214,103 +217,6 @@
     })
 }
 
-fn single(ask: &Ask, about: About<'_>, over: Over, others: &[Over]) -> Single {
-    let (axis, figure) = (over.axis(), about.figure);
-    let wanted = match over {
-        Over::Size(_, size) => size,
-        Over::Share { followers, .. } => followers,
-    };
-    let mut row = empty(ask);
-    row.record = cite(about.record, figure, about.mode, &format!("over {}", axis.name()), about.program);
-    row.at = format!("{} {}", show(up(wanted, 6)), axis.name());
-    let Some(played) = about.points(axis) else {
-        row.error = "no run".to_string();
-        return Single { row, curve: None, held: None, size: wanted };
-    };
-    let held_at = played.held.clone();
-    let size = over.size(held_at.control);
-    row.at = match over {
-        Over::Share { followers, .. } => {
-            let (each, instances) = (show(up(followers, 6)), held_at.control);
-            format!("{each} routers an instance, {} before {instances}", show(size))
-        }
-        Over::Size(..) => format!("{} {}", show(size), axis.name()),
-    };
-    row.at = format!("{}; {} held", row.at, held(&held_at, axis));
-    let prefix = prefix(&held_at);
-    row.is_beside = is_beside(&held_at, figure);
-    row.is_below = is_held_below(&held_at, axis, others);
-    row.is_of_others = others
-        .iter()
-        .any(|over| matches!(over, Over::Share { machines, .. } if *machines != held_at.control as f64));
-    let suffix = if row.is_beside { AT_ANOTHER } else { "" };
-    let done = |row, curve| Single { row, curve, held: Some(held_at.clone()), size };
-    let fit = match about.fit(axis) {
-        Ok(fit) => Some(fit),
-        Err(fit::Unfit::TooFew { sizes, .. }) => {
-            row.error = format!("sizes played: {sizes}, needed: {}", fit::FEWEST_SIZES);
-            None
-        }
-        Err(fit::Unfit::Numbers { .. }) => {
-            row.error = "no fit".to_string();
-            None
-        }
-    };
-    let factor = if fit.as_ref().is_some_and(|fit| fit.form == Form::Product) {
-        let other = if axis == Axis::Routers { Axis::Databases } else { Axis::Routers };
-        let wanted = others.iter().find_map(|over| match over {
-            over if over.axis() == other => Some(over.size(held_at.control)),
-            _ => None,
-        });
-        Some((other, wanted.unwrap_or_else(|| fit::size(&held_at, other))))
-    } else {
-        None
-    };
-    let place = size * factor.map_or(1.0, |(_, factor)| factor);
-    let usable = fit.as_ref().filter(|fit| fit.is_usable());
-    let curve = usable.map(|fit| Curve::of(fit, &played.points, size, place));
-    if let Some(point) = played.points.iter().find(|point| point.size == size) {
-        row.sum = "played".to_string();
-        row.figure = Some(up(point.most, 3));
-        let basis = format!("{prefix}measured").replace("simulated: measured", "simulated");
-        row.basis = format!("{basis}{suffix}");
-        row.error = NO_FIGURE.to_string();
-        return done(row, curve);
-    }
-    let Some(fit) = fit else { return done(row, None) };
-    let missed = if fit.predicted < fit.played { "under" } else { "over" };
-    row.error = format!("{missed} by {} at {}", show(part(fit.error)), show(fit.largest));
-    let Some(curve) = curve else {
-        row.error += ": the form is wrong";
-        return done(row, None);
-    };
-    if let Some(failed) = played.failed_beyond().filter(|_| size > fit.largest) {
-        row.error += &format!("; calibration failed at {}, and nothing is known beyond", show(failed));
-        return done(row, None);
-    }
-    if curve.held.is_some() {
-        row.error += "; held at the most played";
-    }
-    let (offset, slope) = (show(curve.offset), show(curve.slope));
-    row.sum = match (curve.form, factor) {
-        _ if curve.held.is_some() => show(curve.at(place)),
-        (Form::Constant, _) => offset,
-        (Form::Log, _) => format!("{offset} + {slope} × ln {}", show(size)),
-        (Form::Square, _) => format!("{offset} + {slope} × {}²", show(size)),
-        (Form::Product, Some((other, factor))) => {
-            row.at = format!("{} {}, {} {}", show(size), axis.name(), show(factor), other.name());
-            let rest = held_with_both(&held_at).join(", ");
-            row.at += &if rest.is_empty() { rest } else { format!("; {rest} held") };
-            row.is_below = false;
-            format!("{offset} + {slope} × {} × {}", show(size), show(factor))
-        }
-        (Form::Linear | Form::Product, _) => format!("{offset} + {slope} × {}", show(size)),
-    };
-    row.figure = Some(up(curve.at(place), 3));
-    row.basis = format!("{prefix}predicted{suffix}");
-    done(row, Some(curve))
-}
-
 /// Where both axes were held: routers and databases.
 type Place = (f64, f64);
 
