--- /dev/null
+++ b/crates/testbed/src/duties/gap_plot.rs
@@ -0,0 +1,61 @@
+//! The drawing of `measure/duties --plot`.
+
+use std::time::Duration;
+
+use plotters::prelude::*;
+
+use super::LONGEST_GAP;
+use super::bench::Bench;
+use crate::now;
+
+/// The longest time that ended in each second in which nothing told any router of some node, and when kills were.
+///
+/// # Errors
+/// The file cannot be drawn.
+pub fn plot(
+    path: &std::path::Path,
+    bench: &Bench,
+    from: Duration,
+    kills: &[Duration],
+) -> Result<(), Box<dyn std::error::Error>> {
+    let seconds = (now() - from).as_secs() as usize;
+    let mut longest = vec![0.0_f64; seconds + 1];
+    for node in bench.nodes() {
+        let mut at = Duration::ZERO;
+        for gap in node.gaps(from, now()) {
+            at += gap;
+            if let Some(most) = longest.get_mut(at.as_secs() as usize) {
+                *most = most.max(gap.as_secs_f64());
+            }
+        }
+    }
+    let root = SVGBackend::new(path, (760, 360)).into_drawing_area();
+    root.fill(&WHITE)?;
+    let mut chart = ChartBuilder::on(&root)
+        .caption("Three routers, one killed again and again: longest gap of any node", ("sans-serif", 16))
+        .margin(12)
+        .x_label_area_size(36)
+        .y_label_area_size(56)
+        .build_cartesian_2d(0.0..seconds as f64 + 1.0, 0.0..LONGEST_GAP * 1.1)?;
+    chart
+        .configure_mesh()
+        .x_desc("seconds")
+        .y_desc("longest gap, s")
+        .light_line_style(BLACK.mix(0.06))
+        .draw()?;
+    let points = longest.iter().enumerate().map(|(second, gap)| (second as f64 + 0.5, *gap));
+    chart
+        .draw_series(LineSeries::new(points, BLACK.stroke_width(2)))?
+        .label("longest gap")
+        .legend(|(x, y)| PathElement::new(vec![(x, y), (x + 20, y)], BLACK.stroke_width(2)));
+    let marks = kills.iter().map(|at| Cross::new(((*at - from).as_secs_f64(), 0.02), 4, BLACK.mix(0.6)));
+    chart.draw_series(marks)?.label("a kill").legend(|(x, y)| Cross::new((x + 10, y), 4, BLACK.mix(0.6)));
+    let bound = [(0.0, LONGEST_GAP), (seconds as f64 + 1.0, LONGEST_GAP)];
+    chart
+        .draw_series(DashedLineSeries::new(bound, 6, 4, BLACK.stroke_width(1)))?
+        .label("the bound")
+        .legend(|(x, y)| PathElement::new(vec![(x, y), (x + 8, y)], BLACK.stroke_width(1)));
+    chart.configure_series_labels().background_style(WHITE.mix(0.9)).border_style(BLACK.mix(0.3)).draw()?;
+    root.present()?;
+    Ok(())
+}
--- /dev/null
+++ b/crates/testbed/src/duties/rpc_costs.rs
@@ -0,0 +1,109 @@
+//! What sharing changes for RPCs.
+
+use std::thread::sleep;
+use std::time::Duration;
+
+use hdrhistogram::Histogram;
+use serde::Serialize;
+
+use super::bench::note;
+use crate::load::Load;
+use crate::now;
+use crate::routers::Routers;
+use crate::store::Store;
+
+/// A fleet has settled by then.
+const SETTLED: Duration = Duration::from_millis(1500);
+
+/// What sharing changes for RPCs: routers that are hardly asked anything, and a primary that goes.
+#[derive(Serialize)]
+pub struct Contrast {
+    pub contrast: &'static str,
+    /// Bounded reads, one in 0.7 s at each router: their times, and the probes they cause.
+    pub sparse_p50_ms: f64,
+    pub sparse_p99_ms: f64,
+    pub sparse_max_ms: f64,
+    pub sparse_ok: u64,
+    pub sparse_pushed_back: u64,
+    pub sparse_probes_per_rpc: f64,
+    /// Probes of its group in the second after the primary broke, under the usual load.
+    pub failover_probes: usize,
+}
+
+/// Measures sparse reads at each router for so many seconds, and then a primary that goes.
+pub fn contrast(
+    name: &'static str,
+    busy: &Store,
+    addresses: &[std::net::SocketAddr],
+    seconds: u64,
+) -> Contrast {
+    let load = Load::of(addresses, 1, Duration::from_millis(700), &["recent"]);
+    let from = now();
+    sleep(Duration::from_secs(seconds));
+    let tally = load.end();
+    let probes: usize = busy.nodes.iter().map(|node| node.probes(from)).sum();
+    let mut times = Histogram::<u64>::new(3).expect("three digits");
+    tally.times.lock().map(|all| all.iter().for_each(|time| note(&mut times, *time))).unwrap_or_default();
+    let load = Load::start(addresses, 8, Duration::from_millis(100));
+    sleep(SETTLED);
+    let (primary, from) = (&busy.nodes[0], now());
+    primary.set_up(false);
+    sleep(Duration::from_secs(1));
+    let failover_probes = busy.nodes.iter().map(|node| node.probes(from)).sum();
+    primary.set_up(true);
+    load.end();
+    let ms = |quantile: f64| times.value_at_quantile(quantile) as f64 / 1000.0;
+    Contrast {
+        contrast: name,
+        sparse_p50_ms: ms(0.5),
+        sparse_p99_ms: ms(0.99),
+        sparse_max_ms: times.max() as f64 / 1000.0,
+        sparse_ok: tally.ok.load(std::sync::atomic::Ordering::SeqCst),
+        sparse_pushed_back: tally.pushed_back.load(std::sync::atomic::Ordering::SeqCst),
+        sparse_probes_per_rpc: probes as f64 / tally.rpcs().max(1) as f64,
+        failover_probes,
+    }
+}
+
+/// The first bounded read of a router that has just started, where a probe takes 30 ms: its times over many starts.
+#[derive(Serialize)]
+pub struct FirstReads {
+    pub first_reads: &'static str,
+    pub starts: usize,
+    pub p50_ms: f64,
+    pub max_ms: f64,
+    pub ok: u64,
+}
+
+const SLOW_PROBE: Duration = Duration::from_millis(30);
+
+/// Measures the first read after each of so many starts of the first router.
+///
+/// # Errors
+/// The router cannot be started.
+pub fn first_reads(
+    name: &'static str,
+    busy: &Store,
+    routers: &mut Routers,
+    starts: usize,
+) -> std::io::Result<FirstReads> {
+    busy.nodes.iter().for_each(|node| node.slow_probes(SLOW_PROBE));
+    let address = [routers.all[0].address];
+    let (mut times, mut ok) = (Vec::new(), 0);
+    for _ in 0..starts {
+        routers.kill(0);
+        routers.start(0)?;
+        // A front sends clients once a router answers, and some time later: it has heard from its peers by then.
+        sleep(Duration::from_millis(300));
+        let load = Load::of(&address, 1, Duration::from_millis(400), &["recent"]);
+        sleep(Duration::from_millis(200));
+        let tally = load.end();
+        ok += tally.ok.load(std::sync::atomic::Ordering::SeqCst);
+        times.extend(tally.times.lock().map(|times| times.first().copied()).unwrap_or_default());
+    }
+    busy.nodes.iter().for_each(|node| node.slow_probes(Duration::ZERO));
+    times.sort_unstable();
+    let ms = |time: Option<&u64>| time.copied().unwrap_or_default() as f64 / 1000.0;
+    let (p50_ms, max_ms) = (ms(times.get(times.len() / 2)), ms(times.last()));
+    Ok(FirstReads { first_reads: name, starts, p50_ms, max_ms, ok })
+}
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -8,6 +8,7 @@
 
 pub mod capacity;
 pub mod chart;
+pub mod duties;
 pub mod fit;
 pub mod listing;
 pub mod load;
