--- a/crates/testbed/src/bin/duties.rs
+++ b/crates/testbed/src/bin/duties.rs
@@ -9,12 +9,12 @@
 use std::thread::sleep;
 use std::time::Duration;
 
-use hdrhistogram::Histogram;
 use lexopt::prelude::{Long, ValueExt};
-use quillpoint_testbed::duties::bench::{Bench, note, used};
+use quillpoint_testbed::duties::ROUTERS;
+use quillpoint_testbed::duties::bench::{Bench, used};
+use quillpoint_testbed::duties::figures::{Figures, Found};
 use quillpoint_testbed::duties::gap_plot::plot;
-use quillpoint_testbed::duties::rpc_costs::{Contrast, FirstReads, contrast, first_reads};
-use quillpoint_testbed::duties::{LONGEST_GAP, ROUTERS};
+use quillpoint_testbed::duties::rpc_costs::{contrast, first_reads};
 use quillpoint_testbed::listing::{Entry, Listing, targets};
 use quillpoint_testbed::load::{Load, Outages, Tally};
 use quillpoint_testbed::now;
@@ -22,11 +22,8 @@
 use quillpoint_testbed::store::{Node, Store};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use serde::Serialize;
 use serde_json::Value as Json;
 
-/// Shared probing costs at most this part of what three routers alone cost together.
-const SHARED_PART: f64 = 0.5;
 /// A fleet has settled by then.
 const SETTLED: Duration = Duration::from_millis(1500);
 
@@ -75,33 +72,6 @@
     Ok(Some(wanted))
 }
 
-/// The last line.
-#[derive(Serialize)]
-struct Figures {
-    probe_gap_max_s: f64,
-    probes_per_node_s_shared: f64,
-    probes_per_node_s_alone: f64,
-    probes_per_node_s_off: f64,
-    take_over_max_s: f64,
-    kills: usize,
-    rpcs: u64,
-    ok: u64,
-    pushed_back: u64,
-    aborted: u64,
-    cut: u64,
-    lost: u64,
-    doubled: u64,
-    stale: u64,
-    entered_missing: usize,
-    refused_but_ran: usize,
-    cold_part: f64,
-    false_deaths: usize,
-    p50_ms: f64,
-    p99_ms: f64,
-    seed: u64,
-    broken: Vec<String>,
-}
-
 fn entries<'a>(busy: &'a Store, quiet: &'a Store, cold: Option<Duration>) -> Vec<Entry<'a>> {
     let entry = |(group, place, node): (u64, usize, &'a Node)| Entry {
         node,
@@ -131,23 +101,6 @@
     Duration::from_millis(count)
 }
 
-/// What a run has shown beside its phases.
-#[derive(Default)]
-struct Found {
-    gap_max_s: f64,
-    kills: usize,
-    take_over_max_s: f64,
-    /// Whether the router that stood still said so.
-    noticed_pause: bool,
-    false_deaths: usize,
-    /// RPCs at a node that warms up, as a part of those at a warm one.
-    cold_part: f64,
-    /// Whether the router that was told to stop ended well.
-    drained: bool,
-    contrasts: Vec<Contrast>,
-    firsts: Vec<FirstReads>,
-}
-
 /// A run: its nodes, the list of them, and what was found so far.
 struct Trial<'a> {
     wanted: &'a Wanted,
@@ -333,65 +286,6 @@
         Ok(())
     }
 
-    fn figures(&self, tally: &Tally) -> Figures {
-        let (bench, found) = (&self.bench, &self.found);
-        let count = |count: &std::sync::atomic::AtomicU64| count.load(std::sync::atomic::Ordering::SeqCst);
-        let ids = |ids: &std::sync::Mutex<Vec<String>>| ids.lock().map(|ids| ids.clone()).unwrap_or_default();
-        let mut times = Histogram::<u64>::new(3).expect("three digits");
-        tally.times.lock().map(|all| all.iter().for_each(|time| note(&mut times, *time))).unwrap_or_default();
-        let (_, doubled) = bench.busy.writes();
-        Figures {
-            probe_gap_max_s: found.gap_max_s,
-            probes_per_node_s_shared: bench.last("shared").probes_per_quiet_node_s,
-            probes_per_node_s_alone: bench.last("alone").probes_per_quiet_node_s,
-            probes_per_node_s_off: bench.last("off").probes_per_node_s_max,
-            take_over_max_s: found.take_over_max_s,
-            kills: found.kills,
-            rpcs: tally.rpcs(),
-            ok: count(&tally.ok),
-            pushed_back: count(&tally.pushed_back),
-            aborted: count(&tally.aborted),
-            cut: count(&tally.cut),
-            lost: count(&tally.lost),
-            doubled: doubled as u64,
-            stale: bench.nodes().map(Node::stale).sum(),
-            entered_missing: ids(&tally.entered).iter().filter(|id| !bench.busy.has_run(id)).count(),
-            refused_but_ran: ids(&tally.refused).iter().filter(|id| bench.busy.has_run(id)).count(),
-            cold_part: found.cold_part,
-            false_deaths: found.false_deaths,
-            p50_ms: times.value_at_quantile(0.5) as f64 / 1000.0,
-            p99_ms: times.value_at_quantile(0.99) as f64 / 1000.0,
-            seed: self.wanted.seed,
-            broken: Vec::new(),
-        }
-    }
-
-    /// The bounds that do not hold, in words.
-    fn broken(&self, figures: &Figures) -> Vec<String> {
-        let alone = figures.probes_per_node_s_alone;
-        // What one router alone may do, from its floor, for each of them.
-        let ceiling = ROUTERS as f64 / 0.150 * 1.05;
-        let highest = self.bench.phases.iter().map(|phase| phase.probes_per_node_s_max).fold(0.0, f64::max);
-        let bounds = [
-            ("a node unheard of for too long", figures.probe_gap_max_s <= LONGEST_GAP),
-            ("a killed router's duties taken over too late", figures.take_over_max_s <= LONGEST_GAP),
-            ("shared probes cost too much", figures.probes_per_node_s_shared <= alone * SHARED_PART),
-            ("too few probes: something else is amiss", figures.probes_per_node_s_shared >= 2.0),
-            ("more probes than the ceilings allow", highest <= ceiling),
-            ("an RPC was lost", figures.lost == 0),
-            ("a write ran twice", figures.doubled == 0),
-            ("a stale read", figures.stale == 0),
-            ("a write answered ok did not run", figures.entered_missing == 0),
-            ("a write pushed back ran", figures.refused_but_ran == 0),
-            ("hardly any RPCs were ok", figures.ok * 10 >= figures.rpcs * 9 && figures.rpcs > 1000),
-            ("a cold node got as much as a warm one", figures.cold_part <= 0.9),
-            ("a router that stood still did not notice", self.found.noticed_pause),
-            ("a router that was told to stop did not end well", self.found.drained),
-            ("one lossy way killed a peer", figures.false_deaths == 0),
-        ];
-        bounds.iter().filter(|(_, kept)| !kept).map(|(bound, _)| (*bound).to_string()).collect()
-    }
-
     fn write(&self, mut file: std::fs::File, figures: &Figures) -> std::io::Result<()> {
         for phase in &self.bench.phases {
             writeln!(file, "{}", serde_json::to_string(phase)?)?;
@@ -416,14 +310,14 @@
     let tally = trial.shared()?;
     trial.unshared(Bond::Alone, "alone")?;
     trial.unshared(Bond::Off, "off")?;
-    let mut figures = trial.figures(&tally);
+    let mut figures = Figures::new(&trial.bench, &trial.found, &tally, wanted.seed);
     for first in &trial.found.firsts {
         println!("{}", serde_json::to_string(first)?);
     }
     for contrast in &trial.found.contrasts {
         println!("{}", serde_json::to_string(contrast)?);
     }
-    figures.broken = trial.broken(&figures);
+    figures.broken = figures.broken(&trial.bench, &trial.found);
     if let Some(path) = &wanted.record {
         trial.write(std::fs::File::create(path)?, &figures)?;
     }
--- a/crates/testbed/src/duties.rs
+++ b/crates/testbed/src/duties.rs
@@ -1,6 +1,7 @@
 //! What `measure/duties` measures of routers that share probing, and how it is drawn.
 
 pub mod bench;
+pub mod figures;
 pub mod gap_plot;
 pub mod rpc_costs;
 
