--- a/crates/testbed/src/scale/crowd.rs
+++ b/crates/testbed/src/scale/hollow_process.rs
@@ -19,7 +19,7 @@
 use crate::process::resident;
 use crate::scale::faults::is_struck;
 use crate::scale::hollow::{Common, Hollow, Role};
-use crate::scale::orders::{CrowdPlan, CrowdReport, Known, Order};
+use crate::scale::orders::{HollowPlan, HollowReport, Known, Order};
 use crate::scale::prober::Prober;
 
 /// How often the routers are looked at.
@@ -39,7 +39,8 @@
     Heal,
 }
 
-struct Crowd {
+/// The hollow routers of this process, and what was counted of them.
+struct HollowProcess {
     common: Common,
     routers: Vec<Hollow>,
     /// So many hollow routers are in the processes before this one.
@@ -64,21 +65,21 @@
 /// # Errors
 /// A file is at fault, or an address cannot be had.
 pub async fn run(
-    plan: CrowdPlan,
+    plan: HollowPlan,
     orders: Receiver<Order>,
-    mut said: impl FnMut(&CrowdReport),
+    mut said: impl FnMut(&HollowReport),
     executor: Rc<LocalExecutor<'static>>,
 ) -> io::Result<()> {
     let (bare, every) = (plan.bare, if plan.bare { NEVER } else { QUARTER });
-    let mut crowd = Crowd::new(plan, executor)?;
-    for place in 0..crowd.routers.len() {
-        crowd.routers[place].start(&crowd.common)?;
+    let mut process = HollowProcess::new(plan, executor)?;
+    for place in 0..process.routers.len() {
+        process.routers[place].start(&process.common)?;
         Timer::after(APART).await;
     }
-    said(&crowd.report());
+    said(&process.report());
     let mut next = Instant::now() + every;
     loop {
-        let due = crowd.later.iter().map(|(at, _)| *at).fold(next, Instant::min);
+        let due = process.later.iter().map(|(at, _)| *at).fold(next, Instant::min);
         let order = async { Some(orders.recv().await.map_err(io::Error::other)) };
         let passed = async {
             Timer::at(due).await;
@@ -90,19 +91,19 @@
             Some(Ok(order)) => {
                 // Nobody waits for a report on this one, and one takes what many digests do.
                 let reports = !matches!(order, Order::Promoted { .. });
-                crowd.obey(order);
+                process.obey(order);
                 if reports && bare {
-                    crowd.look();
+                    process.look();
                 }
                 if reports {
-                    said(&crowd.report());
+                    said(&process.report());
                 }
             }
-            None => crowd.do_what_is_due()?,
+            None => process.do_what_is_due()?,
         }
         if Instant::now() >= next {
             next += every;
-            crowd.look();
+            process.look();
         }
     }
 }
@@ -120,8 +121,8 @@
     histogram.record(span.as_micros() as u64).expect("a histogram that grows takes all");
 }
 
-impl Crowd {
-    fn new(plan: CrowdPlan, executor: Rc<LocalExecutor<'static>>) -> io::Result<Self> {
+impl HollowProcess {
+    fn new(plan: HollowPlan, executor: Rc<LocalExecutor<'static>>) -> io::Result<Self> {
         let files = ConfigFiles { platform: Some(plan.platform), conf: Some(plan.conf) };
         let config = RuntimeConfig::read(&files, |_| None).map_err(io::Error::other)?;
         let Parts { fleet, subscribe, .. } = config.parts;
@@ -234,8 +235,8 @@
         }
     }
 
-    fn report(&self) -> CrowdReport {
-        let mut report = CrowdReport {
+    fn report(&self) -> HollowReport {
+        let mut report = HollowReport {
             at_us: now().as_micros() as u64,
             routers: self.routers.len(),
             base_bytes: self.base_bytes,
@@ -246,7 +247,7 @@
             ages_by_side: [pairs(&self.ages[0]), pairs(&self.ages[1])],
             peak_quarter: self.peak_quarter,
             quarters: self.quarters.clone(),
-            ..CrowdReport::default()
+            ..HollowReport::default()
         };
         for router in &self.routers {
             let traffic = router.traffic();
--- a/crates/testbed/src/scale/orders.rs
+++ b/crates/testbed/src/scale/orders.rs
@@ -28,7 +28,7 @@
 
 /// The first line to a process of hollow routers.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct CrowdPlan {
+pub struct HollowPlan {
     /// The files of a real router of this run, of which these differ by name and address alone.
     pub platform: PathBuf,
     pub conf: PathBuf,
@@ -97,7 +97,7 @@
 
 /// What a process of hollow routers reports.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct CrowdReport {
+pub struct HollowReport {
     pub at_us: u64,
     pub routers: usize,
     /// Sums over all routers, those before a restart included.
--- a/crates/testbed/src/scale/play.rs
+++ b/crates/testbed/src/scale/play.rs
@@ -24,7 +24,7 @@
 use crate::scale::counters::merged;
 use crate::scale::faults::Fault;
 use crate::scale::member::Member;
-use crate::scale::orders::{CrowdReport, DatabasesReport, Order};
+use crate::scale::orders::{DatabasesReport, HollowReport, Order};
 use crate::scale::sizes::{self, BadSize, DATABASES_A_PROCESS, Machine};
 use crate::scale::{bounds, calibration};
 
@@ -90,7 +90,7 @@
     databases: Vec<SocketAddr>,
     stores: Vec<StandIn>,
     /// Hollow routers that share a process, and behind them those that have one to themselves.
-    crowds: Vec<StandIn>,
+    hollow_processes: Vec<StandIn>,
     alone: usize,
     real: Vec<Member>,
     /// As many real routers without a control side, under the same load at the same time.
@@ -106,10 +106,10 @@
 
 impl World {
     /// Sends an order to all processes of hollow routers, and waits for their reports.
-    fn order_crowds(&mut self, order: &Order) -> std::io::Result<Vec<CrowdReport>> {
+    fn order_hollow(&mut self, order: &Order) -> std::io::Result<Vec<HollowReport>> {
         let places: Vec<usize> =
-            self.crowds.iter_mut().map(|crowd| crowd.order(order)).collect::<Result<_, _>>()?;
-        self.crowds.iter().zip(places).map(|(crowd, place)| crowd.report(place)).collect()
+            self.hollow_processes.iter_mut().map(|process| process.order(order)).collect::<Result<_, _>>()?;
+        self.hollow_processes.iter().zip(places).map(|(process, place)| process.report(place)).collect()
     }
 
     /// Waits until all hollow routers have followed for a while.
@@ -118,7 +118,7 @@
         let settled = if self.sizes.mode == Mode::Feed { COPIED } else { SETTLED };
         while since.elapsed() < settled {
             sleep(Duration::from_millis(250));
-            let reports = self.order_crowds(&Order::Count)?;
+            let reports = self.order_hollow(&Order::Count)?;
             let following: usize = reports.iter().map(|report| report.following).sum();
             let hollow = self.sizes.routers - self.sizes.real;
             if following < hollow {
@@ -158,7 +158,7 @@
         let report: DatabasesReport = store.report(place)?;
         self.promoted += 1;
         let told = Order::Promoted { node, at_us: report.promoted_us };
-        self.crowds.iter_mut().try_for_each(|crowd| crowd.order(&told).map(drop))
+        self.hollow_processes.iter_mut().try_for_each(|process| process.order(&told).map(drop))
     }
 
     /// Lets time pass, with changes at their rate.
@@ -181,7 +181,7 @@
     }
 
     /// When changes were known, of all that were made since the mark.
-    fn known(&self, reports: &[CrowdReport], figures: &mut BTreeMap<String, f64>) {
+    fn known(&self, reports: &[HollowReport], figures: &mut BTreeMap<String, f64>) {
         let times = merged(reports.iter().map(|report| &report.known_times));
         let unknown: usize = reports.iter().flat_map(|report| &report.known).map(|known| known.unknown).sum();
         if times.is_empty() && unknown == 0 {
@@ -248,7 +248,7 @@
     of_untied.end();
     if sizes.changes > 0.0 {
         sleep(KNOWN + Duration::from_secs_f64(sizes.period_s));
-        let reports = world.order_crowds(&Order::Count)?;
+        let reports = world.order_hollow(&Order::Count)?;
         world.known(&reports, &mut figures);
     }
     let mut bounds = calibration::bounds(&figures, play.with_cpu);
--- a/crates/testbed/src/scale/play/fault_injection.rs
+++ b/crates/testbed/src/scale/play/fault_injection.rs
@@ -18,7 +18,7 @@
 };
 use crate::scale::hollow::{REGIONS, side};
 use crate::scale::member::Member;
-use crate::scale::orders::{CrowdReport, Order};
+use crate::scale::orders::{HollowReport, Order};
 
 /// How long after a fault the fleet is watched for its return to calm.
 const RECOVERY_TIMEOUT: Duration = Duration::from_secs(20);
@@ -86,9 +86,9 @@
 /// What was last seen of a fleet after a fault.
 struct Recovery {
     /// Of hollow routers.
-    reports: Vec<CrowdReport>,
+    reports: Vec<HollowReport>,
     /// The same at the end of a cut.
-    while_cut: Option<Vec<CrowdReport>>,
+    while_cut: Option<Vec<HollowReport>>,
     /// How long after the fault the traffic was calm, in seconds, if it was within the timeout.
     calm_after: Option<f64>,
 }
@@ -110,7 +110,7 @@
     calm: &Window,
     figures: &mut BTreeMap<String, f64>,
 ) -> Result<Vec<Bound>, Failed> {
-    world.order_crowds(&Order::Mark)?;
+    world.order_hollow(&Order::Mark)?;
     let mut watches = RealWatches::default();
     watches.look(world)?;
     watches.routers.hold_as_before();
@@ -198,7 +198,7 @@
             sleep(schedule.next().saturating_sub(now()));
             if schedule.end.take_if(|at| *at <= now()).is_some() {
                 if fault == Fault::Cut {
-                    while_cut = Some(self.order_crowds(&Order::Count)?);
+                    while_cut = Some(self.order_hollow(&Order::Count)?);
                 }
                 self.end(fault, &mut watches.routers)?;
             }
@@ -210,7 +210,7 @@
                 continue;
             }
             counted_at = now();
-            let reports = self.order_crowds(&Order::Count)?;
+            let reports = self.order_hollow(&Order::Count)?;
             let calm_after = calm_after(&by_quarter(&reports), span.ended_us(), calm_bytes, CALM_TIMES);
             let follow = reports.iter().map(|report| report.following).sum::<usize>() == hollow;
             let quiet = calm_after
@@ -260,14 +260,14 @@
                     self.real[place].kill();
                     watch.lost(place);
                 }
-                self.order_crowds(&Order::Restart { one_in: ONE_IN, down_ms: ms(DOWN) })?;
+                self.order_hollow(&Order::Restart { one_in: ONE_IN, down_ms: ms(DOWN) })?;
             }
             Fault::Stop => {
                 struck.into_iter().for_each(|place| self.real[place].stand_still(true));
-                self.order_crowds(&Order::Stop { one_in: ONE_IN, ms: ms(STOPPED) })?;
+                self.order_hollow(&Order::Stop { one_in: ONE_IN, ms: ms(STOPPED) })?;
             }
             Fault::Cut => {
-                _ = self.order_crowds(&Order::Cut { ms: ms(CUT) })?;
+                _ = self.order_hollow(&Order::Cut { ms: ms(CUT) })?;
                 self.border.iter().for_each(Border::close);
             }
             Fault::Control => {
@@ -298,7 +298,7 @@
 impl World {
     /// What each side knew while it was cut off, by these reports of its end, and when all agreed again: routers by what
     /// they know, control instances by whom they share duties with.
-    fn of_cut(&self, reports: &[CrowdReport], span: FaultSpan, figures: &mut BTreeMap<String, f64>) {
+    fn of_cut(&self, reports: &[HollowReport], span: FaultSpan, figures: &mut BTreeMap<String, f64>) {
         let (began_us, ended_us) = (span.began.as_micros() as u64, span.ended_us());
         let mut put = |name: &str, value: f64| {
             figures.insert(name.to_string(), value);
@@ -339,7 +339,7 @@
 }
 
 /// Bytes in and out of all hollow routers by quarters of a second, but for the last, which may not have come from all.
-fn by_quarter(reports: &[CrowdReport]) -> Vec<(u64, u64)> {
+fn by_quarter(reports: &[HollowReport]) -> Vec<(u64, u64)> {
     let mut all: BTreeMap<u64, u64> = BTreeMap::new();
     for (at, bytes) in reports.iter().flat_map(|report| &report.quarters) {
         // Processes look at their routers at moments of their own.
--- a/crates/testbed/src/scale/play/start.rs
+++ b/crates/testbed/src/scale/play/start.rs
@@ -15,7 +15,7 @@
 use crate::scale::border::Border;
 use crate::scale::faults::Fault;
 use crate::scale::member::{Address, Files, Kind, Member};
-use crate::scale::orders::{CrowdPlan, CrowdReport, DatabasesPlan, DatabasesReport, Place};
+use crate::scale::orders::{DatabasesPlan, DatabasesReport, HollowPlan, HollowReport, Place};
 use crate::scale::roles::{name, roles};
 use crate::scale::sizes::DATABASES_A_PROCESS;
 
@@ -172,7 +172,7 @@
         &self,
         databases: &[SocketAddr],
         promotions: &[(usize, usize)],
-    ) -> std::io::Result<Vec<CrowdPlan>> {
+    ) -> std::io::Result<Vec<HollowPlan>> {
         let sizes = &self.play.sizes;
         let calm = self.play.fault.is_none();
         // All hollow routers are told the same but for name and address.
@@ -185,7 +185,7 @@
         for (process, places) in self.shared.chunks(each).chain(self.alone.chunks(1)).enumerate() {
             let place =
                 |place: &usize| Place { name: name(*place), listen: self.addresses.datagrams[*place] };
-            plans.push(CrowdPlan {
+            plans.push(HollowPlan {
                 platform: platform.clone(),
                 conf: conf.clone(),
                 routers: places.iter().map(place).collect(),
@@ -212,10 +212,10 @@
         promotions: &[(usize, usize)],
     ) -> std::io::Result<Vec<StandIn>> {
         let plans = self.plans(databases, promotions)?;
-        let start = |plan: &CrowdPlan| StandIn::start(&self.programs.hollow, "hollow routers", plan);
+        let start = |plan: &HollowPlan| StandIn::start(&self.programs.hollow, "hollow routers", plan);
         let processes: Vec<StandIn> = plans.iter().map(start).collect::<Result<_, _>>()?;
         for process in &processes {
-            process.await_up::<CrowdReport>()?;
+            process.await_up::<HollowReport>()?;
         }
         Ok(processes)
     }
@@ -255,7 +255,7 @@
             sizes: sizes.clone(),
             databases,
             stores,
-            crowds: Vec::new(),
+            hollow_processes: Vec::new(),
             alone: alone.len(),
             real: members.routers,
             untied: members.untied,
@@ -268,7 +268,7 @@
         if sizes.routers > sizes.real {
             let (alone, shared) = (&*alone, &*shared);
             let hollow = HollowStart { play, programs, files: &files, addresses: &addresses, alone, shared };
-            world.crowds = hollow.start(&world.databases, &world.promotions)?;
+            world.hollow_processes = hollow.start(&world.databases, &world.promotions)?;
         }
         world.border = border;
         Ok(world)
--- a/crates/testbed/src/scale/play/window.rs
+++ b/crates/testbed/src/scale/play/window.rs
@@ -9,7 +9,7 @@
 use crate::record::Mode;
 use crate::scale::counters::{Rates, Sums, mean, merged, rates};
 use crate::scale::member::Member;
-use crate::scale::orders::{CrowdReport, DatabasesReport, Order};
+use crate::scale::orders::{DatabasesReport, HollowReport, Order};
 
 /// Rates and figures between two snapshots.
 pub(super) struct Window {
@@ -21,7 +21,7 @@
 /// All counters at one time.
 pub(super) struct Snapshot {
     pub(super) at: Instant,
-    crowds: Vec<CrowdReport>,
+    hollow_processes: Vec<HollowReport>,
     real: Vec<Sums>,
     control: Vec<Sums>,
     stores: Vec<DatabasesReport>,
@@ -48,7 +48,7 @@
 }
 
 /// The sums of a process of hollow routers, in the form of a real one's.
-fn as_sums(report: &CrowdReport) -> Sums {
+fn as_sums(report: &HollowReport) -> Sums {
     Sums {
         at_us: report.at_us,
         sent: report.sent,
@@ -73,7 +73,7 @@
     pub(super) fn snapshot(&mut self, begins: bool) -> std::io::Result<Snapshot> {
         let mut cpu = self.cpu();
         let asked: Vec<usize> = self.real.iter().chain(&self.control).map(Member::ask).collect();
-        let crowds = self.order_crowds(if begins { &Order::Mark } else { &Order::Count })?;
+        let hollow_processes = self.order_hollow(if begins { &Order::Mark } else { &Order::Count })?;
         let mode = self.sizes.mode;
         let told: Vec<Sums> = self
             .real
@@ -93,7 +93,7 @@
         }
         Ok(Snapshot {
             at: Instant::now(),
-            crowds,
+            hollow_processes,
             real: real.to_vec(),
             control: control.to_vec(),
             stores,
@@ -104,16 +104,16 @@
 
     /// Processor time of all processes by now.
     fn cpu(&self) -> Cpu {
-        let shared = self.crowds.len() - self.alone;
-        let time = |crowd: &StandIn| crowd.process.usage().map(|(_, time)| time);
+        let shared = self.hollow_processes.len() - self.alone;
+        let time = |stand_in: &StandIn| stand_in.process.usage().map(|(_, time)| time);
         let of = |members: &[Member]| {
             let time = |member: &Member| member.usage().map_or(Duration::ZERO, |(_, time)| time);
             members.iter().map(time).collect()
         };
         Cpu {
             at: Instant::now(),
-            shared: self.crowds[..shared].iter().filter_map(time).sum(),
-            alone: self.crowds[shared..].iter().filter_map(time).collect(),
+            shared: self.hollow_processes[..shared].iter().filter_map(time).sum(),
+            alone: self.hollow_processes[shared..].iter().filter_map(time).collect(),
             real: of(&self.real),
             untied: of(&self.untied),
             control: of(&self.control),
@@ -123,9 +123,10 @@
     /// The figures of what was counted between two snapshots.
     pub(super) fn window(&self, before: &Snapshot, after: &Snapshot) -> Window {
         let pair = |(before, after): (&Sums, &Sums)| (*before, *after, 1);
-        let crowds = before.crowds.iter().zip(&after.crowds);
-        let hollow: Vec<_> =
-            crowds.map(|(before, after)| (as_sums(before), as_sums(after), after.routers)).collect();
+        let hollow_processes = before.hollow_processes.iter().zip(&after.hollow_processes);
+        let hollow: Vec<_> = hollow_processes
+            .map(|(before, after)| (as_sums(before), as_sums(after), after.routers))
+            .collect();
         let real: Vec<_> = before.real.iter().zip(&after.real).map(pair).collect();
         let control: Vec<_> = before.control.iter().zip(&after.control).map(pair).collect();
         let hollow = rates(&hollow);
@@ -164,16 +165,16 @@
             put_rates(put, role, rates);
             put(&format!("{role}_cpu_part"), alone);
         }
-        let sharing = &after.crowds[..after.crowds.len() - self.alone];
+        let sharing = &after.hollow_processes[..after.hollow_processes.len() - self.alone];
         if !sharing.is_empty() {
             let routers: usize = sharing.iter().map(|report| report.routers).sum();
             let cpu = (after.cpu.shared - before.cpu.shared).as_secs_f64() / cpu_seconds;
             put("hollow_sharing_cpu_part", cpu / routers as f64);
-            let grown = |report: &CrowdReport| report.resident_bytes.saturating_sub(report.base_bytes);
+            let grown = |report: &HollowReport| report.resident_bytes.saturating_sub(report.base_bytes);
             let bytes: u64 = sharing.iter().map(grown).sum();
             put("router_memory_bytes", bytes as f64 / routers as f64);
         }
-        let ages = merged(after.crowds.iter().map(|report| &report.ages));
+        let ages = merged(after.hollow_processes.iter().map(|report| &report.ages));
         put("age_p50_s", ages.value_at_quantile(0.5) as f64 / 1e6);
         put("age_p99_s", ages.value_at_quantile(0.99) as f64 / 1e6);
         put("age_max_s", ages.max() as f64 / 1e6);
--- a/crates/testbed/src/scale/sizes.rs
+++ b/crates/testbed/src/scale/sizes.rs
@@ -133,7 +133,7 @@
     let Sizes { mode, routers, real, hollow_processes, control, databases, connections, .. } = *sizes;
     let hollow = routers - real.min(routers);
     let each = (hollow - alone(hollow)).div_ceil(hollow_processes.saturating_sub(alone(hollow)).max(1));
-    let kept = if hollow_processes == 0 { 0 } else { databases.min(crate::scale::crowd::MOST_KEPT) };
+    let kept = if hollow_processes == 0 { 0 } else { databases.min(crate::scale::hollow_process::MOST_KEPT) };
     let of_databases = databases.min(DATABASES_A_PROCESS) * (1 + CONNECTIONS_EACH);
     let of_real = connections + databases;
     // As many real routers again have no control side: what the same load costs without it.
