--- a/crates/simulator/src/feed_world.rs
+++ b/crates/simulator/src/feed_world.rs
@@ -1,5 +1,6 @@
 //! Control instances and routers in virtual time: each control instance is a member of the fleet that divides the
-//! probing and a publisher, each router a subscriber. The packages are those of the program; the world keeps the books.
+//! probing and a publisher, each router a subscriber. The packages are those of the program; the world keeps
+//! observations.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
--- a/crates/simulator/src/lib.rs
+++ b/crates/simulator/src/lib.rs
@@ -1,4 +1,4 @@
-//! The lab: decision packages as they are, in virtual time, at sizes that sockets do not reach.
+//! The simulator: decision packages as they are, in virtual time, at sizes that sockets do not reach.
 //!
 //! One seed decides all that happens in a run. [`world::World`] runs routers' fleets among emulated nodes on a
 //! network that loses, delays, doubles and parts; [`experiment`] describes runs, [`record`] keeps what came of them,
--- a/crates/simulator/src/world.rs
+++ b/crates/simulator/src/world.rs
@@ -1,4 +1,4 @@
-//! Routers' fleets among emulated nodes in virtual time. The world keeps the books: who probed what when, what
+//! Routers' fleets among emulated nodes in virtual time. The world keeps observations: who probed what when, what
 //! passed between routers, what each was told. It decides nothing that a router decides.
 
 use std::cell::RefCell;
--- a/crates/simulator/tests/feed.rs
+++ b/crates/simulator/tests/feed.rs
@@ -1,5 +1,5 @@
-//! Control instances and routers in the lab: the bounds of the mechanism at small sizes, with the fleet that divides the
-//! probing as it is, and what does not fit.
+//! Control instances and routers in the simulator: the bounds of the mechanism at small sizes, with the fleet that
+//! divides the probing as it is, and what does not fit.
 
 use std::time::Duration;
 
--- a/crates/simulator/tests/fleet.rs
+++ b/crates/simulator/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! Fleets in virtual time under every fault that they are for. The rules are checked after each event by the books
-//! of the world, which share no code with what decides.
+//! Fleets in virtual time under every fault that they are for. The rules are checked after each event by the world's
+//! observations, which share no code with what decides.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
--- a/crates/testbed/src/capacity.rs
+++ b/crates/testbed/src/capacity.rs
@@ -35,20 +35,20 @@
 }
 
 /// The records that the rows rest on, by name. One that is not there holds nothing.
-struct Books(BTreeMap<&'static str, Vec<Line>>);
+struct Records(BTreeMap<&'static str, Vec<Line>>);
 
-impl Books {
+impl Records {
     fn read(folder: &Path) -> Result<Self, Fault> {
-        let mut books = BTreeMap::new();
+        let mut records = BTreeMap::new();
         for name in [PLAYED, SIMULATED] {
             let path = folder.join(name);
             let lines = if path.exists() { record::read(&path)? } else { Vec::new() };
             if !has_its_fits(&lines) {
                 return Err(Fault::Stale(name));
             }
-            books.insert(name, lines);
+            records.insert(name, lines);
         }
-        Ok(Self(books))
+        Ok(Self(records))
     }
 
     fn lines(&self, record: &str) -> &[Line] {
@@ -73,14 +73,14 @@
         })
 }
 
-fn block(name: &str, books: &Books) -> Option<String> {
+fn block(name: &str, records: &Records) -> Option<String> {
     match name {
-        "missing-today" => Some(tables::missing(&[Side::Shared, Side::Any], books)),
-        "missing-feed" => Some(tables::missing(&[Side::Feed, Side::Any], books)),
-        "slopes" => Some(tables::slopes(books)),
-        "plots" => Some(tables::plots(books)),
-        "runs" => Some(tables::runs(books)),
-        section if SECTIONS.iter().any(|(name, _)| *name == section) => Some(tables::table(section, books)),
+        "missing-today" => Some(tables::missing(&[Side::Shared, Side::Any], records)),
+        "missing-feed" => Some(tables::missing(&[Side::Feed, Side::Any], records)),
+        "slopes" => Some(tables::slopes(records)),
+        "plots" => Some(tables::plots(records)),
+        "runs" => Some(tables::runs(records)),
+        section if SECTIONS.iter().any(|(name, _)| *name == section) => Some(tables::table(section, records)),
         _ => None,
     }
 }
@@ -93,11 +93,11 @@
 /// # Errors
 /// A record cannot be read or has not been fitted, or the page's markers are at fault.
 pub fn fill(page: &str, folder: &Path) -> Result<String, Fault> {
-    let books = Books::read(folder)?;
+    let records = Records::read(folder)?;
     let (mut made, mut rest, mut seen) = (String::new(), page, BTreeSet::new());
     while let Some(at) = rest.find(BEGIN) {
         let name = rest[at + BEGIN.len()..].split(" -->").next().unwrap_or_default();
-        let filled = block(name, &books).ok_or_else(|| Fault::Unknown(name.to_string()))?;
+        let filled = block(name, &records).ok_or_else(|| Fault::Unknown(name.to_string()))?;
         let end = rest[at..].find(END).ok_or_else(|| Fault::NoEnd(name.to_string()))?;
         _ = write!(made, "{}{BEGIN}{name} -->\n{filled}{END}", &rest[..at]);
         seen.insert(name);
@@ -122,10 +122,10 @@
 /// # Errors
 /// A record cannot be read or has not been fitted, or a file cannot be written.
 pub fn draw(folder: &Path) -> Result<Vec<String>, Box<dyn std::error::Error>> {
-    let books = Books::read(folder)?;
+    let records = Records::read(folder)?;
     let mut drawn = Vec::new();
-    for (file, figure, axis) in tables::drawings(&books) {
-        crate::chart::draw(&folder.join(&file), books.lines(PLAYED), axis, figure)?;
+    for (file, figure, axis) in tables::drawings(&records) {
+        crate::chart::draw(&folder.join(&file), records.lines(PLAYED), axis, figure)?;
         drawn.push(file);
     }
     Ok(drawn)
--- a/crates/testbed/src/capacity/asks.rs
+++ b/crates/testbed/src/capacity/asks.rs
@@ -34,7 +34,7 @@
 const PROBES_S: f64 = 1.0 / PERIOD_S;
 const IN_FORCE_S: f64 = 15.0;
 
-/// What processes played, and what the lab did.
+/// What processes played, and what the simulator did.
 pub const PLAYED: &str = "scale.jsonl";
 pub const SIMULATED: &str = "scale-simulated.jsonl";
 
@@ -144,7 +144,7 @@
 /// What is asked in a section.
 pub fn asks(section: &str) -> Vec<Ask> {
     let both = || vec![Over::Size(Axis::Routers, ROUTERS), Over::Size(Axis::Databases, DATABASES)];
-    // In the lab all know each other, which more than these never do.
+    // In the simulator all know each other, which more than these never do.
     let known = || vec![Over::Size(Axis::Routers, MAX_PEERS as f64), Over::Size(Axis::Databases, DATABASES)];
     let calm = |record, mode, figure, over| Source::Calm { record, mode, figure, over };
     let ask =
--- a/crates/testbed/src/capacity/rows.rs
+++ b/crates/testbed/src/capacity/rows.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 
 use self::single::single;
-use super::Books;
+use super::Records;
 use super::asks::{
     AGREE, Ask, Budget, CUT, DATABASES, NEVER, Over, PERIOD_S, PLAYED, ROUTERS, SIMULATED, Side, Source,
 };
@@ -129,7 +129,7 @@
 const AT_ANOTHER: &str = " at another period";
 
 /// Whether a figure was played at a period that is not the target's, and follows the period: what the feed sends routers,
-/// and what is kept, does not. The lab's experiments say no period, and have the target's.
+/// and what is kept, does not. The simulator's experiments say no period, and have the target's.
 fn is_beside(sizes: &Sizes, figure: &str) -> bool {
     let stays = |name: &str| {
         let is_sent = name.starts_with("router_bytes") || name.starts_with("router_messages");
@@ -332,23 +332,23 @@
     Some(row)
 }
 
-/// The rows of a question: of processes, and of the lab where it has played the like.
-pub fn rows(ask: &Ask, books: &Books) -> Vec<Row> {
+/// The rows of a question: of processes, and of the simulator where it has played the like.
+pub fn rows(ask: &Ask, records: &Records) -> Vec<Row> {
     match &ask.source {
         Source::Calm { record, mode, figure, over } => {
-            let of = |record| of_calm(ask, books, (record, *mode, figure), over);
+            let of = |record| of_calm(ask, records, (record, *mode, figure), over);
             let simulated = of(SIMULATED).filter(|_| *record == PLAYED && ask.side == Side::Feed);
             let rows = of(record).unwrap_or_else(|| vec![not_played(ask, (record, *mode, figure), over)]);
             rows.into_iter().chain(simulated.into_iter().flatten()).collect()
         }
         Source::Fault { fault, figure } => {
-            let played = of_fault(ask, books, PLAYED, fault, figure).unwrap_or_else(|| {
+            let played = of_fault(ask, records, PLAYED, fault, figure).unwrap_or_else(|| {
                 let mut row = empty(ask);
                 row.record = cite(PLAYED, figure, of_side(ask.side), fault, None);
                 row.error = "no run".to_string();
                 row
             });
-            let simulated = of_fault(ask, books, SIMULATED, fault, figure);
+            let simulated = of_fault(ask, records, SIMULATED, fault, figure);
             std::iter::once(played).chain(simulated).collect()
         }
         Source::Computed { factors, by, from } => {
@@ -373,11 +373,11 @@
 /// enough sizes of each axis. What still newer ones were played at enough sizes of comes before.
 fn of_calm(
     ask: &Ask,
-    books: &Books,
+    records: &Records,
     (record, mode, figure): (&str, Mode, &str),
     over: &[Over],
 ) -> Option<Vec<Row>> {
-    let lines = books.lines(record);
+    let lines = records.lines(record);
     let about = |program| About { record, lines, program, mode, figure };
     let sizes = |program, over: &Over| about(program).points(over.axis()).map_or(0, |of| of.points.len());
     let mut programs = fit::programs(lines);
@@ -442,9 +442,9 @@
 
 /// The most that a fault did at the largest size at which it was played, if it was, by the newest program there. A cut
 /// that parts the control instances too counts before one that does not.
-fn of_fault(ask: &Ask, books: &Books, record: &str, fault: &str, figure: &str) -> Option<Row> {
+fn of_fault(ask: &Ask, records: &Records, record: &str, fault: &str, figure: &str) -> Option<Row> {
     let mode = of_side(ask.side);
-    let lines = books.lines(record);
+    let lines = records.lines(record);
     let runs = |fault, figure| lines.iter().filter_map(move |line| Struck::of(line, (fault, mode, figure)));
     let played: Vec<Struck<'_>> = runs(Some(fault), figure).collect();
     let place = |run: &Struck<'_>| {
--- a/crates/testbed/src/capacity/tables.rs
+++ b/crates/testbed/src/capacity/tables.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write as _;
 
-use super::Books;
+use super::Records;
 use super::asks::{DRAWN, PLAYED, SECTIONS, Side, Source, asks};
 use super::numbers::{part, show, up};
 use super::rows::{HEAD, Ratio, Row, rows};
@@ -14,18 +14,18 @@
 const FIRST: &str = "–";
 
 /// The rows of a section.
-pub fn table(section: &str, books: &Books) -> String {
-    let lines = asks(section).into_iter().flat_map(|ask| rows(&ask, books)).map(|row| row.line());
+pub fn table(section: &str, records: &Records) -> String {
+    let lines = asks(section).into_iter().flat_map(|ask| rows(&ask, records)).map(|row| row.line());
     HEAD.to_string() + &lines.collect::<String>()
 }
 
 /// What is over its budget, the worst first, and what nobody knows.
-pub fn missing(sides: &[Side], books: &Books) -> String {
+pub fn missing(sides: &[Side], records: &Records) -> String {
     let mut over = Vec::<(Ratio, &str, Row)>::new();
     let (mut unknown, mut unjudged) = (Vec::new(), Vec::new());
     for (section, when) in SECTIONS {
         for ask in asks(section).iter().filter(|ask| sides.contains(&ask.side)) {
-            let rows = rows(ask, books);
+            let rows = rows(ask, records);
             let worst = rows.iter().filter_map(|row| Some((row.ratio()?, row)));
             match worst.max_by(|one, other| one.0.is.total_cmp(&other.0.is)) {
                 Some((ratio, row)) if ratio.is > 1.0 => over.push((ratio, when, row.clone())),
@@ -77,7 +77,7 @@
 }
 
 /// The fits that the rows look at, each once.
-pub fn slopes(books: &Books) -> String {
+pub fn slopes(records: &Records) -> String {
     let mut told = "| record | program | figure | mode | over | form | slope | offset | fitted | residual | spread | largest | predicted | played | error | used |\n\
          | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n"
         .to_string();
@@ -85,7 +85,7 @@
     for (section, _) in SECTIONS {
         for ask in asks(section) {
             let Source::Calm { record, mode, figure, over } = ask.source else { continue };
-            let lines = books.lines(record);
+            let lines = records.lines(record);
             let all =
                 over.iter().flat_map(|over| fit::programs(lines).into_iter().map(|of| (over.axis(), of)));
             for (axis, program) in all {
@@ -129,10 +129,10 @@
 }
 
 /// The drawings that there are points for, by their files' names.
-pub fn drawings(books: &Books) -> Vec<(String, &'static str, Axis)> {
+pub fn drawings(records: &Records) -> Vec<(String, &'static str, Axis)> {
     let is_played = |figure: &str, axis: Axis| {
         let sizes =
-            |mode| fit::points(books.lines(PLAYED), axis, mode, figure).map_or(0, |of| of.points.len());
+            |mode| fit::points(records.lines(PLAYED), axis, mode, figure).map_or(0, |of| of.points.len());
         Mode::ALL.into_iter().any(|mode| sizes(mode) >= fit::FEWEST_SIZES)
     };
     let name =
@@ -144,8 +144,8 @@
 }
 
 /// Links to the drawings.
-pub fn plots(books: &Books) -> String {
-    let drawn = drawings(books);
+pub fn plots(records: &Records) -> String {
+    let drawn = drawings(records);
     let link = |(file, figure, axis): &(String, &str, Axis)| {
         format!("![{figure} over {}](measurements/{file})\n", axis.name())
     };
@@ -157,12 +157,12 @@
 }
 
 /// What was played, and which bounds of a run were broken.
-pub fn runs(books: &Books) -> String {
+pub fn runs(records: &Records) -> String {
     let mut told =
         "| record | program | mode | fault | runs | routers | databases | instances | bounds broken |\n\
          | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n"
             .to_string();
-    for (record, lines) in &books.0 {
+    for (record, lines) in &records.0 {
         let mut groups = BTreeMap::<(&str, Mode, &str), Vec<(&Sizes, &[record::Bound])>>::new();
         for line in lines {
             if let Line::Run { fault, program, sizes, bounds, .. } = line {
--- a/crates/testbed/src/chart.rs
+++ b/crates/testbed/src/chart.rs
@@ -1,4 +1,4 @@
-//! A figure of a record against a size, as SVG by the lab's plotter.
+//! A figure of a record against a size, as SVG by the simulator's plotter.
 
 use std::error::Error;
 use std::path::Path;
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -1,6 +1,6 @@
 //! Router processes among stand-ins on loopback addresses, for measurements and tests of whole fleets.
 //!
-//! A [`store::Store`] plays a group of nodes and keeps the books of what reached them; [`listing::Listing`] plays
+//! A [`store::Store`] plays a group of nodes and keeps observations of what reached them; [`listing::Listing`] plays
 //! discovery; [`relay::Relay`] loses datagrams as it is told; [`routers::Routers`] starts, kills and stops processes;
 //! [`load::Load`] asks as clients do, and counts how each RPC ended. Nothing here decides anything for a router.
 //! [`record`] is what a scale run leaves, and [`fit`] what its figures say of other sizes; [`capacity`] makes the
--- a/crates/testbed/src/scale/border.rs
+++ b/crates/testbed/src/scale/border.rs
@@ -1,5 +1,5 @@
 //! The border between the two halves of a fleet, where real processes are cut from each other: relays of datagrams. A
-//! hollow router needs none: it is told what it reaches ([`crate::scale::books`]).
+//! hollow router needs none: it is told what it reaches ([`crate::scale::observations`]).
 //!
 //! A closed border is what a cut between two regions is to datagrams: they are lost without a word, both ways, and
 //! the half within goes on. What it is not: whoever is a process here reaches discovery and all databases over TCP all the
--- a/crates/testbed/src/scale/hollow.rs
+++ b/crates/testbed/src/scale/hollow.rs
@@ -1,4 +1,4 @@
-//! One hollow router: its control side, its books, and the tasks that run both.
+//! One hollow router: its control side, its observations, and the tasks that run both.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -17,7 +17,7 @@
 };
 use quillpoint_membership::{Observation, PeerName};
 
-use crate::scale::books::{Asks, Books};
+use crate::scale::observations::{Asks, Observations};
 use crate::scale::orders::Place;
 use crate::scale::prober::Prober;
 
@@ -111,7 +111,7 @@
 
 struct Running {
     control: Control,
-    books: Rc<Books>,
+    observations: Rc<Observations>,
     still: Rc<Still>,
     _tasks: Vec<Task<()>>,
 }
@@ -145,9 +145,10 @@
         let sampled = common.nodes.keys().enumerate().filter(|(place, _)| sampled.contains(place));
         let (nodes, movers) = (Rc::clone(&common.nodes), Rc::clone(&common.movers));
         let sampled = sampled.map(|(_, node)| *node);
-        let books = Rc::new(Books::new(self.listen, nodes, sampled, movers, probes, Rc::clone(&common.cut)));
+        let observations =
+            Rc::new(Observations::new(self.listen, nodes, sampled, movers, probes, Rc::clone(&common.cut)));
         let name = PeerName::new(&self.name).map_err(std::io::Error::other)?;
-        let around = Rc::clone(&books) as Rc<dyn ControlHost>;
+        let around = Rc::clone(&observations) as Rc<dyn ControlHost>;
         let still = Rc::new(Still::default());
         let spawn =
             |task: Pin<Box<dyn Future<Output = ()>>>| common.executor.spawn(Rc::clone(&still).hold(task));
@@ -165,11 +166,11 @@
                 part.plan.region = Some(region(self.listen).to_string());
                 let subscription = SubscriberService::new(part, around, seed)?;
                 subscription.listed();
-                books.asks(Asks::new(&subscription, Rc::clone(&common.groups), common.statements));
+                observations.asks(Asks::new(&subscription, Rc::clone(&common.groups), common.statements));
                 let (one, other) = (Rc::clone(&subscription), Rc::clone(&subscription));
                 let uses = common.nodes.keys().skip(self.place % common.uses_one_in.max(1));
                 let uses = uses.step_by(common.uses_one_in.max(1)).copied().collect();
-                let alone = ask_alone(Rc::clone(&subscription), Rc::clone(&books), uses);
+                let alone = ask_alone(Rc::clone(&subscription), Rc::clone(&observations), uses);
                 let mut tasks = vec![spawn(Box::pin(one.listen())), spawn(Box::pin(other.keep_time()))];
                 if !common.bare {
                     tasks.push(spawn(Box::pin(alone)));
@@ -183,9 +184,9 @@
             // What it finds is nobody else's matter.
             Control::Subscriber(_) => Weak::new(),
         };
-        let probing = probe(asked, Rc::clone(&books), fleet, hands, Rc::clone(&still));
+        let probing = probe(asked, Rc::clone(&observations), fleet, hands, Rc::clone(&still));
         tasks.push(spawn(Box::pin(probing)));
-        self.running = Some(Running { control, books, still, _tasks: tasks });
+        self.running = Some(Running { control, observations, still, _tasks: tasks });
         Ok(())
     }
 
@@ -227,25 +228,29 @@
 
     /// How long it runs, and how old what it knows of its sampled databases is.
     pub fn ages(&self) -> (Duration, Vec<Option<Duration>>) {
-        let Some(Running { control, books, .. }) = &self.running else { return Default::default() };
+        let Some(Running { control, observations, .. }) = &self.running else { return Default::default() };
         if let Control::Subscriber(subscription) = control {
-            for node in books.sampled() {
+            for node in observations.sampled() {
                 if let Some(word) = subscription.known(node) {
-                    books.learnt(word);
+                    observations.learnt(word);
                 }
             }
         }
-        (books.ran(), books.ages())
+        (observations.ran(), observations.ages())
     }
 
     pub fn risen(&self, node: SocketAddr) -> Option<Duration> {
-        self.running.as_ref()?.books.risen(node)
+        self.running.as_ref()?.observations.risen(node)
     }
 }
 
 /// A subscriber that no control instance tells probes by itself what its sessions use, as far as its share lets it: as
 /// a real one does while statements come.
-async fn ask_alone(subscription: Rc<SubscriberService>, books: Rc<Books>, uses: Vec<SocketAddr>) {
+async fn ask_alone(
+    subscription: Rc<SubscriberService>,
+    observations: Rc<Observations>,
+    uses: Vec<SocketAddr>,
+) {
     loop {
         Timer::after(ASKED_EVERY).await;
         if !subscription.subscriber().is_isolated() {
@@ -253,7 +258,7 @@
         }
         for node in &uses {
             if subscription.may_probe(*node) {
-                books.probe(*node);
+                observations.probe(*node);
             }
         }
     }
@@ -277,18 +282,18 @@
 /// Makes the probes that fall to the router, each as a task of its own, which does not keep a killed one's socket.
 async fn probe(
     asked: Receiver<SocketAddr>,
-    books: Rc<Books>,
+    observations: Rc<Observations>,
     peers: Weak<FleetMember>,
     (executor, prober): (Rc<LocalExecutor<'static>>, Rc<Prober>),
     still: Rc<Still>,
 ) {
     while let Ok(node) = asked.recv().await {
-        let (books, peers, prober) = (Rc::clone(&books), peers.clone(), Rc::clone(&prober));
+        let (observations, peers, prober) = (Rc::clone(&observations), peers.clone(), Rc::clone(&prober));
         let task = async move {
-            let at = books.now();
+            let at = observations.now();
             let report = prober.probe(node).await;
             let (failed, report) = (report.is_none(), report.unwrap_or_default());
-            books.health_check_ended(node, !failed, report.primary);
+            observations.health_check_ended(node, !failed, report.primary);
             if let Some(peers) = peers.upgrade() {
                 let (position, primary) = (report.position, report.primary);
                 let news = Observation {
--- a/crates/testbed/src/scale/mod.rs
+++ b/crates/testbed/src/scale/mod.rs
@@ -5,7 +5,6 @@
 //! against real in the same fleet, so that what is counted at the hollow ones may be taken for the real. What the
 //! figures mean stands in `docs/measurements/README.md`.
 
-pub mod books;
 pub mod border;
 pub mod bounds;
 pub mod calibration;
@@ -17,6 +16,7 @@
 pub mod hollow;
 pub mod hollow_process;
 pub mod member;
+pub mod observations;
 pub mod orders;
 pub mod play;
 pub mod prober;
--- a/crates/testbed/src/scale/books.rs
+++ b/crates/testbed/src/scale/observations.rs
@@ -39,7 +39,8 @@
     }
 }
 
-pub struct Books {
+/// What one hollow router has heard, and the host of its control side.
+pub struct Observations {
     unix: Duration,
     start: Instant,
     nodes: Rc<BTreeMap<SocketAddr, u16>>,
@@ -56,7 +57,7 @@
     side: u8,
 }
 
-impl Books {
+impl Observations {
     pub fn new(
         listen: SocketAddr,
         nodes: Rc<BTreeMap<SocketAddr, u16>>,
@@ -146,7 +147,7 @@
     }
 }
 
-impl ControlHost for Books {
+impl ControlHost for Observations {
     fn now(&self) -> Duration {
         self.unix + self.start.elapsed()
     }
--- a/crates/testbed/src/simulated.rs
+++ b/crates/testbed/src/simulated.rs
@@ -6,7 +6,7 @@
 
 use crate::record::{Line, Mode, Sizes};
 
-/// Whether a file's lines are the lab's.
+/// Whether a file's lines are the simulator's.
 ///
 /// # Errors
 /// The file cannot be read.
--- a/crates/testbed/src/store.rs
+++ b/crates/testbed/src/store.rs
@@ -1,5 +1,5 @@
 //! A group of nodes: a primary and replicas that lag by a set time, each on a port of its own. Every query and probe
-//! that arrives is entered in the books, which share no code with a router's decisions.
+//! that arrives is entered in its observations, which share no code with a router's decisions.
 
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
@@ -19,7 +19,7 @@
 
 /// What has reached a node.
 #[derive(Default)]
-struct Books {
+struct Observations {
     probes: Vec<Duration>,
     /// All that tells a router of the node: probes and answers.
     contacts: Vec<Duration>,
@@ -29,7 +29,7 @@
 }
 
 struct Inner {
-    books: Mutex<Books>,
+    observations: Mutex<Observations>,
     up: AtomicBool,
     /// How long a probe waits for its answer, in milliseconds.
     slow_ms: AtomicU64,
@@ -87,7 +87,7 @@
     ) -> std::io::Result<Self> {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0))?;
         let inner = Arc::new(Inner {
-            books: Mutex::default(),
+            observations: Mutex::default(),
             up: AtomicBool::new(true),
             slow_ms: AtomicU64::new(0),
             boast_ms: AtomicU64::new(0),
@@ -121,28 +121,28 @@
         self.inner.up.load(Ordering::SeqCst)
     }
 
-    fn books(&self) -> MutexGuard<'_, Books> {
-        held(&self.inner.books)
+    fn observations(&self) -> MutexGuard<'_, Observations> {
+        held(&self.inner.observations)
     }
 
     /// The probes that came from then on.
     pub fn probes(&self, from: Duration) -> usize {
-        self.books().probes.iter().filter(|at| **at >= from).count()
+        self.observations().probes.iter().filter(|at| **at >= from).count()
     }
 
     /// The RPCs that came within a span.
     pub fn rpcs(&self, from: Duration, to: Duration) -> usize {
-        self.books().rpcs.iter().filter(|at| (from..to).contains(at)).count()
+        self.observations().rpcs.iter().filter(|at| (from..to).contains(at)).count()
     }
 
     pub fn stale(&self) -> u64 {
-        self.books().stale
+        self.observations().stale
     }
 
     /// The longest time within the span in which nothing reached the node that tells a router of it.
     pub fn longest_gap(&self, from: Duration, to: Duration) -> Duration {
-        let books = self.books();
-        let within = books.contacts.iter().copied().filter(|at| (from..=to).contains(at));
+        let observations = self.observations();
+        let within = observations.contacts.iter().copied().filter(|at| (from..=to).contains(at));
         let mut times: Vec<Duration> = within.chain([from, to]).collect();
         times.sort();
         times.windows(2).map(|pair| pair[1] - pair[0]).max().unwrap_or_default()
@@ -150,9 +150,9 @@
 
     /// The times from one contact to the next within the span.
     pub fn gaps(&self, from: Duration, to: Duration) -> Vec<Duration> {
-        let books = self.books();
+        let observations = self.observations();
         let mut times: Vec<Duration> =
-            books.contacts.iter().copied().filter(|at| (from..=to).contains(at)).collect();
+            observations.contacts.iter().copied().filter(|at| (from..=to).contains(at)).collect();
         times.sort();
         times.windows(2).map(|pair| pair[1] - pair[0]).collect()
     }
@@ -191,31 +191,31 @@
         }
     }
 
-    /// The whole answer to a query, which is entered in the books.
+    /// The whole answer to a query, which is entered in the observations.
     fn answer(&self, text: &str) -> Vec<u8> {
         let (at, mut out) = (now(), Vec::new());
         let load =
             |position: Duration| format!("x0={:.6},x1={}", position.as_secs_f64(), u8::from(self.primary));
-        let mut books = self.books();
+        let mut observations = self.observations();
         if text == "SHOW load" {
-            books.probes.push(at);
-            books.contacts.push(at);
+            observations.probes.push(at);
+            observations.contacts.push(at);
             let boast = Duration::from_millis(self.inner.boast_ms.load(Ordering::SeqCst));
             pg::encode_result(&mut out, &row(load(self.position() + boast).as_bytes()));
             pg::encode_ready_for_query(&mut out);
             return out;
         }
-        books.rpcs.push(at);
-        books.contacts.push(at);
+        observations.rpcs.push(at);
+        observations.contacts.push(at);
         if text.contains("INSERT") && !self.primary {
-            drop(books);
+            drop(observations);
             pg::encode_error(&mut out, false, "25006", "this is a replica", None);
         } else {
             // A read that no bound allows here counts against the router that sent it.
             let bounded = text.contains("c=recent,");
             let stale = bounded && self.position() + BOUND + ALLOWED < at;
-            books.stale += u64::from(stale);
-            drop(books);
+            observations.stale += u64::from(stale);
+            drop(observations);
             if text.contains("INSERT")
                 && let Some(id) = word(text, "id=")
             {
