--- a/crates/testbed/src/capacity/rows.rs
+++ b/crates/testbed/src/capacity/rows.rs
@@ -1,8 +1,11 @@
 //! A question and the records become rows of a table.
 
+mod single;
+
 use std::collections::BTreeMap;
 
-use super::Books;
+use self::single::single;
+use super::Records;
 use super::asks::{
     AGREE, Ask, Budget, CUT, DATABASES, NEVER, Over, PERIOD_S, PLAYED, ROUTERS, SIMULATED, Side, Source,
 };
@@ -126,7 +129,7 @@
 const AT_ANOTHER: &str = " at another period";
 
 /// Whether a figure was played at a period that is not the target's, and follows the period: what the feed sends routers,
-/// and what is kept, does not. The lab's experiments say no period, and have the target's.
+/// and what is kept, does not. The simulator's experiments say no period, and have the target's.
 fn is_beside(sizes: &Sizes, figure: &str) -> bool {
     let stays = |name: &str| {
         let is_sent = name.starts_with("router_bytes") || name.starts_with("router_messages");
@@ -214,103 +217,6 @@
     })
 }
 
-fn single(ask: &Ask, about: About<'_>, over: Over, others: &[Over]) -> Single {
-    let (axis, figure) = (over.axis(), about.figure);
-    let wanted = match over {
-        Over::Size(_, size) => size,
-        Over::Share { followers, .. } => followers,
-    };
-    let mut row = empty(ask);
-    row.record = cite(about.record, figure, about.mode, &format!("over {}", axis.name()), about.program);
-    row.at = format!("{} {}", show(up(wanted, 6)), axis.name());
-    let Some(played) = about.points(axis) else {
-        row.error = "no run".to_string();
-        return Single { row, curve: None, held: None, size: wanted };
-    };
-    let held_at = played.held.clone();
-    let size = over.size(held_at.control);
-    row.at = match over {
-        Over::Share { followers, .. } => {
-            let (each, instances) = (show(up(followers, 6)), held_at.control);
-            format!("{each} routers an instance, {} before {instances}", show(size))
-        }
-        Over::Size(..) => format!("{} {}", show(size), axis.name()),
-    };
-    row.at = format!("{}; {} held", row.at, held(&held_at, axis));
-    let prefix = prefix(&held_at);
-    row.is_beside = is_beside(&held_at, figure);
-    row.is_below = is_held_below(&held_at, axis, others);
-    row.is_of_others = others
-        .iter()
-        .any(|over| matches!(over, Over::Share { machines, .. } if *machines != held_at.control as f64));
-    let suffix = if row.is_beside { AT_ANOTHER } else { "" };
-    let done = |row, curve| Single { row, curve, held: Some(held_at.clone()), size };
-    let fit = match about.fit(axis) {
-        Ok(fit) => Some(fit),
-        Err(fit::Unfit::TooFew { sizes, .. }) => {
-            row.error = format!("sizes played: {sizes}, needed: {}", fit::FEWEST_SIZES);
-            None
-        }
-        Err(fit::Unfit::Numbers { .. }) => {
-            row.error = "no fit".to_string();
-            None
-        }
-    };
-    let factor = if fit.as_ref().is_some_and(|fit| fit.form == Form::Product) {
-        let other = if axis == Axis::Routers { Axis::Databases } else { Axis::Routers };
-        let wanted = others.iter().find_map(|over| match over {
-            over if over.axis() == other => Some(over.size(held_at.control)),
-            _ => None,
-        });
-        Some((other, wanted.unwrap_or_else(|| fit::size(&held_at, other))))
-    } else {
-        None
-    };
-    let place = size * factor.map_or(1.0, |(_, factor)| factor);
-    let usable = fit.as_ref().filter(|fit| fit.is_usable());
-    let curve = usable.map(|fit| Curve::of(fit, &played.points, size, place));
-    if let Some(point) = played.points.iter().find(|point| point.size == size) {
-        row.sum = "played".to_string();
-        row.figure = Some(up(point.most, 3));
-        let basis = format!("{prefix}measured").replace("simulated: measured", "simulated");
-        row.basis = format!("{basis}{suffix}");
-        row.error = NO_FIGURE.to_string();
-        return done(row, curve);
-    }
-    let Some(fit) = fit else { return done(row, None) };
-    let missed = if fit.predicted < fit.played { "under" } else { "over" };
-    row.error = format!("{missed} by {} at {}", show(part(fit.error)), show(fit.largest));
-    let Some(curve) = curve else {
-        row.error += ": the form is wrong";
-        return done(row, None);
-    };
-    if let Some(failed) = played.failed_beyond().filter(|_| size > fit.largest) {
-        row.error += &format!("; calibration failed at {}, and nothing is known beyond", show(failed));
-        return done(row, None);
-    }
-    if curve.held.is_some() {
-        row.error += "; held at the most played";
-    }
-    let (offset, slope) = (show(curve.offset), show(curve.slope));
-    row.sum = match (curve.form, factor) {
-        _ if curve.held.is_some() => show(curve.at(place)),
-        (Form::Constant, _) => offset,
-        (Form::Log, _) => format!("{offset} + {slope} × ln {}", show(size)),
-        (Form::Square, _) => format!("{offset} + {slope} × {}²", show(size)),
-        (Form::Product, Some((other, factor))) => {
-            row.at = format!("{} {}, {} {}", show(size), axis.name(), show(factor), other.name());
-            let rest = held_with_both(&held_at).join(", ");
-            row.at += &if rest.is_empty() { rest } else { format!("; {rest} held") };
-            row.is_below = false;
-            format!("{offset} + {slope} × {} × {}", show(size), show(factor))
-        }
-        (Form::Linear | Form::Product, _) => format!("{offset} + {slope} × {}", show(size)),
-    };
-    row.figure = Some(up(curve.at(place), 3));
-    row.basis = format!("{prefix}predicted{suffix}");
-    done(row, Some(curve))
-}
-
 /// Where both axes were held: routers and databases.
 type Place = (f64, f64);
 
@@ -426,23 +332,23 @@
     Some(row)
 }
 
-/// The rows of a question: of processes, and of the lab where it has played the like.
-pub fn rows(ask: &Ask, books: &Books) -> Vec<Row> {
+/// The rows of a question: of processes, and of the simulator where it has played the like.
+pub fn rows(ask: &Ask, records: &Records) -> Vec<Row> {
     match &ask.source {
         Source::Calm { record, mode, figure, over } => {
-            let of = |record| of_calm(ask, books, (record, *mode, figure), over);
+            let of = |record| of_calm(ask, records, (record, *mode, figure), over);
             let simulated = of(SIMULATED).filter(|_| *record == PLAYED && ask.side == Side::Feed);
             let rows = of(record).unwrap_or_else(|| vec![not_played(ask, (record, *mode, figure), over)]);
             rows.into_iter().chain(simulated.into_iter().flatten()).collect()
         }
         Source::Fault { fault, figure } => {
-            let played = of_fault(ask, books, PLAYED, fault, figure).unwrap_or_else(|| {
+            let played = of_fault(ask, records, PLAYED, fault, figure).unwrap_or_else(|| {
                 let mut row = empty(ask);
                 row.record = cite(PLAYED, figure, of_side(ask.side), fault, None);
                 row.error = "no run".to_string();
                 row
             });
-            let simulated = of_fault(ask, books, SIMULATED, fault, figure);
+            let simulated = of_fault(ask, records, SIMULATED, fault, figure);
             std::iter::once(played).chain(simulated).collect()
         }
         Source::Computed { factors, by, from } => {
@@ -467,11 +373,11 @@
 /// enough sizes of each axis. What still newer ones were played at enough sizes of comes before.
 fn of_calm(
     ask: &Ask,
-    books: &Books,
+    records: &Records,
     (record, mode, figure): (&str, Mode, &str),
     over: &[Over],
 ) -> Option<Vec<Row>> {
-    let lines = books.lines(record);
+    let lines = records.lines(record);
     let about = |program| About { record, lines, program, mode, figure };
     let sizes = |program, over: &Over| about(program).points(over.axis()).map_or(0, |of| of.points.len());
     let mut programs = fit::programs(lines);
@@ -536,9 +442,9 @@
 
 /// The most that a fault did at the largest size at which it was played, if it was, by the newest program there. A cut
 /// that parts the control instances too counts before one that does not.
-fn of_fault(ask: &Ask, books: &Books, record: &str, fault: &str, figure: &str) -> Option<Row> {
+fn of_fault(ask: &Ask, records: &Records, record: &str, fault: &str, figure: &str) -> Option<Row> {
     let mode = of_side(ask.side);
-    let lines = books.lines(record);
+    let lines = records.lines(record);
     let runs = |fault, figure| lines.iter().filter_map(move |line| Struck::of(line, (fault, mode, figure)));
     let played: Vec<Struck<'_>> = runs(Some(fault), figure).collect();
     let place = |run: &Struck<'_>| {
