--- a/src/admission.rs
+++ b/src/admission.rs
@@ -11,7 +11,8 @@
 use crate::router::Router;
 use crate::wait_queue::{AttemptStage, QueueHead};
 
-/// Past a utilization of 1, fewer reads are admitted by this power of it.
+/// Past a root utilization of 1, reads are admitted by 1 / this power of it, which is the fourth power of
+/// in flight / limit.
 const SHED_POWER: i32 = 8;
 /// The least work that a method's value is divided by, in seconds.
 const MIN_WORK_S: f64 = 1e-4;
@@ -29,10 +30,10 @@
         Some((now + method.latency_objective).saturating_sub(since_first_try))
     }
 
-    /// The part of the reads that is admitted, 0 to 1, by the utilization that nodes report. All routers add to an
+    /// The part of the reads that is admitted, 0 to 1, by the root utilization that nodes report. All routers add to an
     /// overload before their own answers tell of it.
     pub(crate) fn admitted_part(&self) -> f64 {
-        1.0 / self.fleet_load.utilization().powi(SHED_POWER).max(1.0)
+        1.0 / self.fleet_load.root_utilization().powi(SHED_POWER).max(1.0)
     }
 
     /// Keeps the request until it has its final answer.
--- a/src/endpoints.rs
+++ b/src/endpoints.rs
@@ -17,14 +17,15 @@
 /// A poll that is never answered is made again after: poll interval / this. It is then in time.
 const UNANSWERED_POLL_DIVISOR: u32 = 2;
 
-/// When the endpoint list is polled next.
-pub(crate) struct EndpointPoll {
+/// When the host is asked for the list again. The adapter relies on it. On sockets only the first request matters: the
+/// router never reports a failed poll here, and polls, timeouts and backoff are those of quillpoint-discovery-watch.
+pub(crate) struct PollSchedule {
     /// None where the host keeps the watch by itself.
     next_at: Option<Duration>,
     backoff: Duration,
 }
 
-impl EndpointPoll {
+impl PollSchedule {
     pub fn new(watches_endpoints: bool, now: Duration) -> Self {
         Self { next_at: watches_endpoints.then_some(now), backoff: INITIAL_POLL_BACKOFF }
     }
@@ -37,7 +38,8 @@
         }
     }
 
-    /// A poll failed. That does not say whether a watch stands; polling again is always allowed and keeps the duty.
+    /// A poll failed. That does not say whether a watch stands; polling again is always allowed and
+    /// keeps within `poll_interval`.
     pub fn failed(&mut self, now: Duration, poll_interval: Duration) {
         let longest = poll_interval / MAX_BACKOFF_DIVISOR;
         self.next_at = Some(now + self.backoff.min(longest));
@@ -48,15 +50,15 @@
 impl<H: Host> Router<H> {
     /// Periodic: polls the endpoint list when it is due.
     pub(crate) fn poll_endpoints(&mut self, now: Duration) {
-        if self.endpoint_poll.next_at.is_some_and(|at| at <= now) {
-            self.endpoint_poll.next_at = Some(now + self.config.poll_interval / UNANSWERED_POLL_DIVISOR);
+        if self.poll_schedule.next_at.is_some_and(|at| at <= now) {
+            self.poll_schedule.next_at = Some(now + self.config.poll_interval / UNANSWERED_POLL_DIVISOR);
             self.host.watch_endpoints();
         }
     }
 
     /// Takes in an update of the endpoint list.
     pub(crate) fn apply_endpoints(&mut self, now: Duration, update: EndpointUpdate, list: &[Endpoint]) {
-        self.endpoint_poll.succeeded(update);
+        self.poll_schedule.succeeded(update);
         if update != EndpointUpdate::Delta {
             self.remove_unlisted(list);
         }
--- a/src/load_reports.rs
+++ b/src/load_reports.rs
@@ -14,10 +14,10 @@
 const NO_CAPACITY: Option<f64> = Some(f64::INFINITY);
 /// From this many queued requests a node that does not report what is in flight has no capacity.
 const QUEUED: f64 = 0.5;
-/// The most that one report adds to the fleet's utilization, as a root: a malformed one would otherwise count for ever.
-const MAX_REPORTED_UTILIZATION: f64 = 3.0;
-/// From this utilization of the fleet, as a root, nodes are checked before they are sent to.
-const CHECK_FIRST_UTILIZATION: f64 = 0.5;
+/// The most that one report adds to the fleet's root utilization: a malformed one would otherwise count for ever.
+const MAX_REPORTED_ROOT_UTILIZATION: f64 = 3.0;
+/// Past this root utilization of the fleet, a quarter of the limits in flight, nodes are checked before they are sent to.
+const CHECK_FIRST_ROOT_UTILIZATION: f64 = 0.5;
 
 /// A load report and when it came.
 #[derive(Clone, Copy)]
@@ -29,30 +29,30 @@
 /// The load that the nodes of all replica sets report, if health checks tell what they have in flight.
 #[derive(Default)]
 pub(crate) struct FleetLoad {
-    /// In flight against the limits, as the mean of square roots, so that a few nodes do not stand for all; 0 where
-    /// nothing is reported.
-    utilization: f64,
+    /// Mean of the square roots of in flight / limit, so that a few nodes do not stand for all; 0 where nothing is
+    /// reported.
+    root_utilization: f64,
 }
 
 impl FleetLoad {
-    pub fn utilization(&self) -> f64 {
-        self.utilization
+    pub fn root_utilization(&self) -> f64 {
+        self.root_utilization
     }
 
     /// Whether nodes report what they have in flight.
     pub fn is_reported(&self) -> bool {
-        self.utilization > 0.0
+        self.root_utilization > 0.0
     }
 
     /// Whether nodes have to be checked before they are sent to.
     fn is_high(&self) -> bool {
-        self.utilization > CHECK_FIRST_UTILIZATION
+        self.root_utilization > CHECK_FIRST_ROOT_UTILIZATION
     }
 
     /// Takes in one node's report of what it has in flight, against its limit for all routers.
     fn record(&mut self, in_flight: f64, limit: f64) {
-        let utilization = (in_flight.max(0.0) / limit).sqrt().min(MAX_REPORTED_UTILIZATION);
-        add_sample(&mut self.utilization, utilization);
+        let root_utilization = (in_flight.max(0.0) / limit).sqrt().min(MAX_REPORTED_ROOT_UTILIZATION);
+        add_sample(&mut self.root_utilization, root_utilization);
     }
 }
 
@@ -88,7 +88,7 @@
     }
 
     /// Keeps a report. Where a node does not say what is in flight, requests that are queued there say that it has no
-    /// capacity. The fleet's utilization is a mean of roots, so that a few nodes do not stand for all.
+    /// capacity. Where health checks alone bring reports, what is in flight counts for the fleet.
     pub(crate) fn note_load(&mut self, now: Duration, node: NodeId, report: &LoadReport) {
         let Some(state) = self.nodes.get_mut(&node) else { return };
         let is_queueing = report.queued.is_some_and(|queued| queued >= QUEUED);
--- a/src/router.rs
+++ b/src/router.rs
@@ -10,7 +10,7 @@
 use rand_chacha::ChaCha8Rng;
 
 use crate::config::Config;
-use crate::endpoints::EndpointPoll;
+use crate::endpoints::PollSchedule;
 use crate::freshness::{FRESHNESS_WAIT, is_plausible};
 use crate::health_checks::HealthCheckBudget;
 use crate::host::{
@@ -45,7 +45,7 @@
     /// Idle connections are given back until then.
     pub(crate) connection_shortage_until: Duration,
     pub(crate) health_check_budget: HealthCheckBudget,
-    pub(crate) endpoint_poll: EndpointPoll,
+    pub(crate) poll_schedule: PollSchedule,
     pub(crate) maintenance: Maintenance,
 }
 
@@ -60,7 +60,7 @@
             host,
             rng: ChaCha8Rng::seed_from_u64(seed),
             health_check_budget: HealthCheckBudget::new(config.health_checks, config.health_check_price),
-            endpoint_poll: EndpointPoll::new(config.watches_endpoints, now),
+            poll_schedule: PollSchedule::new(config.watches_endpoints, now),
             config,
             methods,
             nodes: BTreeMap::new(),
@@ -87,7 +87,7 @@
 
     /// A poll of the endpoint list has failed.
     pub fn endpoint_poll_failed(&mut self, now: Duration) {
-        self.endpoint_poll.failed(now, self.config.poll_interval);
+        self.poll_schedule.failed(now, self.config.poll_interval);
     }
 
     /// An RPC arrived. Its final answer comes at once or later, in time for its client.
