--- a/src/attempt_check.rs
+++ b/src/attempt_check.rs
@@ -1,17 +1,18 @@
 //! The attempt check: the five rules that every attempt passes when it is ordered, and again right before its first
-//! byte.
+//! byte. They are listed in the order in which they are checked; their numbers are those of the tests.
 //!
-//! 1. Only a request without a final answer is sent, and only while the answer is of use.
-//! 2. What may have run is sent again only as its method allows.
-//! 3. Nothing is sent to a node once it is told to drain.
-//! 4. A node that has just started gets no more than its slow-start budget.
-//! 5. A read goes only to a node that is fresh enough.
+//! - Rule 1: only a request without a final answer is sent, to a node of its replica set, with attempts left, and only
+//!   while the answer is of use.
+//! - Rule 2: what may have run is sent again only as its method allows (`Idempotency`).
+//! - Rule 3: nothing is sent to a node once it is told to drain.
+//! - Rule 5: a read goes only to a node that is fresh enough.
+//! - Rule 4: a node that has just started gets no more than its slow-start budget.
 
 use std::time::Duration;
 
 use crate::host::{AttemptNumber, Host, NodeId, RpcId};
 use crate::maintenance::DueTime;
-use crate::method::{Consistency, Idempotency};
+use crate::method::Consistency;
 use crate::node_state::{InFlightAttempt, NodeState};
 use crate::pending_request::{Attempt, PendingRequest};
 use crate::router::Router;
@@ -39,7 +40,7 @@
         self.passes_attempt_check(now, id, node, CheckPoint::Order)
     }
 
-    /// Whether the attempt passes all five rules, in the order 1, 2, 3, 5, 4.
+    /// Whether the attempt passes all five rules, in the order of the list above.
     fn passes_attempt_check(&self, now: Duration, id: RpcId, node: NodeId, point: CheckPoint) -> bool {
         let (Some(request), Some(state)) = (self.pending.get(&id), self.nodes.get(&node)) else {
             return false;
@@ -55,7 +56,8 @@
             && Self::is_within_slow_start(state, request.attempts.get(number))
     }
 
-    /// Rule 1: the node is of the request's replica set, an attempt is left, and its answer would be of use.
+    /// Rule 1: the node is of the request's replica set, an attempt is left, and its answer would be of use. That the
+    /// request has no final answer is seen before, by its being pending.
     fn is_of_use(&self, now: Duration, request: &PendingRequest, node: &NodeState, number: usize) -> bool {
         node.replica_set == request.rpc.replica_set
             && number < self.config.max_attempts
@@ -73,13 +75,9 @@
     ) -> bool {
         let method = &self.methods[request.rpc.method.0];
         let arrives_at = now + Duration::from_secs_f64(method.answer_time.shortest);
-        let may_repeat = |earlier: &Attempt| match method.idempotency {
-            Idempotency::Idempotent => true,
-            Idempotency::Keyed { scope, window } => {
-                arrives_at < earlier.sent + window
-                    && self.nodes.get(&earlier.node).is_some_and(|earlier| scope.covers(earlier, node))
-            }
-            Idempotency::NonIdempotent => false,
+        let may_repeat = |earlier: &Attempt| {
+            let earlier_node = self.nodes.get(&earlier.node);
+            method.idempotency.router_may_repeat(earlier, earlier_node, node, arrives_at)
         };
         (!request.is_in_flight_besides(number) || self.config.hedging)
             && request.may_have_run_besides(number).all(may_repeat)
--- a/src/method.rs
+++ b/src/method.rs
@@ -5,6 +5,7 @@
 use crate::host::{Outcome, ValueMap};
 use crate::moving_average::add_sample;
 use crate::node_state::NodeState;
+use crate::pending_request::Attempt;
 
 /// Window over which one mean answer time is taken; the lowest of these means is the shortest answer time.
 const ANSWER_WINDOW: Duration = Duration::from_millis(2000);
@@ -45,6 +46,42 @@
     NonIdempotent,
 }
 
+/// Rule 2. A client's repeat may reach any node at any time, so it needs the All scope; the router's own stays in scope
+/// and window.
+impl Idempotency {
+    /// Whether the client may repeat an RPC that may have run.
+    pub fn client_may_repeat(self) -> bool {
+        match self {
+            Self::Idempotent | Self::Keyed { scope: IdempotencyScope::All, .. } => true,
+            Self::Keyed { .. } | Self::NonIdempotent => false,
+        }
+    }
+
+    /// Whether the router may repeat, at some node and time, an attempt that may have run.
+    pub fn router_may_repeat_somewhere(self) -> bool {
+        self != Self::NonIdempotent
+    }
+
+    /// Whether the router may repeat an attempt that may have run, at `node`, where the repeat arrives at `arrives_at`.
+    /// `earlier_node` is the node of the earlier attempt, if it is still known.
+    pub fn router_may_repeat(
+        self,
+        earlier: &Attempt,
+        earlier_node: Option<&NodeState>,
+        node: &NodeState,
+        arrives_at: Duration,
+    ) -> bool {
+        match self {
+            Self::Idempotent => true,
+            Self::Keyed { scope, window } => {
+                arrives_at < earlier.sent + window
+                    && earlier_node.is_some_and(|earlier_node| scope.covers(earlier_node, node))
+            }
+            Self::NonIdempotent => false,
+        }
+    }
+}
+
 /// Which nodes know the idempotency keys that a node has seen.
 #[derive(Clone, Copy, PartialEq)]
 pub(crate) enum IdempotencyScope {
--- a/src/retry_policy.rs
+++ b/src/retry_policy.rs
@@ -3,7 +3,6 @@
 use std::time::Duration;
 
 use crate::host::{Host, Outcome, RpcId};
-use crate::method::{Idempotency, IdempotencyScope};
 use crate::pending_request::{Attempt, PendingRequest};
 use crate::router::Router;
 
@@ -22,7 +21,7 @@
     pub(crate) fn retry_or_finish(&mut self, now: Duration, id: RpcId) {
         let request = &self.pending[&id];
         let idempotency = self.methods[request.rpc.method.0].idempotency;
-        let may_not_repeat = idempotency == Idempotency::NonIdempotent && request.may_have_run();
+        let may_not_repeat = !idempotency.router_may_repeat_somewhere() && request.may_have_run();
         if request.attempts.len() >= self.config.max_attempts || may_not_repeat {
             return self.finish(id, Duration::ZERO);
         }
@@ -58,12 +57,10 @@
     /// where a repeat by the client is harmless (rule 2): `retry_after` is then told, where clients get one.
     pub(crate) fn finish(&mut self, id: RpcId, retry_after: Duration) {
         let Some(request) = self.pending.get(&id) else { return };
-        let may_be_repeated = match self.methods[request.rpc.method.0].idempotency {
-            Idempotency::Idempotent | Idempotency::Keyed { scope: IdempotencyScope::All, .. } => true,
-            Idempotency::Keyed { .. } | Idempotency::NonIdempotent => !request.may_have_run(),
-        };
+        let idempotency = self.methods[request.rpc.method.0].idempotency;
+        let client_may_repeat = idempotency.client_may_repeat() || !request.may_have_run();
         self.forget(id);
-        if may_be_repeated {
+        if client_may_repeat {
             self.reject(id, retry_after);
         } else {
             self.host.abort(id);
@@ -72,8 +69,8 @@
 
     /// Rejects with a Retry-After, where clients get one.
     pub(crate) fn reject(&mut self, id: RpcId, retry_after: Duration) {
-        let told = if self.config.tells_retry_after { retry_after } else { Duration::ZERO };
-        self.host.reject(id, told);
+        let advertised = if self.config.tells_retry_after { retry_after } else { Duration::ZERO };
+        self.host.reject(id, advertised);
     }
 
     /// Drops a request that is over.
