--- a/src/admission.rs
+++ b/src/admission.rs
@@ -102,7 +102,7 @@
     /// A method's value for its work, in steps of two: methods of about equal value go by time left.
     fn rank(&self, method: MethodId) -> i32 {
         let method = &self.methods[method.0];
-        (method.priority_weight / method.answer_time.shortest.max(MIN_WORK_S)).log2().round() as i32
+        (method.priority_weight / method.answer_time.shortest_s.max(MIN_WORK_S)).log2().round() as i32
     }
 
     /// A due time of the request has come: it ends, or is looked at again.
--- a/src/attempt_check.rs
+++ b/src/attempt_check.rs
@@ -74,7 +74,7 @@
         number: usize,
     ) -> bool {
         let method = &self.methods[request.rpc.method.0];
-        let arrives_at = now + Duration::from_secs_f64(method.answer_time.shortest);
+        let arrives_at = now + Duration::from_secs_f64(method.answer_time.shortest_s);
         let may_repeat = |earlier: &Attempt| {
             let earlier_node = self.nodes.get(&earlier.node);
             method.idempotency.router_may_repeat(earlier, earlier_node, node, arrives_at)
@@ -109,7 +109,7 @@
         let Some(state) = self.nodes.get_mut(&node) else { return false };
         let attempt = &mut request.attempts[number];
         if attempt.node_started != state.started {
-            state.slow_start.budget -= self.methods[request.rpc.method.0].answer_time.shortest;
+            state.slow_start.budget_s -= self.methods[request.rpc.method.0].answer_time.shortest_s;
         }
         attempt.required = required;
         attempt.node_started = state.started;
@@ -129,7 +129,7 @@
         let method = &self.methods[request.rpc.method.0];
         let is_write = method.consistency == Consistency::Write;
         let expected_s =
-            method.answer_time.present.max(MIN_ANSWER_TIME_S) * state.concurrency.relative_latency.max(1.0);
+            method.answer_time.present_s.max(MIN_ANSWER_TIME_S) * state.concurrency.relative_latency.max(1.0);
         if state.health_check.ended_at == now {
             self.health_check_budget.refund();
         }
@@ -142,7 +142,7 @@
             writes_for: request.rpc.session.filter(|_| is_write),
             timeout,
         });
-        state.slow_start.budget -= method.answer_time.shortest;
+        state.slow_start.budget_s -= method.answer_time.shortest_s;
         let (node_started, replica_set) = (state.started, state.replica_set);
         request.attempts.push(Attempt { node, sent: now, outcome: None, required, node_started });
         let ends_at = request.deadline.saturating_sub(self.config.tick);
--- a/src/balancing.rs
+++ b/src/balancing.rs
@@ -129,11 +129,11 @@
     /// Whether reads of this method keep to one replica of the set: they are long, and longer than bounded ones, so
     /// that they would keep every replica that answers them from applying the log.
     fn keeps_to_one_replica(&self, method: &Method) -> bool {
-        let shortest = method.answer_time.shortest;
+        let shortest_s = method.answer_time.shortest_s;
         let is_bounded = |other: &Method| matches!(other.consistency, Consistency::Bounded(_));
-        let is_longer = |other: &Method| shortest > LONG_READ_FACTOR * other.answer_time.shortest;
+        let is_longer = |other: &Method| shortest_s > LONG_READ_FACTOR * other.answer_time.shortest_s;
         method.consistency == Consistency::Any
-            && LONG_READ_FACTOR * shortest > self.config.tightest_bound.as_secs_f64()
+            && LONG_READ_FACTOR * shortest_s > self.config.tightest_bound.as_secs_f64()
             && self.methods.iter().all(|other| !is_bounded(other) || is_longer(other))
     }
 
@@ -153,7 +153,7 @@
         let success_rate = node.health.success_rate;
         let locality = self.zones.locality(node.zone).powi(LOCALITY_POWER);
         let capacity = self.available_capacity(now, node);
-        node.slow_start.progress * success_rate * success_rate * locality * capacity
+        node.slow_start.capacity_fraction * success_rate * success_rate * locality * capacity
     }
 
     /// Whether the node has capacity and passes the attempt check.
--- a/src/endpoints.rs
+++ b/src/endpoints.rs
@@ -91,7 +91,7 @@
         state.removed = endpoint.status == EndpointStatus::Removed;
         let is_unlisted_draining = state.removed && (!self.config.only_listed_draining || state.draining);
         state.draining = endpoint.status == EndpointStatus::Draining || is_unlisted_draining;
-        if endpoint.started > state.started || state.slow_start.progress == 0.0 {
+        if endpoint.started > state.started || state.slow_start.has_no_capacity_yet() {
             self.restart_node(endpoint.node, endpoint.started);
         }
         let new_replica_set =
--- a/src/method.rs
+++ b/src/method.rs
@@ -190,9 +190,9 @@
 /// The answer times of a method, in seconds.
 pub(crate) struct AnswerTime {
     /// Moving average of late.
-    pub present: f64,
+    pub present_s: f64,
     /// The shortest mean of a window so far: what an answer takes where nothing queues.
-    pub shortest: f64,
+    pub shortest_s: f64,
     window: AnswerWindow,
 }
 
@@ -210,25 +210,25 @@
 
 impl AnswerTime {
     fn new(latency_objective: Duration, now: Duration) -> Self {
-        let initial = latency_objective.as_secs_f64() / INITIAL_OBJECTIVE_DIVISOR;
-        Self { present: initial, shortest: initial, window: AnswerWindow::starting(now) }
+        let initial_s = latency_objective.as_secs_f64() / INITIAL_OBJECTIVE_DIVISOR;
+        Self { present_s: initial_s, shortest_s: initial_s, window: AnswerWindow::starting(now) }
     }
 
     /// The answer time, in seconds, that an attempt stands for. One that timed out would have answered later: the
     /// present mean comes on top, or requests that waited here long and time out unless they are short would make the
     /// nodes seem slow.
     pub fn sample(&self, took: Duration, outcome: Outcome) -> f64 {
-        took.as_secs_f64() + if outcome == Outcome::TimedOut { self.present } else { 0.0 }
+        took.as_secs_f64() + if outcome == Outcome::TimedOut { self.present_s } else { 0.0 }
     }
 
     /// Takes in one answer time, in seconds.
-    pub fn record(&mut self, now: Duration, sample: f64) {
-        add_sample(&mut self.present, sample);
-        self.window.sum_s += sample;
+    pub fn record(&mut self, now: Duration, sample_s: f64) {
+        add_sample(&mut self.present_s, sample_s);
+        self.window.sum_s += sample_s;
         self.window.count += 1.0;
         if now >= self.window.ends_at && self.window.count >= MIN_WINDOW_ANSWERS {
-            let mean = self.window.sum_s / self.window.count;
-            self.shortest = (self.shortest * SHORTEST_GROWTH).min(mean);
+            let mean_s = self.window.sum_s / self.window.count;
+            self.shortest_s = (self.shortest_s * SHORTEST_GROWTH).min(mean_s);
             self.window = AnswerWindow::starting(now);
         }
     }
@@ -236,5 +236,5 @@
 
 /// The work of the heaviest method, in seconds: its shortest answer time.
 pub(crate) fn heaviest_work(methods: &[Method]) -> f64 {
-    methods.iter().map(|method| method.answer_time.shortest).fold(0.0, f64::max)
+    methods.iter().map(|method| method.answer_time.shortest_s).fold(0.0, f64::max)
 }
--- a/src/retry_policy.rs
+++ b/src/retry_policy.rs
@@ -41,7 +41,7 @@
     /// The last moment at which sending the request is of use: there is time for its answer.
     pub(crate) fn send_useful_until(&self, request: &PendingRequest) -> Duration {
         let answer_time = &self.methods[request.rpc.method.0].answer_time;
-        let needed = Duration::from_secs_f64(answer_time.present * ANSWER_TIMES_NEEDED);
+        let needed = Duration::from_secs_f64(answer_time.present_s * ANSWER_TIMES_NEEDED);
         let end = self.answer_useful_until(request);
         let most_needed = end.saturating_sub(request.arrived).mul_f64(MAX_NEEDED_PART);
         let last = end - needed.min(most_needed);
--- a/src/router.rs
+++ b/src/router.rs
@@ -137,7 +137,7 @@
         self.give_back_connections(now, end.node, evidence.connect);
         if let Some(method) = self.pending.get(&end.rpc).map(|request| request.rpc.method) {
             let answer_time = &self.methods[method.0].answer_time;
-            let (sample_s, shortest_s) = (answer_time.sample(end.took, end.outcome), answer_time.shortest);
+            let (sample_s, shortest_s) = (answer_time.sample(end.took, end.outcome), answer_time.shortest_s);
             self.update_success_rate(end);
             self.adapt_concurrency_limit(now, end, &evidence, sample_s / shortest_s);
             self.rest_after_answer(now, end, &evidence);
--- a/src/slow_start.rs
+++ b/src/slow_start.rs
@@ -47,7 +47,7 @@
 
     /// The part of its capacity that a node surely has, from the initial capacity to 1. A node whose start is not known
     /// has all of it.
-    fn progress(&self, now: Duration, started: Option<Duration>) -> f64 {
+    fn capacity_fraction(&self, now: Duration, started: Option<Duration>) -> f64 {
         let age = started.map_or(self.duration, |at| now.saturating_sub(at)).min(self.duration);
         let part = if age == self.duration { 1.0 } else { age.div_duration_f64(self.duration) };
         self.initial_capacity + (1.0 - self.initial_capacity) * part
@@ -57,18 +57,24 @@
 /// The slow start of one node.
 #[derive(Default)]
 pub(crate) struct SlowStart {
-    /// Work that it answers for this router a second.
+    /// Seconds of work answered a second, for this router.
     pub work_rate: f64,
-    /// The part of its capacity that it surely has; 0 until it is known.
-    pub progress: f64,
-    /// Work that it may be sent while `progress` is below 1; below zero it owes.
-    pub budget: f64,
+    /// The part of its capacity that it surely has, from the initial capacity to 1; 0 until the first maintenance.
+    pub capacity_fraction: f64,
+    /// Seconds of answer time that it may be sent while `capacity_fraction` is below 1; below zero it owes.
+    pub budget_s: f64,
 }
 
 impl SlowStart {
+    /// Whether its fraction is still 0: that of a new node until the next maintenance, and that of a node whose initial
+    /// capacity is 0, if its age was 0 at the last maintenance. Either is restarted when the list names it.
+    pub fn has_no_capacity_yet(&self) -> bool {
+        self.capacity_fraction == 0.0
+    }
+
     /// Whether the node may be sent to: it is warm, or owes nothing.
     pub fn permits_attempt(&self) -> bool {
-        self.progress >= 1.0 || self.budget >= 0.0
+        self.capacity_fraction >= 1.0 || self.budget_s >= 0.0
     }
 }
 
@@ -84,8 +90,8 @@
     /// chance, or all routers would send their first attempts to it at the same moment.
     pub(crate) fn restart_node(&mut self, node: NodeId, started: Option<Duration>) {
         let Some(state) = self.nodes.get_mut(&node) else { return };
-        let debt = heaviest_work(&self.methods);
-        state.slow_start.budget = -debt * self.rng.random_range(0.0..1.0);
+        let most_debt_s = heaviest_work(&self.methods);
+        state.slow_start.budget_s = -most_debt_s * self.rng.random_range(0.0..1.0);
         state.health.ejected = false;
         state.health.suspicion = 0.0;
         state.health_check.failed_in_row = 0;
@@ -104,9 +110,9 @@
         }
     }
 
-    /// Periodic: each node's progress and budget after `elapsed_s` seconds. A warming node earns what nodes of its kind
-    /// carry in the mean for this router, times its progress and the overload multiple. The sum over all routers is
-    /// then the mean load of a node, which lies under what a node could do.
+    /// Periodic: each node's capacity fraction and budget after `elapsed_s` seconds. A warming node earns what nodes of
+    /// its kind carry in the mean for this router, times its capacity fraction and the overload multiple. The sum over
+    /// all routers is then the mean load of a node, which lies under what a node could do.
     pub(crate) fn refill_slow_start_budgets(&mut self, now: Duration, elapsed_s: f64) {
         let kinds = self.work_rates_by_kind();
         let heaviest = heaviest_work(&self.methods);
@@ -116,12 +122,12 @@
         for node in self.nodes.values_mut() {
             let slow_start = &mut node.slow_start;
             slow_start.work_rate *= (-elapsed_s / WORK_RATE_WINDOW_S).exp();
-            slow_start.progress = config.progress(now, node.started);
+            slow_start.capacity_fraction = config.capacity_fraction(now, node.started);
             let kind = kinds.get(&node.kind).copied().unwrap_or(WorkRateSum { sum: 0.0, nodes: 1.0 });
             let mean = kind.sum / kind.nodes;
-            let rate = (mean * slow_start.progress * config.overload_multiple).max(least);
+            let rate = (mean * slow_start.capacity_fraction * config.overload_multiple).max(least);
             let most_saved = rate * window_s / SAVED_WINDOW_DIVISOR;
-            slow_start.budget = (slow_start.budget + rate * elapsed_s).min(most_saved);
+            slow_start.budget_s = (slow_start.budget_s + rate * elapsed_s).min(most_saved);
         }
     }
 
@@ -147,7 +153,7 @@
     pub(crate) fn charge_assigned_health_check(&mut self, node: NodeId) {
         let heaviest = heaviest_work(&self.methods);
         if let Some(state) = self.nodes.get_mut(&node) {
-            state.slow_start.budget -= HEALTH_CHECK_WORK * heaviest;
+            state.slow_start.budget_s -= HEALTH_CHECK_WORK * heaviest;
         }
     }
 }
