--- a/src/admission.rs
+++ b/src/admission.rs
@@ -1,26 +1,20 @@
-//! Admission: which request is admitted, queued or shed, and in what order the wait queue is served.
+//! Admission: which requests are admitted or shed, and their place among the pending and the queued ones.
 
-use std::collections::BTreeSet;
 use std::time::Duration;
 
-use crate::balancing::RoutingChoice;
 use crate::freshness::FRESHNESS_WAIT;
-use crate::host::{Host, MethodId, ReplicaSetId, Rpc, RpcId};
+use crate::host::{Host, Rpc, RpcId};
 use crate::maintenance::DueTime;
 use crate::pending_request::PendingRequest;
 use crate::router::Router;
-use crate::wait_queue::{AttemptStage, QueueHead};
 
 /// Past a root utilization of 1, reads are admitted by 1 / this power of it, which is the fourth power of
 /// in flight / limit.
 const SHED_POWER: i32 = 8;
-/// The least work that a method's value is divided by, in seconds.
-const MIN_WORK_S: f64 = 1e-4;
 
 impl<H: Host> Router<H> {
-    /// When the latency objective of a request ends that just arrived, counted from its first try: a retry that came
-    /// late must not crowd out first tries. Where clients mark nothing, a retry is told by its wait. None for an unknown
-    /// method.
+    /// When the latency objective of an arriving request ends, counted from its first try: a late retry must not crowd
+    /// out first tries. A client that marks nothing shows a retry by a shorter wait. None for an unknown method.
     pub(crate) fn objective_end(&mut self, now: Duration, rpc: &Rpc) -> Option<Duration> {
         let method = self.methods.get_mut(rpc.method.0)?;
         let waits_like_first_try = method.first_try_wait.count(rpc.remaining, method.deadline);
@@ -37,7 +31,7 @@
     }
 
     /// Keeps the request until it has its final answer.
-    pub(crate) fn admit(&mut self, now: Duration, rpc: Rpc, objective_at: Duration) {
+    pub(crate) fn track_pending(&mut self, now: Duration, rpc: Rpc, objective_at: Duration) {
         let request = PendingRequest {
             objective_at,
             deadline: now + rpc.remaining,
@@ -68,52 +62,4 @@
             replica_set.queue.remove(request);
         }
     }
-
-    /// Sends what waits in a replica set: first attempts before retries, then by value for the work, then the newest.
-    /// A method whose first request finds no node is passed over.
-    pub(crate) fn dispatch(&mut self, now: Duration, replica_set: ReplicaSetId) {
-        for stage in [AttemptStage::First, AttemptStage::Retry] {
-            let mut blocked = BTreeSet::new();
-            while let Some(head) = self.next_queued(replica_set, stage, &blocked) {
-                self.replica_sets.entry(replica_set).or_default().last_wanted = now;
-                match self.choose_node(now, head.entry.rpc) {
-                    RoutingChoice::Send(node) => self.send(now, head.entry.rpc, node),
-                    RoutingChoice::Reject => self.finish(head.entry.rpc, FRESHNESS_WAIT),
-                    RoutingChoice::Wait => {
-                        blocked.insert(head.method);
-                    }
-                }
-            }
-        }
-    }
-
-    /// The request that is served next at this stage.
-    fn next_queued(
-        &self,
-        replica_set: ReplicaSetId,
-        stage: AttemptStage,
-        blocked: &BTreeSet<MethodId>,
-    ) -> Option<QueueHead> {
-        let heads = self.replica_sets.get(&replica_set)?.queue.heads(stage);
-        let heads = heads.filter(|head| !blocked.contains(&head.method));
-        heads.max_by_key(|head| (self.rank(head.method), head.entry))
-    }
-
-    /// A method's value for its work, in steps of two: methods of about equal value go by time left.
-    fn rank(&self, method: MethodId) -> i32 {
-        let method = &self.methods[method.0];
-        (method.priority_weight / method.answer_time.shortest_s.max(MIN_WORK_S)).log2().round() as i32
-    }
-
-    /// A due time of the request has come: it ends, or is looked at again.
-    pub(crate) fn request_due(&mut self, now: Duration, id: RpcId) {
-        let Some(request) = self.pending.get(&id) else { return };
-        let ends_at = request.deadline.saturating_sub(self.config.tick);
-        let next = if request.is_queued { self.send_useful_until(request).min(ends_at) } else { ends_at };
-        if now >= next {
-            return self.finish(id, self.config.max_retry_after);
-        }
-        self.due.insert(DueTime { at: next, rpc: id });
-        self.dispatch(now, request.rpc.replica_set);
-    }
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -11,7 +11,8 @@
 //!
 //! | module | decides |
 //! | --- | --- |
-//! | `admission`, `wait_queue` | which request is admitted, queued or shed; in what order the queue is served |
+//! | `admission` | which request is admitted or shed |
+//! | `dispatch`, `wait_queue` | in what order the queued requests are served |
 //! | `attempt_check` | the five rules that every attempt passes when it is ordered and before its first byte |
 //! | `balancing`, `primary`, `zone_latency` | which node a request goes to; the primary's quota and the search for it |
 //! | `concurrency_limit`, `load_reports` | how much may be in flight to a node |
@@ -37,6 +38,7 @@
 mod concurrency_limit;
 mod config;
 mod connection_shortage;
+mod dispatch;
 mod endpoints;
 mod freshness;
 mod health_checks;
--- a/src/node_state.rs
+++ b/src/node_state.rs
@@ -16,7 +16,8 @@
     pub zone: ZoneId,
     /// The kind of machine: nodes of one kind are taken to be equally strong.
     pub kind: usize,
-    /// Told to drain, or removed: nothing more is sent to it.
+    /// No new attempt is sent. Set when the list says so, and on removal unless `only_listed_draining`. Attempts in
+    /// flight are not cancelled; `forget_removed_nodes` keeps the node until they have ended.
     pub draining: bool,
     /// Off the endpoint list.
     pub removed: bool,
--- a/src/router.rs
+++ b/src/router.rs
@@ -102,7 +102,8 @@
         let admitted_part = self.admitted_part();
         self.earn_primary_quota(replica_set, is_write);
         self.health_check_budget.earn(admitted_part, self.fleet_load.is_reported());
-        self.admit(now, rpc, objective_at);
+        // Tracked first: finish gives the final answer of tracked requests only.
+        self.track_pending(now, rpc, objective_at);
         let is_shed = !is_write && self.rng.random_bool(1.0 - admitted_part);
         if is_shed {
             return self.finish(id, self.config.max_retry_after);
--- a/src/wait_queue.rs
+++ b/src/wait_queue.rs
@@ -13,21 +13,21 @@
     Retry,
 }
 
-/// One line of the queue.
+/// What requests share whose entries stand in one order.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-struct Line {
+struct QueueKey {
     stage: AttemptStage,
     method: MethodId,
 }
 
-impl Line {
+impl QueueKey {
     fn of(request: &PendingRequest) -> Self {
         let stage = if request.attempts.is_empty() { AttemptStage::First } else { AttemptStage::Retry };
         Self { stage, method: request.rpc.method }
     }
 }
 
-/// A place in the queue. The greatest is served first: the newest, by the end of its latency objective.
+/// Ordered by `objective_at`: the latest, which is the newest of its method, is served first.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct QueueEntry {
     pub objective_at: Duration,
@@ -50,28 +50,28 @@
 /// The requests that wait in one replica set.
 #[derive(Default)]
 pub(crate) struct WaitQueue {
-    lines: BTreeMap<Line, BTreeSet<QueueEntry>>,
+    entries_by_key: BTreeMap<QueueKey, BTreeSet<QueueEntry>>,
 }
 
 impl WaitQueue {
     pub fn insert(&mut self, request: &PendingRequest) {
-        self.lines.entry(Line::of(request)).or_default().insert(QueueEntry::of(request));
+        self.entries_by_key.entry(QueueKey::of(request)).or_default().insert(QueueEntry::of(request));
     }
 
     /// Takes the request out. Its attempts must be the same as when it was inserted.
     pub fn remove(&mut self, request: &PendingRequest) {
-        if let Some(line) = self.lines.get_mut(&Line::of(request)) {
-            line.remove(&QueueEntry::of(request));
+        if let Some(entries) = self.entries_by_key.get_mut(&QueueKey::of(request)) {
+            entries.remove(&QueueEntry::of(request));
         }
     }
 
     /// The request of each method that is served first at this stage.
     pub fn heads(&self, stage: AttemptStage) -> impl Iterator<Item = QueueHead> {
-        let first = Line { stage, method: MethodId(0) };
-        let last = Line { stage, method: MethodId(usize::MAX) };
-        self.lines.range(first..=last).filter_map(|(line, entries)| {
+        let first = QueueKey { stage, method: MethodId(0) };
+        let last = QueueKey { stage, method: MethodId(usize::MAX) };
+        self.entries_by_key.range(first..=last).filter_map(|(key, entries)| {
             let entry = *entries.last()?;
-            Some(QueueHead { method: line.method, entry })
+            Some(QueueHead { method: key.method, entry })
         })
     }
 }
