--- a/crates/router/src/engine/rpcs.rs
+++ b/crates/router/src/engine/rpcs.rs
@@ -136,7 +136,8 @@
         position: Option<Duration>,
         report: Option<LoadReport>,
     ) {
-        // A commit time is rounded up, so that as a position it is shared a millisecond lower.
+        // Stands for `COMMIT_ROUNDING` of the decisions: nodes round a commit time up to a millisecond, so that as a
+        // position it is shared a millisecond lower.
         let committed = position.map(|at| at.saturating_sub(Duration::from_millis(1)));
         let position = committed.max(report.and_then(|report| report.position));
         if position.is_none() && role.is_none() {
--- a/src/balancing.rs
+++ b/src/balancing.rs
@@ -137,7 +137,9 @@
             && self.methods.iter().all(|other| !is_bounded(other) || is_longer(other))
     }
 
-    /// Keeps only the last replica that may take the read.
+    /// Keeps only the last replica that may take the read. Long reads go to the last replica in node order, the same
+    /// from every router, so that the others keep applying the log. An open node of unknown load that is later in the
+    /// order is checked before an earlier one is used.
     fn keep_last(&self, now: Duration, candidates: &mut Candidates) {
         let available = &mut candidates.available;
         available.drain(..available.len().saturating_sub(1));
--- a/src/concurrency_limit.rs
+++ b/src/concurrency_limit.rs
@@ -75,7 +75,8 @@
         self.limit += (self.limit * (ratio - 1.0) + growth / routers) * SAMPLE_WEIGHT;
     }
 
-    /// Rests after an answer that took so long, for so many answer times.
+    /// Spaces attempts: after an answer the node rests `answer_times` x `took`. Up to `SAVED_RESTS` unused rests carry
+    /// over, so that a clump of requests is not held back.
     fn rest(&mut self, now: Duration, took: Duration, answer_times: f64) {
         let rest = took.mul_f64(answer_times).min(MAX_REST);
         self.rests_until = self.rests_until.max(now.saturating_sub(rest * SAVED_RESTS)) + rest;
@@ -88,7 +89,7 @@
 }
 
 impl<H: Host> Router<H> {
-    /// A node that is full, or has no connection left, is not answered with the next attempt at once. Where reports
+    /// A node that rejected an attempt, or has no connection left, is not answered with the next attempt at once. Where reports
     /// come with health checks alone, one of them must say that there is capacity again: hundreds of routers would
     /// otherwise come back after each rest.
     pub(crate) fn rest_after_rejection(
--- a/src/freshness.rs
+++ b/src/freshness.rs
@@ -16,7 +16,8 @@
 pub const FRESHNESS_WAIT: Duration = Duration::from_millis(50);
 /// Positions are times on the nodes' clocks: one further ahead of the router's is malformed, and would count for ever.
 const MAX_POSITION_LEAD: Duration = Duration::from_millis(50);
-/// An answer's position is that of a commit, which nodes round up to this.
+/// An answer's position may be a commit time, which nodes round up to this: the log surely reaches only as far as the
+/// position less this. The engine of quillpoint-router shares positions lower by the same 1 ms.
 const COMMIT_ROUNDING: Duration = Duration::from_millis(1);
 /// Positions of one node from different sources agree within this.
 const POSITION_TOLERANCE: Duration = Duration::from_millis(2);
@@ -133,8 +134,8 @@
         state.log.heard_at = state.log.heard_at.max(Some(observed_at.min(now)));
     }
 
-    /// Takes in a load report: load, position and role. A report is old; the position in it is the least age that its
-    /// word on the role can have.
+    /// Takes in a load report: load, position and role. A report was made some time ago, but not before the position in
+    /// it: that dates what it says of the role.
     pub(crate) fn note_report(&mut self, now: Duration, node: NodeId, report: Option<&LoadReport>) {
         let Some(report) = report else { return };
         self.note_load(now, node, report);
--- a/src/host.rs
+++ b/src/host.rs
@@ -51,7 +51,7 @@
     fn watch_endpoints(&mut self);
     /// Asks for one call of `timer_fired` after this span. It cannot be taken back.
     fn set_timer(&mut self, after: Duration);
-    /// Writes a line to the log.
+    /// Writes a line to the host's log, for an operator to read. The decisions write none at present.
     fn log(&mut self, line: &str);
 }
 
@@ -157,7 +157,7 @@
     Cancelled,
     /// It never left the router.
     NotSent,
-    /// A malformed response came. The attempt has run.
+    /// The response cannot be read, or is an ok that `permits_response` found stale. The attempt has run.
     Malformed,
     /// Rejected untouched: a write at a replica, or a read that the node is too far behind for.
     Misrouted,
--- a/src/primary.rs
+++ b/src/primary.rs
@@ -44,7 +44,8 @@
         }
     }
 
-    /// A read that went to the primary takes one from its quota.
+    /// Takes one from the quota for a read at the primary. Fresh reads go there whatever is left, and count too, so the
+    /// quota may go below zero.
     pub(crate) fn spend_primary_quota(&mut self, replica_set: ReplicaSetId, node: NodeId, is_write: bool) {
         let replica_set = self.replica_sets.entry(replica_set).or_default();
         if !is_write && replica_set.primary_node() == Some(node) {
