--- a/src/router.rs
+++ b/src/router.rs
@@ -10,7 +10,7 @@
 use rand_chacha::ChaCha8Rng;
 
 use crate::config::Config;
-use crate::endpoints::EndpointPoll;
+use crate::endpoints::PollSchedule;
 use crate::freshness::{FRESHNESS_WAIT, is_plausible};
 use crate::health_checks::HealthCheckBudget;
 use crate::host::{
@@ -45,7 +45,7 @@
     /// Idle connections are given back until then.
     pub(crate) connection_shortage_until: Duration,
     pub(crate) health_check_budget: HealthCheckBudget,
-    pub(crate) endpoint_poll: EndpointPoll,
+    pub(crate) poll_schedule: PollSchedule,
     pub(crate) maintenance: Maintenance,
 }
 
@@ -60,7 +60,7 @@
             host,
             rng: ChaCha8Rng::seed_from_u64(seed),
             health_check_budget: HealthCheckBudget::new(config.health_checks, config.health_check_price),
-            endpoint_poll: EndpointPoll::new(config.watches_endpoints, now),
+            poll_schedule: PollSchedule::new(config.watches_endpoints, now),
             config,
             methods,
             nodes: BTreeMap::new(),
@@ -87,7 +87,7 @@
 
     /// A poll of the endpoint list has failed.
     pub fn endpoint_poll_failed(&mut self, now: Duration) {
-        self.endpoint_poll.failed(now, self.config.poll_interval);
+        self.poll_schedule.failed(now, self.config.poll_interval);
     }
 
     /// An RPC arrived. Its final answer comes at once or later, in time for its client.
@@ -102,7 +102,8 @@
         let admitted_part = self.admitted_part();
         self.earn_primary_quota(replica_set, is_write);
         self.health_check_budget.earn(admitted_part, self.fleet_load.is_reported());
-        self.admit(now, rpc, objective_at);
+        // Tracked first: finish gives the final answer of tracked requests only.
+        self.track_pending(now, rpc, objective_at);
         let is_shed = !is_write && self.rng.random_bool(1.0 - admitted_part);
         if is_shed {
             return self.finish(id, self.config.max_retry_after);
@@ -137,7 +138,7 @@
         self.give_back_connections(now, end.node, evidence.connect);
         if let Some(method) = self.pending.get(&end.rpc).map(|request| request.rpc.method) {
             let answer_time = &self.methods[method.0].answer_time;
-            let (sample_s, shortest_s) = (answer_time.sample(end.took, end.outcome), answer_time.shortest);
+            let (sample_s, shortest_s) = (answer_time.sample(end.took, end.outcome), answer_time.shortest_s);
             self.update_success_rate(end);
             self.adapt_concurrency_limit(now, end, &evidence, sample_s / shortest_s);
             self.rest_after_answer(now, end, &evidence);
