--- a/crates/membership/src/fleet.rs
+++ b/crates/membership/src/fleet.rs
@@ -7,7 +7,7 @@
 use crate::fleet_params::{Budgets, FleetParams};
 use crate::host::{DatedObservation, Event, Host};
 use crate::ids::{PeerName, Subject, TaskId};
-use crate::membership::Membership;
+use crate::membership::{Membership, ObservationSnapshot};
 use crate::message::{GossipBody, GossipMessage, MemberRecord, MemberState, Observation};
 use crate::observation_store::{Assessment, ObservationStore};
 use crate::rendezvous::Candidate;
@@ -40,7 +40,7 @@
     snapshots: BTreeMap<PeerName, Vec<Vec<Observation>>>,
     next_flush: Duration,
     assignment: Assignment,
-    /// The nodes are others since the tasks were last counted.
+    /// The nodes have changed since the tasks were last counted.
     have_nodes_changed: bool,
 }
 
@@ -74,7 +74,8 @@
     /// Takes a message that is authentic and no replay.
     pub fn message_arrived(&mut self, now: Duration, message: GossipMessage) {
         self.members.rejoin_after_pause(now, &mut self.host);
-        if self.members.message_arrived(now, &message, &mut self.host) {
+        let snapshot = self.members.message_arrived(now, &message, &mut self.host);
+        if snapshot == ObservationSnapshot::Due {
             let snapshot = self.observations.snapshot(now);
             self.snapshots.insert(message.from.name.clone(), snapshot);
         }
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -40,6 +40,15 @@
 use pause::PauseDetector;
 use peer_table::{MergeOutcome, PeerTable};
 
+/// Whether the sender of a message is to be sent a snapshot of the recent observations.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ObservationSnapshot {
+    /// It has joined, or was not known as an active peer in this incarnation.
+    Due,
+    /// It has been sent what it needs, or is none that observations are shared with.
+    NotDue,
+}
+
 /// One router's view of the members, and its part in keeping that up to date.
 pub struct Membership {
     own: OwnRecord,
@@ -101,6 +110,8 @@
     }
 
     /// Announces to all peers that this router leaves. Its tasks are others' from then on.
+    ///
+    /// A leave has no body of its own: the state `Left` in the sender's record is what counts.
     pub fn leave(&mut self, host: &mut impl Host) {
         self.own.set_state(MemberState::Left);
         self.own.raise_revision();
@@ -112,30 +123,45 @@
         }
     }
 
-    /// Takes a message whose sender is authentic. Says whether the sender is to be sent the recent observations.
-    pub fn message_arrived(&mut self, now: Duration, message: &GossipMessage, host: &mut impl Host) -> bool {
+    /// Takes a message whose sender is authentic.
+    pub fn message_arrived(
+        &mut self,
+        now: Duration,
+        message: &GossipMessage,
+        host: &mut impl Host,
+    ) -> ObservationSnapshot {
         let sender = &message.from;
         if sender.name == self.own.record().name {
             self.own.namesake_spoke(sender, host);
-            return false;
+            return ObservationSnapshot::NotDue;
         }
         if self.peers.knows_later_incarnation(sender) {
             self.earlier_incarnation_spoke(now, message, host);
-            return false;
+            return ObservationSnapshot::NotDue;
         }
         let was_current = self.is_current(sender);
         self.merge_records(now, message, host);
-        let Some(state) = self.peers.heard_from(now, &sender.name) else { return false };
-        self.detector.heard_from(&sender.name);
+        let Some(state) = self.heard_from(now, &sender.name) else { return ObservationSnapshot::NotDue };
         if !state.is_active() {
-            // It does not know yet that it is taken for dead.
-            if sender.state.is_active() {
-                self.answer_join_request(now, &sender.name, host);
-            }
-            return false;
+            self.inactive_peer_spoke(now, sender, host);
+            return ObservationSnapshot::NotDue;
         }
         let has_joined = self.body_arrived(now, message, host);
-        has_joined || !was_current
+        if has_joined || !was_current { ObservationSnapshot::Due } else { ObservationSnapshot::NotDue }
+    }
+
+    /// Counts a message as the sender's sign of life. Returns the state of the sender, if it is recorded.
+    fn heard_from(&mut self, now: Duration, sender: &PeerName) -> Option<MemberState> {
+        let state = self.peers.heard_from(now, sender)?;
+        self.detector.heard_from(sender);
+        Some(state)
+    }
+
+    /// A peer spoke that is taken for dead or gone here. Where it takes itself for running, it does not know that yet.
+    fn inactive_peer_spoke(&mut self, now: Duration, sender: &MemberRecord, host: &mut impl Host) {
+        if sender.state.is_active() {
+            self.answer_join_request(now, &sender.name, host);
+        }
     }
 
     /// The sender has been started again since, or its clock has gone back over a restart, or another process has its name.
--- a/crates/membership/src/membership/failure_detector.rs
+++ b/crates/membership/src/membership/failure_detector.rs
@@ -18,8 +18,9 @@
 const INDIRECT_PING_AFTER: Duration = Duration::from_millis(100);
 /// How many peers are asked for an indirect ping.
 const INDIRECT_PINGS: usize = 3;
-/// How long a suspect may take to refute the suspicion, for each doubling of the routers.
-const SUSPICION_TIMEOUT: Duration = Duration::from_millis(750);
+/// How long a suspect may take to refute the suspicion. It is multiplied by the floor of log2 of the number of routers, at
+/// least 1.
+const SUSPICION_TIMEOUT_PER_DOUBLING: Duration = Duration::from_millis(750);
 /// How often a suspect is pinged, each time with the record that it has to refute: with one ping a period, loss of a fifth
 /// of all datagrams makes running routers dead.
 const SUSPECT_PING_INTERVAL: Duration = Duration::from_millis(100);
@@ -110,7 +111,7 @@
             self.ping_next(now, host);
         }
         self.ping_suspects(now, host);
-        self.bury_suspects(now, host);
+        self.declare_unrefuted_dead(now, host);
         self.peers.forget_long_gone(now);
     }
 
@@ -205,7 +206,8 @@
 
     /// Pings suspects, each with the record that it has to refute.
     fn ping_suspects(&mut self, now: Duration, host: &mut impl Host) {
-        let routers = self.active_peers().count() as f64;
+        // This router pings and the suspect does not: as many routers ping it as there are active peers.
+        let pinging_routers = self.active_peers().count() as f64;
         let is_due = |peer: &Peer| {
             peer.record.state == MemberState::Suspect && now >= peer.suspect_pinged + SUSPECT_PING_INTERVAL
         };
@@ -213,16 +215,17 @@
             if let Some(peer) = self.peers.get_mut(&name) {
                 peer.suspect_pinged = now;
             }
-            if self.rng.random_bool((SUSPECT_PINGERS / routers).min(1.0)) {
+            if self.rng.random_bool((SUSPECT_PINGERS / pinging_routers).min(1.0)) {
                 self.ping(now, &name, true, host);
             }
         }
     }
 
     /// Declares dead the suspects that have not refuted the suspicion in time.
-    fn bury_suspects(&mut self, now: Duration, host: &mut impl Host) {
-        let routers = self.active_peers().count() as u32 + 1;
-        let timeout = SUSPICION_TIMEOUT * routers.max(2).ilog2().max(1);
+    fn declare_unrefuted_dead(&mut self, now: Duration, host: &mut impl Host) {
+        // The active peers, suspects among them, and this router: the suspicion and its refutation travel through all these.
+        let active_routers = self.active_peers().count() as u32 + 1;
+        let timeout = SUSPICION_TIMEOUT_PER_DOUBLING * active_routers.max(2).ilog2().max(1);
         let is_over =
             |peer: &Peer| peer.record.state == MemberState::Suspect && now >= peer.state_since + timeout;
         for name in self.peers.names_where(is_over) {
--- a/crates/membership/src/membership/pause.rs
+++ b/crates/membership/src/membership/pause.rs
@@ -28,7 +28,8 @@
 }
 
 impl Membership {
-    /// Joins again if the process has not run for a while, and says whether it has. To be called first at each event.
+    /// Joins again if the process has not run for a while, and says whether it has. Called where a message or the
+    /// timer arrives, at the latest a tick after the process runs again.
     pub fn rejoin_after_pause(&mut self, now: Duration, host: &mut impl Host) -> bool {
         let Some(pause) = self.pause.ran(now) else { return false };
         if self.own.record().state == MemberState::Left {
--- a/crates/membership/src/membership/peer_table.rs
+++ b/crates/membership/src/membership/peer_table.rs
@@ -86,7 +86,10 @@
 
     /// The number of messages with which a changed record travels.
     pub(super) fn transmissions(&self) -> u32 {
-        TRANSMISSIONS_PER_DOUBLING * (self.peers.len() as u32 + 2).ilog2().max(1)
+        // Peers that are gone count as well, so that the number is rather too high than too low. The logarithm is that of one
+        // more than the routers.
+        let recorded_routers = self.peers.len() as u32 + 1;
+        TRANSMISSIONS_PER_DOUBLING * (recorded_routers + 1).ilog2().max(1)
     }
 
     /// The one place where a record of a peer is taken over, if it is newer, or worse in the same version.
@@ -193,7 +196,8 @@
         Some(peer.record.state)
     }
 
-    /// Counts all active peers as heard: nobody is suspected for silence while this process did not run.
+    /// Counts all active peers as heard now: nobody comes under suspicion for silence while this process did not run. Only
+    /// `last_heard` restarts; the time that a suspect has to refute its suspicion (`state_since`) does not.
     pub(super) fn heard_from_all_active(&mut self, now: Duration) {
         for peer in self.peers.values_mut() {
             if peer.record.state.is_active() {
--- a/crates/memory-budget/src/budget.rs
+++ b/crates/memory-budget/src/budget.rs
@@ -218,7 +218,7 @@
         self.level
     }
 
-    /// Whether the action is to be taken by now.
+    /// Whether the level calls for the action by now. Whether it is carried out is the caller's part.
     pub fn calls_for(&self, action: ReclaimAction) -> bool {
         self.level >= action.begins_at()
     }
--- a/crates/memory-budget/src/pressure.rs
+++ b/crates/memory-budget/src/pressure.rs
@@ -1,16 +1,16 @@
-//! How short memory is, in levels, and what is reclaimed at each. A level is left only well below where it was entered, so
+//! How short memory is, in levels, and what may be reclaimed at each. A level is left only well below where it was entered, so
 //! that what swings about a threshold does not switch with it.
 
 /// How short memory is, by the part of the common pool that is borrowed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum PressureLevel {
-    /// Nothing is reclaimed.
+    /// Nothing need be reclaimed.
     Normal,
-    /// What costs clients nothing is reclaimed.
+    /// What costs clients nothing may be reclaimed.
     Elevated,
-    /// New load is shed.
+    /// New load may be shed.
     High,
-    /// Slow readers are disconnected.
+    /// Slow readers may be disconnected.
     Critical,
 }
 
@@ -31,25 +31,26 @@
     Thresholds { level: PressureLevel::Elevated, enter_percent: 60, leave_percent: 50 },
 ];
 
-/// What is done to reclaim memory, in the order in which it begins.
+/// What may be done to reclaim memory, in order. Of these the router carries out `DisconnectSlowReaders` alone
+/// (client/response_writer.rs); what else sheds load is the quotas. docs/memory.md has the state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ReclaimAction {
-    /// Clients are read no further than their present message.
+    /// To read clients no further than their present message.
     StopReadAhead,
-    /// Idle connections are closed, the longest idle first.
+    /// To close idle connections, the longest idle first.
     CloseIdleConnections,
-    /// Buffers that have grown are freed when they are empty.
+    /// To free buffers that have grown when they are empty.
     ShrinkBuffers,
-    /// No new connections are accepted.
+    /// To accept no new connections.
     StopAccepting,
-    /// New RPCs are rejected with Retry-After.
+    /// To reject new RPCs with Retry-After.
     RejectRpcs,
-    /// The slowest readers are disconnected.
+    /// To disconnect the slowest readers: they are waited for with [`Patience::Reduced`](crate::Patience).
     DisconnectSlowReaders,
 }
 
 impl ReclaimAction {
-    /// All actions, in the order in which they begin.
+    /// All actions, in the order in which they are called for.
     pub const ALL: [Self; 6] = [
         Self::StopReadAhead,
         Self::CloseIdleConnections,
@@ -59,7 +60,7 @@
         Self::DisconnectSlowReaders,
     ];
 
-    /// The level at which the action begins.
+    /// The level from which the action is called for.
     pub fn begins_at(self) -> PressureLevel {
         match self {
             Self::StopReadAhead | Self::CloseIdleConnections | Self::ShrinkBuffers => PressureLevel::Elevated,
--- a/crates/observation-feed/src/health_check_quota.rs
+++ b/crates/observation-feed/src/health_check_quota.rs
@@ -10,8 +10,8 @@
 
 use crate::token_bucket::TokenBucket;
 
-/// All isolated routers together check this many times as often as the control instances do. One would leave a router
-/// that uses many databases with observations that are minutes old.
+/// All isolated routers together check this many times as often as the control instances do. A multiple of 1
+/// would leave a router that uses many databases with observations minutes old.
 pub const ISOLATED_RATE_MULTIPLE: f64 = 4.0;
 /// The most routers that check one database in each period, whatever the number of routers.
 pub const MAX_ROUTERS_PER_NODE_AND_PERIOD: f64 = 100.0;
@@ -146,7 +146,7 @@
             due: earliest + first_check_delay(router_count, rng),
             last_granted: None,
         });
-        // Others have seen it since this router checked: one more check, and not before a period has passed.
+        // Others have reached it since: the long interval need not be waited for, but a period has to pass.
         if let (Some(last_seen), Some(last_granted)) = (last_seen, claim.last_granted)
             && last_seen > last_granted + health_check_period
             && claim.due > now + health_check_period
--- a/crates/observation-feed/src/host.rs
+++ b/crates/observation-feed/src/host.rs
@@ -9,9 +9,9 @@
 
 /// The actions of either side. Each takes effect at once, in the order of the calls.
 pub trait Host {
-    /// Sends a datagram that may be lost. `session` is the receiver's incarnation where it is known: a receiver accepts
-    /// nothing but `Subscribe` that does not name its own.
-    fn send(&mut self, to: SocketAddr, session: Option<Incarnation>, message: Message);
+    /// Sends a datagram that may be lost. `receiver` is the receiver's incarnation where it is known: a receiver
+    /// accepts nothing but `Subscribe` that does not name its own.
+    fn send(&mut self, to: SocketAddr, receiver: Option<Incarnation>, message: Message);
     /// Asks for one call of `timer_fired` after this span.
     fn set_timer(&mut self, after: Duration);
     /// Called for a router alone: a change of a database arrived by name, and should be used without waiting for the
@@ -27,7 +27,7 @@
 pub struct FeedObservation {
     /// The database's address.
     pub node: SocketAddr,
-    /// When the database was last seen, at the earliest.
+    /// When the database was last seen, at the earliest. The time on the network between control instances is not counted.
     pub seen_at: Duration,
     /// A log position on the deployment's clock that the database had applied by `seen_at`.
     pub position: Option<Duration>,
--- a/crates/observation-feed/src/message.rs
+++ b/crates/observation-feed/src/message.rs
@@ -140,6 +140,7 @@
         if socket_delay > MAX_SOCKET_DELAY {
             return None;
         }
+        // The wait moves from the delay to the age: `sent` is later by it, so that `DelayMeasurement` does not count it again.
         let sent = self.sent.saturating_add(socket_delay);
         let age = self.age.saturating_add(socket_delay);
         Some(Self { sent, age, ..self })
--- a/crates/observation-feed/src/observation_store.rs
+++ b/crates/observation-feed/src/observation_store.rs
@@ -120,13 +120,13 @@
         changes.sort_by_key(|change| (change.urgency, change.turn));
         self.first_partition = (self.first_partition + 1) % PARTITIONS;
         let has_backlog = self.apply_changes(changes, max_bytes, audience);
-        let max_silence = self.health_check_period * MAX_SILENT_PERIODS;
+        let withheld_after = self.health_check_period * MAX_SILENT_PERIODS;
         for partition in &mut self.partitions {
             if partition.is_new() {
                 partition.revision = Revision(1);
             }
             let mut records = partition.nodes.values();
-            partition.is_withheld = records.any(|record| record.is_wrongly_published(now, max_silence));
+            partition.is_withheld = records.any(|record| record.is_wrongly_published(now, withheld_after));
         }
         self.change_log.trim();
         has_backlog
--- a/crates/observation-feed/src/observation_store/node_record.rs
+++ b/crates/observation-feed/src/observation_store/node_record.rs
@@ -10,7 +10,7 @@
 /// once: where a control instance has died, its successor sees its databases only every second period until it passes
 /// for dead.
 const IMPROVEMENT_PERIODS: u32 = 10;
-/// How long after its start a database's start time is published: routers spare a cold database no longer.
+/// A start is published for this long: routers' slow start ends sooner.
 pub const START_PUBLISHED_FOR: Duration = Duration::from_secs(120);
 /// A database that has not answered yet gets an entry after this many periods.
 const FIRST_ANSWER_PERIODS: u32 = 4;
@@ -100,13 +100,15 @@
         }
     }
 
-    /// Whether it is published as seen, but was last seen longer ago than this.
+    /// Whether it is published as seen, but was last seen longer ago than this. One that has never answered is not late: this
+    /// counts how long answers take.
     pub(super) fn is_overdue(&self, now: Duration, max_silence: Duration) -> bool {
         self.published_class().is_some()
             && self.answered_at.is_some_and(|answered_at| answered_at + max_silence < now)
     }
 
-    /// Whether it is published as seen although it has been silent for this long, or ever.
+    /// Whether it is published as seen although it has never answered, or not for this long. Other than for
+    /// [`Self::is_overdue`], one that has never answered counts: nothing vouches for its entry.
     pub(super) fn is_wrongly_published(&self, now: Duration, max_silence: Duration) -> bool {
         self.published_class().is_some()
             && self.answered_at.is_none_or(|answered_at| answered_at + max_silence < now)
--- a/crates/observation-feed/src/partition_replica.rs
+++ b/crates/observation-feed/src/partition_replica.rs
@@ -124,7 +124,7 @@
         self.nodes.insert(node, CachedNode { entry, recorded_after, previous });
     }
 
-    /// Takes a change if it is the next one. Returns whether the database's role, failure or start is another now.
+    /// Takes a change if it is the next one. Returns whether the database's role, failure or start has changed.
     pub(crate) fn apply_change(&mut self, change: Change, seen_at: Duration) -> bool {
         let Change { revision, node, entry } = change;
         let has_snapshot = self.revision != Revision::default();
--- a/crates/observation-feed/src/partition_replicas.rs
+++ b/crates/observation-feed/src/partition_replicas.rs
@@ -31,7 +31,7 @@
 
 impl PartitionReplicas {
     /// Takes the changes that follow on the replica's revisions, in their order and none left out. `seen_at`: the date of
-    /// the digest that they came with. Returns the databases whose role, failure or start is another now.
+    /// the digest that they came with. Returns the databases whose role, failure or start has changed.
     pub fn apply_changes(&mut self, mut changes: Vec<Change>, seen_at: Duration) -> Vec<SocketAddr> {
         changes.sort_by_key(|change| change.revision);
         let mut notable = Vec::new();
--- a/crates/observation-feed/src/subscriber/following.rs
+++ b/crates/observation-feed/src/subscriber/following.rs
@@ -62,10 +62,12 @@
         self.backoffs.retain(|name, _| has_name(name));
         let unlisted = self.followed.iter().filter(|followed| !ranked.contains(&followed.instance));
         let unlisted: Vec<PeerName> = unlisted.map(|followed| followed.instance.name.clone()).collect();
+        // Before those that are followed no longer are cached, so that they push out none that is still listed.
         self.cached.retain(|cached| ranked.contains(&cached.instance));
         for name in &unlisted {
             self.stop_following(name);
         }
+        // And after it, since they are not listed themselves.
         self.cached.retain(|cached| self.ranked_instances.contains(&cached.instance));
         self.failback_at = None;
         self.update_isolation(now);
--- a/crates/observation-feed/src/subscriber/isolation.rs
+++ b/crates/observation-feed/src/subscriber/isolation.rs
@@ -6,8 +6,11 @@
 use super::Subscriber;
 use crate::host::{Event, Host};
 
-/// How long an observation counts as current, and after how long without digests isolation is reported.
+/// How long an observation counts as current.
 const OBSERVATION_CURRENT_FOR: Duration = Duration::from_secs(1);
+/// After how long without digests isolation is reported. Isolation begins after `max_silence`; it is reported only when it
+/// has lasted, so that a change of instance is no warning.
+const ISOLATION_REPORTED_AFTER: Duration = Duration::from_secs(1);
 
 /// Whether the router is isolated from all control instances.
 pub(super) struct Isolation {
@@ -40,8 +43,8 @@
             self.quota.begin_isolation(now, &mut self.rng);
         }
         self.isolation.is_isolated = is_isolated;
-        let is_over_limit = self.isolation.last_digest_at + OBSERVATION_CURRENT_FOR < now;
-        if is_isolated && !self.isolation.is_reported && is_over_limit {
+        let has_lasted = self.isolation.last_digest_at + ISOLATION_REPORTED_AFTER < now;
+        if is_isolated && !self.isolation.is_reported && has_lasted {
             self.isolation.is_reported = true;
             self.host.report_event(Event::Isolated);
         }
