--- a/crates/control-plane/src/feed_commands.rs
+++ b/crates/control-plane/src/feed_commands.rs
@@ -13,7 +13,12 @@
 
 /// What a publisher or a subscriber has asked for during a call.
 pub(crate) enum Command {
-    Send { to: SocketAddr, session: Option<Incarnation>, message: Message },
+    /// `receiver` is the incarnation of the receiver, where it is known.
+    Send {
+        to: SocketAddr,
+        receiver: Option<Incarnation>,
+        message: Message,
+    },
     ReceiveObservation(FeedObservation),
     LogEvent(Event),
 }
@@ -39,8 +44,8 @@
 pub(crate) struct QueueHandle(pub(crate) Rc<CommandQueue>);
 
 impl Host for QueueHandle {
-    fn send(&mut self, to: SocketAddr, session: Option<Incarnation>, message: Message) {
-        self.0.push(Command::Send { to, session, message });
+    fn send(&mut self, to: SocketAddr, receiver: Option<Incarnation>, message: Message) {
+        self.0.push(Command::Send { to, receiver, message });
     }
     fn set_timer(&mut self, after: Duration) {
         self.0.timer.schedule(after);
--- a/crates/control-plane/src/feed_log.rs
+++ b/crates/control-plane/src/feed_log.rs
@@ -1,7 +1,5 @@
 //! How the feed's events are logged; docs/on-call.md lists them.
 
-use std::time::Duration;
-
 use quillpoint_observation_feed::Event;
 
 use crate::log_rate_limiter::LogRateLimiter;
@@ -12,11 +10,10 @@
     send_failed: "feed_send_failed",
     keys_changed: "feed_keys",
 };
-/// How often the counts are logged.
-pub(crate) const COUNTS_INTERVAL: Duration = Duration::from_secs(60);
 
-/// Logs an event. `per_router_limiter` is for events that could come with every router.
-pub(crate) fn log_event(event: &Event, per_router_limiter: &LogRateLimiter) {
+/// Logs an event. `subscriber_event_limiter` is for those about subscribers, which could come with every
+/// router: whichever router they are about, all of them together are logged once a second at the most.
+pub(crate) fn log_event(event: &Event, subscriber_event_limiter: &LogRateLimiter) {
     match event {
         Event::Following(control) => {
             log::info!(event = "feed_following", control:% = control; "digests of {control} are used from now on");
@@ -31,12 +28,12 @@
             log::info!(event = "feed_reconnected"; "a control instance sends digests again");
         }
         Event::SubscriberRejected(router) => {
-            if per_router_limiter.try_acquire() {
+            if subscriber_event_limiter.try_acquire() {
                 log::warn!(event = "feed_subscriber_rejected", peer:% = router; "too many subscribers: {router} is rejected");
             }
         }
         Event::SubscriberCounts { routers, pending_snapshots: waiting } => {
-            if per_router_limiter.try_acquire() {
+            if subscriber_event_limiter.try_acquire() {
                 log::info!(event = "feed_subscribers", routers, waiting; "{routers} routers are subscribed, {waiting} snapshots wait");
             }
         }
--- a/crates/control-plane/src/fleet_commands.rs
+++ b/crates/control-plane/src/fleet_commands.rs
@@ -11,7 +11,12 @@
 
 /// What the fleet has asked for during a call.
 pub(crate) enum Command {
-    Send { to: SocketAddr, session: Option<Incarnation>, message: GossipMessage },
+    /// `receiver` is the incarnation of the receiver, where it is known.
+    Send {
+        to: SocketAddr,
+        receiver: Option<Incarnation>,
+        message: GossipMessage,
+    },
     RunTask(TaskId),
     ReceiveObservation(DatedObservation),
     LogEvent(Event),
@@ -42,8 +47,8 @@
 pub(crate) struct QueueHandle(pub(crate) Rc<CommandQueue>);
 
 impl Host for QueueHandle {
-    fn send(&mut self, to: SocketAddr, session: Option<Incarnation>, message: GossipMessage) {
-        self.0.push(Command::Send { to, session, message });
+    fn send(&mut self, to: SocketAddr, receiver: Option<Incarnation>, message: GossipMessage) {
+        self.0.push(Command::Send { to, receiver, message });
     }
     fn set_timer(&mut self, after: Duration) {
         self.0.timer.set(Some(after));
--- a/crates/control-plane/src/fleet_member.rs
+++ b/crates/control-plane/src/fleet_member.rs
@@ -21,10 +21,7 @@
 use crate::fleet_commands::{Command, CommandQueue, QueueHandle};
 use crate::fleet_log::{EVENT_NAMES, log_event};
 use crate::member_config::MemberConfig;
-use crate::sealed_transport::{SealedTransport, TransportCounts};
-
-/// How often the counts are logged.
-const COUNTS_INTERVAL: Duration = Duration::from_secs(60);
+use crate::sealed_transport::{COUNTS_INTERVAL, SealedTransport, TransportCounts};
 
 /// Counts since the start.
 #[derive(Clone, Debug, Default)]
@@ -98,7 +95,7 @@
 
     fn run_command(&self, command: Command) {
         match command {
-            Command::Send { to, session, message } => self.transport.send(to, session, &message),
+            Command::Send { to, receiver, message } => self.transport.send(to, receiver, &message),
             Command::RunTask(task) => self.run_task(task),
             Command::ReceiveObservation(observation) => self.host.observation_received(observation),
             Command::LogEvent(event) => log_event(&event),
--- a/crates/control-plane/src/publisher_service.rs
+++ b/crates/control-plane/src/publisher_service.rs
@@ -15,9 +15,9 @@
 use crate::datagram_socket::{DatagramSocket, Traffic};
 use crate::feed_commands::{Command, CommandQueue, QueueHandle};
 use crate::feed_config::PublisherConfig;
-use crate::feed_log::{COUNTS_INTERVAL, EVENT_NAMES, log_event};
+use crate::feed_log::{EVENT_NAMES, log_event};
 use crate::log_rate_limiter::LogRateLimiter;
-use crate::sealed_transport::{SealedTransport, TransportCounts};
+use crate::sealed_transport::{COUNTS_INTERVAL, SealedTransport, TransportCounts};
 
 /// Replay windows are kept of this many times as many routers as may subscribe: routers that have restarted, or follow
 /// another control instance now, leave theirs behind.
@@ -31,7 +31,8 @@
     publisher: RefCell<Publisher<QueueHandle>>,
     queue: Rc<CommandQueue>,
     transport: SealedTransport<Envelope>,
-    per_router_limiter: LogRateLimiter,
+    /// One limiter for all events about subscribers.
+    subscriber_event_limiter: LogRateLimiter,
 }
 
 impl PublisherService {
@@ -53,7 +54,7 @@
             publisher: RefCell::new(publisher),
             queue,
             transport: SealedTransport::new(socket, keys, opener, EVENT_NAMES),
-            per_router_limiter: LogRateLimiter::default(),
+            subscriber_event_limiter: LogRateLimiter::default(),
         }))
     }
 
@@ -62,14 +63,14 @@
         let result = operation(&mut self.publisher.borrow_mut(), self.host.now());
         for command in self.queue.take() {
             match command {
-                Command::Send { to, session, message } => {
+                Command::Send { to, receiver, message } => {
                     let from = self.name.clone();
                     let envelope = Envelope { from, incarnation: self.incarnation, message };
-                    self.transport.send(to, session, &envelope);
+                    self.transport.send(to, receiver, &envelope);
                 }
                 // Of a subscriber alone.
                 Command::ReceiveObservation(_) => {}
-                Command::LogEvent(event) => log_event(&event, &self.per_router_limiter),
+                Command::LogEvent(event) => log_event(&event, &self.subscriber_event_limiter),
             }
         }
         result
--- a/crates/control-plane/src/sealed_transport.rs
+++ b/crates/control-plane/src/sealed_transport.rs
@@ -12,6 +12,9 @@
 use crate::datagram_socket::{Arrival, DatagramSocket, Traffic};
 use crate::log_rate_limiter::LogRateLimiter;
 
+/// How often the counts are logged.
+pub(crate) const COUNTS_INTERVAL: Duration = Duration::from_secs(60);
+
 /// Counts since the start.
 #[derive(Clone, Debug, Default)]
 pub struct TransportCounts {
@@ -38,7 +41,7 @@
     pub rejected: &'static str,
     /// A datagram could not be sent.
     pub send_failed: &'static str,
-    /// Other keys hold from now on.
+    /// The keys have changed.
     pub keys_changed: &'static str,
 }
 
@@ -89,9 +92,9 @@
         TransportCounts { traffic: self.socket.traffic(), ..self.counts.borrow().clone() }
     }
 
-    /// Sends a payload. One that cannot be sent at once is lost: every message is repeated.
-    pub fn send(&self, to: SocketAddr, session: Option<Incarnation>, payload: &P) {
-        let sealed = self.sealer.borrow_mut().seal(&self.keys.borrow(), session, payload);
+    /// Sends a payload. `receiver` is the incarnation of the receiver, where it is known. One that cannot be sent at once is lost: every message is repeated.
+    pub fn send(&self, to: SocketAddr, receiver: Option<Incarnation>, payload: &P) {
+        let sealed = self.sealer.borrow_mut().seal(&self.keys.borrow(), receiver, payload);
         let sent = match &sealed {
             Ok(bytes) => self.socket.send(bytes, to).map_err(|error| error.to_string()),
             Err(error) => Err(error.to_string()),
--- a/crates/control-plane/src/subscriber_service.rs
+++ b/crates/control-plane/src/subscriber_service.rs
@@ -19,9 +19,9 @@
 use crate::datagram_socket::{DatagramSocket, Traffic};
 use crate::feed_commands::{Command, CommandQueue, QueueHandle};
 use crate::feed_config::SubscriberConfig;
-use crate::feed_log::{COUNTS_INTERVAL, EVENT_NAMES, log_event};
+use crate::feed_log::{EVENT_NAMES, log_event};
 use crate::log_rate_limiter::LogRateLimiter;
-use crate::sealed_transport::{SealedTransport, TransportCounts};
+use crate::sealed_transport::{COUNTS_INTERVAL, SealedTransport, TransportCounts};
 
 /// Replay windows are kept of this many incarnations of control instances.
 const REPLAY_WINDOWS: usize = 256;
@@ -52,7 +52,8 @@
     subscriber: RefCell<Subscriber<QueueHandle>>,
     queue: Rc<CommandQueue>,
     transport: SealedTransport<Envelope>,
-    per_router_limiter: LogRateLimiter,
+    /// For [`log_event`]; the events that it limits are a publisher's.
+    subscriber_event_limiter: LogRateLimiter,
     digest_count: Cell<u64>,
     last_answers: RefCell<BTreeMap<SocketAddr, LastAnswer>>,
     health_checks: Cell<u64>,
@@ -80,7 +81,7 @@
             subscriber: RefCell::new(subscriber),
             queue,
             transport,
-            per_router_limiter: LogRateLimiter::default(),
+            subscriber_event_limiter: LogRateLimiter::default(),
             digest_count: Cell::new(0),
             last_answers: RefCell::default(),
             health_checks: Cell::new(0),
@@ -93,15 +94,15 @@
         let result = operation(&mut self.subscriber.borrow_mut(), self.host.now());
         for command in self.queue.take() {
             match command {
-                Command::Send { to, session, message } => {
+                Command::Send { to, receiver, message } => {
                     let from = self.name.clone();
                     let envelope = Envelope { from, incarnation: self.incarnation, message };
-                    self.transport.send(to, session, &envelope);
+                    self.transport.send(to, receiver, &envelope);
                 }
                 Command::ReceiveObservation(observation) => {
                     self.host.feed_observation_received(observation);
                 }
-                Command::LogEvent(event) => log_event(&event, &self.per_router_limiter),
+                Command::LogEvent(event) => log_event(&event, &self.subscriber_event_limiter),
             }
         }
         result
--- a/crates/datagram/src/open.rs
+++ b/crates/datagram/src/open.rs
@@ -2,6 +2,7 @@
 
 use std::marker::PhantomData;
 
+use quillpoint_membership::membership::MAX_PEERS;
 use quillpoint_membership::{GossipMessage, Incarnation};
 use quillpoint_observation_feed::Envelope;
 
@@ -13,7 +14,7 @@
 /// All that may stand in the place of the kind.
 const KINDS: [u8; 2] = [GossipMessage::KIND, Envelope::KIND];
 /// A member of a fleet keeps windows of so many others, twice as many as it keeps peers.
-const MAX_FLEET_SENDERS: usize = 512;
+const MAX_FLEET_SENDERS: usize = 2 * MAX_PEERS;
 
 /// Why a datagram was not taken. The names of the variants are the kinds that the log counts by.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, thiserror::Error)]
--- a/crates/membership/src/host.rs
+++ b/crates/membership/src/host.rs
@@ -8,9 +8,9 @@
 
 /// The effects of a fleet. Each takes place at once, in the order of the calls.
 pub trait Host {
-    /// Sends a datagram, which may be lost. `session` is the incarnation of the receiver, where it is known: a receiver
+    /// Sends a datagram, which may be lost. `receiver` is the incarnation of the receiver, where it is known: a receiver
     /// accepts nothing but a join request that does not name its own.
-    fn send(&mut self, to: SocketAddr, session: Option<Incarnation>, message: GossipMessage);
+    fn send(&mut self, to: SocketAddr, receiver: Option<Incarnation>, message: GossipMessage);
     /// Asks for one call of `timer_fired` after this time.
     fn set_timer(&mut self, after: Duration);
     /// Runs the task once. Its end is reported by `task_ended`.
@@ -50,7 +50,7 @@
     },
     /// The process has not run for this long, and joins again.
     ProcessPaused(Duration),
-    /// A peer has become known, or its state is another.
+    /// A peer has become known, or its state has changed.
     PeerChanged {
         /// The peer.
         peer: PeerName,
@@ -76,7 +76,7 @@
         /// The node.
         node: SocketAddr,
     },
-    /// The tasks that this router owns, or the routers that share them, are others.
+    /// The tasks that this router owns, or the routers that share them, have changed.
     TasksAssigned {
         /// Tasks that this router owns.
         owned: usize,
--- a/crates/membership/src/membership/dissemination.rs
+++ b/crates/membership/src/membership/dissemination.rs
@@ -12,7 +12,7 @@
     /// Sends a message to a peer, with its own record if it has to refute that, and the records that have travelled least.
     pub fn send_to(&mut self, name: &PeerName, body: GossipBody, host: &mut impl Host) {
         let Some(peer) = self.peers.get(name) else { return };
-        let (to, session) = (peer.record.address, Some(peer.record.version.incarnation));
+        let (to, receiver) = (peer.record.address, Some(peer.record.version.incarnation));
         let mut records: Vec<MemberRecord> = Vec::new();
         if peer.record.state >= MemberState::Suspect {
             records.push(peer.record.clone());
@@ -23,7 +23,7 @@
                 records.push(peer.record.clone());
             }
         }
-        self.send(to, session, body, records, host);
+        self.send(to, receiver, body, records, host);
     }
 
     /// The peers other than the receiver whose records have the most transmissions left, by name where they are equal.
@@ -38,11 +38,11 @@
         changed.into_iter().map(|(_, name)| name.clone()).take(MAX_PIGGYBACKED_RECORDS).collect()
     }
 
-    /// Sends a message to an address.
+    /// Sends a message to an address. `receiver` is the incarnation of the receiver, where it is known.
     pub(super) fn send(
         &self,
         to: SocketAddr,
-        session: Option<Incarnation>,
+        receiver: Option<Incarnation>,
         body: GossipBody,
         records: Vec<MemberRecord>,
         host: &mut impl Host,
@@ -54,6 +54,6 @@
         if self.own.is_displaced() && body != GossipBody::JoinRequest {
             return;
         }
-        host.send(to, session, GossipMessage { from: self.own.record().clone(), body, records });
+        host.send(to, receiver, GossipMessage { from: self.own.record().clone(), body, records });
     }
 }
--- a/crates/membership/src/membership/join.rs
+++ b/crates/membership/src/membership/join.rs
@@ -90,7 +90,7 @@
 
     fn send_view(&mut self, name: &PeerName, host: &mut impl Host) {
         let Some(peer) = self.peers.get(name) else { return };
-        let (to, session) = (peer.record.address, Some(peer.record.version.incarnation));
+        let (to, receiver) = (peer.record.address, Some(peer.record.version.incarnation));
         let own_record = peer.record.clone();
         let others: Vec<MemberRecord> = self.peers().filter(|record| record.name != *name).cloned().collect();
         let mut parts: Vec<Vec<MemberRecord>> =
@@ -101,7 +101,7 @@
         // The receiver learns in the first part what is said of it, and can refute it.
         parts[0].push(own_record);
         for part in parts {
-            self.send(to, session, GossipBody::JoinReply, part, host);
+            self.send(to, receiver, GossipBody::JoinReply, part, host);
         }
     }
 
--- a/crates/membership/src/sharded_tasks.rs
+++ b/crates/membership/src/sharded_tasks.rs
@@ -131,7 +131,7 @@
         Self { own_name, tasks: FastHashMap::default(), candidates: Vec::new(), scheduler }
     }
 
-    /// Takes the routers that own tasks from now on, and says whether they are others than before. This router owns none
+    /// Takes the routers that own tasks from now on, and says whether they have changed. This router owns none
     /// while it is not among them.
     pub fn view_changed(&mut self, now: Duration, candidates: Vec<Candidate>) -> bool {
         if candidates == self.candidates {
--- a/crates/membership/src/token_bucket.rs
+++ b/crates/membership/src/token_bucket.rs
@@ -1,4 +1,8 @@
-//! A budget that fills evenly.
+//! A token bucket that starts full.
+//!
+//! Not that of `quillpoint-observation-feed`, which starts empty, refills whenever it is asked and lets its owner spend into
+//! any debt. This one refills only when it is told to, and says itself whether a cost may be taken: what costs more than
+//! the burst is let through by a full bucket.
 
 use std::time::Duration;
 
--- a/crates/memory-budget/src/budget.rs
+++ b/crates/memory-budget/src/budget.rs
@@ -63,16 +63,16 @@
     pub limit: ExceededLimit,
 }
 
-/// How often a category was refused since the start.
+/// How often a category was rejected since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Refusals {
+pub struct Rejections {
     /// At its own quota.
     pub by_quota: u64,
     /// For want of anything to borrow.
     pub by_pool: u64,
 }
 
-impl Refusals {
+impl Rejections {
     /// All of them.
     pub fn total(self) -> u64 {
         self.by_quota + self.by_pool
@@ -85,7 +85,7 @@
     quota: Quota,
     used: u64,
     peak: u64,
-    refusals: Refusals,
+    rejections: Rejections,
 }
 
 impl Usage {
@@ -138,16 +138,16 @@
     /// Changes what one owner holds for a category, from `from` bytes to `to`. Fewer bytes are always taken.
     ///
     /// # Errors
-    /// There is no room; nothing has changed then but the count of refusals.
+    /// There is no room; nothing has changed then but the count of rejections.
     pub fn resize(&mut self, category: Category, from: u64, to: u64) -> Result<(), BudgetExceeded> {
         let change = self.change(category, from, to);
         if to > from
             && let Some(limit) = self.exceeded_limit(category, change)
         {
-            let refusals = &mut self.usage[category.index()].refusals;
+            let rejections = &mut self.usage[category.index()].rejections;
             match limit {
-                ExceededLimit::Quota => refusals.by_quota += 1,
-                ExceededLimit::Pool => refusals.by_pool += 1,
+                ExceededLimit::Quota => rejections.by_quota += 1,
+                ExceededLimit::Pool => rejections.by_pool += 1,
             }
             return Err(BudgetExceeded { category, limit });
         }
@@ -155,8 +155,8 @@
         Ok(())
     }
 
-    /// As [`Self::resize`], for what must go on whatever is held, as a final response: it is never refused, and what it
-    /// takes beyond the pool makes others' requests be refused.
+    /// As [`Self::resize`], for what must go on whatever is held, as a final response: it is never rejected, and what it
+    /// takes beyond the pool makes others' requests be rejected.
     pub fn charge(&mut self, category: Category, from: u64, to: u64) {
         let change = self.change(category, from, to);
         self.apply(category, change);
@@ -198,9 +198,9 @@
         self.usage[category.index()].peak
     }
 
-    /// How often the category was refused since the start.
-    pub fn refusals(&self, category: Category) -> Refusals {
-        self.usage[category.index()].refusals
+    /// How often the category was rejected since the start.
+    pub fn rejections(&self, category: Category) -> Rejections {
+        self.usage[category.index()].rejections
     }
 
     /// What the category may hold.
--- a/crates/memory-budget/tests/budget.rs
+++ b/crates/memory-budget/tests/budget.rs
@@ -5,7 +5,7 @@
 
 use quillpoint_memory_budget::{
     BudgetExceeded, Category, ExceededLimit, MemoryBudget, MinimumRate, Patience, PressureLevel, Quota,
-    QuotaError, ReclaimAction, Refusals, TransferProgress,
+    QuotaError, ReclaimAction, Rejections, TransferProgress,
 };
 
 const KIB: u64 = 1024;
@@ -40,7 +40,7 @@
     );
     assert_eq!(budget.resize(Category::Statements, 0, 20 * KIB), Ok(()));
     assert_eq!(budget.total_used(), 100 * KIB);
-    assert_eq!(budget.refusals(Category::IncomingMessages), Refusals { by_quota: 0, by_pool: 1 });
+    assert_eq!(budget.rejections(Category::IncomingMessages), Rejections { by_quota: 0, by_pool: 1 });
     // What is given back can be borrowed by another.
     budget.resize(Category::Responses, 70 * KIB, 60 * KIB).unwrap();
     assert_eq!(budget.resize(Category::IncomingMessages, 0, 10 * KIB), Ok(()));
@@ -59,7 +59,7 @@
         refused(Category::PendingRpcs, ExceededLimit::Quota),
         "it has no quota"
     );
-    assert_eq!(budget.refusals(Category::IncomingMessages), Refusals { by_quota: 1, by_pool: 0 });
+    assert_eq!(budget.rejections(Category::IncomingMessages), Rejections { by_quota: 1, by_pool: 0 });
 }
 
 #[test]
--- a/crates/observation-feed/src/publisher.rs
+++ b/crates/observation-feed/src/publisher.rs
@@ -97,7 +97,7 @@
         self.instance_count = instance_count.max(1);
     }
 
-    /// A message that is authentic and not a replay of this session.
+    /// A message that is authentic and not a replay.
     pub fn message_arrived(
         &mut self,
         now: Duration,
--- a/crates/observation-feed/src/subscriber/following.rs
+++ b/crates/observation-feed/src/subscriber/following.rs
@@ -121,8 +121,8 @@
         let mut removed = self.followed.remove(index);
         let was_active = removed.last_digest_at.take().is_some();
         if let Some(digest) = removed.replica.last_digest() {
-            let session = Some(digest.incarnation);
-            self.host.send(removed.instance.address, session, Message::Unsubscribe);
+            let receiver = Some(digest.incarnation);
+            self.host.send(removed.instance.address, receiver, Message::Unsubscribe);
             self.last_heard.insert(name.clone(), LastHeard { digest, at: removed.last_heard_at });
             removed.pulls.clear();
             self.cached.push(removed);
@@ -218,13 +218,13 @@
     /// Sends the subscriptions that are due, with the publisher's incarnation as soon as it has sent a digest.
     pub(super) fn renew_subscriptions(&mut self, now: Duration) {
         for followed in self.followed.iter_mut().filter(|followed| followed.next_renewal_at <= now) {
-            let session = followed.incarnation().filter(|_| followed.last_digest_at.is_some());
-            let (message, interval) = match session {
+            let receiver = followed.incarnation().filter(|_| followed.last_digest_at.is_some());
+            let (message, interval) = match receiver {
                 Some(_) => (Message::Renew, RENEWAL_INTERVAL),
                 None => (Message::Subscribe, SUBSCRIBE_INTERVAL),
             };
             followed.next_renewal_at = now + interval.mul_f64(self.rng.random_range(0.8..1.2));
-            self.host.send(followed.instance.address, session, message);
+            self.host.send(followed.instance.address, receiver, message);
         }
     }
 }
--- a/crates/observation-feed/src/subscriber/snapshot_pulls.rs
+++ b/crates/observation-feed/src/subscriber/snapshot_pulls.rs
@@ -118,8 +118,8 @@
             pull.attempts = pull.attempts.saturating_add(1);
         }
         if !partitions.is_empty() {
-            let session = followed.incarnation();
-            self.host.send(followed.instance.address, session, Message::Pull(partitions));
+            let receiver = followed.incarnation();
+            self.host.send(followed.instance.address, receiver, Message::Pull(partitions));
         }
     }
 }
--- a/crates/observation-feed/src/token_bucket.rs
+++ b/crates/observation-feed/src/token_bucket.rs
@@ -1,4 +1,8 @@
 //! A token bucket that may go into debt.
+//!
+//! Not that of `quillpoint-membership`, which starts full and refills when it is told to. This one starts empty, so that a
+//! control instance or a router that has just started, or been isolated, has saved up nothing; it refills whenever it is
+//! asked, and spends whatever its owner says.
 
 use std::time::Duration;
 
--- a/crates/observation-feed/tests/snapshot_pulls.rs
+++ b/crates/observation-feed/tests/snapshot_pulls.rs
@@ -18,7 +18,7 @@
 struct RecordingHost(Rc<RefCell<Vec<Message>>>);
 
 impl Host for RecordingHost {
-    fn send(&mut self, _to: SocketAddr, _session: Option<Incarnation>, message: Message) {
+    fn send(&mut self, _to: SocketAddr, _receiver: Option<Incarnation>, message: Message) {
         self.0.borrow_mut().push(message);
     }
     fn set_timer(&mut self, _after: Duration) {}
--- a/crates/observation-feed/tests/world/recording_host.rs
+++ b/crates/observation-feed/tests/world/recording_host.rs
@@ -20,8 +20,8 @@
 pub struct RecordingHost(pub(super) Rc<RefCell<RecordedCalls>>);
 
 impl Host for RecordingHost {
-    fn send(&mut self, to: SocketAddr, session: Option<Incarnation>, message: Message) {
-        self.0.borrow_mut().sent.push((to, session, message));
+    fn send(&mut self, to: SocketAddr, receiver: Option<Incarnation>, message: Message) {
+        self.0.borrow_mut().sent.push((to, receiver, message));
     }
     fn set_timer(&mut self, after: Duration) {
         let before = self.0.borrow_mut().timer.replace(after);
--- a/crates/router/src/memory_report.rs
+++ b/crates/router/src/memory_report.rs
@@ -41,7 +41,7 @@
 }
 
 fn refused_reservations(budget: &MemoryBudget) -> u64 {
-    Category::ALL.into_iter().map(|category| budget.refusals(category).total()).sum()
+    Category::ALL.into_iter().map(|category| budget.rejections(category).total()).sum()
 }
 
 /// The resident size of the process, as the kernel counts it.
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -36,10 +36,10 @@
 
 /// The settings that stand within a larger object.
 ///
-/// A value's path joins terms and list places by dots: `methods.0.deadline`. Keys without a term are skipped.
+/// A value's path joins terms and list indices by dots: `methods.0.deadline`. Keys without a term are skipped.
 pub fn settings_from_json(tree: &Json) -> ValueMap {
     let mut settings = ValueMap::default();
-    insert_values(tree, &Position::default(), &mut settings);
+    insert_values(tree, &SettingPath::default(), &mut settings);
     settings
 }
 
@@ -48,23 +48,24 @@
     Duration::from_micros((ms * 1000.0).round().max(0.0) as u64)
 }
 
-/// Where in the settings a value stands.
+/// The path of a setting, and what its keys say of the value.
 #[derive(Default)]
-struct Position {
+struct SettingPath {
+    /// Terms and list indices, joined by dots.
     path: String,
-    /// The last name in the path that is no place in a list.
+    /// The last name in the path that is no index of a list.
     term: &'static str,
     in_milliseconds: bool,
 }
 
-impl Position {
+impl SettingPath {
     fn of_key(&self, key: &str, term: &'static str) -> Self {
         let in_milliseconds = key.ends_with(MILLISECONDS_SUFFIX);
         Self { path: self.path_to(term), term, in_milliseconds }
     }
 
-    fn of_list_place(&self, place: usize) -> Self {
-        Self { path: self.path_to(&place.to_string()), ..*self }
+    fn of_index(&self, index: usize) -> Self {
+        Self { path: self.path_to(&index.to_string()), ..*self }
     }
 
     fn path_to(&self, part: &str) -> String {
@@ -72,40 +73,40 @@
     }
 }
 
-fn insert_values(tree: &Json, position: &Position, settings: &mut ValueMap) {
+fn insert_values(tree: &Json, setting: &SettingPath, settings: &mut ValueMap) {
     match tree {
         Json::Object(members) => {
             for (key, member) in members {
                 if let Some((_, term)) = names::KEYS.iter().find(|(json, _)| json == key) {
-                    insert_values(member, &position.of_key(key, term), settings);
+                    insert_values(member, &setting.of_key(key, term), settings);
                 }
             }
         }
         Json::Array(elements) => {
-            for (place, element) in elements.iter().enumerate() {
-                insert_values(element, &position.of_list_place(place), settings);
+            for (index, element) in elements.iter().enumerate() {
+                insert_values(element, &setting.of_index(index), settings);
             }
         }
         leaf => {
-            if let Some(value) = leaf_value(leaf, position) {
-                settings.0.insert(position.path.clone(), value);
+            if let Some(value) = leaf_value(leaf, setting) {
+                settings.0.insert(setting.path.clone(), value);
             }
         }
     }
 }
 
-fn leaf_value(leaf: &Json, position: &Position) -> Option<Value> {
+fn leaf_value(leaf: &Json, setting: &SettingPath) -> Option<Value> {
     match leaf {
         Json::Bool(flag) => Some(Value::Flag(*flag)),
         Json::Number(number) => {
             let number = number.as_f64()?;
-            Some(if position.in_milliseconds {
+            Some(if setting.in_milliseconds {
                 Value::Span(duration_from_ms(number))
             } else {
                 Value::Number(number)
             })
         }
-        Json::String(text) => Some(Value::Text(term_of_word(position.term, text).to_string())),
+        Json::String(text) => Some(Value::Text(term_of_word(setting.term, text).to_string())),
         Json::Null | Json::Object(_) | Json::Array(_) => None,
     }
 }
--- a/crates/settings/src/names.rs
+++ b/crates/settings/src/names.rs
@@ -1,6 +1,7 @@
 //! The platform's names and the terms they become.
 
 /// A JSON key, and the term that stands for it in a setting's path. A key that is not here is skipped.
+/// The key alone decides, wherever it stands in the tree.
 pub const KEYS: &[(&str, &str)] = &[
     ("AimStretch", "latency_objective_per_work"),
     ("Allowed", "allowed"),
