--- a/crates/control-plane/src/sealed_transport.rs
+++ b/crates/control-plane/src/sealed_transport.rs
@@ -92,7 +92,8 @@
         TransportCounts { traffic: self.socket.traffic(), ..self.counts.borrow().clone() }
     }
 
-    /// Sends a payload. `receiver` is the incarnation of the receiver, where it is known. One that cannot be sent at once is lost: every message is repeated.
+    /// Sends a payload. `receiver` is the incarnation of the receiver, where it is known. One that cannot be
+    /// sent at once is lost: every message is repeated.
     pub fn send(&self, to: SocketAddr, receiver: Option<Incarnation>, payload: &P) {
         let sealed = self.sealer.borrow_mut().seal(&self.keys.borrow(), receiver, payload);
         let sent = match &sealed {
--- a/crates/discovery-watch/src/lib.rs
+++ b/crates/discovery-watch/src/lib.rs
@@ -15,7 +15,8 @@
 //! | a poll is rejected, or breaks off | `MAX_BACKOFF` |
 //!
 //! A poll that has timed out is not closed: discovery may be writing its answer just then, and takes what it has written for
-//! delivered: it would not send those changes again. A new poll is made beside it, and whichever is answered is heard; [`ListVersions`] decides what is applied.
+//! delivered: it would not send those changes again. A new poll is made beside it, and whichever is answered is
+//! heard; [`ListVersions`] decides what is applied.
 
 #![warn(missing_docs)]
 
--- a/crates/memory-budget/src/pressure.rs
+++ b/crates/memory-budget/src/pressure.rs
@@ -1,5 +1,5 @@
-//! How short memory is, in levels, and what may be reclaimed at each. A level is left only well below where it was entered, so
-//! that what swings about a threshold does not switch with it.
+//! How short memory is, in levels, and what may be reclaimed at each. A level is left only well below where it was entered,
+//! so that what swings about a threshold does not switch with it.
 
 /// How short memory is, by the part of the common pool that is borrowed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
