--- a/src/concurrency_limit.rs
+++ b/src/concurrency_limit.rs
@@ -89,9 +89,9 @@
 }
 
 impl<H: Host> Router<H> {
-    /// A node that rejected an attempt, or has no connection left, is not answered with the next attempt at once. Where reports
-    /// come with health checks alone, one of them must say that there is capacity again: hundreds of routers would
-    /// otherwise come back after each rest.
+    /// A node that rejected an attempt, or has no connection left, is not answered with the next attempt at once. Where
+    /// reports come with health checks alone, one of them must say that there is capacity again: hundreds of routers
+    /// would otherwise come back after each rest.
     pub(crate) fn rest_after_rejection(
         &mut self,
         now: Duration,
--- a/src/load_reports.rs
+++ b/src/load_reports.rs
@@ -16,7 +16,8 @@
 const QUEUED: f64 = 0.5;
 /// The most that one report adds to the fleet's root utilization: a malformed one would otherwise count for ever.
 const MAX_REPORTED_ROOT_UTILIZATION: f64 = 3.0;
-/// Past this root utilization of the fleet, a quarter of the limits in flight, nodes are checked before they are sent to.
+/// Past this root utilization of the fleet (a quarter of the limits in flight), nodes are checked before they are sent
+/// to.
 const CHECK_FIRST_ROOT_UTILIZATION: f64 = 0.5;
 
 /// A load report and when it came.
