--- a/crates/adapter/src/action.rs
+++ b/crates/adapter/src/action.rs
@@ -23,7 +23,7 @@
     }
 
     /// Says that this instance has panicked.
-    pub fn bail_out(&self, panic: &(dyn Any + Send)) {
+    pub fn report_failure(&self, panic: &(dyn Any + Send)) {
         let owned = panic.downcast_ref::<String>().map(String::as_str);
         let text = owned.or(panic.downcast_ref::<&str>().copied()).unwrap_or("panic without a text");
         self.write_line(format_args!("BAIL_OUT Who={} ReasonText={}", self.instance, on_one_line(text)));
--- a/crates/adapter/src/batch.rs
+++ b/crates/adapter/src/batch.rs
@@ -115,7 +115,7 @@
         let instance = self.instances.get_mut(&id).ok_or(WireError::UnknownInstance(id))?;
         let Some(event) = instance.read_event(kind, message, &self.lists)? else { return Ok(()) };
         if let Err(panic) = instance.handle(now, event) {
-            self.bail_out(id, &panic);
+            self.report_failure(id, &panic);
         }
         Ok(())
     }
@@ -126,13 +126,13 @@
             Ok(instance) => {
                 self.instances.insert(id, instance);
             }
-            Err(panic) => self.bail_out(id, &panic),
+            Err(panic) => self.report_failure(id, &panic),
         }
         Ok(())
     }
 
-    fn bail_out(&self, id: u64, panic: &Panic) {
-        ActionWriter::new(id, &self.reply).bail_out(panic.as_ref());
+    fn report_failure(&self, id: u64, panic: &Panic) {
+        ActionWriter::new(id, &self.reply).report_failure(panic.as_ref());
     }
 }
 
--- a/crates/router/src/budget.rs
+++ b/crates/router/src/budget.rs
@@ -15,7 +15,7 @@
 /// The budget has no room for a reservation. Its text reaches clients.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("this router holds all the bytes that it may ({0})")]
-pub struct ReservationRefused(#[from] BudgetExceeded);
+pub struct ReservationRejected(#[from] BudgetExceeded);
 
 /// The router's memory budget. Clones share it.
 #[derive(Clone, Debug)]
@@ -46,7 +46,7 @@
     ///
     /// # Errors
     /// There is no room.
-    pub fn reserve(&self, category: Category, bytes: usize) -> Result<Reservation, ReservationRefused> {
+    pub fn reserve(&self, category: Category, bytes: usize) -> Result<Reservation, ReservationRejected> {
         let mut reservation = self.empty_reservation(category);
         reservation.resize(bytes)?;
         Ok(reservation)
@@ -77,7 +77,7 @@
     ///
     /// # Errors
     /// There is no room for more; nothing has changed then.
-    pub fn resize(&mut self, bytes: usize) -> Result<(), ReservationRefused> {
+    pub fn resize(&mut self, bytes: usize) -> Result<(), ReservationRejected> {
         if bytes != self.bytes {
             let from = self.bytes as u64;
             let to = bytes as u64;
--- a/crates/router/src/client/session_end.rs
+++ b/crates/router/src/client/session_end.rs
@@ -2,7 +2,7 @@
 
 use std::io;
 
-use crate::budget::ReservationRefused;
+use crate::budget::ReservationRejected;
 use crate::pg::ProtocolViolation;
 use crate::receive_buffer::ReceiveError;
 
@@ -25,7 +25,7 @@
     #[error("a message did not arrive whole in time")]
     TimedOut,
     #[error("{0}")]
-    OutOfMemory(#[from] ReservationRefused),
+    OutOfMemory(#[from] ReservationRejected),
     #[error("too many statements in a row that cannot be used")]
     TooManyUnusableStatements,
 }
--- a/crates/router/src/pool/connection.rs
+++ b/crates/router/src/pool/connection.rs
@@ -9,7 +9,7 @@
 use quillpoint::host::NodeId;
 use quillpoint_memory_budget::Category;
 
-use crate::budget::{Reservation, ReservationRefused, SharedBudget};
+use crate::budget::{Reservation, ReservationRejected, SharedBudget};
 use crate::descriptors::DescriptorPermit;
 use crate::pg::{self, BackendMessage, ProtocolViolation};
 use crate::socket;
@@ -34,7 +34,7 @@
     #[error("it did not come up in time")]
     ConnectTimeout,
     #[error("{0}")]
-    OutOfMemory(#[from] ReservationRefused),
+    OutOfMemory(#[from] ReservationRejected),
     /// Its RPC is over, or may not go there any more.
     #[error("the query is no longer permitted")]
     NotPermitted,
@@ -191,7 +191,7 @@
     }
 
     /// A chunk for each connection is bounded by the count of sockets; only what goes beyond it is reserved.
-    fn reserve_memory(&mut self) -> Result<(), ReservationRefused> {
+    fn reserve_memory(&mut self) -> Result<(), ReservationRejected> {
         self.memory.resize(self.unread.capacity().saturating_sub(READ_CHUNK_BYTES))
     }
 
--- a/crates/router/src/receive_buffer.rs
+++ b/crates/router/src/receive_buffer.rs
@@ -10,7 +10,7 @@
 
 use async_io::Async;
 
-use crate::budget::{Reservation, ReservationRefused};
+use crate::budget::{Reservation, ReservationRejected};
 use crate::pg::ProtocolViolation;
 use crate::socket;
 use crate::socket_liveness::unread_bytes;
@@ -55,7 +55,7 @@
     Io(#[from] io::Error),
     /// There is no memory for more.
     #[error("{0}")]
-    OutOfMemory(#[from] ReservationRefused),
+    OutOfMemory(#[from] ReservationRejected),
     /// The client ended its sending.
     #[error("the client ended its sending")]
     Closed,
