--- a/crates/testbed/src/bin/duties.rs
+++ b/crates/testbed/src/bin/duties.rs
@@ -204,7 +204,9 @@
 
     /// All datagrams from one router to another are lost.
     fn lose_one_way(&mut self, fleet: &Fleet) {
-        let (from, before, dead) = (now(), used(&fleet.routers), deaths(&fleet.routers));
+        let from = now();
+        let before = used(&fleet.routers);
+        let dead = deaths(&fleet.routers);
         fleet.routers.lose(0, 2, 1.0);
         sleep(self.span(3000, 20_000));
         self.found.false_deaths = deaths(&fleet.routers) - dead;
--- a/crates/testbed/src/scale/hollow_process.rs
+++ b/crates/testbed/src/scale/hollow_process.rs
@@ -210,7 +210,9 @@
     }
 
     fn look(&mut self) {
-        let (mut all, mut following, mut running) = (0, 0, 0);
+        let mut all = 0;
+        let mut following = 0;
+        let mut running = 0;
         for (place, router) in self.routers.iter().enumerate() {
             let traffic = router.traffic();
             let bytes = traffic.sent_bytes + traffic.read_bytes;
