--- a/crates/router/src/config.rs
+++ b/crates/router/src/config.rs
@@ -31,7 +31,7 @@
     /// How many bytes the router may take in all.
     pub memory_bytes: u64,
     /// The endpoint list as this router had it last.
-    pub known: EndpointList,
+    pub cached_endpoints: EndpointList,
     /// What holds for all routers.
     pub deployment: Deployment,
 }
@@ -74,7 +74,7 @@
             ("listen", self.listen != other.listen),
             ("limits.sockets", self.max_sockets != other.max_sockets),
             ("limits.memory_mb", self.memory_bytes != other.memory_bytes),
-            ("settings", self.deployment.values.0 != other.deployment.values.0),
+            ("settings", self.deployment.settings.0 != other.deployment.settings.0),
         ];
         changed.into_iter().filter(|(_, differs)| *differs).map(|(key, _)| key).collect()
     }
@@ -90,7 +90,7 @@
         let descriptors = descriptors(&json["limits"]["sockets"])?;
         let memory_bytes = memory_bytes(&json["limits"]["memory_mb"])?;
         let deployment = deployment(&json["settings"])?;
-        let known = known_endpoints(&json["known"])?;
+        let cached_endpoints = cached_endpoints(&json["known"])?;
         Ok(Self {
             name,
             listen: text("GW_LISTEN", "listen").address()?,
@@ -98,7 +98,7 @@
             seed,
             max_sockets: descriptors - RESERVED_DESCRIPTORS,
             memory_bytes,
-            known,
+            cached_endpoints,
             deployment,
         })
     }
@@ -169,7 +169,7 @@
     Deployment::new(quillpoint_settings::settings_from_json(json))
 }
 
-fn known_endpoints(json: &Json) -> Result<EndpointList, ConfigError> {
+fn cached_endpoints(json: &Json) -> Result<EndpointList, ConfigError> {
     if json.is_null() {
         return Ok(EndpointList::default());
     }
--- a/crates/router/src/config_error.rs
+++ b/crates/router/src/config_error.rs
@@ -42,7 +42,7 @@
         Self::InvalidValue { key: key.to_string(), expected, found: found.to_string() }
     }
 
-    /// A setting at fault, by its name among [`crate::deployment::Deployment::values`].
+    /// A setting at fault, by its name among [`crate::deployment::Deployment::settings`].
     pub fn invalid_setting(name: &str, expected: &'static str, found: impl Display) -> Self {
         Self::invalid(&format!("settings ({name})"), expected, found)
     }
--- a/crates/router/src/control_connections.rs
+++ b/crates/router/src/control_connections.rs
@@ -109,7 +109,7 @@
             executor.spawn(Rc::clone(member).run_timer()).detach();
         }
         if let Some(control_instance) = &self.control_instance {
-            executor.spawn(Rc::clone(control_instance).count_members()).detach();
+            executor.spawn(Rc::clone(control_instance).run_member_count()).detach();
         }
         if let Some(publisher) = &self.publisher {
             executor.spawn(Rc::clone(publisher).receive()).detach();
--- a/crates/router/src/control_instance.rs
+++ b/crates/router/src/control_instance.rs
@@ -39,7 +39,7 @@
     }
 
     /// Counts the members of its fleet as long as the process runs.
-    pub async fn count_members(self: Rc<Self>) {
+    pub async fn run_member_count(self: Rc<Self>) {
         loop {
             if let Some(member) = self.member.get() {
                 let fleet = member.fleet();
--- a/crates/router/src/deployment.rs
+++ b/crates/router/src/deployment.rs
@@ -1,6 +1,6 @@
 //! What holds for all routers of a deployment: its settings, checked, and those that the runtime itself needs.
 
-mod words;
+mod validation;
 
 use std::time::Duration;
 
@@ -19,13 +19,13 @@
 #[derive(Clone, Debug)]
 pub struct Deployment {
     /// For the decisions, by their names.
-    pub values: ValueMap,
+    pub settings: ValueMap,
     /// The names of the classes of RPCs, at least one.
     pub methods: Vec<String>,
     /// The names of the zones.
     pub zones: Vec<String>,
     /// The names of the kinds of machine.
-    pub kinds: Vec<String>,
+    pub machine_types: Vec<String>,
     /// The names of a load report's values, in the order in which nodes give them.
     pub report_fields: Vec<String>,
     /// The longest that a client of any class waits.
@@ -49,66 +49,66 @@
     ///
     /// # Errors
     /// A setting that is missing, or that has a value which would be taken for its default without notice.
-    pub fn new(values: ValueMap) -> Result<Self, ConfigError> {
-        let methods = texts(&values, |place| format!("methods.{place}.name"));
+    pub fn new(settings: ValueMap) -> Result<Self, ConfigError> {
+        let methods = texts(&settings, |place| format!("methods.{place}.name"));
         if methods.is_empty() {
             let expected = "one class of RPCs or more, each with a name";
             return Err(ConfigError::invalid_setting("methods", expected, "none"));
         }
-        let longest_deadline = longest_deadline(&values, methods.len())?;
-        words::check(&values, methods.len())?;
-        warn_of_missing(&values);
-        let idle_connection_timeout = duration(&values, "allowed.idle_connection_timeout");
+        let longest_deadline = longest_deadline(&settings, methods.len())?;
+        validation::check(&settings, methods.len())?;
+        warn_of_missing(&settings);
+        let idle_connection_timeout = duration(&settings, "allowed.idle_connection_timeout");
         Ok(Self {
             methods,
-            zones: texts(&values, |place| format!("zones.{place}")),
-            kinds: texts(&values, |place| format!("kinds.{place}")),
-            report_fields: texts(&values, |place| format!("reports.fields.{place}")),
+            zones: texts(&settings, |place| format!("zones.{place}")),
+            machine_types: texts(&settings, |place| format!("kinds.{place}")),
+            report_fields: texts(&settings, |place| format!("reports.fields.{place}")),
             longest_deadline,
-            connect_timeout: duration(&values, "allowed.connect_timeout")?,
+            connect_timeout: duration(&settings, "allowed.connect_timeout")?,
             idle_connection_timeout: idle_connection_timeout?.max(MIN_IDLE_CONNECTION_TIMEOUT),
-            max_pending_rpcs: values
+            max_pending_rpcs: settings
                 .number("allowed.max_pending_rpcs")
                 .map_or(usize::MAX, |count| count as usize),
-            poll_interval: values.span("rules.poll_interval").unwrap_or(DEFAULT_POLL_INTERVAL),
-            polls_from_start: values.text("discovery") == "automatic",
-            tightest_staleness_bound: tightest_staleness_bound(&values),
-            values,
+            poll_interval: settings.span("rules.poll_interval").unwrap_or(DEFAULT_POLL_INTERVAL),
+            polls_from_start: settings.text("discovery") == "automatic",
+            tightest_staleness_bound: tightest_staleness_bound(&settings),
+            settings,
         })
     }
 }
 
 /// The texts of a list, up to the first place that has none.
-fn texts(values: &ValueMap, name: impl Fn(usize) -> String) -> Vec<String> {
-    (0..).map(|place| values.text(&name(place)).to_string()).take_while(|text| !text.is_empty()).collect()
+fn texts(settings: &ValueMap, name: impl Fn(usize) -> String) -> Vec<String> {
+    (0..).map(|place| settings.text(&name(place)).to_string()).take_while(|text| !text.is_empty()).collect()
 }
 
-fn duration(values: &ValueMap, name: &str) -> Result<Duration, ConfigError> {
-    values.span(name).ok_or_else(|| ConfigError::invalid_setting(name, "milliseconds", "nothing"))
+fn duration(settings: &ValueMap, name: &str) -> Result<Duration, ConfigError> {
+    settings.span(name).ok_or_else(|| ConfigError::invalid_setting(name, "milliseconds", "nothing"))
 }
 
-fn longest_deadline(values: &ValueMap, methods: usize) -> Result<Duration, ConfigError> {
+fn longest_deadline(settings: &ValueMap, methods: usize) -> Result<Duration, ConfigError> {
     let mut longest = Duration::ZERO;
     for place in 0..methods {
-        duration(values, &format!("methods.{place}.latency_objective"))?;
-        longest = longest.max(duration(values, &format!("methods.{place}.deadline"))?);
+        duration(settings, &format!("methods.{place}.latency_objective"))?;
+        longest = longest.max(duration(settings, &format!("methods.{place}.deadline"))?);
     }
     Ok(longest)
 }
 
 /// A name that silently fails to map costs decisions.
-fn warn_of_missing(values: &ValueMap) {
-    for name in OPTIONAL.into_iter().filter(|name| !values.0.contains_key(*name)) {
+fn warn_of_missing(settings: &ValueMap) {
+    for name in OPTIONAL.into_iter().filter(|name| !settings.0.contains_key(*name)) {
         log::warn!("settings: {name} is missing, so its default holds");
     }
 }
 
-fn tightest_staleness_bound(values: &ValueMap) -> Option<Duration> {
+fn tightest_staleness_bound(settings: &ValueMap) -> Option<Duration> {
     let consistency = |place: usize| format!("replication.consistency.{place}");
-    let bound = |place: usize| values.span(&format!("replication.staleness_bound.{place}"));
+    let bound = |place: usize| settings.span(&format!("replication.staleness_bound.{place}"));
     (0..)
-        .take_while(|place| values.0.contains_key(&consistency(*place)))
-        .filter(|place| values.text(&consistency(*place)) == "bounded")
+        .take_while(|place| settings.0.contains_key(&consistency(*place)))
+        .filter(|place| settings.text(&consistency(*place)) == "bounded")
         .filter_map(bound)
         .filter(|bound| !bound.is_zero())
         .min()
--- a/crates/router/src/discovery.rs
+++ b/crates/router/src/discovery.rs
@@ -37,7 +37,7 @@
     /// The settings.
     pub deployment: &'a Deployment,
     /// The list that the router had last.
-    pub cached: &'a EndpointList,
+    pub cached_list: &'a EndpointList,
     /// Spreads the polls of routers.
     pub seed: u64,
     /// The clock of the router.
@@ -100,9 +100,9 @@
 impl DiscoveryClient {
     /// Waits for its sockets, and returns the client with the endpoints of the cached list.
     pub async fn new(params: DiscoveryParams<'_>) -> (Self, Vec<Endpoint>) {
-        let DiscoveryParams { address, deployment, cached, seed, clock, executor, descriptors } = params;
+        let DiscoveryParams { address, deployment, cached_list, seed, clock, executor, descriptors } = params;
         let mut parser = EndpointParser::new(deployment);
-        let endpoints = parser.apply(cached);
+        let endpoints = parser.apply(cached_list);
         let mut permits = Vec::new();
         for _ in 0..SOCKETS {
             permits.push(descriptors.acquire().await);
@@ -112,7 +112,7 @@
         let client = Self {
             address,
             parser,
-            versions: ListVersions::new((!endpoints.is_empty()).then_some(cached.version)),
+            versions: ListVersions::new((!endpoints.is_empty()).then_some(cached_list.version)),
             watch: DiscoveryWatch::new(deployment.poll_interval, start, seed),
             kept_connection: None,
             newest: None,
--- a/crates/router/src/endpoint_list.rs
+++ b/crates/router/src/endpoint_list.rs
@@ -66,14 +66,18 @@
 /// Turns lists to endpoints. It remembers which endpoint each machine had.
 pub struct EndpointParser {
     zones: Vec<String>,
-    kinds: Vec<String>,
+    machine_types: Vec<String>,
     by_uid: BTreeMap<String, Endpoint>,
 }
 
 impl EndpointParser {
     /// A parser that knows no machines, with the zones and kinds of the deployment.
     pub fn new(deployment: &Deployment) -> Self {
-        Self { zones: deployment.zones.clone(), kinds: deployment.kinds.clone(), by_uid: BTreeMap::new() }
+        Self {
+            zones: deployment.zones.clone(),
+            machine_types: deployment.machine_types.clone(),
+            by_uid: BTreeMap::new(),
+        }
     }
 
     /// The endpoints of a list that is applied. Entries that cannot be read are logged and left out.
@@ -109,7 +113,7 @@
             node: NodeId(entry.address),
             replica_set: ReplicaSetId(entry.replica_set),
             zone: ZoneId(index(&self.zones, &entry.zone)),
-            kind: index(&self.kinds, &entry.kind),
+            kind: index(&self.machine_types, &entry.kind),
             primary: entry.role == "primary",
             status: match entry.status {
                 Status::InService => EndpointStatus::InService,
--- a/crates/router/src/engine.rs
+++ b/crates/router/src/engine.rs
@@ -62,7 +62,7 @@
         let (background_tasks, background_task_receiver) = async_channel::unbounded();
         let (endpoint_requests, endpoint_request_receiver) = async_channel::unbounded();
         let clock = Clock::start();
-        let values = deployment.values.clone();
+        let values = deployment.settings.clone();
         let host = Rc::new(HostState {
             clock,
             pending: RefCell::default(),
--- a/crates/router/src/engine/methods.rs
+++ b/crates/router/src/engine/methods.rs
@@ -30,7 +30,7 @@
 
 impl MethodInfo {
     fn new(index: usize, name: &str, deployment: &Deployment) -> Self {
-        let values = &deployment.values;
+        let values = &deployment.settings;
         let consistency = values.text(&format!("replication.consistency.{index}"));
         let deadline = values.span(&format!("methods.{index}.deadline"));
         let writes = consistency == "write";
--- a/crates/router/src/roles.rs
+++ b/crates/router/src/roles.rs
@@ -130,7 +130,7 @@
     }
     let listen =
         conf.address(section, "", "listen").ok_or(RoleError::Missing { section, directive: "listen" })?;
-    let routers = startup.deployment.values.number("routers").unwrap_or(1.0).max(1.0);
+    let routers = startup.deployment.settings.number("routers").unwrap_or(1.0).max(1.0);
     Ok(Some(SubscriberConfig {
         name: PeerName::new(&startup.name)?,
         listen,
--- a/crates/router/src/serve.rs
+++ b/crates/router/src/serve.rs
@@ -50,7 +50,7 @@
     let (discovery, known) = DiscoveryClient::new(DiscoveryParams {
         address: startup.discovery,
         deployment,
-        cached: &startup.known,
+        cached_list: &startup.cached_endpoints,
         seed: startup.seed,
         clock: engine.clock,
         executor: Rc::clone(&executor),
@@ -79,7 +79,7 @@
         "{} serves at {address}, {} nodes known", startup.name, known.len()
     );
     let (stop, stopped) = async_channel::bounded(1);
-    let targets = ReloadTargets { discovery: discovery_address, connections: Rc::clone(&connections) };
+    let targets = ReloadTargets { discovery_address, connections: Rc::clone(&connections) };
     executor.spawn(signals::handle(signals, config, reread, targets, stop)).detach();
     _ = stopped.recv().await;
     drain::drain(&clients, &engine, listener, accepting).await;
--- a/crates/router/src/signals.rs
+++ b/crates/router/src/signals.rs
@@ -14,7 +14,7 @@
 /// What takes over a configuration that was read anew.
 pub struct ReloadTargets {
     /// Takes the address of discovery.
-    pub discovery: Sender<SocketAddr>,
+    pub discovery_address: Sender<SocketAddr>,
     /// Take their peers, control instances and keys.
     pub connections: Rc<ControlConnections>,
 }
@@ -68,6 +68,6 @@
     log::info!("configuration read anew, discovery at {discovery}");
     if discovery != config.startup.discovery {
         config.startup.discovery = discovery;
-        _ = targets.discovery.try_send(discovery);
+        _ = targets.discovery_address.try_send(discovery);
     }
 }
--- a/crates/router/tests/connection_checkout.rs
+++ b/crates/router/tests/connection_checkout.rs
@@ -63,7 +63,7 @@
         let (engine, _outputs) = Engine::new(options.seed, &options.deployment);
         engine.endpoints_changed(
             EndpointUpdate::Snapshot,
-            &EndpointParser::new(&options.deployment).apply(&options.known),
+            &EndpointParser::new(&options.deployment).apply(&options.cached_endpoints),
         );
         let budget = SharedBudget::new(options.memory_bytes);
         let descriptors = DescriptorLimiter::new(options.max_sockets);
--- a/crates/router/tests/platform_config.rs
+++ b/crates/router/tests/platform_config.rs
@@ -43,7 +43,11 @@
     assert_eq!(options.max_sockets, 1024 - 16);
     assert_eq!(options.memory_bytes, 192 << 20);
     assert_eq!(
-        (options.known.version, options.known.is_snapshot, options.known.entries.len()),
+        (
+            options.cached_endpoints.version,
+            options.cached_endpoints.is_snapshot,
+            options.cached_endpoints.entries.len()
+        ),
         (41, true, 2)
     );
 }
@@ -53,7 +57,7 @@
     let deployment = read(&[]).deployment;
     assert_eq!(deployment.methods, ["look", "enter"]);
     assert_eq!(deployment.zones, ["west", "east"]);
-    assert_eq!(deployment.kinds, ["small", "large"]);
+    assert_eq!(deployment.machine_types, ["small", "large"]);
     assert_eq!(deployment.report_fields, ["x0", "x1", "inflight"]);
     assert_eq!(deployment.longest_deadline, Duration::from_secs(3));
     assert_eq!(deployment.connect_timeout, Duration::from_micros(251_500));
