--- a/crates/router/src/command.rs
+++ b/crates/router/src/command.rs
@@ -109,7 +109,7 @@
             format_duration(health_check.min_interval)
         );
     }
-    println!("the configuration is in order");
+    println!("the configuration is valid");
     ExitCode::SUCCESS
 }
 
--- a/crates/router/src/discovery.rs
+++ b/crates/router/src/discovery.rs
@@ -216,7 +216,7 @@
         match result.and_then(|answer| self.apply(poll, answer, engine)) {
             Ok(_) if self.versions.is_present(poll.basis) => self.watch.answered_late(self.clock.now()),
             Ok(_) => {}
-            Err(error) => log::debug!("poll {} of the endpoint list, late, failed: {error}", poll.number),
+            Err(error) => log::debug!("late endpoint list poll {} failed: {error}", poll.number),
         }
     }
 
@@ -232,7 +232,7 @@
             AnswerUse::Nothing => {
                 log::info!(
                     event = "endpoint_list_superseded", call = poll.number, version = list.version;
-                    "an answer with version {} of the endpoint list came behind a newer one", list.version
+                    "discarded endpoint list version {}: a newer version has already been applied", list.version
                 );
                 return Ok(false);
             }
@@ -278,7 +278,7 @@
         match self.watch.failed(self.clock.now()) {
             FailureKind::SilentWatch => log::warn!(
                 event = "endpoint_poll_failed", call = poll.number, waited_ms = waited_ms;
-                "the watch of the endpoint list has fallen silent"
+                "endpoint list watch timed out without an answer"
             ),
             FailureKind::Poll => log::warn!(
                 event = "endpoint_poll_failed", call = poll.number, waited_ms = waited_ms;
@@ -309,7 +309,7 @@
         {
             log::info!(
                 event = "endpoint_poll_abandoned", call = oldest.number, waited_ms = self.waited_ms(&oldest);
-                "a poll of the endpoint list was closed without an answer"
+                "endpoint list poll abandoned without an answer"
             );
         }
     }
--- a/crates/router/src/drain.rs
+++ b/crates/router/src/drain.rs
@@ -89,7 +89,7 @@
         self.accepting.cancel().await;
         clients.accept_remaining(&self.listener).await;
         drop(self.listener);
-        log::info!("no new sessions are taken, {} sessions go on", clients.open_sessions());
+        log::info!("listener closed, draining {} sessions", clients.open_sessions());
     }
 }
 
--- a/crates/router/src/roles/error.rs
+++ b/crates/router/src/roles/error.rs
@@ -21,7 +21,7 @@
         error: io::Error,
     },
     /// Others than its owner have rights to a key file.
-    #[error("{section} keys {}: expected a file that only its owner has rights to (chmod 600), found mode {mode:o}", file.display())]
+    #[error("{section} keys {}: expected a file accessible only to its owner (chmod 600), found mode {mode:o}", file.display())]
     KeyFileExposed {
         /// The section of quillpoint.conf.
         section: &'static str,
@@ -72,7 +72,7 @@
         error: InvalidPeerName,
     },
     /// Fleet and feed would share a socket.
-    #[error("publish listen: expected another address than the fleet's, found {0} at both")]
+    #[error("publish listen: expected an address other than the fleet's, found {0} for both")]
     SameAddress(SocketAddr),
     /// A directive has neither a value nor a default; the tables of `quillpoint-conf` rule this out.
     #[error("{section} {directive}: expected a value")]
--- a/crates/router/src/signals.rs
+++ b/crates/router/src/signals.rs
@@ -41,10 +41,10 @@
             Ok(_) => {
                 // Later ones change nothing.
                 if stop.close() {
-                    log::info!("told to stop: draining");
+                    log::info!("received a shutdown signal, draining");
                 }
             }
-            Err(error) => log::warn!("a signal could not be read: {error}"),
+            Err(error) => log::warn!("failed to receive a signal: {error}"),
         }
     }
 }
@@ -58,14 +58,16 @@
 ) {
     let reread = match reread {
         Ok(reread) => reread,
-        Err(error) => return log::warn!("configuration not taken over: {error}"),
+        Err(error) => {
+            return log::warn!("configuration reload failed, keeping the current configuration: {error}");
+        }
     };
     for key in config.restart_required(&reread) {
-        log::warn!("configuration: {key} has changed, which holds from the next start on");
+        log::warn!("configuration: {key} has changed, restart to apply it");
     }
     targets.connections.reload(&reread.roles);
     let discovery = reread.startup.discovery;
-    log::info!("configuration read anew, discovery at {discovery}");
+    log::info!("configuration reloaded, discovery at {discovery}");
     if discovery != config.startup.discovery {
         config.startup.discovery = discovery;
         _ = targets.discovery_address.try_send(discovery);
--- a/crates/router/tests/crossings.rs
+++ b/crates/router/tests/crossings.rs
@@ -287,7 +287,7 @@
     // A second signal, and a configuration anew, between the halves.
     router.signal("-TERM");
     router.signal("-HUP");
-    router.await_line("configuration read anew");
+    router.await_line("configuration reloaded");
     client.send(&bytes[20..]);
     assert_eq!(client.reply(), ok());
     assert_eq!(client.next_message(), None, "and closed then");
--- a/crates/router/tests/feed.rs
+++ b/crates/router/tests/feed.rs
@@ -534,7 +534,7 @@
     // A fault in the file changes nothing but the log.
     five.write(2, "subscribe {\n}\n");
     five.routers.signal(2, "-HUP");
-    assert!(five.routers.await_line(2, "not taken over", NEVER));
+    assert!(five.routers.await_line(2, "configuration reload failed", NEVER));
     until("all is as it was", || five.counts(1, "feed_counts")["subscribers"] == ROUTERS.len());
     five.kept(&load.end());
     assert!(five.store.nodes.iter().all(|node| node.stale() == 0));
@@ -565,7 +565,7 @@
         (
             instance.replace("7500", "7400"),
             0o600,
-            "publish listen: expected another address than the fleet's",
+            "publish listen: expected an address other than the fleet's",
         ),
         (
             format!("{instance}{}", &router[router.find("subscribe").unwrap()..]),
--- a/crates/router/tests/fleet.rs
+++ b/crates/router/tests/fleet.rs
@@ -154,7 +154,7 @@
     // A fault in the file changes nothing but the log.
     std::fs::write(routers.conf(0), "fleet {").unwrap();
     routers.signal(0, "-HUP");
-    assert!(routers.await_line(0, "not taken over", NEVER));
+    assert!(routers.await_line(0, "configuration reload failed", NEVER));
     divided(&routers, &[0, 1, 2]);
 }
 
@@ -242,7 +242,7 @@
         good.status.success()
             && text.contains("longest 2s")
             && text.contains("every 150ms, grace 150ms, floor 150ms")
-            && text.contains("in order"),
+            && text.contains("the configuration is valid"),
         "{text}"
     );
     let cases = [
@@ -250,7 +250,7 @@
         (
             fleet.to_string(),
             0o640,
-            "expected a file that only its owner has rights to (chmod 600), found mode 640",
+            "expected a file accessible only to its owner (chmod 600), found mode 640",
         ),
         (
             fleet.replace("}", "zone b\n}"),
--- a/crates/router/tests/pipeline.rs
+++ b/crates/router/tests/pipeline.rs
@@ -374,7 +374,7 @@
         primary.await_queries(1);
         router.signal("-TERM");
         if answers {
-            router.await_line("told to stop");
+            router.await_line("received a shutdown signal");
             primary.set_behavior(NodeBehavior::Answer);
         }
         let replies: Vec<Reply> = all.iter().map(|_| client.reply()).collect();
--- a/crates/router/tests/sockets/endpoint_list.rs
+++ b/crates/router/tests/sockets/endpoint_list.rs
@@ -47,7 +47,7 @@
     // The call that waits now is never answered; the one after it is.
     std::thread::sleep(Duration::from_millis(100));
     discovery.silent.store(false, Ordering::SeqCst);
-    router.await_line("fallen silent");
+    router.await_line("watch timed out without an answer");
     router.await_line("list 2: 2 entries");
     assert!(silent_since.elapsed() < Duration::from_millis(3000), "{:?}", silent_since.elapsed());
 }
--- a/crates/router/tests/sockets/shutdown.rs
+++ b/crates/router/tests/sockets/shutdown.rs
@@ -46,7 +46,7 @@
     let mut clients: Vec<Client> = (0..20).map(|_| router.client()).collect();
     assert!(clients.iter_mut().all(|client| client.rpc("look", 500) == ok()));
     router.signal("-TERM");
-    router.await_line("20 sessions go on");
+    router.await_line("listener closed, draining 20 sessions");
     assert!(std::net::TcpStream::connect(router.address).is_err());
     let replies: Vec<Reply> = clients.iter_mut().map(|client| client.try_rpc("look", 500)).collect();
     let served = replies.iter().filter(|reply| **reply == ok()).count();
@@ -101,9 +101,12 @@
         router.signal("-HUP");
         router.await_line(line);
     };
-    told("{", "not taken over");
+    told("{", "configuration reload failed");
     told(&text.replace("192", "64"), "limits.memory_mb has changed");
-    told(&text.replace(&old.address.to_string(), &new.address.to_string()), "read anew, discovery at");
+    told(
+        &text.replace(&old.address.to_string(), &new.address.to_string()),
+        "configuration reloaded, discovery at",
+    );
     new.await_calls(2);
     client.send_query(&statement("look", 9000));
     second.await_queries(1);
