--- a/crates/router/src/budget.rs
+++ b/crates/router/src/budget.rs
@@ -1,18 +1,21 @@
-//! What peers make the router hold in memory: the router's one budget, and the reservations in it.
+//! The router's memory budget. It accounts for the buffers whose sizes clients and nodes determine: each
+//! owner of a buffer holds a reservation for its bytes.
 
 use std::cell::RefCell;
 use std::rc::Rc;
 
 use quillpoint_memory_budget::{BudgetExceeded, Category, MemoryBudget, Quota};
 
-/// Messages that are arriving from clients may take this fraction of the memory.
+/// Incoming client messages may use up to 1/8 of the memory.
 const INCOMING_DIVISOR: u64 = 8;
-/// Statements and responses under way, copies of which are sent on, may take this fraction of the memory.
+/// In-flight statements and responses, including the copies being written to sockets, may use up to 1/4 of
+/// the memory.
 const IN_FLIGHT_DIVISOR: u64 = 4;
-/// This fraction of the latter is guaranteed to statements, and as much to responses: neither can shut the other out.
+/// Of the in-flight memory, 1/16 is guaranteed to statements and 1/16 to responses, so that neither can
+/// starve the other.
 const GUARANTEED_DIVISOR: u64 = 16;
 
-/// The budget has no room for a reservation. Its text reaches clients.
+/// A reservation that would exceed the budget. The message is sent to clients.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("this router holds all the bytes that it may ({0})")]
 pub struct ReservationRejected(#[from] BudgetExceeded);
@@ -22,7 +25,7 @@
 pub struct SharedBudget(Rc<RefCell<MemoryBudget>>);
 
 impl SharedBudget {
-    /// The usual quotas of this many bytes of memory.
+    /// Divides `memory_bytes` into the quotas of all categories.
     pub fn new(memory_bytes: u64) -> Self {
         let incoming = memory_bytes / INCOMING_DIVISOR;
         let in_flight = memory_bytes / IN_FLIGHT_DIVISOR;
@@ -33,38 +36,39 @@
             (Category::Responses, Quota { guaranteed, limit: in_flight }),
             (Category::ResponseWrites, Quota { guaranteed: 0, limit: in_flight }),
         ];
-        let budget = MemoryBudget::new(incoming + in_flight, &quotas).expect("fractions of one whole fit it");
+        let budget = MemoryBudget::new(incoming + in_flight, &quotas)
+            .expect("the quotas are fractions of the total and fit into it");
         Self(Rc::new(RefCell::new(budget)))
     }
 
-    /// A reservation of no bytes, to be resized.
+    /// Returns a reservation of zero bytes, to be resized later.
     pub fn empty_reservation(&self, category: Category) -> Reservation {
         Reservation { budget: self.clone(), category, bytes: 0 }
     }
 
-    /// Reserves bytes.
+    /// Reserves bytes if the budget allows it.
     ///
     /// # Errors
-    /// There is no room.
+    /// The reservation would exceed the budget.
     pub fn reserve(&self, category: Category, bytes: usize) -> Result<Reservation, ReservationRejected> {
         let mut reservation = self.empty_reservation(category);
         reservation.resize(bytes)?;
         Ok(reservation)
     }
 
-    /// Reserves bytes, whether or not there is room, for what must go on.
+    /// Reserves bytes even if that exceeds the budget, for work that cannot be rejected any more.
     pub fn charge(&self, category: Category, bytes: usize) -> Reservation {
         self.0.borrow_mut().charge(category, 0, bytes as u64);
         Reservation { budget: self.clone(), category, bytes }
     }
 
-    /// Reads the budget as it stands.
+    /// Calls `read` with the current state of the budget.
     pub fn read<T>(&self, read: impl FnOnce(&MemoryBudget) -> T) -> T {
         read(&self.0.borrow())
     }
 }
 
-/// Bytes that one owner holds, given back when it is dropped.
+/// Bytes reserved by one owner. Dropping it releases them.
 #[derive(Debug)]
 pub struct Reservation {
     budget: SharedBudget,
@@ -73,10 +77,10 @@
 }
 
 impl Reservation {
-    /// Changes how many bytes are held. Fewer are always taken.
+    /// Changes the number of reserved bytes. Shrinking always succeeds.
     ///
     /// # Errors
-    /// There is no room for more; nothing has changed then.
+    /// Growing would exceed the budget; the reservation is unchanged.
     pub fn resize(&mut self, bytes: usize) -> Result<(), ReservationRejected> {
         if bytes != self.bytes {
             let from = self.bytes as u64;
@@ -90,7 +94,7 @@
 
 impl Drop for Reservation {
     fn drop(&mut self) {
-        // Fewer bytes are always taken.
+        // Shrinking cannot fail.
         _ = self.resize(0);
     }
 }
--- a/crates/router/src/command.rs
+++ b/crates/router/src/command.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Command line of the `quillpoint` program.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -12,25 +12,24 @@
 use crate::serve::serve;
 
 const HELP: &str = "\
-quillpoint: a proxy before a primary and its replicas
+quillpoint: a proxy for a PostgreSQL primary and its replicas
 
 Usage: quillpoint [serve | check | reference | version] [--config FILE] [--conf FILE]
 
-  serve     run one router until SIGTERM (what is done when nothing is said); SIGHUP has it read its
-            configuration anew
-  check     read the configuration and say what is wrong with it, or else what holds
-  reference print the page of all directives of quillpoint.conf
+  serve     run a router until SIGTERM (the default command); SIGHUP reloads its configuration
+  check     validate the configuration; print its errors, or else the effective quillpoint.conf
+  reference print the reference of all directives of quillpoint.conf, as Markdown
   version   print the version
 
-  -c, --config FILE   the platform's JSON, in place of the variable GW_CONFIG
-      --conf FILE     quillpoint.conf: all that the platform does not know of, as the router's fleet
-  -h, --help          print this
+  -c, --config FILE   the platform's JSON; overrides the environment variable GW_CONFIG
+      --conf FILE     quillpoint.conf: settings that the platform does not provide, such as the fleet
+  -h, --help          print this help
 
-GW_NAME, GW_LISTEN and GW_DISCOVERY win over the file. RUST_LOG sets what is logged (info).
+GW_NAME, GW_LISTEN and GW_DISCOVERY override the file. RUST_LOG sets the log filter (default: info).
 ";
 
-/// The exit status for an error of the command line or the configuration.
-const MISUSED: u8 = 2;
+/// Exit status for errors in the command line or the configuration.
+const USAGE_ERROR_STATUS: u8 = 2;
 
 enum Subcommand {
     Serve,
@@ -45,22 +44,23 @@
     files: ConfigFiles,
 }
 
-/// What is wrong with the command line.
+/// An error in the command line.
 #[derive(Debug, thiserror::Error)]
 enum UsageError {
     #[error(transparent)]
     Option(#[from] lexopt::Error),
-    #[error("there is no command '{0}'")]
+    #[error("unknown command '{0}'")]
     UnknownSubcommand(String),
 }
 
-/// Does what the command line says. Status 2 stands for an error of the command line or the configuration.
-pub fn run(words: Parser) -> ExitCode {
-    let Arguments { subcommand, files } = match parse(words) {
+/// Runs the command given on the command line. Exits with status 2 on errors in the command line or the
+/// configuration.
+pub fn run(parser: Parser) -> ExitCode {
+    let Arguments { subcommand, files } = match parse(parser) {
         Ok(arguments) => arguments,
         Err(error) => {
             eprintln!("quillpoint: {error}; see quillpoint --help");
-            return ExitCode::from(MISUSED);
+            return ExitCode::from(USAGE_ERROR_STATUS);
         }
     };
     match subcommand {
@@ -78,21 +78,22 @@
         Ok(config) => run(config),
         Err(error) => {
             error.to_string().lines().for_each(|line| eprintln!("quillpoint: {line}"));
-            ExitCode::from(MISUSED)
+            ExitCode::from(USAGE_ERROR_STATUS)
         }
     }
 }
 
-/// Reads the configuration and starts the log.
+/// Reads the configuration and initializes logging.
 fn read_config(files: &ConfigFiles) -> Result<RuntimeConfig, RuntimeConfigError> {
-    // How to log is said in quillpoint.conf, and reading the rest may have something to log.
+    // The log format is set in quillpoint.conf. Logging starts before the rest is read, which may log
+    // warnings.
     let conf = runtime_config::read_conf(files)?;
     let format = match conf.as_ref().and_then(|conf| conf.word("", "", "log")) {
         Some("json") => LogFormat::Json,
         _ => LogFormat::Text,
     };
     events::start(format);
-    RuntimeConfig::read(files, variable)
+    RuntimeConfig::read(files, env_var)
 }
 
 fn check(config: &RuntimeConfig) -> ExitCode {
@@ -100,7 +101,7 @@
         print!("{}", conf.to_text());
     }
     if let Some(member) = &config.roles.fleet_member {
-        // What follows from the deployment stands in neither file.
+        // Defaults derived from the deployment's settings appear in neither file.
         let health_check = &member.fleet_params.health_check;
         println!(
             "# duty probe: every {}, grace {}, floor {}",
@@ -114,7 +115,7 @@
 }
 
 fn serve_until_drained(config: RuntimeConfig, files: ConfigFiles) -> ExitCode {
-    match serve(config, move || RuntimeConfig::reread(&files, variable)) {
+    match serve(config, move || RuntimeConfig::reread(&files, env_var)) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("quillpoint: {error}");
@@ -123,19 +124,19 @@
     }
 }
 
-fn variable(name: &str) -> Option<String> {
+fn env_var(name: &str) -> Option<String> {
     std::env::var(name).ok()
 }
 
-fn parse(mut words: Parser) -> Result<Arguments, UsageError> {
+fn parse(mut parser: Parser) -> Result<Arguments, UsageError> {
     let mut subcommand = None;
     let mut files = ConfigFiles::default();
-    while let Some(word) = words.next()? {
-        match word {
+    while let Some(argument) = parser.next()? {
+        match argument {
             Short('h') | Long("help") => return Ok(Arguments { subcommand: Subcommand::Help, files }),
             Short('V') | Long("version") => return Ok(Arguments { subcommand: Subcommand::Version, files }),
-            Short('c') | Long("config") => files.platform = Some(PathBuf::from(words.value()?)),
-            Long("conf") => files.conf = Some(PathBuf::from(words.value()?)),
+            Short('c') | Long("config") => files.platform = Some(PathBuf::from(parser.value()?)),
+            Long("conf") => files.conf = Some(PathBuf::from(parser.value()?)),
             Value(name) if subcommand.is_none() => {
                 subcommand = Some(match name.string()?.as_str() {
                     "serve" => Subcommand::Serve,
--- a/crates/router/src/config.rs
+++ b/crates/router/src/config.rs
@@ -1,4 +1,4 @@
-//! The platform's configuration: the one place where it is read, checked and given defaults.
+//! The platform's JSON configuration: reads it, validates it and fills in defaults. No other module does.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -9,65 +9,68 @@
 use crate::deployment::Deployment;
 use crate::endpoint_list::EndpointList;
 
-/// Descriptors that are no sockets of peers: the standard streams, the reactor's own, the signal pipe.
+/// Descriptors that the process needs besides sockets: the standard streams, the async reactor, the signal
+/// pipe.
 const RESERVED_DESCRIPTORS: usize = 16;
-/// Fewer than these leave no room for a client, a node and discovery at once.
+/// With fewer descriptors the router could not connect to a client, a node and discovery at the same time.
 const MIN_DESCRIPTORS: usize = 32;
 const BYTES_PER_MB: f64 = 1024.0 * 1024.0;
 
-/// All that the platform tells a router at its start.
+/// The configuration that the platform passes to a router at startup.
 #[derive(Debug)]
 pub struct StartupOptions {
-    /// The router's name, the same after a restart.
+    /// The router's name, which stays the same across restarts.
     pub name: String,
-    /// Where clients connect.
+    /// Listen address for clients.
     pub listen: SocketAddr,
-    /// Where discovery is.
+    /// Address of the discovery service.
     pub discovery: SocketAddr,
-    /// For random numbers; new with each start.
+    /// Seed of the random number generators; differs on every start.
     pub seed: u64,
-    /// How many sockets the router may hold at once.
+    /// Maximum number of open sockets.
     pub max_sockets: usize,
-    /// How many bytes the router may take in all.
+    /// Memory limit of the whole process; `u64::MAX` if there is none.
     pub memory_bytes: u64,
-    /// The endpoint list as this router had it last.
+    /// The last endpoint list that this router received before it was started.
     pub cached_endpoints: EndpointList,
-    /// What holds for all routers.
+    /// Settings shared by all routers of the deployment.
     pub deployment: Deployment,
 }
 
 impl StartupOptions {
-    /// Reads the file at this path, or else the one that GW_CONFIG names. Variables win over the file.
+    /// Reads the file at this path, or else the one named by GW_CONFIG. Environment variables override keys
+    /// of the file.
     ///
     /// # Errors
-    /// The file, key or variable at fault.
-    pub fn read(file: Option<&Path>, variable: impl Fn(&str) -> Option<String>) -> Result<Self, ConfigError> {
-        let variable = |name: &str| variable(name).filter(|text| !text.is_empty());
-        let path = file.map(|path| path.to_string_lossy().into_owned()).or_else(|| variable("GW_CONFIG"));
+    /// Names the invalid file, key or environment variable.
+    pub fn read(file: Option<&Path>, env_var: impl Fn(&str) -> Option<String>) -> Result<Self, ConfigError> {
+        let env_var = |name: &str| env_var(name).filter(|text| !text.is_empty());
+        let path = file.map(|path| path.to_string_lossy().into_owned()).or_else(|| env_var("GW_CONFIG"));
         let path = path.ok_or(ConfigError::NoFile)?;
         let text = match std::fs::read_to_string(&path) {
             Ok(text) => text,
             Err(error) => return Err(ConfigError::UnreadableFile { path, error }),
         };
         match serde_json::from_str(&text) {
-            Ok(json) => Self::from_json(&json, variable),
+            Ok(json) => Self::from_json(&json, env_var),
             Err(error) => Err(ConfigError::InvalidJson { path, error }),
         }
     }
 
-    /// What a running router is told on SIGHUP. Its variables are as old as the process, so the file's word on
-    /// where discovery is wins; name and address are the process's own and stay.
+    /// Reads the configuration again on SIGHUP. GW_DISCOVERY dates from the start of the process, so the
+    /// file's discovery address takes precedence over it. GW_NAME and GW_LISTEN still apply: both values are
+    /// fixed while the process runs.
     ///
     /// # Errors
     /// As [`StartupOptions::read`].
     pub fn reread(
         file: Option<&Path>,
-        variable: impl Fn(&str) -> Option<String>,
+        env_var: impl Fn(&str) -> Option<String>,
     ) -> Result<Self, ConfigError> {
-        Self::read(file, |name| variable(name).filter(|_| name != "GW_DISCOVERY"))
+        Self::read(file, |name| env_var(name).filter(|_| name != "GW_DISCOVERY"))
     }
 
-    /// The keys in which the other differs and which take effect only on a restart.
+    /// The keys that differ in `other` and take effect only after a restart.
     pub fn restart_required(&self, other: &Self) -> Vec<&'static str> {
         let changed = [
             ("name", self.name != other.name),
@@ -79,12 +82,12 @@
         changed.into_iter().filter(|(_, differs)| *differs).map(|(key, _)| key).collect()
     }
 
-    /// Reads the platform's JSON object. Variables win over its keys.
+    /// Reads the platform's JSON object. Environment variables override its keys.
     ///
     /// # Errors
-    /// The key or variable at fault.
-    pub fn from_json(json: &Json, variable: impl Fn(&str) -> Option<String>) -> Result<Self, ConfigError> {
-        let text = |variable_name, key| TextOption::read(json, key, variable_name, &variable);
+    /// Names the invalid key or environment variable.
+    pub fn from_json(json: &Json, env_var: impl Fn(&str) -> Option<String>) -> Result<Self, ConfigError> {
+        let text = |env_name, key| TextOption::read(json, key, env_name, &env_var);
         let name = text("GW_NAME", "name").required("the router's name")?;
         let seed = seed(&json["seed"])?;
         let descriptors = descriptors(&json["limits"]["sockets"])?;
@@ -104,9 +107,9 @@
     }
 }
 
-/// A text from a variable or a key of the JSON, whichever has it.
+/// A text from an environment variable, or else from a key of the JSON.
 struct TextOption {
-    /// The variable or key that it is from.
+    /// Name of the environment variable or key, for error messages.
     source: &'static str,
     value: Option<String>,
 }
@@ -115,11 +118,11 @@
     fn read(
         json: &Json,
         key: &'static str,
-        variable_name: &'static str,
-        variable: impl Fn(&str) -> Option<String>,
+        env_name: &'static str,
+        env_var: impl Fn(&str) -> Option<String>,
     ) -> Self {
-        if let Some(text) = variable(variable_name) {
-            return Self { source: variable_name, value: Some(text) };
+        if let Some(text) = env_var(env_name) {
+            return Self { source: env_name, value: Some(text) };
         }
         let value = match &json[key] {
             Json::String(text) => Some(text.clone()),
@@ -135,7 +138,7 @@
 
     fn address(self) -> Result<SocketAddr, ConfigError> {
         let found = self.value.unwrap_or_else(|| "nothing".to_string());
-        found.parse().map_err(|_| ConfigError::invalid(self.source, "an address and a port", found))
+        found.parse().map_err(|_| ConfigError::invalid(self.source, "an IP address and port", found))
     }
 }
 
@@ -149,7 +152,9 @@
 
 fn descriptors(json: &Json) -> Result<usize, ConfigError> {
     let count = json.as_u64().map(|count| count as usize).filter(|count| *count >= MIN_DESCRIPTORS);
-    count.ok_or_else(|| ConfigError::invalid("limits.sockets", "a number of descriptors, 32 or more", json))
+    count.ok_or_else(|| {
+        ConfigError::invalid("limits.sockets", "a number of file descriptors, at least 32", json)
+    })
 }
 
 fn memory_bytes(json: &Json) -> Result<u64, ConfigError> {
@@ -158,13 +163,13 @@
     }
     let bytes = json.as_f64().filter(|mb| *mb >= 1.0).map(|mb| (mb * BYTES_PER_MB) as u64);
     bytes.ok_or_else(|| {
-        ConfigError::invalid("limits.memory_mb", "megabytes, 1 or more, or nothing for no limit", json)
+        ConfigError::invalid("limits.memory_mb", "megabytes, at least 1, or null for no limit", json)
     })
 }
 
 fn deployment(json: &Json) -> Result<Deployment, ConfigError> {
     if !json.is_object() {
-        return Err(ConfigError::invalid("settings", "the deployment's settings as an object", json));
+        return Err(ConfigError::invalid("settings", "an object with the deployment's settings", json));
     }
     Deployment::new(quillpoint_settings::settings_from_json(json))
 }
@@ -174,5 +179,5 @@
         return Ok(EndpointList::default());
     }
     EndpointList::from_json(json)
-        .map_err(|error| ConfigError::invalid("known", "a list of nodes in discovery's form", error))
+        .map_err(|error| ConfigError::invalid("known", "an endpoint list as discovery sends it", error))
 }
--- a/crates/router/src/control_connections.rs
+++ b/crates/router/src/control_connections.rs
@@ -1,5 +1,5 @@
-//! The connections of a process to others of its installation, as its roles say: its membership of a fleet, a control
-//! instance's and a router's end of the feed. All of them may be missing.
+//! Connections to other quillpoint processes, as configured by the process's roles: fleet membership, and the
+//! feed as a publisher (control instance) or a subscriber (router). A process may have none of them.
 
 use std::io;
 use std::rc::Rc;
@@ -12,17 +12,17 @@
 use crate::engine::{Engine, ObservationExchange};
 use crate::roles::Roles;
 
-/// A socket of the control side cannot be opened.
+/// A socket for the fleet or the feed cannot be opened.
 #[derive(Debug, thiserror::Error)]
 #[error("{section} listen: {source}")]
 pub struct ControlSocketError {
-    /// The section of quillpoint.conf that names the address.
+    /// The section of quillpoint.conf with the address.
     section: &'static str,
     source: io::Error,
 }
 
 impl ControlSocketError {
-    fn of_section(section: &'static str) -> impl Fn(io::Error) -> Self {
+    fn in_section(section: &'static str) -> impl Fn(io::Error) -> Self {
         move |source| Self { section, source }
     }
 }
@@ -33,22 +33,22 @@
     }
 }
 
-/// The connections that the roles ask for.
+/// The connections required by the configured roles.
 #[derive(Default)]
 pub struct ControlConnections {
     member: Option<Rc<FleetMember>>,
     publisher: Option<Rc<PublisherService>>,
     control_instance: Option<Rc<ControlInstanceRuntime>>,
     subscriber: Option<Rc<SubscriberService>>,
-    /// Kept for as long as the sockets are.
+    /// Held as long as the sockets are open.
     _permits: Vec<DescriptorPermit>,
 }
 
 impl ControlConnections {
-    /// Opens the sockets.
+    /// Opens the sockets of all configured roles.
     ///
     /// # Errors
-    /// An address cannot be bound; the section that says it is named.
+    /// An address cannot be bound. The error names its section.
     pub async fn open(
         roles: &Roles,
         engine: &Rc<Engine>,
@@ -59,7 +59,7 @@
         if let Some(config) = &roles.publisher {
             let host = Rc::clone(engine) as Rc<dyn ControlHost>;
             let publisher = PublisherService::new(config.clone(), host, seed)
-                .map_err(ControlSocketError::of_section("publish"))?;
+                .map_err(ControlSocketError::in_section("publish"))?;
             let runtime = ControlInstanceRuntime::new(Rc::clone(engine), Rc::clone(&publisher));
             connections.control_instance = Some(runtime);
             connections.publisher = Some(publisher);
@@ -71,7 +71,7 @@
                 None => Rc::clone(engine) as Rc<dyn ControlHost>,
             };
             let member = FleetMember::new(config.clone(), host, seed)
-                .map_err(ControlSocketError::of_section("fleet"))?;
+                .map_err(ControlSocketError::in_section("fleet"))?;
             if let Some(control_instance) = &connections.control_instance {
                 control_instance.set_fleet_member(Rc::clone(&member));
             }
@@ -81,14 +81,14 @@
         if let Some(config) = &roles.subscriber {
             let host = Rc::clone(engine) as Rc<dyn ControlHost>;
             let subscriber = SubscriberService::new(config.clone(), host, seed)
-                .map_err(ControlSocketError::of_section("subscribe"))?;
+                .map_err(ControlSocketError::in_section("subscribe"))?;
             connections.subscriber = Some(subscriber);
             connections._permits.push(descriptors.acquire().await);
         }
         Ok(connections)
     }
 
-    /// Whoever the engine exchanges observations with, if anybody.
+    /// The exchange that the engine shares observations through, if any role provides one.
     fn observation_exchange(&self) -> Option<Rc<dyn ObservationExchange>> {
         if let Some(control_instance) = &self.control_instance {
             return Some(Rc::clone(control_instance) as Rc<dyn ObservationExchange>);
@@ -99,7 +99,7 @@
         self.subscriber.clone().map(|subscriber| subscriber as Rc<dyn ObservationExchange>)
     }
 
-    /// Runs them as long as the process runs.
+    /// Spawns the tasks of all connections, which run until the process ends.
     pub fn run(&self, engine: &Engine, executor: &LocalExecutor<'static>) {
         if let Some(exchange) = self.observation_exchange() {
             engine.set_observation_exchange(exchange);
@@ -121,7 +121,7 @@
         }
     }
 
-    /// Applies what takes effect at once of a changed configuration. A role that comes or goes waits for the next start.
+    /// Applies those changes of the configuration that need no restart. Adding or removing a role needs one.
     pub fn reload(&self, roles: &Roles) {
         if let (Some(member), Some(config)) = (&self.member, &roles.fleet_member) {
             member.reload(config);
@@ -134,7 +134,7 @@
         }
     }
 
-    /// Leaves the feed and the fleet.
+    /// Tells the peers on the feed and in the fleet that this process leaves.
     pub fn leave(&self) {
         if let Some(subscriber) = &self.subscriber {
             subscriber.leave();
--- a/crates/router/src/control_instance.rs
+++ b/crates/router/src/control_instance.rs
@@ -1,5 +1,5 @@
-//! The runtime of a control instance: hands its own observations and those of its fleet to the engine and to the publisher
-//! of the feed.
+//! The runtime of a control instance: passes its own observations and those of its fleet to the engine and to
+//! the feed publisher.
 
 use std::cell::OnceCell;
 use std::collections::BTreeMap;
@@ -16,29 +16,29 @@
 use crate::engine::{Engine, LocalObservation, ObservationExchange};
 use crate::observations;
 
-/// How often the members of the fleet are counted.
+/// How often the publisher is told the number of active fleet members.
 const MEMBER_COUNT_INTERVAL: Duration = Duration::from_secs(1);
 
 /// A process that is a member of the fleet of control instances and publishes the feed.
 pub struct ControlInstanceRuntime {
     engine: Rc<Engine>,
     publisher: Rc<PublisherService>,
-    /// Set once, right after it was made: either needs the other.
+    /// Set once after construction, because the member needs this runtime as its host.
     member: OnceCell<Rc<FleetMember>>,
 }
 
 impl ControlInstanceRuntime {
-    /// A control instance that has not joined its fleet yet.
+    /// Creates a control instance without its fleet membership; see [`Self::set_fleet_member`].
     pub fn new(engine: Rc<Engine>, publisher: Rc<PublisherService>) -> Rc<Self> {
         Rc::new(Self { engine, publisher, member: OnceCell::new() })
     }
 
-    /// Sets its membership of the fleet of control instances; the first one holds.
+    /// Sets the membership in the fleet of control instances. Only the first call has an effect.
     pub fn set_fleet_member(&self, member: Rc<FleetMember>) {
         _ = self.member.set(member);
     }
 
-    /// Counts the members of its fleet as long as the process runs.
+    /// Regularly reports the number of control instances to the publisher, until the process ends.
     pub async fn run_member_count(self: Rc<Self>) {
         loop {
             if let Some(member) = self.member.get() {
@@ -60,9 +60,10 @@
         ControlHost::nodes(&*self.engine)
     }
 
-    /// The decisions receive other instances' observations while RPCs are pending, and ask for them when one arrives: of
-    /// thousands of databases they may come a hundred thousand times a second, and an instance may serve nobody. A
-    /// failure is handed on at once.
+    /// Passes observations on to the decision module only while RPCs are pending; when an RPC arrives, the
+    /// engine fetches the latest ones. With thousands of databases, observations may arrive a
+    /// hundred thousand times a second, and an instance may not serve any client. Failures are always passed
+    /// on at once.
     fn observation_received(&self, observation: DatedObservation) {
         self.publisher.observe(observation);
         if observation.failed || self.engine.pending_rpcs() > 0 {
@@ -84,18 +85,19 @@
 }
 
 impl ObservationExchange for ControlInstanceRuntime {
-    fn observed(&self, own: LocalObservation) {
-        let observation = observations::to_fleet(&own);
+    fn observed(&self, local: LocalObservation) {
+        let observation = observations::to_fleet(&local);
         let Observation { node, position, primary, waiting, started, failed, .. } = observation;
-        // A failure counts when several members have failed by themselves, which the fleet reports. The node may have
-        // read its state as early as the request was sent, so the observation is dated then.
+        // A failure is published only after several members have failed to reach the node, which the fleet
+        // reports. The observation is dated to the sending of the request: the node may have read its state
+        // as early as that.
         if !failed {
-            let at = own.asked;
+            let at = local.asked;
             let dated = DatedObservation { node, at, position, primary, waiting, started, failed };
             self.publisher.observe(dated);
         }
         if let Some(member) = self.member.get() {
-            ObservationExchange::observed(&**member, own);
+            ObservationExchange::observed(&**member, local);
         }
     }
 
--- a/crates/router/src/deployment.rs
+++ b/crates/router/src/deployment.rs
@@ -1,4 +1,5 @@
-//! What holds for all routers of a deployment: its settings, checked, and those that the runtime itself needs.
+//! The settings shared by all routers of a deployment: validated, and with those that the runtime itself
+//! needs extracted.
 
 mod validation;
 
@@ -8,51 +9,52 @@
 
 use crate::config_error::ConfigError;
 
-/// Idle connections are looked at no more often.
+/// Lower bound of the idle timeout, which determines how often idle connections are checked.
 const MIN_IDLE_CONNECTION_TIMEOUT: Duration = Duration::from_millis(100);
 const DEFAULT_POLL_INTERVAL: Duration = Duration::from_secs(10);
-/// Settings that the decisions do without, at a cost.
-const OPTIONAL: [&str; 5] =
+/// Settings whose defaults make the decision module less effective: a warning is logged if they are missing.
+const RECOMMENDED_SETTINGS: [&str; 5] =
     ["replication.consistency.0", "methods.0.idempotency", "rules.poll_interval", "routers", "tick"];
 
-/// What holds for all routers of a deployment.
+/// The settings shared by all routers of a deployment.
 #[derive(Clone, Debug)]
 pub struct Deployment {
-    /// For the decisions, by their names.
+    /// All settings by name, for the decision module.
     pub settings: ValueMap,
-    /// The names of the classes of RPCs, at least one.
+    /// Names of the RPC classes, at least one.
     pub methods: Vec<String>,
-    /// The names of the zones.
+    /// Names of the zones.
     pub zones: Vec<String>,
-    /// The names of the kinds of machine.
+    /// Names of the machine types.
     pub machine_types: Vec<String>,
-    /// The names of a load report's values, in the order in which nodes give them.
+    /// Names of the values in a load report, in the order in which nodes send them.
     pub report_fields: Vec<String>,
-    /// The longest that a client of any class waits.
+    /// The longest deadline of any class.
     pub longest_deadline: Duration,
-    /// How long a connect to a node may take.
+    /// Timeout for connecting to a node.
     pub connect_timeout: Duration,
-    /// A connection that has been idle for so long is closed by a node.
+    /// Nodes close a connection after it has been idle for this long.
     pub idle_connection_timeout: Duration,
-    /// How many RPCs may be pending at once, queued or in flight.
+    /// Maximum number of RPCs that are queued or in flight at the same time.
     pub max_pending_rpcs: usize,
-    /// How often the endpoint list is polled at least.
+    /// The endpoint list is polled at least this often.
     pub poll_interval: Duration,
-    /// Whether the program polls the endpoint list from its start on; else from the decisions' first request.
+    /// Whether polling the endpoint list begins at startup, or else with the decision module's first request.
     pub polls_from_start: bool,
-    /// The tightest bound on the age of what a read may be answered with, if there is one.
+    /// The tightest staleness bound of any class with bounded reads, if there is one.
     pub tightest_staleness_bound: Option<Duration>,
 }
 
 impl Deployment {
-    /// Checks the settings. What the decisions can do without is warned of.
+    /// Validates the settings. Logs a warning for each missing setting that has a default but ought to be
+    /// set.
     ///
     /// # Errors
-    /// A setting that is missing, or that has a value which would be taken for its default without notice.
+    /// A required setting is missing, or a value is invalid and would silently be replaced by the default.
     pub fn new(settings: ValueMap) -> Result<Self, ConfigError> {
-        let methods = texts(&settings, |place| format!("methods.{place}.name"));
+        let methods = texts(&settings, |index| format!("methods.{index}.name"));
         if methods.is_empty() {
-            let expected = "one class of RPCs or more, each with a name";
+            let expected = "at least one class of RPCs, each with a name";
             return Err(ConfigError::invalid_setting("methods", expected, "none"));
         }
         let longest_deadline = longest_deadline(&settings, methods.len())?;
@@ -61,9 +63,9 @@
         let idle_connection_timeout = duration(&settings, "allowed.idle_connection_timeout");
         Ok(Self {
             methods,
-            zones: texts(&settings, |place| format!("zones.{place}")),
-            machine_types: texts(&settings, |place| format!("kinds.{place}")),
-            report_fields: texts(&settings, |place| format!("reports.fields.{place}")),
+            zones: texts(&settings, |index| format!("zones.{index}")),
+            machine_types: texts(&settings, |index| format!("kinds.{index}")),
+            report_fields: texts(&settings, |index| format!("reports.fields.{index}")),
             longest_deadline,
             connect_timeout: duration(&settings, "allowed.connect_timeout")?,
             idle_connection_timeout: idle_connection_timeout?.max(MIN_IDLE_CONNECTION_TIMEOUT),
@@ -78,37 +80,38 @@
     }
 }
 
-/// The texts of a list, up to the first place that has none.
+/// The elements of a list of texts, up to the first index without one.
 fn texts(settings: &ValueMap, name: impl Fn(usize) -> String) -> Vec<String> {
-    (0..).map(|place| settings.text(&name(place)).to_string()).take_while(|text| !text.is_empty()).collect()
+    (0..).map(|index| settings.text(&name(index)).to_string()).take_while(|text| !text.is_empty()).collect()
 }
 
 fn duration(settings: &ValueMap, name: &str) -> Result<Duration, ConfigError> {
     settings.span(name).ok_or_else(|| ConfigError::invalid_setting(name, "milliseconds", "nothing"))
 }
 
-fn longest_deadline(settings: &ValueMap, methods: usize) -> Result<Duration, ConfigError> {
+fn longest_deadline(settings: &ValueMap, method_count: usize) -> Result<Duration, ConfigError> {
     let mut longest = Duration::ZERO;
-    for place in 0..methods {
-        duration(settings, &format!("methods.{place}.latency_objective"))?;
-        longest = longest.max(duration(settings, &format!("methods.{place}.deadline"))?);
+    for index in 0..method_count {
+        duration(settings, &format!("methods.{index}.latency_objective"))?;
+        longest = longest.max(duration(settings, &format!("methods.{index}.deadline"))?);
     }
     Ok(longest)
 }
 
-/// A name that silently fails to map costs decisions.
+/// A platform key that is not mapped to its setting would otherwise go unnoticed and make the decision module
+/// less effective.
 fn warn_of_missing(settings: &ValueMap) {
-    for name in OPTIONAL.into_iter().filter(|name| !settings.0.contains_key(*name)) {
-        log::warn!("settings: {name} is missing, so its default holds");
+    for name in RECOMMENDED_SETTINGS.into_iter().filter(|name| !settings.0.contains_key(*name)) {
+        log::warn!("settings: {name} is not set, using its default");
     }
 }
 
 fn tightest_staleness_bound(settings: &ValueMap) -> Option<Duration> {
-    let consistency = |place: usize| format!("replication.consistency.{place}");
-    let bound = |place: usize| settings.span(&format!("replication.staleness_bound.{place}"));
+    let consistency = |index: usize| format!("replication.consistency.{index}");
+    let bound = |index: usize| settings.span(&format!("replication.staleness_bound.{index}"));
     (0..)
-        .take_while(|place| settings.0.contains_key(&consistency(*place)))
-        .filter(|place| settings.text(&consistency(*place)) == "bounded")
+        .take_while(|index| settings.0.contains_key(&consistency(*index)))
+        .filter(|index| settings.text(&consistency(*index)) == "bounded")
         .filter_map(bound)
         .filter(|bound| !bound.is_zero())
         .min()
--- a/crates/router/src/deployment/validation.rs
+++ b/crates/router/src/deployment/validation.rs
@@ -1,62 +1,62 @@
-//! Settings that are one of a few words, or yes or no. A value that is none of these would be taken for its default
-//! without notice.
+//! Validation of enumerated and boolean settings. Without it, an invalid value would silently be replaced by
+//! the default.
 
 use quillpoint::host::{Value, ValueMap};
 
 use crate::config_error::ConfigError;
 
-/// A setting and the words that it can be.
-struct WordSetting {
+/// A setting with a fixed set of values.
+struct EnumSetting {
     name: &'static str,
-    /// In the platform's words, for people.
+    /// The valid values as the platform names them, for error messages.
     expected: &'static str,
-    /// In the terms that settings have.
+    /// The valid values as `quillpoint_settings` names them.
     allowed: &'static [&'static str],
 }
 
-const WORDS: &[WordSetting] = &[
-    WordSetting {
+const ENUM_SETTINGS: &[EnumSetting] = &[
+    EnumSetting {
         name: "discovery",
         expected: "subscribe or automatic",
         allowed: &["subscribe", "automatic"],
     },
-    WordSetting {
+    EnumSetting {
         name: "reports.source",
         expected: "answers, probe or none",
         allowed: &["answers", "probe", "none"],
     },
-    WordSetting {
+    EnumSetting {
         name: "replication.read_check",
         expected: "none, reject or hold",
         allowed: &["none", "reject", "hold"],
     },
-    WordSetting {
+    EnumSetting {
         name: "replication.listed_role",
         expected: "delayed, initial or none",
         allowed: &["delayed", "initial", "none"],
     },
-    WordSetting {
+    EnumSetting {
         name: "weights",
         expected: "none, nominal, rough or live",
         allowed: &["none", "nominal", "rough", "live"],
     },
 ];
 
-/// The same for each class of RPCs.
-const METHOD_WORDS: &[WordSetting] = &[
-    WordSetting {
+/// Enumerated settings that each class of RPCs has.
+const METHOD_ENUM_SETTINGS: &[EnumSetting] = &[
+    EnumSetting {
         name: "idempotency",
         expected: "free, guarded or single_shot",
         allowed: &["idempotent", "keyed", "non_idempotent"],
     },
-    WordSetting {
+    EnumSetting {
         name: "idempotency_scope",
         expected: "all, zone or cell",
         allowed: &["all", "zone", "replica_set"],
     },
 ];
 
-const FLAGS: &[&str] = &[
+const BOOLEAN_SETTINGS: &[&str] = &[
     "allowed.health_checks",
     "allowed.retry_after",
     "allowed.hedging",
@@ -64,47 +64,49 @@
     "rules.only_listed_draining",
 ];
 
-/// Checks that words and flags are known ones, and that no two contradict each other.
-pub fn check(values: &ValueMap, methods: usize) -> Result<(), ConfigError> {
-    for setting in WORDS {
-        check_word(values, setting.name, setting)?;
+/// Checks that enumerated settings and booleans have valid values, and that no two settings contradict each
+/// other.
+pub fn check(settings: &ValueMap, method_count: usize) -> Result<(), ConfigError> {
+    for setting in ENUM_SETTINGS {
+        check_enum(settings, setting.name, setting)?;
     }
-    for place in 0..methods {
-        for setting in METHOD_WORDS {
-            check_word(values, &format!("methods.{place}.{}", setting.name), setting)?;
+    for index in 0..method_count {
+        for setting in METHOD_ENUM_SETTINGS {
+            check_enum(settings, &format!("methods.{index}.{}", setting.name), setting)?;
         }
     }
-    for name in FLAGS {
-        check_flag(values, name)?;
+    for name in BOOLEAN_SETTINGS {
+        check_boolean(settings, name)?;
     }
-    check_report_source(values)
+    check_report_source(settings)
 }
 
-fn check_word(values: &ValueMap, name: &str, setting: &WordSetting) -> Result<(), ConfigError> {
-    match values.0.get(name) {
+fn check_enum(settings: &ValueMap, name: &str, setting: &EnumSetting) -> Result<(), ConfigError> {
+    match settings.0.get(name) {
         None => Ok(()),
-        Some(Value::Text(word)) if setting.allowed.contains(&word.as_str()) => Ok(()),
-        Some(other) => Err(ConfigError::invalid_setting(name, setting.expected, shown(other))),
+        Some(Value::Text(text)) if setting.allowed.contains(&text.as_str()) => Ok(()),
+        Some(other) => Err(ConfigError::invalid_setting(name, setting.expected, display(other))),
     }
 }
 
-fn check_flag(values: &ValueMap, name: &str) -> Result<(), ConfigError> {
-    match values.0.get(name) {
+fn check_boolean(settings: &ValueMap, name: &str) -> Result<(), ConfigError> {
+    match settings.0.get(name) {
         None | Some(Value::Flag(_)) => Ok(()),
-        Some(other) => Err(ConfigError::invalid_setting(name, "true or false", shown(other))),
+        Some(other) => Err(ConfigError::invalid_setting(name, "true or false", display(other))),
     }
 }
 
-/// Reports that come with health checks alone never come where these are not allowed.
-fn check_report_source(values: &ValueMap) -> Result<(), ConfigError> {
-    if values.text("reports.source") != "probe" || values.flag("allowed.health_checks") {
+/// Rejects load reports that are taken from health checks if health checks are not allowed: no report would
+/// ever arrive.
+fn check_report_source(settings: &ValueMap) -> Result<(), ConfigError> {
+    if settings.text("reports.source") != "probe" || settings.flag("allowed.health_checks") {
         return Ok(());
     }
-    let expected = "answers or none, as allowed.health_checks is not true";
+    let expected = "answers or none, because allowed.health_checks is not true";
     Err(ConfigError::invalid_setting("reports.source", expected, "probe"))
 }
 
-fn shown(value: &Value) -> String {
+fn display(value: &Value) -> String {
     match value {
         Value::Text(text) => text.clone(),
         Value::Flag(flag) => flag.to_string(),
--- a/crates/router/src/descriptors.rs
+++ b/crates/router/src/descriptors.rs
@@ -1,7 +1,7 @@
-//! The one count of the descriptors that a router holds for sockets, against its limit.
+//! Limits the number of file descriptors that a router uses for sockets.
 //!
-//! Each socket is opened with a [`DescriptorPermit`] and keeps it as long as it is open. An idle connection is registered
-//! as evictable with a way to close it; when descriptors are short, the one that has been idle longest is closed.
+//! Each open socket holds a [`DescriptorPermit`]. Idle connections are registered as evictable, with a
+//! closure that closes them; when the limit is reached, the connection that has been idle longest is closed.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -12,32 +12,34 @@
 use event_listener::{Event, EventListener};
 use futures_lite::FutureExt;
 
-/// A connection that was asked to close may just have been put to use again: its permit is waited for no longer.
+/// How long to wait for an evicted connection to release its permit before evicting another one. A connection
+/// that was just reused when it was asked to close does not release it.
 const EVICTION_RETRY_INTERVAL: Duration = Duration::from_millis(5);
 
-/// What a descriptor is held for.
+/// The purpose of a descriptor.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DescriptorUse {
     /// A client's connection.
     Client,
-    /// The connection of a client that there is no room for: it gets an error and is closed.
+    /// The connection of a client over the limit, which is sent an error and closed.
     RejectedClient,
-    /// The router's own: connections to nodes and to discovery, listeners.
+    /// The router's own sockets: listeners and connections to nodes and to discovery.
     Internal,
 }
 
-/// Which idle connections are closed first when descriptors are short.
+/// The order in which idle connections are closed when the limit is reached.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum EvictionPriority {
-    /// One that nothing depends on: its client has not said anything yet, or it is being closed.
+    /// Connections whose loss harms nobody: the client has not sent anything yet, or the connection is being
+    /// closed.
     First,
-    /// One that has been used and is idle.
+    /// Connections that have been used and are idle now.
     Idle,
 }
 
 type Close = Box<dyn FnOnce()>;
 
-/// By eviction priority, and by the order in which connections became idle.
+/// Sorted by eviction priority, then by the order in which the connections became idle.
 type EvictionKey = (EvictionPriority, u64);
 
 struct Evictable {
@@ -45,31 +47,31 @@
     close: Close,
 }
 
-/// Counts descriptors, and makes room by closing idle connections.
+/// Counts descriptors against a limit, and closes idle connections when it is reached.
 pub struct DescriptorLimiter {
     limit: usize,
-    /// By [`DescriptorUse`].
+    /// Indexed by [`DescriptorUse`].
     used: [Cell<usize>; 3],
     evictable: RefCell<BTreeMap<EvictionKey, Evictable>>,
     next_registration: Cell<u64>,
     released: Event,
 }
 
-/// The right to hold one descriptor, given back when it is dropped.
+/// The permission to hold one descriptor, released on drop.
 pub struct DescriptorPermit {
     limiter: Rc<DescriptorLimiter>,
-    /// What it is held for.
+    /// The purpose of the descriptor.
     pub held_for: DescriptorUse,
 }
 
-/// A connection's registration as evictable, until it is dropped.
+/// Keeps a connection registered as evictable until it is dropped.
 pub struct EvictableRegistration {
     limiter: Rc<DescriptorLimiter>,
     key: EvictionKey,
 }
 
 impl DescriptorLimiter {
-    /// A limiter of this many descriptors, none of which is held.
+    /// Creates a limiter with no descriptors in use.
     pub fn new(limit: usize) -> Rc<Self> {
         Rc::new(Self {
             limit,
@@ -80,8 +82,9 @@
         })
     }
 
-    /// Half is for clients, since each may need a connection to a node too. Those beyond are not left waiting
-    /// unread, where their RPCs would be lost, but rejected.
+    /// Clients may use half of the limit, since each may need a connection to a node as well. Clients over
+    /// that are accepted and rejected with an error: in the accept queue nobody would read their RPCs, which
+    /// would be lost.
     fn quota(&self, held_for: DescriptorUse) -> usize {
         match held_for {
             DescriptorUse::Client => self.limit / 2,
@@ -107,15 +110,16 @@
         Some(DescriptorPermit { limiter: Rc::clone(self), held_for })
     }
 
-    /// Closes the longest idle connection that would make room. False if there is none.
+    /// Closes the connection that has been idle longest among those whose closing allows another descriptor
+    /// for this purpose. Returns false if there is none.
     fn evict(&self, held_for: DescriptorUse) -> bool {
         let is_exhausted = self.is_exhausted();
         let mut evictable = self.evictable.borrow_mut();
         let makes_room = |connection: &Evictable| is_exhausted || connection.held_for == held_for;
         let key = evictable.iter().find(|(_, connection)| makes_room(connection)).map(|(key, _)| *key);
-        let oldest = key.and_then(|key| evictable.remove(&key));
+        let victim = key.and_then(|key| evictable.remove(&key));
         drop(evictable);
-        match oldest {
+        match victim {
             Some(connection) => {
                 (connection.close)();
                 true
@@ -124,7 +128,7 @@
         }
     }
 
-    /// Waits until a descriptor may be held for the router's own use.
+    /// Waits for a permit for one of the router's own sockets.
     pub async fn acquire(self: &Rc<Self>) -> DescriptorPermit {
         loop {
             let released = self.released.listen();
@@ -139,7 +143,8 @@
         }
     }
 
-    /// Waits until a descriptor may be held for a client, which may have to be rejected.
+    /// Waits for a permit for a client's connection. If the clients' quota is exhausted, the permit is one
+    /// for a client that has to be rejected.
     pub async fn acquire_for_client(self: &Rc<Self>) -> DescriptorPermit {
         loop {
             let released = self.released.listen();
@@ -157,16 +162,16 @@
         }
     }
 
-    /// Registers an idle connection, which `close` closes when descriptors are short.
+    /// Registers an idle connection, which `close` closes when the limit is reached.
     pub fn register_evictable(
         self: &Rc<Self>,
         held_for: DescriptorUse,
         priority: EvictionPriority,
         close: impl FnOnce() + 'static,
     ) -> EvictableRegistration {
-        let number = self.next_registration.get();
-        self.next_registration.set(number + 1);
-        let key = (priority, number);
+        let registration = self.next_registration.get();
+        self.next_registration.set(registration + 1);
+        let key = (priority, registration);
         self.evictable.borrow_mut().insert(key, Evictable { held_for, close: Box::new(close) });
         EvictableRegistration { limiter: Rc::clone(self), key }
     }
@@ -180,7 +185,8 @@
 }
 
 impl DescriptorPermit {
-    /// Whether its client is admitted; one that was to be rejected is, if there is room for it by now.
+    /// Whether the client is admitted. A client that was to be rejected is admitted if the quota has room for
+    /// it by now.
     pub fn try_admit(&mut self) -> bool {
         let clients = self.limiter.used(DescriptorUse::Client);
         let has_room = clients.get() < self.limiter.quota(DescriptorUse::Client);
@@ -205,7 +211,8 @@
 impl Drop for EvictableRegistration {
     fn drop(&mut self) {
         let connection = self.limiter.evictable.borrow_mut().remove(&self.key);
-        // Behind the borrow: dropping the closure may drop what it owns.
+        // Dropped after the borrow has ended: the closure may own values that use this limiter when they are
+        // dropped.
         drop(connection);
     }
 }
--- a/crates/router/src/discovery.rs
+++ b/crates/router/src/discovery.rs
@@ -1,8 +1,9 @@
-//! The client of discovery: makes the polls that `quillpoint_discovery_watch` times, and hands the decisions what they bring.
+//! The discovery client: polls the endpoint list on the schedule of `quillpoint_discovery_watch` and passes
+//! the endpoints to the decision module.
 //!
-//! Each poll is a task of its own, which reports its progress here. A poll that has timed out, or that was made to an earlier
-//! address of discovery, stays open for a while beside the one that takes its place: an answer that discovery has written is
-//! heard, whenever it comes.
+//! Each poll runs in its own task, which reports its progress here. A poll that has timed out, or that was
+//! made to a previous address of discovery, stays open for a while next to its replacement: discovery
+//! considers an answer delivered once it is written, so a late answer must still be processed.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -25,39 +26,39 @@
 use crate::endpoint_poll::{Connection, EndpointPoll, PollAnswer, PollError};
 use crate::engine::{Clock, Engine};
 
-/// The sockets of the newest poll and the late ones; a connection that is kept takes the place of the newest poll's.
+/// Sockets for the newest poll and the late ones. The idle connection is counted as the newest poll's socket.
 const SOCKETS: usize = 1 + MAX_LATE_POLLS;
-/// The most nodes that are draining or removed that a log line names.
+/// Maximum number of draining or removed nodes that are named in a log line.
 const MAX_NODES_NAMED: usize = 8;
 
-/// What a client of discovery is started with.
+/// Parameters of a [`DiscoveryClient`].
 pub struct DiscoveryParams<'a> {
-    /// The address of discovery.
+    /// The address of discovery at startup.
     pub address: SocketAddr,
-    /// The settings.
+    /// The settings of the deployment.
     pub deployment: &'a Deployment,
-    /// The list that the router had last.
+    /// The last list that the router received before it was started.
     pub cached_list: &'a EndpointList,
-    /// Spreads the polls of routers.
+    /// Seed for the jitter of the poll schedule, which keeps routers from polling at the same time.
     pub seed: u64,
-    /// The clock of the router.
+    /// The router's clock.
     pub clock: Clock,
-    /// Runs the polls.
+    /// Runs the tasks of the polls.
     pub executor: Rc<LocalExecutor<'static>>,
-    /// Where the sockets of the polls are counted.
+    /// Counts the sockets of the polls.
     pub descriptors: &'a Rc<DescriptorLimiter>,
 }
 
-/// A poll that has been made and has not ended.
+/// A poll that has not ended yet.
 struct PollInFlight {
     number: u64,
     basis: ListBasis,
     started: Duration,
-    /// The poll ends and its connection is closed when this is dropped.
+    /// Dropping the task cancels the poll and closes its connection.
     _task: Task<()>,
 }
 
-/// What the task of a poll reports.
+/// A progress report from the task of a poll.
 struct PollReport {
     poll: u64,
     progress: Progress,
@@ -71,34 +72,35 @@
 enum Event {
     PollReported(PollReport),
     AddressChanged(SocketAddr),
-    /// The decisions want the list.
+    /// The decision module has requested the list.
     ListRequested,
-    /// The deadline of the watch has come.
+    /// The deadline of the watch has passed.
     Deadline,
 }
 
-/// The client of discovery.
+/// Polls discovery for the endpoint list until the router ends.
 pub struct DiscoveryClient {
     address: SocketAddr,
     parser: EndpointParser,
     versions: ListVersions,
     watch: DiscoveryWatch,
-    /// The connection of the last poll that was answered.
-    kept_connection: Option<Connection>,
+    /// The connection of the last answered poll, to be reused by the next one.
+    idle_connection: Option<Connection>,
     newest: Option<PollInFlight>,
-    /// Polls that have timed out, the oldest first.
+    /// Polls that have timed out or went to a previous address, the oldest first.
     late: VecDeque<PollInFlight>,
-    next_number: u64,
+    next_poll: u64,
     report_sender: Sender<PollReport>,
     reports: Receiver<PollReport>,
     clock: Clock,
     executor: Rc<LocalExecutor<'static>>,
-    /// Held for as long as the router runs, so that no client can have them while discovery is down.
+    /// Held as long as the router runs, so that clients cannot use up these descriptors while discovery is
+    /// down.
     _permits: Vec<DescriptorPermit>,
 }
 
 impl DiscoveryClient {
-    /// Waits for its sockets, and returns the client with the endpoints of the cached list.
+    /// Waits for the permits for its sockets, then returns the client and the endpoints of the cached list.
     pub async fn new(params: DiscoveryParams<'_>) -> (Self, Vec<Endpoint>) {
         let DiscoveryParams { address, deployment, cached_list, seed, clock, executor, descriptors } = params;
         let mut parser = EndpointParser::new(deployment);
@@ -114,10 +116,10 @@
             parser,
             versions: ListVersions::new((!endpoints.is_empty()).then_some(cached_list.version)),
             watch: DiscoveryWatch::new(deployment.poll_interval, start, seed),
-            kept_connection: None,
+            idle_connection: None,
             newest: None,
             late: VecDeque::new(),
-            next_number: 0,
+            next_poll: 0,
             report_sender,
             reports,
             clock,
@@ -127,8 +129,8 @@
         (client, endpoints)
     }
 
-    /// Polls whenever the watch is due to, until the router ends. `requests` are the decisions' requests for the list,
-    /// `addresses` the addresses that discovery gets.
+    /// Polls whenever the watch says so, until the router ends. `requests` receives the decision module's
+    /// requests for the list, `addresses` the new addresses of discovery.
     pub async fn run(mut self, engine: Rc<Engine>, requests: Receiver<()>, addresses: Receiver<SocketAddr>) {
         loop {
             let now = self.clock.now();
@@ -139,15 +141,16 @@
                 Event::PollReported(report) => self.poll_reported(report, &engine),
                 Event::AddressChanged(address) => self.address_changed(address),
                 Event::ListRequested => self.watch.requested(self.clock.now()),
-                Event::Deadline => self.deadline_came(),
+                Event::Deadline => self.deadline_passed(),
             }
         }
     }
 
-    /// What happens next. The report of a poll precedes the end of its time.
+    /// Waits for the next event. If a poll has reported and its deadline has passed as well, the report is
+    /// handled first.
     async fn next_event(&self, requests: &Receiver<()>, addresses: &Receiver<SocketAddr>) -> Event {
         let reported = async { Event::PollReported(receive(&self.reports).await) };
-        let changed = async { Event::AddressChanged(receive(addresses).await) };
+        let address_changed = async { Event::AddressChanged(receive(addresses).await) };
         let requested = async {
             receive(requests).await;
             Event::ListRequested
@@ -159,23 +162,23 @@
             };
             Event::Deadline
         };
-        reported.or(changed).or(requested).or(deadline).await
+        reported.or(address_changed).or(requested).or(deadline).await
     }
 
     fn begin_poll(&mut self, now: Duration, hold: Duration) {
         let basis = self.versions.basis();
-        let number = self.next_number;
-        self.next_number += 1;
+        let number = self.next_poll;
+        self.next_poll += 1;
         let path = match basis.from {
             None => "/catalog/members".to_string(),
             Some(from) => format!("/catalog/members?from={from}&hold_ms={}", hold.as_millis()),
         };
         let poll = EndpointPoll { address: self.address, path };
-        let kept_connection = self.kept_connection.take();
+        let idle_connection = self.idle_connection.take();
         let sender = self.report_sender.clone();
         let task = async move {
             let report = |progress| report(&sender, number, progress);
-            let answer = poll.run(kept_connection, |phase| report(Progress::PhaseReached(phase)));
+            let answer = poll.run(idle_connection, |phase| report(Progress::PhaseReached(phase)));
             let timeout = async {
                 Timer::after(hold + LATE_ANSWER_WINDOW).await;
                 Err(PollError::TimedOut)
@@ -220,11 +223,11 @@
         }
     }
 
-    /// Hands the decisions what an answer brings, and says whether that is anything.
+    /// Passes the endpoints of an answer to the decision module. Returns whether there were any.
     fn apply(&mut self, poll: &PollInFlight, answer: PollAnswer, engine: &Engine) -> Result<bool, PollError> {
         let PollAnswer { list, connection } = answer;
         if self.versions.is_present(poll.basis) {
-            self.kept_connection = connection;
+            self.idle_connection = connection;
         }
         let (update, endpoints) = match self.versions.judge(poll.basis, list.version) {
             AnswerUse::All => self.apply_list(&list)?,
@@ -232,7 +235,8 @@
             AnswerUse::Nothing => {
                 log::info!(
                     event = "endpoint_list_superseded", call = poll.number, version = list.version;
-                    "discarded endpoint list version {}: a newer version has already been applied", list.version
+                    "discarded endpoint list version {}: a newer version has already been applied",
+                    list.version
                 );
                 return Ok(false);
             }
@@ -246,12 +250,12 @@
 
     fn apply_list(&mut self, list: &EndpointList) -> Result<(EndpointUpdate, Vec<Endpoint>), PollError> {
         let endpoints = self.parser.apply(list);
-        // A list in a form that is not known here must not pass for one without nodes.
+        // A list in an unknown format must not be taken for an empty one.
         if endpoints.is_empty() && !list.entries.is_empty() {
             return Err(PollError::NoReadableEntry { entries: list.entries.len() });
         }
         self.versions.applied(list.version);
-        // Polls to earlier addresses of discovery have nothing to add.
+        // Answers to polls made to previous addresses of discovery are obsolete now.
         let versions = &self.versions;
         self.late.retain(|late| versions.is_present(late.basis));
         let update = if list.is_snapshot { EndpointUpdate::Snapshot } else { EndpointUpdate::Delta };
@@ -265,10 +269,10 @@
             .filter(|endpoint| endpoint.status != EndpointStatus::InService)
             .map(|endpoint| endpoint.node.0.to_string())
             .collect();
-        let named = stopped[..stopped.len().min(MAX_NODES_NAMED)].join(" ");
+        let stopped_names = stopped[..stopped.len().min(MAX_NODES_NAMED)].join(" ");
         log::info!(
             event = "endpoint_list", version = version, call = poll.number, waited_ms = waited_ms,
-            stops = stopped.len(), stopped = named.as_str();
+            stops = stopped.len(), stopped = stopped_names.as_str();
             "endpoint list {version}: {} entries", endpoints.len()
         );
     }
@@ -291,8 +295,8 @@
         self.clock.now().saturating_sub(poll.started).as_millis() as u64
     }
 
-    /// The deadline is that of the next poll, which begins by itself, or of the newest poll.
-    fn deadline_came(&mut self) {
+    /// The deadline is either that of the next poll, which `run` begins, or the timeout of the newest poll.
+    fn deadline_passed(&mut self) {
         if self.watch.deadline().is_none_or(|deadline| deadline > self.clock.now()) {
             return;
         }
@@ -314,10 +318,11 @@
         }
     }
 
-    /// Versions may be numbered otherwise there, so a snapshot is requested, on a new connection.
+    /// The new address may number its versions differently, so the next poll requests a snapshot, on a new
+    /// connection.
     fn address_changed(&mut self, address: SocketAddr) {
         self.address = address;
-        self.kept_connection = None;
+        self.idle_connection = None;
         self.versions.address_changed();
         self.watch.address_changed(self.clock.now());
         if let Some(poll) = self.newest.take() {
@@ -326,12 +331,13 @@
     }
 }
 
-/// Reports the progress of a poll. It can fail only when the client has ended, and nobody wants to know.
+/// Reports the progress of a poll. Sending fails only if the client has ended, in which case the report is
+/// not needed.
 fn report(sender: &Sender<PollReport>, poll: u64, progress: Progress) {
     sender.try_send(PollReport { poll, progress }).ok();
 }
 
-/// The next message; waits for ever where none can come any more.
+/// Returns the next message; pends forever once the channel is closed.
 async fn receive<T>(channel: &Receiver<T>) -> T {
     match channel.recv().await {
         Ok(message) => message,
--- a/crates/router/src/drain.rs
+++ b/crates/router/src/drain.rs
@@ -1,5 +1,5 @@
-//! Graceful shutdown: sessions go on for a while, are closed bit by bit, and the listener is closed without losing what
-//! has come to it.
+//! Graceful shutdown: sessions stay open for a while and are then closed gradually, and the listener is
+//! closed without losing connections that have already arrived.
 
 use std::net::TcpListener;
 use std::rc::Rc;
@@ -12,27 +12,28 @@
 use crate::engine::{DeadlineRange, Engine};
 use crate::socket_liveness::has_pending_connection;
 
-/// How long new connections may still come: the front sends them for up to 0.4 s after SIGTERM.
+/// How long new connections are accepted: the load balancer sends them for up to 0.4 s after SIGTERM.
 const ACCEPT_AFTER_SIGTERM: Duration = Duration::from_millis(500);
-/// The platform kills a router this long after its longest deadline, counted from SIGTERM.
+/// The platform sends SIGKILL this long after SIGTERM plus the longest deadline.
 const KILLED_AFTER_LONGEST_DEADLINE: Duration = Duration::from_millis(700);
-/// The platform counts no deadline longer than this.
+/// The platform counts any longer deadline as this one.
 const MAX_COUNTED_DEADLINE: Duration = Duration::from_secs(3);
-/// The time before the kill in which the router ends.
+/// The shutdown is scheduled to end this long before SIGKILL.
 const KILL_MARGIN: Duration = Duration::from_millis(400);
-/// How often it is checked whether all is answered, and whether connections wait at the listener.
+/// How often to check whether all RPCs are answered, and whether connections are pending at the listener.
 const CHECK_INTERVAL: Duration = Duration::from_millis(5);
-/// How many checks past the end sessions have to write what was answered at the end. Checks are counted, and not time: a
-/// process that was paused over the end must come to its responses first.
+/// How many checks after the end sessions have to write the last responses. Checks are counted instead of
+/// time because a process that was paused across the end must still write its responses.
 const MAX_CHECKS_PAST_END: usize = 10;
 
-/// When the steps of the shutdown happen.
+/// The times of the steps of the shutdown.
 struct Schedule {
-    /// Sessions begin to be closed.
+    /// The first session is asked to close.
     closing_starts: Instant,
-    /// All sessions have been asked to close: an RPC that comes later would have too little time left.
+    /// All sessions have been asked to close: an RPC that arrives later would have less than its deadline
+    /// left.
     all_closed: Instant,
-    /// No RPC is waited for any longer.
+    /// The router no longer waits for any RPC.
     end: Instant,
 }
 
@@ -47,7 +48,7 @@
         Instant::now() >= self.end
     }
 
-    /// The fraction of sessions that are to have been asked to close by now, from 0 to 1.
+    /// The fraction of sessions that should have been asked to close by now, from 0 to 1.
     fn closed_fraction(&self) -> f64 {
         let span = self.all_closed.saturating_duration_since(self.closing_starts).max(CHECK_INTERVAL);
         let elapsed = Instant::now().saturating_duration_since(self.closing_starts);
@@ -55,7 +56,7 @@
     }
 }
 
-/// The sessions that were open when the closing began, the oldest first.
+/// Closes the sessions that were open when the closing began, the oldest first.
 struct SessionCloser<'a> {
     clients: &'a ClientSessions,
     sessions: Vec<u64>,
@@ -76,44 +77,45 @@
     }
 }
 
-/// The listener and the task that accepts from it.
+/// The listener and the task that accepts connections from it.
 struct OpenListener<T> {
     listener: Rc<Async<TcpListener>>,
-    accepting: Task<T>,
+    accept_task: Task<T>,
 }
 
 impl<T> OpenListener<T> {
-    /// Takes in what the kernel has accepted, and closes the listener. Where descriptors are short that takes until
-    /// other sessions have been closed.
+    /// Accepts the connections that are pending in the kernel, then closes the listener. If the descriptor
+    /// limit is reached, this waits until other sessions have been closed.
     async fn close(self, clients: &Rc<ClientSessions>) {
-        self.accepting.cancel().await;
+        self.accept_task.cancel().await;
         clients.accept_remaining(&self.listener).await;
         drop(self.listener);
         log::info!("listener closed, draining {} sessions", clients.open_sessions());
     }
 }
 
-/// Goes on serving the clients that it has for as long as it may. In the second half of that time it closes their
-/// sessions bit by bit: the routers that take them over then see their load grow, and not leap, for no longer than a
-/// restart must take, and one that is just being started itself is up. Ends when no session is left.
+/// Serves the connected clients for as long as the platform allows, and closes their sessions gradually in
+/// the second half of that time. The routers that take the clients over then see their load rise slowly
+/// instead of all at once, the restart takes no longer than it must, and a router that is being restarted at
+/// the same time is up again by then. Returns when no session is left.
 pub async fn drain<T>(
     clients: &Rc<ClientSessions>,
     engine: &Engine,
     listener: Rc<Async<TcpListener>>,
-    accepting: Task<T>,
+    accept_task: Task<T>,
 ) {
     let schedule = Schedule::new(Instant::now(), engine.deadlines());
     engine.set_shutdown_deadline(schedule.end);
     Timer::after(ACCEPT_AFTER_SIGTERM).await;
-    let mut open_listener = Some(OpenListener { listener, accepting });
+    let mut open_listener = Some(OpenListener { listener, accept_task });
     let mut closer = SessionCloser { clients, sessions: clients.sessions(), closed: 0 };
     let mut checks_past_end = 0;
-    // Past the end only sessions are open that have not asked, or do not read.
+    // After the end, the only open sessions are those that have no pending RPC or whose clients do not read.
     while clients.open_sessions() > 0 && checks_past_end < MAX_CHECKS_PAST_END || open_listener.is_some() {
-        let may_close = |open: &mut OpenListener<T>| {
+        let can_close = |open: &mut OpenListener<T>| {
             !has_pending_connection(open.listener.get_ref()) || schedule.is_over()
         };
-        if let Some(open_listener) = open_listener.take_if(may_close) {
+        if let Some(open_listener) = open_listener.take_if(can_close) {
             open_listener.close(clients).await;
         }
         closer.close_up_to(schedule.closed_fraction());
--- a/crates/router/src/endpoint_list.rs
+++ b/crates/router/src/endpoint_list.rs
@@ -1,4 +1,5 @@
-//! The endpoint list in discovery's JSON, and its entries as endpoints for the decisions.
+//! Parses the endpoint list that discovery sends as JSON, and converts its entries to endpoints for the
+//! decision module.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -9,23 +10,23 @@
 
 use crate::deployment::Deployment;
 
-/// One answer of discovery: a snapshot of the endpoint list, or a delta.
+/// A response from discovery: a snapshot of the endpoint list, or a delta.
 #[derive(Clone, Debug, Default, Deserialize)]
 pub struct EndpointList {
     /// The version of the list.
     #[serde(rename = "rev")]
     pub version: u64,
-    /// Whether these are all entries, or only those that have changed.
+    /// Whether the entries are the whole list, or only those that have changed.
     #[serde(rename = "all")]
     pub is_snapshot: bool,
-    /// The entries. They are read one by one, so that one that cannot be read does not spoil the others.
+    /// The entries. They are parsed one by one, so that an invalid entry does not invalidate the others.
     #[serde(rename = "targets")]
     pub entries: Vec<Json>,
 }
 
 #[derive(Debug, Deserialize)]
 struct Entry {
-    /// Identifies the machine, which may come up again at another address.
+    /// Identifies the machine, which may come back at another address.
     uid: String,
     #[serde(rename = "endpoint")]
     address: SocketAddr,
@@ -54,16 +55,16 @@
 }
 
 impl EndpointList {
-    /// The list in this JSON.
+    /// Parses a list from JSON.
     ///
     /// # Errors
-    /// It lacks the version, the mark of a snapshot, or the entries.
+    /// The version, the snapshot flag or the entries are missing or of the wrong type.
     pub fn from_json(json: &Json) -> Result<Self, serde_json::Error> {
         Self::deserialize(json)
     }
 }
 
-/// Turns lists to endpoints. It remembers which endpoint each machine had.
+/// Converts endpoint lists to endpoints. It keeps the last endpoint of each machine.
 pub struct EndpointParser {
     zones: Vec<String>,
     machine_types: Vec<String>,
@@ -71,7 +72,7 @@
 }
 
 impl EndpointParser {
-    /// A parser that knows no machines, with the zones and kinds of the deployment.
+    /// Creates a parser without machines, for the zones and machine types of the deployment.
     pub fn new(deployment: &Deployment) -> Self {
         Self {
             zones: deployment.zones.clone(),
@@ -80,17 +81,17 @@
         }
     }
 
-    /// The endpoints of a list that is applied. Entries that cannot be read are logged and left out.
+    /// Applies a list and returns its endpoints. Entries that cannot be parsed are logged and skipped.
     pub fn apply(&mut self, list: &EndpointList) -> Vec<Endpoint> {
         let mut endpoints = Vec::with_capacity(list.entries.len());
         let before = if list.is_snapshot { std::mem::take(&mut self.by_uid) } else { BTreeMap::new() };
-        for entry in list.entries.iter().filter_map(read_entry) {
+        for entry in list.entries.iter().filter_map(parse_entry) {
             let endpoint = self.endpoint(&entry);
             let previous = match endpoint.status {
                 EndpointStatus::Removed => self.by_uid.remove(&entry.uid),
                 _ => self.by_uid.insert(entry.uid.clone(), endpoint.clone()),
             };
-            // A machine that shows up at another address: its old node is gone, and a new one has come.
+            // The machine has another address now: its old node is removed, and a new one is added.
             if let Some(previous) = previous.or_else(|| before.get(&entry.uid).cloned())
                 && previous.node != endpoint.node
             {
@@ -101,14 +102,15 @@
         endpoints
     }
 
-    /// The endpoints of a list that are draining or removed. Nothing of it is remembered.
+    /// Returns the endpoints of a list that are draining or removed, without applying the list.
     pub fn draining_or_removed(&self, list: &EndpointList) -> Vec<Endpoint> {
-        let endpoints = list.entries.iter().filter_map(read_entry).map(|entry| self.endpoint(&entry));
+        let endpoints = list.entries.iter().filter_map(parse_entry).map(|entry| self.endpoint(&entry));
         endpoints.filter(|endpoint| endpoint.status != EndpointStatus::InService).collect()
     }
 
     fn endpoint(&self, entry: &Entry) -> Endpoint {
-        let index = |names: &[String], name: &str| names.iter().position(|known| known == name).unwrap_or(0);
+        let index =
+            |names: &[String], name: &str| names.iter().position(|candidate| candidate == name).unwrap_or(0);
         Endpoint {
             node: NodeId(entry.address),
             replica_set: ReplicaSetId(entry.replica_set),
@@ -125,7 +127,9 @@
     }
 }
 
-fn read_entry(entry: &Json) -> Option<Entry> {
+fn parse_entry(entry: &Json) -> Option<Entry> {
     let parsed = Entry::deserialize(entry);
-    parsed.inspect_err(|error| log::warn!("endpoint list entry skipped, {error}: {entry}")).ok()
+    parsed
+        .inspect_err(|error| log::warn!("skipped an unreadable endpoint list entry ({error}): {entry}"))
+        .ok()
 }
--- a/crates/router/src/endpoint_poll.rs
+++ b/crates/router/src/endpoint_poll.rs
@@ -1,6 +1,6 @@
-//! One poll of the endpoint list: its connection, the request, and the answer to its end.
+//! One poll of the endpoint list: the connection, the request and the complete answer.
 //!
-//! A poll has no timeout of its own. Whoever makes it decides how long its answer is of use.
+//! A poll has no timeout of its own. The caller decides how long to wait for the answer.
 
 use std::net::{SocketAddr, TcpStream};
 
@@ -12,31 +12,31 @@
 use crate::http::{self, InvalidResponse, StreamState};
 use crate::socket;
 
-/// How much is read from the socket at once.
+/// Maximum number of bytes per read from the socket.
 const READ_BYTES: usize = 4096;
 
-/// Why a poll has brought no list.
+/// The reason why a poll has returned no list.
 #[derive(Debug, thiserror::Error)]
 pub enum PollError {
-    /// Its time is over.
-    #[error("no answer in time")]
+    /// The answer was not complete in time.
+    #[error("timed out waiting for the answer")]
     TimedOut,
-    /// Discovery has closed the connection.
-    #[error("the connection was closed without an answer")]
+    /// Discovery closed the connection before it sent an answer.
+    #[error("the connection was closed before an answer")]
     ConnectionClosed,
-    /// The connection is broken.
+    /// Connecting, reading or writing failed.
     #[error("the connection failed: {0}")]
     Io(#[from] std::io::Error),
-    /// The answer is no HTTP response with a body.
+    /// The answer is not a usable HTTP response.
     #[error("{0}")]
     Response(#[from] InvalidResponse),
-    /// The body is no endpoint list.
+    /// The body is not an endpoint list.
     #[error("expected an endpoint list as JSON: {0}")]
     List(#[from] serde_json::Error),
-    /// The list is in a form that is not known here.
-    #[error("expected an entry that can be read, found none among {entries}")]
+    /// None of the entries can be parsed, so the list probably has another format.
+    #[error("expected at least one readable entry, found none among {entries}")]
     NoReadableEntry {
-        /// The number of its entries.
+        /// The number of entries in the list.
         entries: usize,
     },
 }
@@ -44,15 +44,15 @@
 /// A connection to discovery.
 pub type Connection = Async<TcpStream>;
 
-/// What a poll has brought.
+/// The answer to a poll.
 pub struct PollAnswer {
     /// The list.
     pub list: EndpointList,
-    /// The connection, if it may carry another request.
+    /// The connection, if it can be reused for another request.
     pub connection: Option<Connection>,
 }
 
-/// A poll: where it goes, and what it requests.
+/// A request for the endpoint list.
 pub struct EndpointPoll {
     /// The address of discovery.
     pub address: SocketAddr,
@@ -61,22 +61,23 @@
 }
 
 impl EndpointPoll {
-    /// Makes the poll, on the kept connection if there is one. `phase_reached` is called as each phase begins.
+    /// Makes the poll, on the idle connection if there is one. `phase_reached` is called at the start of each
+    /// phase.
     ///
-    /// A kept connection may have been closed since its last answer. A poll that fails on it is repeated at once on a new
-    /// one, so that a watch goes on.
+    /// Discovery may have closed the idle connection since its last answer. A poll that fails on it is
+    /// retried at once on a new connection, so that the watch is not interrupted.
     ///
     /// # Errors
-    /// No list came.
+    /// No endpoint list was received.
     pub async fn run(
         self,
-        kept: Option<Connection>,
+        idle_connection: Option<Connection>,
         phase_reached: impl Fn(CallPhase),
     ) -> Result<PollAnswer, PollError> {
-        if let Some(connection) = kept {
+        if let Some(connection) = idle_connection {
             match self.request(connection, &phase_reached).await {
                 Err(PollError::Io(_) | PollError::ConnectionClosed) => {
-                    log::debug!("the connection to discovery was closed");
+                    log::debug!("the idle connection to discovery was closed, reconnecting");
                 }
                 result => return result,
             }
@@ -129,7 +130,7 @@
     }
 }
 
-/// Reads some bytes more. A peer that never stops sending must not keep other tasks from running.
+/// Reads more bytes, then yields: a peer that never stops sending must not keep other tasks from running.
 async fn read(connection: &Connection, bytes: &mut Vec<u8>) -> Result<StreamState, PollError> {
     let mut buffer = [0; READ_BYTES];
     let count = socket::read(connection, &mut buffer).await?;
--- a/crates/router/src/engine_control_host.rs
+++ b/crates/router/src/engine_control_host.rs
@@ -1,4 +1,4 @@
-//! The engine as the host of the control side.
+//! Makes the engine the host of the fleet member and of the feed's publisher and subscriber.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
--- a/crates/router/src/events.rs
+++ b/crates/router/src/events.rs
@@ -1,5 +1,5 @@
-//! The log: lines for people, or one JSON object a line. An event has a stable name, under the key `event`, and typed
-//! fields; docs/on-call.md has the table of all of them, which a test holds against [`NAMES`].
+//! Logging, as human-readable text or as one JSON object per line. An event has a stable name, under the key
+//! `event`, and typed fields. docs/on-call.md lists all events; a test checks it against [`NAMES`].
 
 use std::io::Write;
 use std::sync::OnceLock;
@@ -8,7 +8,7 @@
 use log::kv::{Error, Key, Value, VisitSource};
 use serde_json::{Map, Value as Json};
 
-/// Every event that has a name.
+/// The names of all events.
 pub const NAMES: &[&str] = &[
     "serves",
     "drained",
@@ -44,31 +44,31 @@
     "feed_counts",
 ];
 
-/// The form of the log's lines.
+/// The format of log lines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LogFormat {
-    /// For people.
+    /// Human-readable text.
     Text,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
-/// The router that lines are from. Reports join the lines of many routers by it.
+/// The router that writes the log. Tools that merge the logs of many routers identify the lines by it.
 struct Origin {
     router: String,
-    /// Its start, in microseconds of Unix time.
+    /// Start of the process, in microseconds since the Unix epoch.
     start_us: u64,
 }
 
 static ORIGIN: OnceLock<Origin> = OnceLock::new();
 
-/// Names the router whose lines these are from now on, and its start in microseconds of Unix time. Only the first call
-/// counts.
+/// Sets the router name and the start of the process (in microseconds since the Unix epoch) that JSON lines
+/// carry from now on. Only the first call has an effect.
 pub fn set_origin(router: &str, start_us: u64) {
     ORIGIN.get_or_init(|| Origin { router: router.to_string(), start_us });
 }
 
-/// Starts the log. `RUST_LOG` says what is logged.
+/// Initializes logging. The environment variable `RUST_LOG` sets the filter.
 pub fn start(format: LogFormat) {
     let level = env_logger::Env::default().default_filter_or("info");
     let mut builder = env_logger::Builder::from_env(level);
@@ -94,7 +94,7 @@
     line.insert("level".into(), record.level().as_str().to_ascii_lowercase().into());
     line.insert("part".into(), record.target().into());
     line.insert("message".into(), record.args().to_string().into());
-    // Fields cannot fail to be visited: the visitor takes any.
+    // The visitor accepts any field, so visiting cannot fail.
     _ = record.key_values().visit(&mut Fields(&mut line));
     line
 }
--- a/crates/router/src/http.rs
+++ b/crates/router/src/http.rs
@@ -1,80 +1,80 @@
-//! Parses one HTTP/1.1 response from the bytes that have been received so far.
+//! Parses an HTTP/1.1 response from the bytes received so far.
 
-/// The largest body. No endpoint list of a deployment comes near it.
+/// Maximum body size, far larger than the endpoint list of any deployment.
 const MAX_BODY_BYTES: usize = 4 << 20;
 const MAX_HEAD_BYTES: usize = 16 << 10;
 const MAX_HEADERS: usize = 64;
 
-/// Why bytes are no response that can be used.
+/// The reason why the received bytes are not a usable response.
 #[derive(Debug, thiserror::Error)]
 pub enum InvalidResponse {
-    /// They are no HTTP.
+    /// The bytes are not HTTP.
     #[error("expected an HTTP response: {0}")]
     Http(#[from] httparse::Error),
-    /// The request was not served.
+    /// The status is not 200.
     #[error("expected status 200, found status {found}")]
     Status {
         /// The status code.
         found: u16,
     },
-    /// The head does not end in time.
+    /// The head is too long.
     #[error("expected a head of at most {MAX_HEAD_BYTES} bytes, found {found} without its end")]
     HeadTooLong {
-        /// The bytes received.
+        /// The number of bytes received.
         found: usize,
     },
-    /// The body is larger than any list.
+    /// The body is too long.
     #[error("expected a body of at most {MAX_BODY_BYTES} bytes, found {found}")]
     BodyTooLong {
-        /// The bytes announced or received.
+        /// The number of bytes announced or received.
         found: usize,
     },
-    /// The length of the body is no number.
+    /// The Content-Length header is not a number.
     #[error("expected a number as Content-Length, found {found:?}")]
     ContentLength {
         /// The value of the header.
         found: String,
     },
-    /// The body is announced in chunks, and is not.
-    #[error("expected the size of a chunk")]
+    /// The response announces a chunked body, but a chunk does not begin with its size.
+    #[error("expected a chunk size in hexadecimal digits")]
     ChunkSize,
-    /// The stream has ended before the response.
+    /// The stream ended before the response was complete.
     #[error("expected a complete response, found {found} bytes of one")]
     Truncated {
-        /// The bytes received.
+        /// The number of bytes received.
         found: usize,
     },
 }
 
-/// Whether more bytes can come.
+/// Whether the stream can still deliver bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StreamState {
-    /// More may come.
+    /// More bytes may arrive.
     Open,
-    /// The peer has ended the stream.
+    /// The peer has closed its sending side.
     Ended,
 }
 
 /// The body of a complete response.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Body {
-    /// The bytes, with the chunks joined.
+    /// The content, without chunked encoding.
     pub bytes: Vec<u8>,
-    /// Whether the connection may carry another request.
+    /// Whether the connection can be reused for another request.
     pub keeps_connection: bool,
 }
 
-/// Whether the head is complete, or cannot become one and need not be waited for.
+/// Whether to stop waiting for more bytes of the head: it is complete, invalid or too long.
 pub fn is_head_complete(bytes: &[u8]) -> bool {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let status = httparse::Response::new(&mut headers).parse(bytes);
     bytes.len() > MAX_HEAD_BYTES || !matches!(status, Ok(httparse::Status::Partial))
 }
 
-/// The body of a response with status 200, or `None` if it is not complete yet.
+/// Returns the body of a response with status 200, or `None` if it is not complete yet.
 ///
 /// # Errors
-/// The bytes cannot become such a response.
+/// The response is invalid, too long, or has another status.
 pub fn parse_body(bytes: &[u8], stream: StreamState) -> Result<Option<Body>, InvalidResponse> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Response::new(&mut headers);
@@ -102,11 +102,11 @@
         let keeps_connection = keeps_connection && rest.len() == length;
         return Ok(rest.get(..length).map(|body| Body { bytes: body.to_vec(), keeps_connection }));
     }
-    // Without a length, the body goes on to the end of the stream.
+    // Without a length, the body extends to the end of the stream.
     Ok((stream == StreamState::Ended).then(|| Body { bytes: rest.to_vec(), keeps_connection: false }))
 }
 
-/// The value of a header in lower case, if it is there.
+/// Returns the value of a header in lower case, if the header is present.
 fn header(head: &httparse::Response<'_, '_>, name: &str) -> Option<String> {
     let found = head.headers.iter().find(|header| header.name.eq_ignore_ascii_case(name))?;
     Some(String::from_utf8_lossy(found.value).trim().to_ascii_lowercase())
@@ -120,7 +120,7 @@
     }
 }
 
-/// The chunks of a body joined, or `None` if they are not complete yet.
+/// Decodes a chunked body. Returns `None` if it is not complete yet.
 fn join_chunks(mut rest: &[u8]) -> Result<Option<Vec<u8>>, InvalidResponse> {
     let mut body = Vec::new();
     loop {
@@ -134,7 +134,7 @@
         }
         rest = &rest[start..];
         if length == 0 {
-            // Trailers are skipped. An empty line ends them.
+            // Trailers are skipped; they end with an empty line.
             let is_complete = rest.starts_with(b"\r\n") || rest.windows(4).any(|four| four == b"\r\n\r\n");
             return Ok(is_complete.then_some(body));
         }
--- a/crates/router/src/memory_report.rs
+++ b/crates/router/src/memory_report.rs
@@ -1,4 +1,4 @@
-//! What the router's memory holds, logged each minute and at the end.
+//! Logs the router's memory usage every minute and at shutdown.
 
 use std::fs;
 use std::time::Duration;
@@ -10,7 +10,7 @@
 
 const REPORT_INTERVAL: Duration = Duration::from_secs(60);
 
-/// Logs the memory in use at each interval, until it is dropped.
+/// Logs the memory usage at each interval until the future is dropped.
 pub async fn run(budget: SharedBudget) {
     loop {
         Timer::after(REPORT_INTERVAL).await;
@@ -18,33 +18,33 @@
     }
 }
 
-/// Logs what is held, the most that ever was, and how many reservations were refused; in bytes. `unaccounted` is the
-/// resident size less all that is reserved.
+/// Logs the current and the peak usage of each category in bytes, and how many reservations were rejected.
+/// `unaccounted` is the resident set size minus all reservations.
 pub fn log_usage(budget: &SharedBudget) {
     budget.read(|budget| {
         let used = |category| budget.used(category);
-        let high = |category| budget.peak(category);
-        let refused = refused_reservations(budget);
+        let peak = |category| budget.peak(category);
+        let refused = rejected_reservations(budget);
         let resident = resident_bytes().unwrap_or(0);
         let unaccounted = resident.saturating_sub(budget.total_used());
         log::info!(
             event = "memory", resident, unaccounted, refused, level:? = budget.level(),
             buffers_coming = used(Category::IncomingMessages),
-            buffers_coming_high = high(Category::IncomingMessages),
-            buffers_statements = used(Category::Statements), buffers_statements_high = high(Category::Statements),
-            buffers_answers = used(Category::Responses), buffers_answers_high = high(Category::Responses),
+            buffers_coming_high = peak(Category::IncomingMessages),
+            buffers_statements = used(Category::Statements), buffers_statements_high = peak(Category::Statements),
+            buffers_answers = used(Category::Responses), buffers_answers_high = peak(Category::Responses),
             buffers_writes = used(Category::ResponseWrites),
-            buffers_writes_high = high(Category::ResponseWrites);
-            "{resident} bytes resident, {unaccounted} of them in no reservation"
+            buffers_writes_high = peak(Category::ResponseWrites);
+            "{resident} bytes resident, {unaccounted} of them not covered by reservations"
         );
     });
 }
 
-fn refused_reservations(budget: &MemoryBudget) -> u64 {
+fn rejected_reservations(budget: &MemoryBudget) -> u64 {
     Category::ALL.into_iter().map(|category| budget.rejections(category).total()).sum()
 }
 
-/// The resident size of the process, as the kernel counts it.
+/// The resident set size of the process in bytes, as reported by the kernel.
 fn resident_bytes() -> Option<u64> {
     let status = fs::read_to_string("/proc/self/status").ok()?;
     let line = status.lines().find(|line| line.starts_with("VmRSS:"))?;
--- a/crates/router/src/observation_exchange.rs
+++ b/crates/router/src/observation_exchange.rs
@@ -1,4 +1,4 @@
-//! How the engine exchanges observations with others: as a member of a fleet, or as a subscriber to the feed.
+//! Implements the engine's exchange of observations for a fleet member and for a subscriber to the feed.
 
 use quillpoint::host::{NodeId, PeerObservation};
 use quillpoint_control_plane::{FleetMember, SubscriberService};
@@ -7,12 +7,12 @@
 use crate::observations;
 
 impl ObservationExchange for FleetMember {
-    fn observed(&self, own: LocalObservation) {
-        let observation = observations::to_fleet(&own);
-        if own.by_health_check {
-            self.health_check_observed(own.asked, observation);
+    fn observed(&self, local: LocalObservation) {
+        let observation = observations::to_fleet(&local);
+        if local.by_health_check {
+            self.health_check_observed(local.asked, observation);
         } else {
-            self.attempt_observed(own.asked, observation);
+            self.attempt_observed(local.asked, observation);
         }
     }
 
@@ -26,7 +26,8 @@
 }
 
 impl ObservationExchange for SubscriberService {
-    /// The decisions have it already, and control instances make their own observations.
+    /// Does nothing: the decision module already knows its own observations, and control instances make
+    /// theirs themselves.
     fn observed(&self, _observation: LocalObservation) {}
 
     fn endpoints_changed(&self) {
--- a/crates/router/src/observations.rs
+++ b/crates/router/src/observations.rs
@@ -1,5 +1,5 @@
-//! Observations in the forms of the decisions, the fleet and the feed. Whoever made them, they are unverified to the
-//! decisions.
+//! Converts observations between the types of the decision module, the fleet and the feed. The decision
+//! module treats every observation made by another process as unverified.
 
 use std::time::Duration;
 
@@ -9,20 +9,20 @@
 
 use crate::engine::LocalObservation;
 
-/// An observation from the feed, for the decisions.
+/// Converts an observation from the feed for the decision module.
 pub(crate) fn from_feed(observation: FeedObservation) -> PeerObservation {
     let FeedObservation { node, seen_at, position, primary, started, failed } = observation;
     PeerObservation { node: NodeId(node), at: seen_at, position, primary, queued: None, started, failed }
 }
 
-/// An observation of another member of the fleet, for the decisions.
+/// Converts an observation from another fleet member for the decision module.
 pub(crate) fn from_fleet(observation: DatedObservation) -> PeerObservation {
     let DatedObservation { node, at, position, primary, waiting, started, failed } = observation;
     let queued = waiting.map(f64::from);
     PeerObservation { node: NodeId(node), at, position, primary, queued, started, failed }
 }
 
-/// What this router has found out, for its fleet.
+/// Converts an observation made by this router for its fleet.
 pub(crate) fn to_fleet(observation: &LocalObservation) -> Observation {
     let LocalObservation { node: NodeId(node), failed, position, primary, queued, started, .. } =
         *observation;
--- a/crates/router/src/roles.rs
+++ b/crates/router/src/roles.rs
@@ -1,5 +1,5 @@
-//! The roles of a process among others, as quillpoint.conf sets them: member of a fleet, publisher of the feed (a control
-//! instance), subscriber to it.
+//! The roles of a process, as configured in quillpoint.conf: member of a fleet, publisher of the feed (a
+//! control instance), subscriber to the feed (a router).
 
 mod error;
 mod key_file;
@@ -19,32 +19,32 @@
 pub use self::error::RoleError;
 use crate::config::StartupOptions;
 
-/// How often nodes are checked where no staleness bound asks for more.
+/// How often nodes are health-checked if no staleness bound requires more frequent checks.
 const DEFAULT_HEALTH_CHECK_PERIOD: Duration = Duration::from_millis(500);
-/// The time between two digests of a control instance.
+/// The interval between the digests of a control instance.
 const DIGEST_INTERVAL: Duration = Duration::from_millis(100);
-/// The most datagrams of the feed that are read a second: four times what thousands of routers send to a control instance,
-/// or what snapshots bring to a router at their largest.
+/// Limit on the feed datagrams read per second: four times the rate at which thousands of routers send to a
+/// control instance, or at which the largest snapshots arrive at a router.
 const MAX_FEED_DATAGRAMS_PER_SECOND: u64 = 20_000;
-/// Which part of a second's budget of work may be used at once.
+/// The burst of the work budget is 1/10 of the budget per second.
 const WORK_BURST_DIVISOR: f64 = 10.0;
 
-/// The roles of a process; `None` where quillpoint.conf has no such section.
+/// The configured roles; `None` if quillpoint.conf has no section for the role.
 #[derive(Clone, Debug, Default)]
 pub struct Roles {
-    /// Member of a fleet.
+    /// Member of a fleet (section `fleet`).
     pub fleet_member: Option<MemberConfig>,
-    /// Publisher of the feed; only a member of a fleet is one.
+    /// Publisher of the feed (section `publish`), which has to be a member of a fleet as well.
     pub publisher: Option<PublisherConfig>,
-    /// Subscriber to the feed.
+    /// Subscriber to the feed (section `subscribe`).
     pub subscriber: Option<SubscriberConfig>,
 }
 
 impl Roles {
-    /// Reads the roles.
+    /// Reads the roles from quillpoint.conf, whose syntax has been checked already.
     ///
     /// # Errors
-    /// What is wrong beyond the form of the configuration: a key file, the zone, a name, an address.
+    /// A key file, the zone, a name or an address is invalid.
     pub fn from_conf(conf: &Conf, startup: &StartupOptions) -> Result<Self, RoleError> {
         let fleet_member = fleet_member(conf, startup)?;
         let publisher = match &fleet_member {
@@ -86,17 +86,18 @@
     }))
 }
 
-/// The index of the configured zone among the deployment's; the first where none is configured.
+/// The index of the configured zone in the deployment's list of zones, or the first one if none is
+/// configured.
 fn zone_index(conf: &Conf, startup: &StartupOptions) -> Result<usize, RoleError> {
     let zones = &startup.deployment.zones;
     let Some(configured) = conf.word("fleet", "", "zone") else { return Ok(0) };
     zones
         .iter()
-        .position(|known| known == configured)
+        .position(|name| name == configured)
         .ok_or_else(|| RoleError::UnknownZone { known: zones.join(", "), found: configured.to_string() })
 }
 
-/// How often databases are checked follows from the fleet's settings.
+/// Takes the health check period from the fleet's configuration.
 fn publisher(conf: &Conf, member: &MemberConfig) -> Result<Option<PublisherConfig>, RoleError> {
     let section = "publish";
     if !conf.has_section(section) {
@@ -159,12 +160,13 @@
     Ok(ControlInstance { name, address, region })
 }
 
-/// How often nodes are checked where the configuration does not say: twice within the tightest staleness bound.
+/// How often nodes are health-checked if the configuration does not set it: twice within the tightest
+/// staleness bound.
 fn default_health_check_period(startup: &StartupOptions) -> Duration {
     startup.deployment.tightest_staleness_bound.map_or(DEFAULT_HEALTH_CHECK_PERIOD, |bound| bound / 2)
 }
 
-/// The timing of a kind of task; `default_period` is used where the configuration sets none.
+/// The parameters of a kind of task; `default_period` applies if the configuration does not set the period.
 fn task_params(
     conf: &Conf,
     title: &str,
--- a/crates/router/src/roles/error.rs
+++ b/crates/router/src/roles/error.rs
@@ -1,4 +1,4 @@
-//! What can be wrong with a process's roles beyond the form of quillpoint.conf.
+//! Errors in the configuration of roles that the syntax check of quillpoint.conf cannot find.
 
 use std::io;
 use std::net::SocketAddr;
@@ -7,7 +7,7 @@
 use quillpoint_datagram::keys::KeyFileError;
 use quillpoint_membership::ids::InvalidPeerName;
 
-/// Why a role cannot be taken.
+/// The reason why a role cannot be configured.
 #[derive(Debug, thiserror::Error)]
 pub enum RoleError {
     /// A key file cannot be read.
@@ -17,10 +17,10 @@
         section: &'static str,
         /// The key file.
         file: PathBuf,
-        /// What the system says.
+        /// The I/O error.
         error: io::Error,
     },
-    /// Others than its owner have rights to a key file.
+    /// A key file is accessible to other users than its owner.
     #[error("{section} keys {}: expected a file accessible only to its owner (chmod 600), found mode {mode:o}", file.display())]
     KeyFileExposed {
         /// The section of quillpoint.conf.
@@ -30,51 +30,51 @@
         /// Its permission bits.
         mode: u32,
     },
-    /// A key file is longer than any that holds keys.
+    /// A file is too long to be a key file.
     #[error("{section} keys {}: expected a key file of at most {max_bytes} bytes, found {found_bytes}", file.display())]
     KeyFileTooLong {
         /// The section of quillpoint.conf.
         section: &'static str,
         /// The key file.
         file: PathBuf,
-        /// The bound.
+        /// The maximum length.
         max_bytes: u64,
-        /// Its length.
+        /// The length found.
         found_bytes: u64,
     },
-    /// A key file has no valid keys.
+    /// The content of a key file is invalid.
     #[error("{section} keys {}: {error}", file.display())]
     InvalidKeys {
         /// The section of quillpoint.conf.
         section: &'static str,
         /// The key file.
         file: PathBuf,
-        /// What is wrong with it.
+        /// The error in the key file.
         error: KeyFileError,
     },
-    /// The zone is none of the deployment's.
+    /// The configured zone is not one of the deployment's.
     #[error("fleet zone: expected one of the deployment's zones ({known}), found {found}")]
     UnknownZone {
         /// The deployment's zones, separated by commas.
         known: String,
-        /// The configured one.
+        /// The configured zone.
         found: String,
     },
-    /// The router's name cannot be a member's.
-    #[error("name: to be in a fleet, or told by control instances, {0}")]
+    /// The router's name is not a valid name in a fleet or a feed.
+    #[error("name (used in the fleet or the feed): {0}")]
     InvalidName(#[from] InvalidPeerName),
-    /// The name of a control instance cannot be a member's.
+    /// The name of a control instance is invalid.
     #[error("control {name}: {error}")]
     InvalidControlName {
         /// The configured name.
         name: String,
-        /// What is wrong with it.
+        /// The error in the name.
         error: InvalidPeerName,
     },
-    /// Fleet and feed would share a socket.
+    /// The fleet and the feed have the same listen address.
     #[error("publish listen: expected an address other than the fleet's, found {0} for both")]
     SameAddress(SocketAddr),
-    /// A directive has neither a value nor a default; the tables of `quillpoint-conf` rule this out.
+    /// A directive has neither a value nor a default. The directive tables of `quillpoint-conf` prevent this.
     #[error("{section} {directive}: expected a value")]
     Missing {
         /// The section of quillpoint.conf.
--- a/crates/router/src/roles/key_file.rs
+++ b/crates/router/src/roles/key_file.rs
@@ -1,4 +1,4 @@
-//! Key files: readable by their owner alone, and short.
+//! Reads key files. Rejects files that other users can access, and files that are too long.
 
 use std::os::unix::fs::PermissionsExt;
 use std::path::{Path, PathBuf};
@@ -8,10 +8,10 @@
 
 use super::RoleError;
 
-/// A longer file cannot be a key file.
+/// Longer files are rejected: they cannot be key files.
 const MAX_KEY_FILE_BYTES: u64 = 64 << 10;
 
-/// Reads the key file that a section names.
+/// Reads the key file named in a section.
 pub(super) fn read(conf: &Conf, section: &'static str) -> Result<Keyring, RoleError> {
     let path = conf.path(section, "", "keys").ok_or(RoleError::Missing { section, directive: "keys" })?;
     let file = || PathBuf::from(path);
--- a/crates/router/src/runtime_config.rs
+++ b/crates/router/src/runtime_config.rs
@@ -1,4 +1,4 @@
-//! All that a router is told, from both of its files: the platform's JSON, and quillpoint.conf where there is one.
+//! The complete configuration of a router: the platform's JSON, and quillpoint.conf if there is one.
 
 use std::path::{Path, PathBuf};
 
@@ -8,77 +8,78 @@
 use crate::config_error::ConfigError;
 use crate::roles::{RoleError, Roles};
 
-/// Why a router cannot be started, or does not take over what it is told anew.
+/// The reason why the configuration cannot be read or reloaded.
 #[derive(Debug, thiserror::Error)]
 pub enum RuntimeConfigError {
-    /// All that is wrong with quillpoint.conf, an error a line.
-    #[error("{}", on_lines(.0))]
+    /// All errors in quillpoint.conf, one per line.
+    #[error("{}", join_lines(.0))]
     Conf(Vec<ConfError>),
-    /// What is wrong with the platform's configuration.
+    /// An error in the platform's configuration.
     #[error("{0}")]
     Platform(#[from] ConfigError),
-    /// What is wrong with its roles.
+    /// An error in the configuration of the roles.
     #[error("{0}")]
     Role(#[from] RoleError),
 }
 
-fn on_lines(errors: &[ConfError]) -> String {
+fn join_lines(errors: &[ConfError]) -> String {
     errors.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n")
 }
 
-/// Where the files are, as the command line says.
+/// The paths of the configuration files, as given on the command line.
 #[derive(Clone, Debug, Default)]
 pub struct ConfigFiles {
-    /// The platform's JSON. It wins over GW_CONFIG, which wins over `platform` in quillpoint.conf.
+    /// The platform's JSON. It takes precedence over GW_CONFIG, which takes precedence over `platform` in
+    /// quillpoint.conf.
     pub platform: Option<PathBuf>,
     /// quillpoint.conf.
     pub conf: Option<PathBuf>,
 }
 
-/// All that a router is told.
+/// The complete configuration of a router.
 #[derive(Debug)]
 pub struct RuntimeConfig {
-    /// What the platform says.
+    /// The platform's configuration.
     pub startup: StartupOptions,
-    /// `None` where there is no quillpoint.conf.
+    /// quillpoint.conf, or `None` if there is none.
     pub conf: Option<Conf>,
-    /// Its roles among other processes.
+    /// The roles in the fleet and the feed, from quillpoint.conf.
     pub roles: Roles,
 }
 
-/// quillpoint.conf alone, which says how to log before anything else is read.
+/// Reads quillpoint.conf alone. It sets the log format, which has to be known before anything else is read.
 ///
 /// # Errors
-/// All that is wrong with it.
+/// All errors in quillpoint.conf.
 pub fn read_conf(files: &ConfigFiles) -> Result<Option<Conf>, RuntimeConfigError> {
     files.conf.as_deref().map(quillpoint_conf::read).transpose().map_err(RuntimeConfigError::Conf)
 }
 
 impl RuntimeConfig {
-    /// At the start of a process.
+    /// Reads the configuration at startup.
     ///
     /// # Errors
-    /// The file, key or directive at fault.
+    /// Names the invalid file, key or directive.
     pub fn read(
         files: &ConfigFiles,
-        variable: impl Fn(&str) -> Option<String>,
+        env_var: impl Fn(&str) -> Option<String>,
     ) -> Result<Self, RuntimeConfigError> {
         let conf = read_conf(files)?;
-        let platform = platform_file(files, conf.as_ref(), &variable);
-        Self::new(StartupOptions::read(platform.as_deref(), variable)?, conf)
+        let platform = platform_file(files, conf.as_ref(), &env_var);
+        Self::new(StartupOptions::read(platform.as_deref(), env_var)?, conf)
     }
 
-    /// While it runs, on SIGHUP.
+    /// Reads the configuration again on SIGHUP.
     ///
     /// # Errors
     /// As [`RuntimeConfig::read`].
     pub fn reread(
         files: &ConfigFiles,
-        variable: impl Fn(&str) -> Option<String>,
+        env_var: impl Fn(&str) -> Option<String>,
     ) -> Result<Self, RuntimeConfigError> {
         let conf = read_conf(files)?;
-        let platform = platform_file(files, conf.as_ref(), &variable);
-        Self::new(StartupOptions::reread(platform.as_deref(), variable)?, conf)
+        let platform = platform_file(files, conf.as_ref(), &env_var);
+        Self::new(StartupOptions::reread(platform.as_deref(), env_var)?, conf)
     }
 
     fn new(startup: StartupOptions, conf: Option<Conf>) -> Result<Self, RuntimeConfigError> {
@@ -87,7 +88,8 @@
         Ok(Self { startup, conf, roles })
     }
 
-    /// What differs in the other and waits for a restart: keys of the JSON, directives, or the file itself.
+    /// The changes in `other` that take effect only after a restart: keys of the JSON, directives, or
+    /// quillpoint.conf as a whole if it has been added or removed.
     pub fn restart_required(&self, other: &Self) -> Vec<String> {
         let mut changes: Vec<String> =
             self.startup.restart_required(&other.startup).iter().map(ToString::to_string).collect();
@@ -100,16 +102,16 @@
     }
 }
 
-/// The platform's JSON, unless GW_CONFIG is to say where it is.
+/// The path of the platform's JSON, or `None` if GW_CONFIG determines it.
 fn platform_file(
     files: &ConfigFiles,
     conf: Option<&Conf>,
-    variable: &impl Fn(&str) -> Option<String>,
+    env_var: &impl Fn(&str) -> Option<String>,
 ) -> Option<PathBuf> {
     if let Some(file) = &files.platform {
         return Some(file.clone());
     }
-    if variable("GW_CONFIG").is_some_and(|path| !path.is_empty()) {
+    if env_var("GW_CONFIG").is_some_and(|path| !path.is_empty()) {
         return None;
     }
     conf.and_then(|conf| conf.path("", "", "platform")).map(Path::to_path_buf)
--- a/crates/router/src/serve.rs
+++ b/crates/router/src/serve.rs
@@ -1,4 +1,4 @@
-//! Puts the parts of a router together and runs them on one thread.
+//! Assembles the parts of a router and runs them on one thread.
 
 use std::io;
 use std::net::TcpListener;
@@ -21,10 +21,11 @@
 use crate::runtime_config::{RuntimeConfig, RuntimeConfigError};
 use crate::signals::{self, ReloadTargets};
 
-/// Serves until told to stop and drained. On SIGHUP `reread` is called for what holds from then on.
+/// Runs a router until it has received a shutdown signal and drained. On SIGHUP, `reread` returns the new
+/// configuration.
 ///
 /// # Errors
-/// Signals cannot be handled, or a socket cannot be opened.
+/// The signal handlers cannot be installed, or a socket cannot be opened.
 pub fn serve(
     config: RuntimeConfig,
     reread: impl Fn() -> Result<RuntimeConfig, RuntimeConfigError> + 'static,
@@ -38,7 +39,7 @@
     reread: impl Fn() -> Result<RuntimeConfig, RuntimeConfigError> + 'static,
     executor: Rc<LocalExecutor<'static>>,
 ) -> io::Result<()> {
-    // Before anything else: a signal that comes early must not end the process.
+    // Installed before anything else, so that an early signal does not kill the process.
     let signals = signals::install()?;
     let startup = &config.startup;
     let deployment = &startup.deployment;
@@ -47,7 +48,7 @@
     let listener_permit = descriptors.acquire().await;
     let (engine, outputs) = Engine::new(startup.seed, deployment);
     events::set_origin(&startup.name, engine.clock.now().as_micros() as u64);
-    let (discovery, known) = DiscoveryClient::new(DiscoveryParams {
+    let (discovery, cached_endpoints) = DiscoveryClient::new(DiscoveryParams {
         address: startup.discovery,
         deployment,
         cached_list: &startup.cached_endpoints,
@@ -57,7 +58,7 @@
         descriptors: &descriptors,
     })
     .await;
-    engine.endpoints_changed(EndpointUpdate::CachedSnapshot, &known);
+    engine.endpoints_changed(EndpointUpdate::CachedSnapshot, &cached_endpoints);
     let connections =
         Rc::new(ControlConnections::open(&config.roles, &engine, &descriptors, startup.seed).await?);
     let budget = SharedBudget::new(startup.memory_bytes);
@@ -65,24 +66,24 @@
     let resources = client_resources(&executor, &engine, &descriptors, &budget, deployment);
     let pool = Rc::clone(&resources.pool);
     let clients = ClientSessions::new(resources, deployment);
-    let (discovery_address, moved) = async_channel::unbounded();
-    executor.spawn(discovery.run(Rc::clone(&engine), outputs.endpoint_requests, moved)).detach();
+    let (discovery_address, address_changes) = async_channel::unbounded();
+    executor.spawn(discovery.run(Rc::clone(&engine), outputs.endpoint_requests, address_changes)).detach();
     executor.spawn(Rc::clone(&pool).close_expired()).detach();
     executor.spawn(pool.run_background_tasks(Rc::clone(&engine), outputs.background_tasks)).detach();
     connections.run(&engine, &executor);
     let timer_engine = Rc::clone(&engine);
     executor.spawn(async move { timer_engine.run_timer().await }).detach();
-    let accepting = executor.spawn(Rc::clone(&clients).accept(Rc::clone(&listener)));
+    let accept_task = executor.spawn(Rc::clone(&clients).accept(Rc::clone(&listener)));
     let address = listener.get_ref().local_addr()?;
     log::info!(
-        event = "serves", address:% = address, nodes = known.len();
-        "{} serves at {address}, {} nodes known", startup.name, known.len()
+        event = "serves", address:% = address, nodes = cached_endpoints.len();
+        "{} serves at {address}, {} nodes known", startup.name, cached_endpoints.len()
     );
-    let (stop, stopped) = async_channel::bounded(1);
+    let (request_shutdown, shutdown_requested) = async_channel::bounded(1);
     let targets = ReloadTargets { discovery_address, connections: Rc::clone(&connections) };
-    executor.spawn(signals::handle(signals, config, reread, targets, stop)).detach();
-    _ = stopped.recv().await;
-    drain::drain(&clients, &engine, listener, accepting).await;
+    executor.spawn(signals::handle(signals, config, reread, targets, request_shutdown)).detach();
+    _ = shutdown_requested.recv().await;
+    drain::drain(&clients, &engine, listener, accept_task).await;
     connections.leave();
     drop(listener_permit);
     memory_report::log_usage(&budget);
--- a/crates/router/src/signals.rs
+++ b/crates/router/src/signals.rs
@@ -1,4 +1,5 @@
-//! Signals to a running router: to stop, and to read its configuration anew.
+//! Handles the signals to a running router: SIGTERM and SIGINT shut it down, SIGHUP reloads its
+//! configuration.
 
 use std::io;
 use std::net::SocketAddr;
@@ -11,36 +12,37 @@
 use crate::control_connections::ControlConnections;
 use crate::runtime_config::{RuntimeConfig, RuntimeConfigError};
 
-/// What takes over a configuration that was read anew.
+/// The parts of the router that a reloaded configuration is applied to.
 pub struct ReloadTargets {
-    /// Takes the address of discovery.
+    /// Receives a new address of discovery.
     pub discovery_address: Sender<SocketAddr>,
-    /// Take their peers, control instances and keys.
+    /// Receive new peers, control instances and keys.
     pub connections: Rc<ControlConnections>,
 }
 
-/// Takes over the handling of the signals: from here on none of them ends the process by itself.
+/// Installs handlers for the signals, whose default action would be to end the process.
 ///
 /// # Errors
-/// The system's.
+/// The system rejects a handler.
 pub fn install() -> io::Result<Signals> {
     Signals::new([Signal::Term, Signal::Int, Signal::Hup])
 }
 
-/// Handles signals as long as the process runs, so also while it drains. `stop` is closed when the router is to stop.
+/// Handles signals until the process ends, also while it drains. Closes `request_shutdown` on the first
+/// shutdown signal.
 pub async fn handle(
     mut signals: Signals,
     mut config: RuntimeConfig,
     reread: impl Fn() -> Result<RuntimeConfig, RuntimeConfigError>,
     targets: ReloadTargets,
-    stop: Sender<()>,
+    request_shutdown: Sender<()>,
 ) {
     while let Some(signal) = signals.next().await {
         match signal {
             Ok(Signal::Hup) => reload(&mut config, reread(), &targets),
             Ok(_) => {
-                // Later ones change nothing.
-                if stop.close() {
+                // Further shutdown signals have no effect.
+                if request_shutdown.close() {
                     log::info!("received a shutdown signal, draining");
                 }
             }
@@ -49,8 +51,8 @@
     }
 }
 
-/// Takes over where discovery is, and where peers and control instances are and by which keys they speak. All else that
-/// differs waits for a restart.
+/// Applies a new address of discovery, and new peers, control instances and keys. Logs a warning for every
+/// other change: those take effect only after a restart.
 fn reload(
     config: &mut RuntimeConfig,
     reread: Result<RuntimeConfig, RuntimeConfigError>,
