--- a/crates/router/tests/soak/clients.rs
+++ b/crates/router/tests/soak/clients.rs
@@ -1,4 +1,5 @@
-//! Clients: each keeps a connection for as long as it stays open, and sends one statement after the other on it.
+//! Clients: each sends one statement after the other over one connection until that is closed, then connects
+//! again.
 
 use std::net::{SocketAddr, TcpStream};
 use std::sync::{Arc, Mutex};
@@ -12,67 +13,67 @@
 use crate::record::{Ending, Record, Request, RouterIndex};
 use crate::standin::{Client, Reply, statement};
 
-/// Past its time, a request is waited for so long: what comes by then is late, and later it is lost.
+/// How long after its deadline a request is still waited for. An answer within this time is late; without
+/// one, the request is lost.
 const REPLY_GRACE: Duration = Duration::from_millis(1500);
-/// The shortest time that a client waits for an answer.
-const MIN_WAIT_MS: u64 = 60;
+/// The shortest deadline of a request.
+const MIN_DEADLINE_MS: u64 = 60;
 const MAX_REQUESTS_PER_CONNECTION: usize = 200;
-/// So often a request is sent once more whose connection was closed.
+/// How many times a request is sent in total if its connections are closed.
 const MAX_SENDS: usize = 3;
 
-/// A router that takes new connections.
+/// A router process that accepts new connections.
 #[derive(Clone, Copy)]
-pub struct Admitted {
+pub struct Backend {
     pub router: RouterIndex,
     pub process: usize,
     pub address: SocketAddr,
 }
 
-/// Hands clients to routers.
+/// The load balancer in front of the routers: assigns clients to router processes.
 #[derive(Default)]
-pub struct Front(Mutex<Vec<Admitted>>);
+pub struct LoadBalancer(Mutex<Vec<Backend>>);
 
-impl Front {
-    pub fn admit(&self, admitted: Admitted) {
-        self.0.lock().unwrap().push(admitted);
+impl LoadBalancer {
+    pub fn add(&self, backend: Backend) {
+        self.0.lock().unwrap().push(backend);
     }
 
     pub fn remove(&self, router: RouterIndex) {
-        self.0.lock().unwrap().retain(|admitted| admitted.router != router);
+        self.0.lock().unwrap().retain(|backend| backend.router != router);
     }
 
-    fn choose(&self, rng: &mut ChaCha8Rng) -> Option<Admitted> {
+    fn choose(&self, rng: &mut ChaCha8Rng) -> Option<Backend> {
         let all = self.0.lock().unwrap();
         (!all.is_empty()).then(|| all[rng.random_range(0..all.len())])
     }
 }
 
 pub struct Clients {
-    pub front: Arc<Front>,
+    pub load_balancer: Arc<LoadBalancer>,
     pub record: Arc<Record>,
-    pub longest_wait: Duration,
+    pub longest_deadline: Duration,
 }
 
-/// What a client is about to send.
+/// A statement to be sent by a client.
 struct Statement {
     text: String,
     id: String,
     class: &'static str,
-    wait: Duration,
+    deadline: Duration,
 }
 
 impl Clients {
-    /// One client, until this time.
+    /// Runs one client until this time.
     pub fn run(&self, rng: &mut ChaCha8Rng, until: Instant) {
-        let mut again = None;
+        let mut resend = None;
         while Instant::now() < until {
-            let Some(admitted) = self.front.choose(rng) else {
+            let Some(backend) = self.load_balancer.choose(rng) else {
                 thread::sleep(Duration::from_millis(10));
                 continue;
             };
-            // A router that is being killed resets it.
-            let Ok(mut client) = TcpStream::connect(admitted.address).and_then(Client::try_from_stream)
-            else {
+            // Connecting fails if the router is being killed.
+            let Ok(mut client) = TcpStream::connect(backend.address).and_then(Client::try_from_stream) else {
                 thread::sleep(Duration::from_millis(10));
                 continue;
             };
@@ -81,12 +82,12 @@
                 if Instant::now() >= until {
                     break;
                 }
-                let (request, sends) = again.take().unwrap_or_else(|| (self.draw(rng), 1));
-                let (text, ending) = self.request(rng, &mut client, admitted, request);
+                let (request, sends) = resend.take().unwrap_or_else(|| (self.draw(rng), 1));
+                let (text, ending) = self.request(rng, &mut client, backend, request);
                 match ending {
                     Ending::Value | Ending::Error(_) => {}
                     Ending::Closed if sends < MAX_SENDS => {
-                        again = Some((text, sends + 1));
+                        resend = Some((text, sends + 1));
                         break;
                     }
                     Ending::Closed | Ending::Silent | Ending::ClientDisconnected => break,
@@ -98,46 +99,46 @@
 
     fn draw(&self, rng: &mut ChaCha8Rng) -> Statement {
         let class = ["look", "look", "enter", "recent"][rng.random_range(0..4)];
-        let wait_ms = rng.random_range(MIN_WAIT_MS..=self.longest_wait.as_millis() as u64);
-        let text = statement(class, wait_ms);
+        let deadline_ms = rng.random_range(MIN_DEADLINE_MS..=self.longest_deadline.as_millis() as u64);
+        let text = statement(class, deadline_ms);
         let id = text.split("id=").nth(1).and_then(|rest| rest.split(',').next()).unwrap_or_default();
-        Statement { id: id.to_string(), class, wait: Duration::from_millis(wait_ms), text }
+        Statement { id: id.to_string(), class, deadline: Duration::from_millis(deadline_ms), text }
     }
 
     fn request(
         &self,
         rng: &mut ChaCha8Rng,
         client: &mut Client,
-        admitted: Admitted,
+        backend: Backend,
         request: Statement,
     ) -> (Statement, Ending) {
         let bytes = pg::query_message(request.text.as_bytes());
-        let (leaves, slow) = (rng.random_bool(0.06), rng.random_bool(0.06));
-        let (first, rest) = bytes.split_at(if slow { bytes.len() / 2 } else { 0 });
+        let (disconnects, writes_slowly) = (rng.random_bool(0.06), rng.random_bool(0.06));
+        let (first, rest) = bytes.split_at(if writes_slowly { bytes.len() / 2 } else { 0 });
         let mut written = write(client, first);
-        if slow {
+        if writes_slowly {
             thread::sleep(Duration::from_millis(rng.random_range(10..150)));
         }
-        let begun = Instant::now();
+        let write_started = Instant::now();
         written &= write(client, rest);
         let sent = Instant::now();
         let ending = if !written {
             Ending::Closed
-        } else if leaves {
-            thread::sleep(request.wait.mul_f64(rng.random_range(0.0..0.5)));
+        } else if disconnects {
+            thread::sleep(request.deadline.mul_f64(rng.random_range(0.0..0.5)));
             _ = client.stream.shutdown(std::net::Shutdown::Both);
             Ending::ClientDisconnected
         } else {
-            await_reply(client, sent, request.wait)
+            await_reply(client, sent, request.deadline)
         };
         self.record.requests.lock().unwrap().push(Request {
             id: request.id.clone(),
             class: request.class.to_string(),
-            router: admitted.router,
-            process: admitted.process,
-            begun,
+            router: backend.router,
+            process: backend.process,
+            write_started,
             sent,
-            wait: request.wait,
+            deadline: request.deadline,
             ended: Instant::now(),
             ending: ending.clone(),
         });
@@ -150,22 +151,22 @@
     client.stream.write_all(bytes).is_ok()
 }
 
-fn await_reply(client: &mut Client, sent: Instant, wait: Duration) -> Ending {
-    let most = wait + REPLY_GRACE;
-    _ = client.stream.set_read_timeout(Some(most));
+fn await_reply(client: &mut Client, sent: Instant, deadline: Duration) -> Ending {
+    let timeout = deadline + REPLY_GRACE;
+    _ = client.stream.set_read_timeout(Some(timeout));
     match client.reply() {
         Reply::Value(_) | Reply::Empty => Ending::Value,
         Reply::Error(code, _) => Ending::Error(code),
-        Reply::Closed if sent.elapsed() >= most => Ending::Silent,
+        Reply::Closed if sent.elapsed() >= timeout => Ending::Silent,
         Reply::Closed => Ending::Closed,
     }
 }
 
-/// An idle client that says nothing for as long as it is let stay.
-pub fn hold_idle_connections(front: &Front, rng: &mut ChaCha8Rng, until: Instant) {
+/// Runs a client that connects and sends nothing. It reconnects whenever the router closes the connection.
+pub fn hold_idle_connections(load_balancer: &LoadBalancer, rng: &mut ChaCha8Rng, until: Instant) {
     use std::io::Read;
     while Instant::now() < until {
-        let address = front.choose(rng).map(|admitted| admitted.address);
+        let address = load_balancer.choose(rng).map(|backend| backend.address);
         if let Some(Ok(mut client)) =
             address.map(|to| TcpStream::connect(to).and_then(Client::try_from_stream))
         {
--- a/crates/router/tests/soak/discovery.rs
+++ b/crates/router/tests/soak/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery: one list of versions, delivered to each router at two addresses of its own.
+//! Discovery: a versioned endpoint list. Each router reaches it at two addresses of its own.
 
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -13,21 +13,21 @@
 use crate::record::{ListDelivery, Record, RouterIndex, ServerIndex, Span};
 use crate::servers::Server;
 
-/// A call that has waited for so long is refused.
-const REFUSED_AFTER: Duration = Duration::from_millis(2000);
-/// How long calls wait while it is overloaded: some of them too long.
+/// A call that has been queued for this long is rejected.
+const REJECTED_AFTER: Duration = Duration::from_millis(2000);
+/// How long calls are queued while discovery is overloaded; some of them are rejected for it.
 const OVERLOADED_WAIT_MS: std::ops::Range<u64> = 1500..2300;
 
 struct State {
     behavior: DiscoveryBehavior,
-    /// Which servers drain, by version: version N is the list after N changes.
+    /// The draining servers in each version. Version N is the list after N changes.
     versions: Vec<Vec<ServerIndex>>,
     reachable_since: Option<Instant>,
 }
 
 pub struct Discovery {
     servers: Vec<Arc<Server>>,
-    /// By router: where it is at first, and where it moves.
+    /// Indexed by router: the first address, and the second one, which reloads may switch to.
     pub addresses: Vec<[SocketAddr; 2]>,
     state: (Mutex<State>, Condvar),
     record: Arc<Record>,
@@ -87,13 +87,13 @@
         state.behavior = behavior;
     }
 
-    /// The list as a router knows it by some version.
+    /// The entries of a version of the list, with the addresses for a router.
     pub fn list(&self, router: RouterIndex, version: usize) -> String {
         let drains = self.state.0.lock().unwrap().versions[version].clone();
         self.entries(router, &drains, &[], true)
     }
 
-    /// Of all servers, or of those that drain by now and did not before.
+    /// The entries of all servers, or only of those that have begun to drain since `before`.
     fn entries(
         &self,
         router: RouterIndex,
@@ -122,18 +122,18 @@
             let number = |name: &str| call.split(name).nth(1)?.split(['&', ' ']).next()?.parse::<u64>().ok();
             let (from, hold) = (number("from="), Duration::from_millis(number("hold_ms=").unwrap_or(0)));
             let behavior = self.state.0.lock().unwrap().behavior;
-            if behavior == DiscoveryBehavior::Refuse || !self.is_served_in_time(behavior) {
+            if behavior == DiscoveryBehavior::Refuse || !self.wait_in_queue(behavior) {
                 stream.write_all(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n").ok()?;
                 continue;
             }
             let state = self.state.0.lock().unwrap();
-            let same = |state: &mut State| Some(state.versions.len() as u64 - 1) == from;
-            let (state, _) = self.state.1.wait_timeout_while(state, hold, same).unwrap();
+            let is_unchanged = |state: &mut State| Some(state.versions.len() as u64 - 1) == from;
+            let (state, _) = self.state.1.wait_timeout_while(state, hold, is_unchanged).unwrap();
             let (version, behavior) = (state.versions.len() - 1, state.behavior);
             let drains = state.versions[version].clone();
             let before = from.and_then(|from| state.versions.get(from as usize)).cloned();
             drop(state);
-            // Changes alone, or now and then the whole list.
+            // A delta, or a snapshot for every third version.
             let changed = before.filter(|_| !version.is_multiple_of(3));
             let all = changed.is_none();
             let targets = self.entries(router, &drains, &changed.unwrap_or_default(), all);
@@ -152,7 +152,7 @@
                     }
                 }
                 DiscoveryBehavior::Answer | DiscoveryBehavior::Overloaded | DiscoveryBehavior::Refuse => {
-                    // Nothing is delivered on a connection that is closed by then.
+                    // An answer written to a closed connection does not count as delivered.
                     if peer_has_closed(&stream) {
                         return None;
                     }
@@ -165,8 +165,9 @@
         None
     }
 
-    /// Whether a call is answered in time while it is overloaded.
-    fn is_served_in_time(&self, behavior: DiscoveryBehavior) -> bool {
+    /// Waits in the queue if discovery is overloaded. Returns whether the call is answered instead of
+    /// rejected.
+    fn wait_in_queue(&self, behavior: DiscoveryBehavior) -> bool {
         if behavior != DiscoveryBehavior::Overloaded {
             return true;
         }
@@ -174,7 +175,7 @@
             return false;
         }
         let wait = Duration::from_millis(rand::rng().random_range(OVERLOADED_WAIT_MS));
-        thread::sleep(wait.min(REFUSED_AFTER));
-        wait <= REFUSED_AFTER
+        thread::sleep(wait.min(REJECTED_AFTER));
+        wait <= REJECTED_AFTER
     }
 }
--- a/crates/router/tests/soak/main.rs
+++ b/crates/router/tests/soak/main.rs
@@ -1,7 +1,8 @@
-//! A soak of real routers under seeded faults of servers, discovery, clients and signals. Each seed is a run of some ten
-//! seconds; what reached whom and when is recorded on both sides, and the rules are checked on the record.
+//! Soak test: real router processes under faults of servers, discovery and clients and under signals, all
+//! drawn from a seed. Each seed is one run of about ten seconds. Clients and servers record every request
+//! with its times, and the rules are checked on that record afterwards.
 //!
-//! `SOAK_SEEDS=100..150` runs other seeds, `SOAK_AT_ONCE=4` so many side by side.
+//! `SOAK_SEEDS=100..150` selects other seeds, `SOAK_AT_ONCE=4` the number of parallel runs.
 
 mod clients;
 mod discovery;
@@ -22,27 +23,27 @@
 use plan::Plan;
 use routers::Run;
 
-/// What is run where nothing else is asked for: each kind of run at least twice.
-const SEEDS: Range<u64> = 1..13;
-const AT_ONCE: u64 = 2;
+/// The default seeds. They cover each kind of run at least twice.
+const DEFAULT_SEEDS: Range<u64> = 1..13;
+const PARALLEL_RUNS: u64 = 2;
 
 fn seeds() -> Range<u64> {
-    let Ok(text) = std::env::var("SOAK_SEEDS") else { return SEEDS };
+    let Ok(text) = std::env::var("SOAK_SEEDS") else { return DEFAULT_SEEDS };
     let ends = text.split_once("..").and_then(|(from, to)| Some(from.parse().ok()?..to.parse().ok()?));
     ends.unwrap_or_else(|| panic!("SOAK_SEEDS: expected FROM..TO, found {text:?}"))
 }
 
-fn at_once() -> u64 {
-    let Ok(text) = std::env::var("SOAK_AT_ONCE") else { return AT_ONCE };
+fn parallel_runs() -> u64 {
+    let Ok(text) = std::env::var("SOAK_AT_ONCE") else { return PARALLEL_RUNS };
     text.parse().unwrap_or_else(|_| panic!("SOAK_AT_ONCE: expected a number, found {text:?}"))
 }
 
 #[test]
-fn routers_under_faults_and_signals_keep_the_rules() {
+fn routers_keep_the_rules_under_faults_and_signals() {
     let seeds = seeds();
-    let (next, broken) = (AtomicU64::new(seeds.start), Mutex::new(Vec::new()));
+    let (next, violations_by_seed) = (AtomicU64::new(seeds.start), Mutex::new(Vec::new()));
     thread::scope(|scope| {
-        for _ in 0..at_once() {
+        for _ in 0..parallel_runs() {
             scope.spawn(|| {
                 loop {
                     let seed = next.fetch_add(1, Ordering::SeqCst);
@@ -54,7 +55,7 @@
                     eprintln!("seed {seed}: {}", run.summary(violations.len()));
                     if !violations.is_empty() {
                         eprintln!("{}", run.logs());
-                        broken
+                        violations_by_seed
                             .lock()
                             .unwrap()
                             .extend(violations.into_iter().map(|violation| (seed, violation)));
@@ -63,8 +64,8 @@
             });
         }
     });
-    let broken = broken.into_inner().unwrap();
+    let violations_by_seed = violations_by_seed.into_inner().unwrap();
     let lines: Vec<String> =
-        broken.iter().map(|(seed, violation)| format!("seed {seed}: {violation}")).collect();
+        violations_by_seed.iter().map(|(seed, violation)| format!("seed {seed}: {violation}")).collect();
     assert!(lines.is_empty(), "{} violations:\n{}", lines.len(), lines.join("\n"));
 }
--- a/crates/router/tests/soak/plan.rs
+++ b/crates/router/tests/soak/plan.rs
@@ -1,4 +1,4 @@
-//! What is to happen in a run, drawn by its seed.
+//! The plan of a run: its parameters and the events to inject, drawn from the seed.
 
 use std::time::Duration;
 
@@ -11,58 +11,58 @@
     Duration::from_millis(ms)
 }
 
-/// How long clients go on asking.
+/// How long clients send requests.
 const DURATION: Duration = ms(9000);
-/// How often each router's processes are paused for a moment.
+/// How many times the processes of each router are paused briefly.
 const PAUSES: usize = 6;
 
-/// What a server does with statements.
+/// How a server handles connections and statements.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServerBehavior {
     Answer,
-    /// Takes statements and says nothing until it does something else.
+    /// Reads statements and does not answer until its behavior changes.
     Hang,
-    /// Ends the connection once a statement is complete.
+    /// Closes the connection when a statement has arrived.
     Reset,
-    /// Ends each new connection at once, and each used one at its next statement.
+    /// Closes each new connection at once, and each existing one at its next statement.
     RefuseConnections,
-    /// Answers in pieces.
+    /// Sends answers in small pieces.
     Trickle,
     Error,
-    /// Rejects statements, as it is full.
+    /// Rejects statements because of too many connections.
     Reject,
 }
 
-/// What discovery does with calls.
+/// How discovery handles calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiscoveryBehavior {
     Answer,
-    /// Calls are queued for about as long as they may; half are refused at once.
+    /// Queues calls for about as long as it may before it must reject them. Rejects half of them at once.
     Overloaded,
     Refuse,
-    /// Calls are taken and not answered.
+    /// Reads calls and does not answer.
     Hang,
-    /// Answers come in pieces.
+    /// Sends answers in small pieces.
     Trickle,
-    /// Answers break off.
+    /// Closes the connection in the middle of an answer.
     Truncate,
 }
 
 #[derive(Clone, Copy, Debug)]
 pub enum Event {
     SetServer(ServerIndex, ServerBehavior),
-    /// The log of a replica stands still from now on, or goes on.
+    /// Stops replication to a replica (false) or resumes it (true).
     SetReplication(ServerIndex, bool),
     Drain(ServerIndex),
     SetDiscovery(DiscoveryBehavior),
-    /// SIGHUP, with discovery elsewhere or where it was.
+    /// SIGHUP, with discovery at its second address (true) or at its first (false).
     Reload(RouterIndex, bool),
-    /// SIGTERM, and SIGKILL as early as it may come; then a new process.
+    /// SIGTERM, then SIGKILL as early as the platform may send it, then a new process.
     Restart(RouterIndex),
     Kill(RouterIndex),
-    /// A process is paused for this long.
+    /// SIGSTOP, then SIGCONT after this time.
     Pause(RouterIndex, Duration),
-    /// Another signal, of any kind, to one that may be stopping.
+    /// Another signal, sent only if the process is shutting down.
     Signal(RouterIndex, &'static str),
 }
 
@@ -73,13 +73,13 @@
     pub routers: usize,
     pub servers: usize,
     pub clients: usize,
-    /// Idle clients that fill the descriptors.
+    /// Idle clients, which use up the descriptors.
     pub idle_clients: usize,
     pub sockets: usize,
     pub longest_deadline: Duration,
     pub drain_grace: Duration,
     pub service_time: Duration,
-    /// In order of time.
+    /// Sorted by time since the start of the run.
     pub events: Vec<(Duration, Event)>,
 }
 
@@ -112,7 +112,7 @@
         self.duration.mul_f64(rng.random_range(0.05..0.85))
     }
 
-    /// Some servers fail for a while, some drain. The first is the primary, and never drains.
+    /// Some servers fail for a while, some drain. The first server is the primary and never drains.
     fn draw_servers(&mut self, rng: &mut ChaCha8Rng) {
         use ServerBehavior::{Error, Hang, RefuseConnections, Reject, Reset, Trickle};
         for _ in 0..rng.random_range(6..14) {
@@ -123,19 +123,19 @@
             self.events.push((at, Event::SetServer(server, fault)));
             self.events.push((until, Event::SetServer(server, ServerBehavior::Answer)));
         }
-        // The primary, too: writes must not run twice for it.
+        // The primary fails as well, which must not cause writes to run twice.
         for _ in 0..2 {
             let (at, faults) = (self.random_time(rng), [Hang, Reset, RefuseConnections]);
             self.events.push((at, Event::SetServer(0, faults[rng.random_range(0..faults.len())])));
             let until = at + ms(rng.random_range(200..1200));
             self.events.push((until, Event::SetServer(0, ServerBehavior::Answer)));
         }
-        let (lags, at) = (rng.random_range(1..self.servers), self.random_time(rng));
-        self.events.push((at, Event::SetReplication(lags, false)));
-        self.events.push((at + ms(rng.random_range(300..2500)), Event::SetReplication(lags, true)));
-        for drains in 2..self.servers {
+        let (lagging, at) = (rng.random_range(1..self.servers), self.random_time(rng));
+        self.events.push((at, Event::SetReplication(lagging, false)));
+        self.events.push((at + ms(rng.random_range(300..2500)), Event::SetReplication(lagging, true)));
+        for draining in 2..self.servers {
             if rng.random_bool(0.6) {
-                self.events.push((self.random_time(rng), Event::Drain(drains)));
+                self.events.push((self.random_time(rng), Event::Drain(draining)));
             }
         }
     }
@@ -152,7 +152,7 @@
         }
     }
 
-    /// Each router but the first is restarted once, or killed; signals come in series.
+    /// Every router except the first is restarted or killed once. Reloads and further signals come in bursts.
     fn draw_signals(&mut self, rng: &mut ChaCha8Rng) {
         for router in 0..self.routers {
             let at = self.random_time(rng);
@@ -166,7 +166,7 @@
             if router == 0 {
                 continue;
             }
-            // One after the other, so that clients always find one.
+            // The routers are restarted one after the other, so that clients can always connect to one.
             let at = self.duration.mul_f64(0.1 + 0.35 * (router as f64 - 1.0)) + ms(rng.random_range(0..400));
             if rng.random_bool(0.2) {
                 self.events.push((at, Event::Kill(router)));
@@ -174,7 +174,7 @@
             }
             self.events.push((at, Event::Restart(router)));
             if rng.random_bool(0.5) {
-                // Over the moment at which it has to have answered all.
+                // A pause across the time by which the router must have answered everything.
                 let end = at + self.longest_deadline.min(ms(3000)) + ms(300);
                 let before = ms(rng.random_range(0..140));
                 self.events.push((end - before, Event::Pause(router, ms(150))));
--- a/crates/router/tests/soak/record.rs
+++ b/crates/router/tests/soak/record.rs
@@ -1,11 +1,11 @@
-//! What happened in a run, by whoever saw it.
+//! The record of a run: what the clients, the servers, discovery and the test itself observed.
 
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// A server, and a router, by their places.
+/// Indices of servers and routers.
 pub type ServerIndex = usize;
 pub type RouterIndex = usize;
 
@@ -16,46 +16,46 @@
     pub class: String,
     pub server: ServerIndex,
     pub router: RouterIndex,
-    /// When its first byte was seen, and its last.
+    /// When the first byte was read, and the last.
     pub first: Instant,
     pub complete: Instant,
-    /// How long the router says that it waits.
-    pub wait: Duration,
-    /// What the server had applied was too old for a bounded read.
+    /// The remaining deadline that the router passed on.
+    pub deadline: Duration,
+    /// Whether the log position of the server was too old for a bounded read.
     pub stale: bool,
-    /// The server answered that nothing ran.
+    /// Whether the server answered that the statement did not run.
     pub never_ran: bool,
 }
 
-/// How a request ended for its client.
+/// How a request ended from the client's point of view.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Ending {
     Value,
     Error(String),
-    /// The connection ended without an answer.
+    /// The connection was closed without an answer.
     Closed,
-    /// No answer came for far longer than the client waits.
+    /// No answer arrived until long after the deadline.
     Silent,
-    /// The client closed its connection first.
+    /// The client closed the connection before an answer.
     ClientDisconnected,
 }
 
-/// A request of a client on one connection.
+/// A request, as sent by a client over one connection.
 #[derive(Clone, Debug)]
 pub struct Request {
     pub id: String,
     pub class: String,
     pub router: RouterIndex,
     pub process: usize,
-    /// Before its last bytes were written, and after.
-    pub begun: Instant,
+    /// Immediately before the last bytes were written, and immediately after.
+    pub write_started: Instant,
     pub sent: Instant,
-    pub wait: Duration,
+    pub deadline: Duration,
     pub ended: Instant,
     pub ending: Ending,
 }
 
-/// A list that discovery has written completely to a router.
+/// An endpoint list that discovery has completely written to a router.
 #[derive(Clone, Copy, Debug)]
 pub struct ListDelivery {
     pub router: RouterIndex,
@@ -63,20 +63,20 @@
     pub at: Instant,
 }
 
-/// A process of a router.
+/// The lifetime of a router process.
 #[derive(Clone, Copy, Debug)]
 pub struct Lifetime {
     pub router: RouterIndex,
     pub process: usize,
     pub started: Instant,
-    /// The version of the list that it started with.
+    /// The version of the cached endpoint list that the process was started with.
     pub known_version: usize,
-    pub told_to_stop: Option<Instant>,
-    /// When it ended, and whether by itself.
+    pub shutdown_started: Option<Instant>,
+    /// When the process ended, and whether it exited by itself.
     pub ended: Option<(Instant, bool)>,
 }
 
-/// From one moment to the other.
+/// A time span.
 #[derive(Clone, Copy, Debug)]
 pub struct Span {
     pub from: Instant,
@@ -88,55 +88,56 @@
     pub arrivals: Mutex<Vec<Arrival>>,
     pub requests: Mutex<Vec<Request>>,
     pub list_deliveries: Mutex<Vec<ListDelivery>>,
-    /// Versions of the list: when each came to be.
+    /// When each version of the endpoint list was created.
     pub versions: Mutex<Vec<Instant>>,
-    /// Which version first says that a server drains.
+    /// The first version of the list in which each draining server is marked as such.
     pub drains: Mutex<Vec<(ServerIndex, usize)>>,
-    /// When discovery answered fresh calls at once.
+    /// The time spans in which discovery answered new calls at once.
     pub reachable: Mutex<Vec<Span>>,
-    /// By how much this machine woke a thread too late, and when.
-    late: Mutex<Vec<(Instant, Duration)>>,
+    /// Scheduling delays of this machine: when a thread should have woken up, and how much later it did.
+    scheduling_delays: Mutex<Vec<(Instant, Duration)>>,
     pub over: AtomicBool,
 }
 
-/// How often it is checked how late the machine is.
+/// How often the scheduling delay is measured.
 const CHECK_INTERVAL: Duration = Duration::from_millis(5);
-/// Less is no lateness.
-const MIN_LATENESS: Duration = Duration::from_millis(3);
+/// Smaller delays are ignored.
+const MIN_SCHEDULING_DELAY: Duration = Duration::from_millis(3);
 
-pub struct EndsRun<'a>(&'a Record);
+pub struct EndGuard<'a>(&'a Record);
 
-impl Drop for EndsRun<'_> {
+impl Drop for EndGuard<'_> {
     fn drop(&mut self) {
         self.0.over.store(true, Ordering::SeqCst);
     }
 }
 
 impl Record {
-    /// Says that the run is over when it is dropped, so that nothing waits for one that has panicked.
-    pub fn ends(&self) -> EndsRun<'_> {
-        EndsRun(self)
+    /// Returns a guard that marks the run as over when it is dropped, so that other threads also stop after a
+    /// panic.
+    pub fn end_guard(&self) -> EndGuard<'_> {
+        EndGuard(self)
     }
 
     pub fn is_over(&self) -> bool {
         self.over.load(Ordering::SeqCst)
     }
 
-    /// Notes by how much the machine is late, until the run is over.
-    pub fn record_lateness(&self) {
+    /// Measures scheduling delays until the run is over.
+    pub fn record_scheduling_delays(&self) {
         while !self.is_over() {
             let due = Instant::now() + CHECK_INTERVAL;
             thread::sleep(CHECK_INTERVAL);
-            let late = due.elapsed();
-            if late > MIN_LATENESS {
-                self.late.lock().unwrap().push((due, late));
+            let delay = due.elapsed();
+            if delay > MIN_SCHEDULING_DELAY {
+                self.scheduling_delays.lock().unwrap().push((due, delay));
             }
         }
     }
 
-    /// How much of that time the machine kept a thread waiting: what was seen in it may be so much too late.
-    pub fn lateness(&self, from: Instant, to: Instant) -> Duration {
-        let late = self.late.lock().unwrap();
-        late.iter().filter(|(at, late)| *at <= to && *at + *late >= from).map(|(_, late)| *late).sum()
+    /// The total scheduling delay in a time span. Times observed in it may be late by as much.
+    pub fn scheduling_delay(&self, from: Instant, to: Instant) -> Duration {
+        let delays = self.scheduling_delays.lock().unwrap();
+        delays.iter().filter(|(at, delay)| *at <= to && *at + *delay >= from).map(|(_, delay)| *delay).sum()
     }
 }
--- a/crates/router/tests/soak/routers.rs
+++ b/crates/router/tests/soak/routers.rs
@@ -1,4 +1,4 @@
-//! A run: its routers as processes, and the events of its plan.
+//! Executes a run: starts the routers as processes and injects the events of the plan.
 
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, TcpListener};
@@ -9,23 +9,24 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-use crate::clients::{Admitted, Clients, Front, hold_idle_connections};
+use crate::clients::{Backend, Clients, LoadBalancer, hold_idle_connections};
 use crate::discovery::Discovery;
 use crate::plan::{Event, Plan};
 use crate::record::{Ending, Lifetime, Record, RouterIndex};
 use crate::servers::Server;
 use crate::standin::{RouterProcess, configuration};
 
-/// The front goes on sending new connections for so long after SIGTERM.
+/// The load balancer still sends new connections to a router for this long after SIGTERM.
 const ACCEPTS_AFTER_SIGTERM: Duration = Duration::from_millis(300);
-/// SIGKILL comes so long after SIGTERM and the longest deadline, which counts as this at most.
-const KILLED_AFTER: Duration = Duration::from_millis(700);
+/// SIGKILL follows SIGTERM after the longest deadline plus this.
+const KILLED_AFTER_LONGEST_DEADLINE: Duration = Duration::from_millis(700);
+/// Longer deadlines count as this.
 const MAX_COUNTED_DEADLINE: Duration = Duration::from_secs(3);
-/// A killed process is started again after this.
+/// The delay before a killed process is started again.
 const RESTART_DELAY: Duration = Duration::from_millis(300);
 const CHECK_INTERVAL: Duration = Duration::from_millis(2);
 
-/// One router: its address, and its process while it has one.
+/// A router: its address, and its process while one is running.
 struct Router {
     number: RouterIndex,
     address: SocketAddr,
@@ -35,7 +36,7 @@
 struct Testbed {
     plan: Plan,
     record: Arc<Record>,
-    front: Arc<Front>,
+    load_balancer: Arc<LoadBalancer>,
     servers: Vec<Arc<Server>>,
     discovery: Arc<Discovery>,
     routers: Vec<Router>,
@@ -43,7 +44,7 @@
     logs: Mutex<Vec<String>>,
 }
 
-/// A run that is over.
+/// A completed run.
 pub struct Run {
     pub plan: Plan,
     pub record: Arc<Record>,
@@ -62,7 +63,7 @@
             routers: (0..plan.routers).map(router).collect(),
             plan,
             record: Arc::clone(&record),
-            front: Arc::default(),
+            load_balancer: Arc::default(),
             servers,
             discovery,
             lifetimes: Mutex::default(),
@@ -77,7 +78,7 @@
         }
     }
 
-    /// A run of which only the record is known.
+    /// Creates a completed run from a given record, to test the rules.
     pub fn recorded(plan: Plan, record: Record, lifetimes: Vec<Lifetime>) -> Self {
         Self { plan, record: Arc::new(record), lifetimes, logs: Vec::new() }
     }
@@ -91,9 +92,9 @@
             };
             *endings.entry(name).or_default() += 1;
         }
-        let stopped = self.lifetimes.iter().filter(|process| process.told_to_stop.is_some()).count();
+        let stopped = self.lifetimes.iter().filter(|process| process.shutdown_started.is_some()).count();
         let drains = self.record.drains.lock().unwrap().len();
-        format!("{violations} violations, {endings:?}, {stopped} processes told to stop, {drains} drains")
+        format!("{violations} violations, {endings:?}, {stopped} processes shut down, {drains} drains")
     }
 
     pub fn logs(&self) -> String {
@@ -101,7 +102,8 @@
     }
 }
 
-/// An address that was free a moment ago.
+/// An address that was free when this function was called. Another process may take it before the router
+/// does.
 fn free_address() -> SocketAddr {
     TcpListener::bind("127.0.0.1:0").and_then(|listener| listener.local_addr()).unwrap()
 }
@@ -114,14 +116,14 @@
         let until = Instant::now() + self.plan.duration;
         let seeded = |number: usize| ChaCha8Rng::seed_from_u64(self.plan.seed * 1000 + number as u64);
         thread::scope(|scope| {
-            let _ends = self.record.ends();
-            scope.spawn(|| self.record.record_lateness());
+            let _end_guard = self.record.end_guard();
+            scope.spawn(|| self.record.record_scheduling_delays());
             let clients: Vec<_> = (0..self.plan.clients + self.plan.idle_clients)
                 .map(|number| {
                     let mut rng = seeded(number);
                     scope.spawn(move || match number < self.plan.clients {
                         true => self.clients().run(&mut rng, until),
-                        false => hold_idle_connections(&self.front, &mut rng, until),
+                        false => hold_idle_connections(&self.load_balancer, &mut rng, until),
                     })
                 })
                 .collect();
@@ -138,13 +140,13 @@
 
     fn clients(&self) -> Clients {
         Clients {
-            front: Arc::clone(&self.front),
+            load_balancer: Arc::clone(&self.load_balancer),
             record: Arc::clone(&self.record),
-            longest_wait: self.plan.longest_deadline,
+            longest_deadline: self.plan.longest_deadline,
         }
     }
 
-    /// Each event at its time; what lasts is done beside the others.
+    /// Injects each event at its time. Events that take longer run in threads of their own.
     fn events(&self) {
         let began = Instant::now();
         thread::scope(|scope| {
@@ -152,11 +154,13 @@
                 thread::sleep((began + at).saturating_duration_since(Instant::now()));
                 match event {
                     Event::SetServer(server, behavior) => self.servers[server].set_behavior(behavior),
-                    Event::SetReplication(server, goes_on) => self.servers[server].set_replication(goes_on),
+                    Event::SetReplication(server, is_running) => {
+                        self.servers[server].set_replication(is_running)
+                    }
                     Event::Drain(server) => self.discovery.drain(server),
                     Event::SetDiscovery(behavior) => self.discovery.set_behavior(behavior),
-                    Event::Reload(router, elsewhere) => self.reload(router, elsewhere),
-                    Event::Signal(router, signal) => self.signal_the_stopping(router, signal),
+                    Event::Reload(router, at_second_address) => self.reload(router, at_second_address),
+                    Event::Signal(router, signal) => self.signal_if_shutting_down(router, signal),
                     Event::Restart(router) => _ = scope.spawn(move || self.restart(&self.routers[router])),
                     Event::Kill(router) => _ = scope.spawn(move || self.kill(&self.routers[router])),
                     Event::Pause(router, pause) => _ = scope.spawn(move || self.pause(router, pause)),
@@ -165,7 +169,7 @@
         });
     }
 
-    /// A new process, which knows the list that was delivered to its router last.
+    /// Starts a process with the endpoint list that was delivered to its router last as its cached list.
     fn start(&self, router: &Router) {
         let deliveries = self.record.list_deliveries.lock().unwrap();
         let own = deliveries.iter().filter(|delivery| delivery.router == router.number);
@@ -190,12 +194,12 @@
             process,
             started,
             known_version,
-            told_to_stop: None,
+            shutdown_started: None,
             ended: None,
         });
         drop(lifetimes);
         *router.process.lock().unwrap() = Some(running);
-        self.front.admit(Admitted { router: router.number, process, address: router.address });
+        self.load_balancer.add(Backend { router: router.number, process, address: router.address });
     }
 
     fn lifetime(&self, router: RouterIndex, change: impl FnOnce(&mut Lifetime)) {
@@ -205,17 +209,18 @@
         }
     }
 
-    /// Waits until its process has ended by itself, or kills it at this time; at once where none is told.
+    /// Waits until the process has exited by itself, or kills it at `killed_at`, or immediately if that is
+    /// `None`.
     fn end(&self, router: &Router, killed_at: Option<Instant>) {
         let by_itself = loop {
-            let Some(ended_well) = ended_well(router) else { return };
-            if ended_well {
+            let Some(exited_successfully) = exited_successfully(router) else { return };
+            if exited_successfully {
                 break true;
             }
             if killed_at.is_none_or(|at| Instant::now() >= at) {
                 break false;
             }
-            // Not while its lock is held: signals to it need it too.
+            // Sleeps without holding the lock of the process, which sending signals needs as well.
             thread::sleep(CHECK_INTERVAL);
         };
         let ended = Instant::now();
@@ -230,34 +235,34 @@
     }
 
     fn restart(&self, router: &Router) {
-        let told = Instant::now();
-        self.lifetime(router.number, |lifetime| lifetime.told_to_stop = Some(told));
+        let sigterm_at = Instant::now();
+        self.lifetime(router.number, |lifetime| lifetime.shutdown_started = Some(sigterm_at));
         self.signal(router.number, "-TERM");
         thread::sleep(ACCEPTS_AFTER_SIGTERM);
-        self.front.remove(router.number);
+        self.load_balancer.remove(router.number);
         let longest = self.plan.longest_deadline.min(MAX_COUNTED_DEADLINE);
-        self.end(router, Some(told + longest + KILLED_AFTER));
+        self.end(router, Some(sigterm_at + longest + KILLED_AFTER_LONGEST_DEADLINE));
         self.start(router);
     }
 
     fn kill(&self, router: &Router) {
         self.end(router, None);
         thread::sleep(RESTART_DELAY);
-        self.front.remove(router.number);
+        self.load_balancer.remove(router.number);
         self.start(router);
     }
 
     fn signal(&self, router: RouterIndex, signal: &str) {
-        if let Some(running) = router_running(&self.routers[router]).as_ref() {
-            // It may have ended a moment ago.
+        if let Some(running) = lock_process(&self.routers[router]).as_ref() {
+            // The process may have ended in the meantime.
             _ = running.try_signal(signal);
         }
     }
 
-    /// A further signal to a process that was told to stop; its successor is not meant.
-    fn signal_the_stopping(&self, router: RouterIndex, signal: &str) {
+    /// Sends another signal to a process that is shutting down, but not to its successor.
+    fn signal_if_shutting_down(&self, router: RouterIndex, signal: &str) {
         let lifetimes = self.lifetimes.lock().unwrap();
-        let stops = |lifetime: &Lifetime| lifetime.told_to_stop.is_some() && lifetime.ended.is_none();
+        let stops = |lifetime: &Lifetime| lifetime.shutdown_started.is_some() && lifetime.ended.is_none();
         if lifetimes.iter().rfind(|lifetime| lifetime.router == router).is_some_and(stops) {
             self.signal(router, signal);
         }
@@ -269,24 +274,24 @@
         self.signal(router, "-CONT");
     }
 
-    fn reload(&self, router: RouterIndex, elsewhere: bool) {
+    fn reload(&self, router: RouterIndex, at_second_address: bool) {
         let [here, there] = self.discovery.addresses[router].map(|address| address.to_string());
-        let running = router_running(&self.routers[router]);
+        let running = lock_process(&self.routers[router]);
         let Some(running) = running.as_ref() else { return };
         let text = std::fs::read_to_string(&running.path).unwrap();
-        let text = if elsewhere { text.replace(&here, &there) } else { text.replace(&there, &here) };
+        let text = if at_second_address { text.replace(&here, &there) } else { text.replace(&there, &here) };
         std::fs::write(&running.path, text).unwrap();
         _ = running.try_signal("-HUP");
     }
 }
 
-/// Whether its process has ended with success; none where it has no process.
-fn ended_well(router: &Router) -> Option<bool> {
-    let mut running = router_running(router);
+/// Whether the process has exited successfully. `None` if the router has no process.
+fn exited_successfully(router: &Router) -> Option<bool> {
+    let mut running = lock_process(router);
     let status = running.as_mut()?.child.try_wait();
     Some(status.is_ok_and(|ended| ended.is_some_and(|status| status.success())))
 }
 
-fn router_running(router: &Router) -> std::sync::MutexGuard<'_, Option<RouterProcess>> {
+fn lock_process(router: &Router) -> std::sync::MutexGuard<'_, Option<RouterProcess>> {
     router.process.lock().unwrap()
 }
--- a/crates/router/tests/soak/rules.rs
+++ b/crates/router/tests/soak/rules.rs
@@ -1,4 +1,4 @@
-//! The rules, checked on the record of a run.
+//! The rules that routers must keep, checked on the record of a run.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
@@ -6,20 +6,20 @@
 use crate::record::{Arrival, Ending, Lifetime, Request, RouterIndex, ServerIndex};
 use crate::routers::Run;
 
-/// Every limit on sockets is so much longer.
-const ON_SOCKETS: Duration = Duration::from_millis(50);
-/// A list counts as delivered by then, where discovery could be reached.
-const DELIVERED_BY: Duration = Duration::from_secs(6);
-/// A late answer only earns nothing for so long; after that it is lost.
-const LATE: Duration = Duration::from_millis(500);
-/// An attempt for a client that has left may begin up to this time later.
-const AFTER_DISCONNECT: Duration = Duration::from_millis(100);
-/// By so much the time that a server is told may exceed what the client has left.
-const WAIT_SLACK: Duration = Duration::from_millis(150);
-/// The router says that nothing ran.
+/// Tolerance for all time limits, because real sockets take some time.
+const SOCKET_TOLERANCE: Duration = Duration::from_millis(50);
+/// A list counts as delivered after discovery has been reachable for this long.
+const DELIVERY_TIMEOUT: Duration = Duration::from_secs(6);
+/// An answer that is late by up to this is useless, but the request does not count as lost.
+const MAX_ANSWER_DELAY: Duration = Duration::from_millis(500);
+/// An attempt may still begin this long after the client has disconnected.
+const DISCONNECT_TOLERANCE: Duration = Duration::from_millis(100);
+/// The deadline passed to a server may exceed the client's remaining time by this.
+const DEADLINE_TOLERANCE: Duration = Duration::from_millis(150);
+/// SQLSTATEs by which the router states that the statement did not run.
 const REJECTIONS: [&str; 2] = ["53300", "57P03"];
 
-/// All violations of the rules, in words.
+/// Returns a description of each violation. Its first word, before the colon, names the rule.
 pub fn check(run: &Run) -> Vec<String> {
     let requests = run.record.requests.lock().unwrap().clone();
     let arrivals = run.record.arrivals.lock().unwrap().clone();
@@ -32,20 +32,21 @@
     let of = |request: &Request| by_id.get(&*request.id).cloned().unwrap_or_default();
     let mut violations: Vec<String> =
         requests.iter().flat_map(|request| checker.request(request, &of(request))).collect();
-    // A client that sends once more what a killed router had taken takes the risk on itself.
-    let killed = requests.iter().filter(|request| checker.was_killed(request));
+    // If a router is killed, its client does not learn whether the statement ran; sending it again may run it
+    // twice.
+    let killed = requests.iter().filter(|request| checker.router_was_killed(request));
     let risked: BTreeSet<&str> = killed.map(|request| &*request.id).collect();
     let others = by_id.iter().filter(|(id, _)| !risked.contains(*id));
     violations.extend(others.filter_map(|(_, arrivals)| duplicate_effect(arrivals)));
-    violations.extend(arrivals.iter().filter_map(|arrival| checker.drained(arrival)));
-    violations.extend(run.lifetimes.iter().filter_map(|process| checker.stopped(process)));
+    violations.extend(arrivals.iter().filter_map(|arrival| checker.sent_to_draining(arrival)));
+    violations.extend(run.lifetimes.iter().filter_map(|process| checker.exited_in_time(process)));
     if !requests.iter().any(|request| request.ending == Ending::Value) {
-        violations.push("nothing was served".to_string());
+        violations.push("no request was answered".to_string());
     }
     violations
 }
 
-/// An effect that may have happened twice.
+/// Returns a violation if a write may have run twice.
 fn duplicate_effect(arrivals: &[&Arrival]) -> Option<String> {
     let may_have_run = arrivals.iter().position(|arrival| !arrival.never_ran)?;
     let again = arrivals.get(may_have_run + 1).filter(|again| again.class == "enter")?;
@@ -61,8 +62,8 @@
 }
 
 impl Checker<'_> {
-    fn lateness(&self, from: Instant, to: Instant) -> Duration {
-        self.run.record.lateness(from, to)
+    fn scheduling_delay(&self, from: Instant, to: Instant) -> Duration {
+        self.run.record.scheduling_delay(from, to)
     }
 
     fn process(&self, request: &Request) -> Option<&Lifetime> {
@@ -75,129 +76,144 @@
             self.late(request),
             self.rejected_after_it_ran(request, arrivals),
             self.sent_after_disconnect(request, arrivals),
-            self.given_too_much_time(request, arrivals),
+            self.passed_on_too_long_a_deadline(request, arrivals),
             self.stale(request, arrivals),
         ];
         checks.into_iter().flatten().collect()
     }
 
-    /// Killed without a word before: what was pending is gone with it.
-    fn was_killed(&self, request: &Request) -> bool {
+    /// Whether the router was killed without a shutdown, which loses its pending requests.
+    fn router_was_killed(&self, request: &Request) -> bool {
         let killed = |process: &Lifetime| {
-            process.told_to_stop.is_none()
-                && process.ended.is_some_and(|(at, by_itself)| !by_itself && at <= request.ended + ON_SOCKETS)
+            process.shutdown_started.is_none()
+                && process
+                    .ended
+                    .is_some_and(|(at, by_itself)| !by_itself && at <= request.ended + SOCKET_TOLERANCE)
         };
         self.process(request).is_some_and(killed)
     }
 
-    /// When a request came and ended, since its router was told to stop.
-    fn in_the_stop(&self, request: &Request) -> String {
-        let Some(told) = self.process(request).and_then(|process| process.told_to_stop) else {
-            return "its router was not told to stop".to_string();
+    /// When a request was sent and ended, relative to the SIGTERM of its router.
+    fn relative_to_sigterm(&self, request: &Request) -> String {
+        let Some(sigterm_at) = self.process(request).and_then(|process| process.shutdown_started) else {
+            return "its router was not shutting down".to_string();
         };
-        let since = |at: Instant| at.saturating_duration_since(told);
+        let since = |at: Instant| at.saturating_duration_since(sigterm_at);
         format!("from {:?} to {:?} after SIGTERM", since(request.sent), since(request.ended))
     }
 
     fn lost(&self, request: &Request, arrivals: &[&Arrival]) -> Option<String> {
-        if self.was_killed(request) {
+        if self.router_was_killed(request) {
             return None;
         }
         let Request { id, router, ending, .. } = request;
-        let forwarded = |arrival: &&Arrival| arrival.router == *router && arrival.complete >= request.begun;
+        let forwarded =
+            |arrival: &&Arrival| arrival.router == *router && arrival.complete >= request.write_started;
         match ending {
             Ending::Silent => Some(format!("lost: {id} had no answer from router {router}")),
             Ending::Closed if arrivals.iter().any(forwarded) => {
-                let when = self.in_the_stop(request);
-                Some(format!("lost: {id} was sent on by router {router}, and its connection closed, {when}"))
+                let when = self.relative_to_sigterm(request);
+                Some(format!(
+                    "lost: {id} was forwarded by router {router} and then its connection was closed, {when}"
+                ))
             }
             Ending::Closed if !self.may_close(request) => {
-                Some(format!("lost: router {router} closed the connection of {id} without need"))
+                Some(format!("lost: router {router} closed the connection of {id} without a reason"))
             }
             _ => None,
         }
     }
 
-    /// A router that stops closes idle connections, and one whose descriptors are short.
+    /// A router may close idle connections if it is shutting down or short of descriptors.
     fn may_close(&self, request: &Request) -> bool {
-        let stops = |process: &Lifetime| process.told_to_stop.is_some_and(|at| at <= request.ended);
+        let stops = |process: &Lifetime| process.shutdown_started.is_some_and(|at| at <= request.ended);
         self.run.plan.idle_clients > 0 || self.process(request).is_some_and(stops)
     }
 
     fn late(&self, request: &Request) -> Option<String> {
-        let Request { id, sent, wait, ended, ending, .. } = request;
+        let Request { id, sent, deadline, ended, ending, .. } = request;
         let answered = matches!(ending, Ending::Value | Ending::Error(_));
-        let most = *wait + LATE + ON_SOCKETS + self.lateness(*sent, *ended);
-        let took = *ended - *sent;
-        (answered && took > most).then(|| format!("lost: {id} was answered after {took:?} of {wait:?}"))
+        let limit = *deadline + MAX_ANSWER_DELAY + SOCKET_TOLERANCE + self.scheduling_delay(*sent, *ended);
+        let elapsed = *ended - *sent;
+        (answered && elapsed > limit)
+            .then(|| format!("lost: {id} was answered after {elapsed:?}, its deadline was {deadline:?}"))
     }
 
     fn rejected_after_it_ran(&self, request: &Request, arrivals: &[&Arrival]) -> Option<String> {
         let Ending::Error(code) = &request.ending else { return None };
         let ran = arrivals.iter().any(|arrival| !arrival.never_ran && arrival.complete < request.ended);
         let rejected = request.class == "enter" && REJECTIONS.contains(&&**code) && ran;
-        rejected.then(|| format!("duplicate: {} was rejected with {code} and may have run", request.id))
+        rejected.then(|| format!("duplicate: {} was rejected with {code} but may have run", request.id))
     }
 
     fn sent_after_disconnect(&self, request: &Request, arrivals: &[&Arrival]) -> Option<String> {
         let left = (request.ending == Ending::ClientDisconnected).then_some(request.ended)?;
         let after = arrivals.iter().find(|arrival| {
-            arrival.first > left + AFTER_DISCONNECT + ON_SOCKETS + self.lateness(left, arrival.first)
+            arrival.first
+                > left + DISCONNECT_TOLERANCE + SOCKET_TOLERANCE + self.scheduling_delay(left, arrival.first)
         })?;
         let later = after.first - left;
         Some(format!(
-            "lost: {} was sent to server {} {later:?} after its client left",
+            "lost: {} was sent to server {} {later:?} after its client disconnected",
             request.id, after.server
         ))
     }
 
-    /// When its client sent it once more.
+    /// When the client sent the request again, if it did.
     fn sent_again(&self, request: &Request) -> Option<Instant> {
         let requests = self.run.record.requests.lock().unwrap();
-        let later = requests.iter().filter(|other| other.id == request.id && other.begun > request.begun);
-        later.map(|other| other.begun).min()
+        let later = requests
+            .iter()
+            .filter(|other| other.id == request.id && other.write_started > request.write_started);
+        later.map(|other| other.write_started).min()
     }
 
-    fn given_too_much_time(&self, request: &Request, arrivals: &[&Arrival]) -> Option<String> {
-        let Request { id, sent, wait, .. } = request;
-        let ends = *sent + *wait;
-        // An earlier send of the same request has a time of its own, and so has a later one.
+    fn passed_on_too_long_a_deadline(&self, request: &Request, arrivals: &[&Arrival]) -> Option<String> {
+        let Request { id, sent, deadline, .. } = request;
+        let ends = *sent + *deadline;
+        // Earlier and later sends of the same request have deadlines of their own.
         let again = self.sent_again(request);
         let own = arrivals.iter().filter(|arrival| {
-            let by_this_send =
-                arrival.complete >= request.begun && again.is_none_or(|again| arrival.complete < again);
+            let by_this_send = arrival.complete >= request.write_started
+                && again.is_none_or(|again| arrival.complete < again);
             by_this_send && arrival.router == request.router
         });
         let too_much = own.filter(|arrival| {
             let left = ends.saturating_duration_since(arrival.first);
-            arrival.wait > left + WAIT_SLACK + self.lateness(*sent, arrival.first)
+            arrival.deadline > left + DEADLINE_TOLERANCE + self.scheduling_delay(*sent, arrival.first)
         });
         let arrival = too_much.min_by_key(|arrival| arrival.first)?;
         let left = ends.saturating_duration_since(arrival.first);
-        Some(format!("deadline: {id} was sent with {:?} where {left:?} were left", arrival.wait))
+        Some(format!(
+            "deadline: {id} was sent with a deadline of {:?}, but {left:?} remained",
+            arrival.deadline
+        ))
     }
 
     fn stale(&self, request: &Request, arrivals: &[&Arrival]) -> Option<String> {
-        let only = if let [only] = arrivals { only } else { return None };
-        let lateness = self.lateness(request.sent, request.ended);
-        let stale = only.stale && request.ending == Ending::Value && lateness.is_zero();
-        stale.then(|| format!("stale: {} was answered by server {}", request.id, only.server))
+        let arrival = if let [arrival] = arrivals { arrival } else { return None };
+        let scheduling_delay = self.scheduling_delay(request.sent, request.ended);
+        let stale = arrival.stale && request.ending == Ending::Value && scheduling_delay.is_zero();
+        stale.then(|| {
+            format!("stale: {} was answered by server {}, whose data was too old", request.id, arrival.server)
+        })
     }
 
-    fn drained(&self, arrival: &Arrival) -> Option<String> {
+    fn sent_to_draining(&self, arrival: &Arrival) -> Option<String> {
         let Arrival { id, server, router, first, .. } = arrival;
         let notified = self.notified_of_drain(*router, *server, *first)?;
-        let most = self.run.plan.drain_grace + ON_SOCKETS + self.lateness(notified, *first);
+        let limit = self.run.plan.drain_grace + SOCKET_TOLERANCE + self.scheduling_delay(notified, *first);
         let after = first.saturating_duration_since(notified);
-        let late = after > most;
+        let late = after > limit;
         late.then(|| {
             format!(
-                "drain: {id} from router {router} reached server {server} {after:?} after it was notified"
+                "drain: {id} from router {router} reached server {server} {after:?} after the router was notified"
             )
         })
     }
 
-    /// When the process that this router had at this time was first notified, or counts as notified, that the server drains.
+    /// When the router's process at time `by` was first notified that the server drains, or counts as
+    /// notified because discovery was reachable.
     fn notified_of_drain(&self, router: RouterIndex, server: ServerIndex, by: Instant) -> Option<Instant> {
         let record = &self.run.record;
         let drains = record.drains.lock().unwrap();
@@ -211,22 +227,22 @@
             delivery.router == router && delivery.version >= version && delivery.at >= process.started
         };
         let delivered = deliveries.iter().filter(notifies).map(|delivery| delivery.at).min();
-        let made = record.versions.lock().unwrap()[version].max(process.started);
+        let created = record.versions.lock().unwrap()[version].max(process.started);
         let reachable = record.reachable.lock().unwrap();
         let counts = reachable.iter().filter_map(|span| {
-            let at = made.max(span.from) + DELIVERED_BY;
+            let at = created.max(span.from) + DELIVERY_TIMEOUT;
             (at <= span.to).then_some(at)
         });
         from_start.into_iter().chain(delivered).chain(counts.min()).min().filter(|at| *at <= by)
     }
 
-    fn stopped(&self, process: &Lifetime) -> Option<String> {
-        let told = process.told_to_stop?;
+    fn exited_in_time(&self, process: &Lifetime) -> Option<String> {
+        let sigterm_at = process.shutdown_started?;
         let (ended, by_itself) = process.ended?;
-        // A machine that delayed it for longer than its margin says nothing of it.
-        let was_delayed = self.lateness(told, ended) > Duration::from_millis(200);
+        // If the machine delayed the process by more than its margin, the router is not to blame.
+        let was_delayed = self.scheduling_delay(sigterm_at, ended) > Duration::from_millis(200);
         let router = process.router;
         (!by_itself && !was_delayed)
-            .then(|| format!("lost: router {router} had not ended {:?} after SIGTERM", ended - told))
+            .then(|| format!("lost: router {router} had not ended {:?} after SIGTERM", ended - sigterm_at))
     }
 }
--- a/crates/router/tests/soak/servers.rs
+++ b/crates/router/tests/soak/servers.rs
@@ -1,4 +1,5 @@
-//! Servers: a primary and replicas, each at an address of its own for each router, so that it is known who sent what.
+//! Servers: a primary and replicas. Each has a separate address for each router, so that the record shows
+//! which router sent a statement.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -13,30 +14,30 @@
 use crate::record::{Arrival, Record, RouterIndex, ServerIndex};
 use crate::standin::{VALUE, unix_ms};
 
-/// The bound on bounded reads in the settings, and the allowance of the rules.
-const BOUND_MS: u128 = 300;
-const ALLOWED_MS: u128 = 150;
-/// So long a server that hangs is waited for, at most.
-const NEVER: Duration = Duration::from_secs(20);
+/// The staleness bound of bounded reads in the settings, and the tolerance of the rules.
+const STALENESS_BOUND_MS: u128 = 300;
+const STALENESS_TOLERANCE_MS: u128 = 150;
+/// How long a server hangs at most.
+const MAX_HANG: Duration = Duration::from_secs(20);
 
 struct State {
     behavior: ServerBehavior,
-    /// The log stands still since then, as Unix time in milliseconds.
-    stopped_since: Option<u128>,
+    /// When replication was stopped, in milliseconds since the Unix epoch.
+    replication_stopped_ms: Option<u128>,
 }
 
 pub struct Server {
     number: ServerIndex,
     is_primary: bool,
     service_time: Duration,
-    /// By router.
+    /// Indexed by router.
     pub addresses: Vec<SocketAddr>,
     state: (Mutex<State>, Condvar),
     record: Arc<Record>,
 }
 
-/// A statement and when its bytes came.
-struct Arrived {
+/// A received statement, and when its first byte was read.
+struct ReceivedStatement {
     text: String,
     first: Instant,
 }
@@ -45,7 +46,7 @@
     pub fn start(number: ServerIndex, plan: &Plan, record: &Arc<Record>) -> Arc<Self> {
         let listeners: Vec<TcpListener> =
             (0..plan.routers).map(|_| TcpListener::bind("127.0.0.1:0").unwrap()).collect();
-        let state = State { behavior: ServerBehavior::Answer, stopped_since: None };
+        let state = State { behavior: ServerBehavior::Answer, replication_stopped_ms: None };
         let server = Arc::new(Self {
             number,
             is_primary: number == 0,
@@ -71,17 +72,17 @@
         self.state.1.notify_all();
     }
 
-    pub fn set_replication(&self, goes_on: bool) {
-        self.state.0.lock().unwrap().stopped_since = (!goes_on).then(unix_ms);
+    pub fn set_replication(&self, is_running: bool) {
+        self.state.0.lock().unwrap().replication_stopped_ms = (!is_running).then(unix_ms);
     }
 
     fn behavior(&self) -> ServerBehavior {
         self.state.0.lock().unwrap().behavior
     }
 
-    /// Up to when it has applied the log.
+    /// The log position, in milliseconds since the Unix epoch.
     fn position_ms(&self) -> u128 {
-        self.state.0.lock().unwrap().stopped_since.unwrap_or_else(unix_ms)
+        self.state.0.lock().unwrap().replication_stopped_ms.unwrap_or_else(unix_ms)
     }
 
     fn serve(&self, router: RouterIndex, mut stream: TcpStream) -> Option<()> {
@@ -106,7 +107,7 @@
             let out = if text == "SHOW load" {
                 self.health_check_response()
             } else {
-                self.statement_response(router, Arrived { text, first })?
+                self.statement_response(router, ReceivedStatement { text, first })?
             };
             self.write(&mut stream, &out)?;
         }
@@ -124,9 +125,9 @@
         out
     }
 
-    /// The answer to a statement; none where its connection is to end.
-    fn statement_response(&self, router: RouterIndex, arrived: Arrived) -> Option<Vec<u8>> {
-        let Arrived { text, first } = arrived;
+    /// The response to a statement, or `None` to close the connection.
+    fn statement_response(&self, router: RouterIndex, received: ReceivedStatement) -> Option<Vec<u8>> {
+        let ReceivedStatement { text, first } = received;
         let complete = Instant::now();
         let field = |name: &str| {
             let rest = text.split(name).nth(1).unwrap_or_default();
@@ -136,7 +137,9 @@
         let class = field(",c=");
         let misrouted = class == "enter" && !self.is_primary;
         let never_ran = misrouted || behavior == ServerBehavior::Reject;
-        let stale = class == "recent" && !self.is_primary && position + BOUND_MS + ALLOWED_MS < unix_ms();
+        let stale = class == "recent"
+            && !self.is_primary
+            && position + STALENESS_BOUND_MS + STALENESS_TOLERANCE_MS < unix_ms();
         self.record.arrivals.lock().unwrap().push(Arrival {
             id: field("id="),
             class,
@@ -144,7 +147,7 @@
             router,
             first,
             complete,
-            wait: Duration::from_millis(field(",d=").parse().unwrap_or(u64::MAX)),
+            deadline: Duration::from_millis(field(",d=").parse().unwrap_or(u64::MAX)),
             stale,
             never_ran,
         });
@@ -159,7 +162,7 @@
                 let hangs =
                     |state: &mut State| state.behavior == ServerBehavior::Hang && !self.record.is_over();
                 let state = self.state.0.lock().unwrap();
-                drop(self.state.1.wait_timeout_while(state, NEVER, hangs).unwrap());
+                drop(self.state.1.wait_timeout_while(state, MAX_HANG, hangs).unwrap());
                 pg::encode_result(&mut out, &row(VALUE));
             }
         }
@@ -182,7 +185,7 @@
     }
 }
 
-/// The next message, and when its first byte was seen.
+/// Reads the next message. Also returns when its first byte was read.
 fn next<T>(
     stream: &mut TcpStream,
     unread: &mut Vec<u8>,
--- a/crates/router/tests/soak/violations.rs
+++ b/crates/router/tests/soak/violations.rs
@@ -1,4 +1,4 @@
-//! That the checks of a soak find each violation of a rule: a record without any, and one for each.
+//! Tests of the soak's rules: a record without violations passes, and each kind of violation is found.
 
 use std::time::{Duration, Instant};
 
@@ -11,7 +11,8 @@
     Duration::from_millis(ms)
 }
 
-/// A record that breaks nothing: one request, sent 10 s after the start and answered in time, and a server that drains.
+/// A record without violations, to be modified: one request, sent 10 s after the start and answered in time,
+/// and one draining server.
 struct Case {
     start: Instant,
     record: Record,
@@ -29,9 +30,9 @@
             class: "enter".to_string(),
             router: 0,
             process: 0,
-            begun: sent,
+            write_started: sent,
             sent,
-            wait: ms(500),
+            deadline: ms(500),
             ended: sent + ms(20),
             ending: Ending::Value,
         });
@@ -42,7 +43,7 @@
             router: 0,
             first: sent + ms(5),
             complete: sent + ms(5),
-            wait: ms(490),
+            deadline: ms(490),
             stale: false,
             never_ran: false,
         });
@@ -51,7 +52,7 @@
             process: 0,
             started: start,
             known_version: 0,
-            told_to_stop: None,
+            shutdown_started: None,
             ended: None,
         };
         Self { start, record, lifetime }
@@ -75,7 +76,7 @@
         self
     }
 
-    /// The record of another request that was served, so that something was.
+    /// Adds another request that was answered, because a run without any answer is a violation.
     fn served(self) -> Self {
         let mut other = self.record.requests.lock().unwrap()[0].clone();
         (other.id, other.ending) = ("b".to_string(), Ending::Value);
@@ -83,7 +84,7 @@
         self
     }
 
-    /// What is found, by the first word of each.
+    /// Runs the checks and returns the first word of each violation.
     fn found(self) -> Vec<String> {
         let mut plan = Plan::from_seed(1);
         (plan.idle_clients, plan.drain_grace) = (0, ms(1000));
@@ -96,9 +97,9 @@
 }
 
 #[test]
-fn a_record_that_breaks_nothing_is_found_to_break_nothing() {
+fn records_without_violations_pass() {
     assert_eq!(Case::new().found(), Vec::<String>::new());
-    // Sent again after it is known not to have run.
+    // Sent again after the first server answered that it did not run.
     assert!(
         Case::new()
             .arrival(|first| first.never_ran = true)
@@ -106,17 +107,17 @@
             .found()
             .is_empty()
     );
-    // Closed by a router that stops, and not sent on.
+    // Closed by a router that shuts down, and not forwarded to a server.
     let mut closed = Case::new().arrival(|other| other.id = "c".into()).served();
-    closed.lifetime.told_to_stop = Some(closed.start);
+    closed.lifetime.shutdown_started = Some(closed.start);
     assert!(closed.request(|request| request.ending = Ending::Closed).found().is_empty());
 }
 
 #[test]
-fn each_lost_request_is_found() {
+fn each_kind_of_lost_request_is_found() {
     let lost = |ending: Ending| Case::new().served().request(|request| request.ending = ending).found();
     assert_eq!(lost(Ending::Silent), ["lost"]);
-    assert_eq!(lost(Ending::Closed), ["lost"], "it was sent on");
+    assert_eq!(lost(Ending::Closed), ["lost"], "the request was forwarded to a server");
     let late = Case::new().request(|request| request.ended = request.sent + ms(1100));
     assert_eq!(late.found(), ["lost"]);
     let without_need = Case::new().served().arrival(|other| other.id = "c".into());
@@ -127,32 +128,33 @@
         ["lost", "deadline"]
     );
     let mut not_ended = Case::new();
-    not_ended.lifetime.told_to_stop = Some(not_ended.start);
+    not_ended.lifetime.shutdown_started = Some(not_ended.start);
     not_ended.lifetime.ended = Some((not_ended.start + ms(1000), false));
     assert_eq!(not_ended.found(), ["lost"]);
 }
 
 #[test]
-fn each_effect_that_may_have_happened_twice_is_found() {
+fn writes_that_may_have_run_twice_are_found() {
     assert_eq!(Case::new().sent_again(|_| ()).found(), ["duplicate"]);
     let rejected = Case::new().served().request(|request| request.ending = Ending::Error("53300".into()));
     assert_eq!(rejected.found(), ["duplicate"]);
 }
 
 #[test]
-fn a_deadline_that_is_passed_on_too_long_and_a_stale_read_are_found() {
-    assert_eq!(Case::new().arrival(|sent| sent.wait = ms(700)).found(), ["deadline"]);
+fn deadlines_passed_on_too_long_and_stale_reads_are_found() {
+    assert_eq!(Case::new().arrival(|sent| sent.deadline = ms(700)).found(), ["deadline"]);
     assert_eq!(Case::new().arrival(|sent| sent.stale = true).found(), ["stale"]);
 }
 
 #[test]
-fn a_request_that_was_sent_once_more_has_the_time_of_its_last_send() {
-    // Its first connection broke with a router that was killed; 300 ms later it was sent once more.
+fn each_send_of_a_request_is_judged_by_its_own_deadline() {
+    // The first connection broke because its router was killed; the request was sent again 300 ms later.
     let mut case = Case::new()
         .arrival(|sent| (sent.first, sent.complete) = (sent.first + ms(300), sent.complete + ms(300)));
     case.lifetime.ended = Some((case.start + ms(10_010), false));
     let mut again = case.record.requests.lock().unwrap()[0].clone();
-    (again.begun, again.sent, again.process) = (again.begun + ms(300), again.sent + ms(300), 1);
+    (again.write_started, again.sent, again.process) =
+        (again.write_started + ms(300), again.sent + ms(300), 1);
     again.ended += ms(300);
     case = case.request(|first| first.ending = Ending::Closed);
     case.record.requests.lock().unwrap().push(again);
@@ -160,7 +162,7 @@
 }
 
 #[test]
-fn a_send_to_a_server_that_drains_is_found_whichever_way_its_router_was_notified() {
+fn requests_sent_to_a_draining_server_are_found_however_the_router_was_notified() {
     let to_drained = || Case::new().arrival(|sent| sent.server = 1);
     let reach = |case: &Case, from: u64, to: u64| {
         let span = Span { from: case.start + ms(from), to: case.start + ms(to) };
@@ -170,7 +172,7 @@
         let delivery = ListDelivery { router: 0, version: 1, at: case.start + ms(at) };
         case.record.list_deliveries.lock().unwrap().push(delivery);
     };
-    assert!(to_drained().found().is_empty(), "it was not notified");
+    assert!(to_drained().found().is_empty(), "the router was not notified");
     let written = to_drained();
     deliver(&written, 8900);
     assert_eq!(written.found(), ["drain"]);
@@ -182,7 +184,7 @@
     assert_eq!(from_the_start.found(), ["drain"]);
     let reachable = to_drained();
     reach(&reachable, 2000, 10_000);
-    assert_eq!(reachable.found(), ["drain"], "discovery could be reached for six seconds");
+    assert_eq!(reachable.found(), ["drain"], "discovery was reachable for six seconds");
     let too_short = to_drained();
     reach(&too_short, 2000, 7900);
     assert!(too_short.found().is_empty());
