--- a/crates/router/tests/control_instance.rs
+++ b/crates/router/tests/control_instance.rs
@@ -1,5 +1,6 @@
-//! A control instance's own decisions: they receive what other instances observed where an RPC of its own needs it, and
-//! not before. The fleet's gossip comes over a socket; there are no other processes.
+//! A control instance that also serves RPCs: its decision module receives the observations of other instances
+//! when one of its own RPCs needs them. Guards against RPCs that wait although another instance knows a node
+//! to be up to date. Gossip arrives over a socket; no other processes are involved.
 
 use std::cell::Cell;
 use std::net::{SocketAddr, UdpSocket};
@@ -26,10 +27,10 @@
 use quillpoint_router::statement::Statement;
 use serde_json::json;
 
-/// Nothing here takes so long.
-const NEVER: Duration = Duration::from_secs(30);
+/// Timeout for events that are expected to happen: far longer than any of them takes.
+const EVENT_TIMEOUT: Duration = Duration::from_secs(30);
 
-fn local() -> SocketAddr {
+fn local_address() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
@@ -37,21 +38,21 @@
     Keyring::parse(&"7e".repeat(32)).unwrap()
 }
 
-fn node(place: u16) -> NodeId {
-    NodeId(SocketAddr::from(([127, 0, 0, 1], 5000 + place)))
+fn node(index: u16) -> NodeId {
+    NodeId(SocketAddr::from(([127, 0, 0, 1], 5000 + index)))
 }
 
-/// A control instance before a group of two replicas, and another instance's socket.
-struct World {
+/// A control instance in front of a replica set with two replicas, and the socket of another instance.
+struct TestCluster {
     engine: Rc<Engine>,
     instance: Rc<ControlInstanceRuntime>,
     member: Rc<FleetMember>,
     other: UdpSocket,
     sealer: Cell<Sealer>,
-    _work: EngineOutputs,
+    _outputs: EngineOutputs,
 }
 
-impl World {
+impl TestCluster {
     fn new() -> Self {
         let settings = json!({
             "Allowed": {"ConnIdleMs": 30000.0, "ConnectTimeoutMs": 250.0, "MaxAttempts": 6, "Probes": true},
@@ -61,9 +62,9 @@
             "Feedback": {"Fields": ["x0", "x1"], "Source": "answers"}, "Tariffs": {"Probe": 0.001},
         });
         let deployment = Deployment::new(quillpoint_settings::settings_from_json(&settings)).unwrap();
-        let (engine, work) = Engine::new(3, &deployment);
-        let listed = |place| Endpoint {
-            node: node(place),
+        let (engine, outputs) = Engine::new(3, &deployment);
+        let endpoint = |index| Endpoint {
+            node: node(index),
             replica_set: ReplicaSetId(0),
             zone: ZoneId(0),
             kind: 0,
@@ -71,20 +72,20 @@
             status: EndpointStatus::InService,
             started: None,
         };
-        engine.endpoints_changed(EndpointUpdate::Snapshot, &[listed(0), listed(1)]);
+        engine.endpoints_changed(EndpointUpdate::Snapshot, &[endpoint(0), endpoint(1)]);
         let period = Duration::from_secs(60);
-        let (kind, longest, priority) = (TaskKind(0), Duration::from_secs(1), Priority(0));
-        let probe = TaskParams {
+        let (kind, max_task_duration, priority) = (TaskKind(0), Duration::from_secs(1), Priority(0));
+        let health_check_params = TaskParams {
             kind,
             period,
             takeover_delay: period,
             min_interval: period,
-            max_duration: longest,
+            max_duration: max_task_duration,
             priority,
             cost: 1.0,
         };
         let fleet_params = FleetParams {
-            health_check: probe,
+            health_check: health_check_params,
             work_rate: 100.0,
             work_burst: 100.0,
             gossip_bytes_per_second: 1e6,
@@ -99,7 +100,7 @@
         };
         let publisher_config = PublisherConfig {
             name: name.clone(),
-            listen: local(),
+            listen: local_address(),
             keys: keys(),
             params,
             max_datagrams_per_second: 20_000,
@@ -107,7 +108,8 @@
         let publisher =
             PublisherService::new(publisher_config, Rc::clone(&engine) as Rc<dyn ControlHost>, 1).unwrap();
         let instance = ControlInstanceRuntime::new(Rc::clone(&engine), publisher);
-        let (listen, advertise, seeds, max_datagrams_per_second) = (local(), local(), Vec::new(), 20_000);
+        let (listen, advertise, seeds, max_datagrams_per_second) =
+            (local_address(), local_address(), Vec::new(), 20_000);
         let member_config = MemberConfig {
             name,
             listen,
@@ -122,16 +124,17 @@
         let member = FleetMember::new(member_config, Rc::clone(&instance) as Rc<dyn ControlHost>, 1).unwrap();
         instance.set_fleet_member(Rc::clone(&member));
         engine.set_observation_exchange(Rc::clone(&instance) as Rc<dyn ObservationExchange>);
-        let (other, sealer) = (UdpSocket::bind(local()).unwrap(), Cell::default());
-        Self { engine, instance, member, other, sealer, _work: work }
+        let (other, sealer) = (UdpSocket::bind(local_address()).unwrap(), Cell::default());
+        Self { engine, instance, member, other, sealer, _outputs: outputs }
     }
 
-    /// Another instance has just seen this, or failed to; it has been taken in when this is over.
-    fn receive_from(&self, by: &str, at: NodeId, failed: bool) {
+    /// Another instance, named `by`, reports that it has just reached the node, or failed to. Returns once
+    /// the report has been received.
+    fn receive_from(&self, by: &str, observed: NodeId, failed: bool) {
         let own_record = self.member.fleet().members().own_record().clone();
         let now = self.engine.clock.now();
         let observation = Observation {
-            node: at.0,
+            node: observed.0,
             age: Duration::ZERO,
             position: (!failed).then_some(now - Duration::from_millis(10)),
             primary: (!failed).then_some(false),
@@ -149,14 +152,14 @@
         self.sealer.set(sealer);
         let before = self.member.counts().transport.accepted;
         self.other.send_to(&bytes, own_record.address).unwrap();
-        let taken = async {
+        let accepted = async {
             let since = Instant::now();
             while self.member.counts().transport.accepted == before {
-                assert!(since.elapsed() < NEVER, "never taken");
+                assert!(since.elapsed() < EVENT_TIMEOUT, "the gossip message was never accepted");
                 Timer::after(Duration::from_millis(1)).await;
             }
         };
-        future::block_on(future::or(async { Rc::clone(&self.member).receive().await }, taken));
+        future::block_on(future::or(async { Rc::clone(&self.member).receive().await }, accepted));
     }
 
     fn arrive(&self) -> PendingResponse {
@@ -166,41 +169,41 @@
     }
 }
 
-fn sent(owed: &PendingResponse) -> Option<NodeId> {
-    match owed.try_next_command()? {
+fn attempted_node(pending: &PendingResponse) -> Option<NodeId> {
+    match pending.try_next_command()? {
         Command::Attempt(attempt) => Some(attempt.node),
-        _ => panic!("an answer to what was never sent"),
+        _ => panic!("expected an attempt or no command"),
     }
 }
 
 #[test]
-fn what_another_instance_observed_before_an_rpc_arrived_lets_it_go_at_once() {
-    let world = World::new();
-    world.receive_from("c2", node(1), false);
+fn an_observation_received_before_an_rpc_lets_it_proceed_immediately() {
+    let cluster = TestCluster::new();
+    cluster.receive_from("c2", node(1), false);
     assert!(
-        world.instance.latest_observation(node(1)).is_some()
-            && world.instance.latest_observation(node(0)).is_none()
+        cluster.instance.latest_observation(node(1)).is_some()
+            && cluster.instance.latest_observation(node(0)).is_none()
     );
-    assert_eq!(sent(&world.arrive()), Some(node(1)));
+    assert_eq!(attempted_node(&cluster.arrive()), Some(node(1)));
 }
 
 #[test]
-fn what_another_instance_observes_lets_a_pending_rpc_go() {
-    let world = World::new();
-    let owed = world.arrive();
-    assert_eq!(sent(&owed), None, "nobody has said that any replica is up to date");
-    world.receive_from("c2", node(0), false);
-    assert_eq!(sent(&owed), Some(node(0)));
+fn an_observation_received_while_an_rpc_is_pending_lets_it_proceed() {
+    let cluster = TestCluster::new();
+    let pending = cluster.arrive();
+    assert_eq!(attempted_node(&pending), None, "no replica is known to be up to date");
+    cluster.receive_from("c2", node(0), false);
+    assert_eq!(attempted_node(&pending), Some(node(0)));
 }
 
 #[test]
-fn a_node_that_several_do_not_reach_is_ejected_at_once() {
-    let world = World::new();
-    world.receive_from("c2", node(1), true);
-    assert!(!ControlHost::is_ejected(&*world.engine, node(1).0), "one voice alone");
-    world.receive_from("c3", node(1), true);
+fn a_node_that_several_instances_fail_to_reach_is_ejected_immediately() {
+    let cluster = TestCluster::new();
+    cluster.receive_from("c2", node(1), true);
+    assert!(!ControlHost::is_ejected(&*cluster.engine, node(1).0), "a single report must not eject a node");
+    cluster.receive_from("c3", node(1), true);
     assert!(
-        ControlHost::is_ejected(&*world.engine, node(1).0)
-            && !ControlHost::is_ejected(&*world.engine, node(0).0)
+        ControlHost::is_ejected(&*cluster.engine, node(1).0)
+            && !ControlHost::is_ejected(&*cluster.engine, node(0).0)
     );
 }
--- a/crates/router/tests/endpoint_polls.rs
+++ b/crates/router/tests/endpoint_polls.rs
@@ -1,10 +1,13 @@
-//! A router went on sending to a server that drained, long after discovery had written it so. Discovery had more
-//! callers than it could serve and queued each poll for up to two seconds; a router gave its poll up after two seconds as
-//! well, closed the connection and threw the answer away with it, even one that lay in its socket because the process had
-//! been paused for a moment. All polls after that one were rejected, so it heard of the drain far too late.
+//! Guards against routers that keep sending to a draining server long after discovery has sent them the
+//! drain.
 //!
-//! On such days polls ended on both sides at once: of 12 routers some logged, as the message read then,
-//! `2.021 list call failed: status 503` and others `2.016 list call failed: no answer in time`.
+//! Discovery was overloaded and queued each poll for up to two seconds. A router gave up on its poll after
+//! two seconds as well and closed the connection, which discarded the answer, even one that was already in
+//! its socket because the process had been paused for a moment. All later polls were rejected, so the router
+//! learned of the drain far too late.
+//!
+//! Polls then timed out on both sides at the same time: of 12 routers, some logged (with the message of that
+//! version) `2.021 list call failed: status 503` and others `2.016 list call failed: no answer in time`.
 
 mod standin;
 
@@ -17,22 +20,22 @@
 use quillpoint_router::socket_liveness::peer_has_closed;
 use standin::{Client, Node, Reply, RouterProcess, VALUE, configuration, targets};
 
-/// The time in which a drain is to be obeyed, in these tests' settings.
+/// A router must stop sending to a draining node within this time, by the settings of these tests.
 const DRAIN_GRACE: Duration = Duration::from_millis(1000);
-/// Far longer than a router waits for its first poll before it makes another one.
+/// Longer than the timeout of the first poll, after which the router makes another one.
 const PAST_POLL_TIMEOUT: Duration = Duration::from_millis(3500);
-/// A change is known by then, if discovery can be reached.
+/// A change reaches the router within this time if discovery is reachable.
 const MAX_PROPAGATION: Duration = Duration::from_millis(6000);
-/// Far longer than anything here takes.
-const NEVER: Duration = Duration::from_secs(30);
+/// Timeout for events that are expected to happen: far longer than any of them takes.
+const EVENT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A poll that waits for its answer.
+/// A poll that has not been answered yet.
 struct PendingPoll {
     path: String,
     stream: TcpStream,
 }
 
-/// A discovery whose answers the test gives, in any order.
+/// A discovery service whose polls the test answers itself, in any order.
 struct ManualDiscovery {
     address: SocketAddr,
     polls: Receiver<PendingPoll>,
@@ -45,37 +48,38 @@
         thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
                 let sender = sender.clone();
-                thread::spawn(move || hand_over(stream, sender));
+                thread::spawn(move || forward_polls(stream, sender));
             }
         });
         Self { address, polls }
     }
 
     fn next(&self) -> PendingPoll {
-        self.polls.recv_timeout(NEVER).expect("a poll")
+        self.polls.recv_timeout(EVENT_TIMEOUT).expect("the router polls discovery")
     }
 
-    /// Leaves each poll that comes in this time without an answer. The most connections that were open at once.
+    /// Answers none of the polls during this time. Returns the maximum number of connections that were open
+    /// at once.
     fn ignore_all_for(&self, span: Duration) -> usize {
         let end = Instant::now() + span;
         let mut open = Vec::new();
-        let mut most = 0;
-        while let Some(left) = end.checked_duration_since(Instant::now()) {
-            open.extend(self.polls.recv_timeout(left));
+        let mut max_open = 0;
+        while let Some(remaining) = end.checked_duration_since(Instant::now()) {
+            open.extend(self.polls.recv_timeout(remaining));
             open.retain(|poll| !peer_has_closed(&poll.stream));
-            most = most.max(open.len());
+            max_open = max_open.max(open.len());
         }
-        most
+        max_open
     }
 
-    /// Rejects each poll from now on, as a discovery with too many callers does.
+    /// Rejects each poll from now on, as an overloaded discovery does.
     fn reject_all(self) {
         thread::spawn(move || self.polls.into_iter().for_each(|mut poll| poll.reject()));
     }
 }
 
-/// Hands over each poll that comes on a connection.
-fn hand_over(stream: TcpStream, polls: Sender<PendingPoll>) {
+/// Passes the polls that arrive on a connection to the test.
+fn forward_polls(stream: TcpStream, polls: Sender<PendingPoll>) {
     let mut lines = BufReader::new(stream.try_clone().unwrap()).lines();
     while let Some(Ok(first)) = lines.next() {
         while lines.next().is_some_and(|line| line.is_ok_and(|line| !line.is_empty())) {}
@@ -92,14 +96,14 @@
 }
 
 impl PendingPoll {
-    /// With a snapshot as of this version.
+    /// Answers with a snapshot of this version.
     fn answer(&mut self, rev: u64, targets: &str) {
         let response = http(&format!(r#"{{"rev":{rev},"all":true,"targets":{targets}}}"#));
-        // Nobody may read it any more.
+        // The router may have closed the connection.
         _ = self.stream.write_all(response.as_bytes());
     }
 
-    /// The first half of that; the rest is returned.
+    /// Sends the first half of such an answer and returns the rest.
     fn answer_half(&mut self, rev: u64, targets: &str) -> String {
         let response = http(&format!(r#"{{"rev":{rev},"all":true,"targets":{targets}}}"#));
         let (first, rest) = response.split_at(response.len() / 2);
@@ -116,15 +120,15 @@
     }
 }
 
-/// A primary and two replicas, one of which is draining by version 2 of the list.
-struct Installation {
+/// A router, a primary and two replicas, the first of which is draining from version 2 of the list on.
+struct TestCluster {
     nodes: [Node; 3],
     discovery: ManualDiscovery,
     router: RouterProcess,
 }
 
-impl Installation {
-    /// The router knows the list from before the drain.
+impl TestCluster {
+    /// Starts the router with the cached list from before the drain.
     fn start() -> Self {
         let (nodes, discovery) = ([true, false, false].map(Node::start), ManualDiscovery::start());
         let before = Self::list(&nodes, "in_service");
@@ -132,11 +136,11 @@
         Self { nodes, discovery, router }
     }
 
-    fn list([primary, drains, stays]: &[Node; 3], state: &str) -> String {
+    fn list([primary, draining, in_service]: &[Node; 3], state: &str) -> String {
         targets(&[
             (primary, "primary", "in_service"),
-            (drains, "replica", state),
-            (stays, "replica", "in_service"),
+            (draining, "replica", state),
+            (in_service, "replica", "in_service"),
         ])
     }
 
@@ -144,7 +148,7 @@
         Self::list(&self.nodes, "terminating")
     }
 
-    /// How many of twenty reads go to the replica that drains.
+    /// Sends twenty reads and returns how many of them reach the draining replica.
     fn reads_sent_to_draining(&self) -> usize {
         let before = self.nodes[1].queries().len();
         let mut client: Client = self.router.client();
@@ -154,85 +158,88 @@
 }
 
 #[test]
-fn an_answer_that_came_while_the_router_was_held_up_past_the_timeout_of_its_poll_is_applied() {
-    let installation = Installation::start();
-    let mut poll = installation.discovery.next();
-    assert!(installation.reads_sent_to_draining() > 0, "it does not know of the drain yet");
+fn an_answer_received_while_the_router_is_paused_past_the_poll_timeout_is_applied() {
+    let cluster = TestCluster::start();
+    let mut poll = cluster.discovery.next();
+    assert!(cluster.reads_sent_to_draining() > 0, "the router has not received the drain yet");
     thread::sleep(Duration::from_millis(500));
-    installation.router.signal("-STOP");
-    poll.answer(2, &installation.draining_list());
+    cluster.router.signal("-STOP");
+    poll.answer(2, &cluster.draining_list());
     thread::sleep(PAST_POLL_TIMEOUT);
-    installation.router.signal("-CONT");
-    let Installation { nodes, discovery, router } = installation;
+    cluster.router.signal("-CONT");
+    let TestCluster { nodes, discovery, router } = cluster;
     discovery.reject_all();
     thread::sleep(DRAIN_GRACE);
-    let [_, drains, _] = &nodes;
-    let before = drains.queries().len();
+    let [_, draining, _] = &nodes;
+    let before = draining.queries().len();
     let mut client = router.client();
     assert!((0..20).all(|_| client.rpc("look", 9000) == Reply::Value(VALUE.to_vec())));
     assert_eq!(
-        drains.queries().len(),
+        draining.queries().len(),
         before,
-        "it was notified of the drain {:?} ago",
+        "the router received the drain {:?} ago",
         PAST_POLL_TIMEOUT + DRAIN_GRACE
     );
 }
 
 #[test]
-fn an_answer_that_comes_after_the_timeout_of_its_poll_or_in_slow_pieces_is_applied() {
-    let installation = Installation::start();
-    // Other polls are left without an answer, as by a discovery that has too many callers.
-    let mut first = installation.discovery.next();
+fn an_answer_that_arrives_slowly_after_the_poll_timeout_is_applied() {
+    let cluster = TestCluster::start();
+    // Other polls are not answered, as by an overloaded discovery.
+    let mut first = cluster.discovery.next();
     thread::sleep(PAST_POLL_TIMEOUT);
-    let rest = first.answer_half(2, &installation.draining_list());
-    // Longer than a router lets the rest of an answer take before it makes another poll.
+    let rest = first.answer_half(2, &cluster.draining_list());
+    // Longer than the timeout for the body of an answer, after which the router makes another poll.
     thread::sleep(Duration::from_millis(1500));
     first.answer_rest(&rest);
-    let Installation { nodes, discovery, router } = installation;
+    let TestCluster { nodes, discovery, router } = cluster;
     discovery.reject_all();
     thread::sleep(MAX_PROPAGATION - PAST_POLL_TIMEOUT - Duration::from_millis(1500));
-    let [_, drains, _] = &nodes;
+    let [_, draining, _] = &nodes;
     let mut client = router.client();
     assert!((0..20).all(|_| client.rpc("look", 9000) == Reply::Value(VALUE.to_vec())));
-    assert_eq!(drains.queries(), Vec::<String>::new(), "discovery wrote it a second ago");
+    assert_eq!(draining.queries(), Vec::<String>::new(), "discovery sent the drain a second ago");
 }
 
 #[test]
-fn a_drain_that_the_old_discovery_was_sending_when_the_new_one_was_configured_is_kept() {
-    let installation = Installation::start();
-    let mut first = installation.discovery.next();
-    let elsewhere = ManualDiscovery::start();
-    let text = std::fs::read_to_string(&installation.router.path).unwrap();
-    let text = text.replace(&installation.discovery.address.to_string(), &elsewhere.address.to_string());
-    let rest = first.answer_half(2, &installation.draining_list());
-    std::fs::write(&installation.router.path, text).unwrap();
-    installation.router.signal("-HUP");
-    let mut moved = elsewhere.next();
-    assert_eq!(moved.path, "/catalog/members", "the versions there may be others");
-    moved.reject();
-    elsewhere.reject_all();
+fn a_drain_still_being_sent_by_the_old_discovery_address_at_a_reload_is_applied() {
+    let cluster = TestCluster::start();
+    let mut first = cluster.discovery.next();
+    let new_discovery = ManualDiscovery::start();
+    let text = std::fs::read_to_string(&cluster.router.path).unwrap();
+    let text = text.replace(&cluster.discovery.address.to_string(), &new_discovery.address.to_string());
+    let rest = first.answer_half(2, &cluster.draining_list());
+    std::fs::write(&cluster.router.path, text).unwrap();
+    cluster.router.signal("-HUP");
+    let mut first_at_new_address = new_discovery.next();
+    assert_eq!(
+        first_at_new_address.path, "/catalog/members",
+        "versions may be numbered differently there: a snapshot is required"
+    );
+    first_at_new_address.reject();
+    new_discovery.reject_all();
     first.answer_rest(&rest);
     thread::sleep(DRAIN_GRACE);
-    assert_eq!(installation.reads_sent_to_draining(), 0);
+    assert_eq!(cluster.reads_sent_to_draining(), 0);
 }
 
 #[test]
-fn an_older_answer_that_comes_behind_a_newer_one_takes_nothing_back() {
-    let installation = Installation::start();
-    let mut first = installation.discovery.next();
+fn an_older_answer_that_arrives_after_a_newer_one_is_discarded() {
+    let cluster = TestCluster::start();
+    let mut first = cluster.discovery.next();
     thread::sleep(PAST_POLL_TIMEOUT);
-    let mut second = installation.discovery.next();
-    second.answer(3, &installation.draining_list());
-    installation.router.await_line("list 3: 3 entries");
-    first.answer(2, &Installation::list(&installation.nodes, "in_service"));
-    installation.router.await_line("a newer version has already been applied");
-    assert_eq!(installation.reads_sent_to_draining(), 0);
+    let mut second = cluster.discovery.next();
+    second.answer(3, &cluster.draining_list());
+    cluster.router.await_line("list 3: 3 entries");
+    first.answer(2, &TestCluster::list(&cluster.nodes, "in_service"));
+    cluster.router.await_line("a newer version has already been applied");
+    assert_eq!(cluster.reads_sent_to_draining(), 0);
 }
 
 #[test]
-fn a_discovery_that_never_answers_holds_few_connections() {
-    let installation = Installation::start();
-    let most = installation.discovery.ignore_all_for(Duration::from_secs(16));
-    assert_eq!(most, 3, "the newest poll, and two that have timed out");
-    installation.router.await_line("poll abandoned without an answer");
+fn polls_that_are_never_answered_keep_at_most_three_connections_open() {
+    let cluster = TestCluster::start();
+    let max_open = cluster.discovery.ignore_all_for(Duration::from_secs(16));
+    assert_eq!(max_open, 3, "the newest poll and two that have timed out");
+    cluster.router.await_line("poll abandoned without an answer");
 }
--- a/crates/router/tests/feed.rs
+++ b/crates/router/tests/feed.rs
@@ -1,8 +1,10 @@
-//! Two control instances and three routers that follow them, as processes among stand-ins: judged by what they log,
-//! what reached the nodes, and how RPCs ended; never by how long anything took.
+//! Two control instances and three routers that subscribe to their feed, as processes, with stand-ins for the
+//! nodes and discovery. The tests check the logs, the requests that reached the nodes and the results of
+//! RPCs. They do not check how long anything took.
 //!
-//! A busy machine may keep any process from its turn for a second, and a router that hears nothing for so long looks
-//! for itself, as it should. So what is claimed of calm is shown by one calm round among many.
+//! On a busy machine any process may not be scheduled for a second, and a router that receives no digest for
+//! that long makes its own health checks, as designed. Tests which require that routers make no health checks
+//! therefore repeat the measurement and need only one round without any.
 
 use std::collections::BTreeMap;
 use std::io::Write;
@@ -27,12 +29,12 @@
 use quillpoint_testbed::store::{Store, next};
 use serde_json::Value as Json;
 
-const NEVER: Duration = Duration::from_secs(30);
-const LOOK: Duration = Duration::from_millis(20);
-/// Rounds in which a calm one must come.
+const EVENT_TIMEOUT: Duration = Duration::from_secs(30);
+const CHECK_INTERVAL: Duration = Duration::from_millis(20);
+/// The number of attempts to observe a round without health checks by routers.
 const ROUNDS: usize = 40;
-/// The places of control instances and routers.
-const CONTROL: [usize; 2] = [0, 1];
+/// The indices of control instances and routers among the processes.
+const CONTROL_INSTANCES: [usize; 2] = [0, 1];
 const ROUTERS: [usize; 3] = [2, 3, 4];
 const OWN_KEY: &str = "7e";
 
@@ -42,23 +44,24 @@
     folder
 }
 
-/// A file of keys, each named by the byte it is made of.
-fn keys(folder: &Path, name: &str, bytes: &[&str]) {
+/// Writes a key file. Each key repeats one byte, given as two hex digits.
+fn write_keys(folder: &Path, name: &str, bytes: &[&str]) {
     let text: String = bytes.iter().map(|byte| byte.repeat(32) + "\n").collect();
     std::fs::write(folder.join(name), text).unwrap();
     std::fs::set_permissions(folder.join(name), std::fs::Permissions::from_mode(0o600)).unwrap();
 }
 
-struct Five {
+struct TestCluster {
     store: Store,
     routers: Routers,
     folder: PathBuf,
     _listing: Listing,
 }
 
-impl Five {
-    /// None started. `lags` are the replicas', `every` is how often control instances probe.
-    fn new(name: &str, lags: &[u64], every: &str) -> Self {
+impl TestCluster {
+    /// Prepares the processes without starting them. `lags` are the replication lags in milliseconds, `every`
+    /// is the health check period of the control instances.
+    fn prepare(name: &str, lags: &[u64], period: &str) -> Self {
         let lags: Vec<Duration> = lags.iter().map(|ms| Duration::from_millis(*ms)).collect();
         let store = Store::start(&lags).unwrap();
         let entry = |node| Entry { node, group: 0, started: Duration::ZERO };
@@ -74,58 +77,65 @@
             seed: 5,
             conf: "",
         };
-        let routers = Routers::new(CONTROL.len() + ROUTERS.len(), &setting).unwrap();
-        keys(&folder, "feed.keys", &[OWN_KEY]);
-        let five = Self { store, routers, folder, _listing: listing };
-        CONTROL.iter().for_each(|place| five.write(*place, &five.instance(*place, every)));
-        ROUTERS.iter().for_each(|place| five.write(*place, &five.router(*place, &CONTROL)));
-        five
+        let routers = Routers::new(CONTROL_INSTANCES.len() + ROUTERS.len(), &setting).unwrap();
+        write_keys(&folder, "feed.keys", &[OWN_KEY]);
+        let cluster = Self { store, routers, folder, _listing: listing };
+        CONTROL_INSTANCES
+            .iter()
+            .for_each(|index| cluster.write_conf(*index, &cluster.instance_conf(*index, period)));
+        ROUTERS
+            .iter()
+            .for_each(|index| cluster.write_conf(*index, &cluster.router_conf(*index, &CONTROL_INSTANCES)));
+        cluster
     }
 
-    fn started(name: &str, lags: &[u64], every: &str) -> Self {
-        let mut five = Self::new(name, lags, every);
-        five.routers.start_all().unwrap();
-        ROUTERS.iter().for_each(|place| five.follows(*place, &["r0", "r1"]));
-        five
+    fn start(name: &str, lags: &[u64], period: &str) -> Self {
+        let mut cluster = Self::prepare(name, lags, period);
+        cluster.routers.start_all().unwrap();
+        ROUTERS.iter().for_each(|index| cluster.await_following(*index, &["r0", "r1"]));
+        cluster
     }
 
-    fn write(&self, place: usize, conf: &str) {
-        std::fs::write(self.routers.conf(place), conf).unwrap();
+    fn write_conf(&self, index: usize, conf: &str) {
+        std::fs::write(self.routers.conf(index), conf).unwrap();
     }
 
-    /// Where a process listens for datagrams of the feed.
-    fn feed(&self, place: usize) -> SocketAddr {
-        let fleet = self.routers.datagrams(place);
+    /// The address at which a process receives feed datagrams.
+    fn feed_address(&self, index: usize) -> SocketAddr {
+        let fleet = self.routers.datagrams(index);
         SocketAddr::new(fleet.ip(), fleet.port() + 1000)
     }
 
-    fn instance(&self, place: usize, every: &str) -> String {
-        let (fleet, feed) = (self.routers.datagrams(place), self.feed(place));
-        let peers = CONTROL
+    fn instance_conf(&self, index: usize, period: &str) -> String {
+        let (fleet, feed) = (self.routers.datagrams(index), self.feed_address(index));
+        let peers = CONTROL_INSTANCES
             .map(|peer| format!("peer r{peer} {{\n    address {}\n}}\n", self.routers.datagrams(peer)));
         format!(
             "log json\nfleet {{\n    listen {fleet}\n    keys fleet.keys\n}}\n{}publish {{\n    listen {feed}\n    \
-             keys feed.keys\n}}\nduty probe {{\n    every {every}\n}}\n",
+             keys feed.keys\n}}\nduty probe {{\n    every {period}\n}}\n",
             peers.concat()
         )
     }
 
-    fn router(&self, place: usize, control: &[usize]) -> String {
-        let named = |at: &usize| format!("control r{at} {{\n    address {}\n}}\n", self.feed(*at));
+    fn router_conf(&self, index: usize, control: &[usize]) -> String {
+        let named = |at: &usize| format!("control r{at} {{\n    address {}\n}}\n", self.feed_address(*at));
         let all: String = control.iter().map(named).collect();
-        format!("log json\nsubscribe {{\n    listen {}\n    keys feed.keys\n}}\n{all}", self.feed(place))
+        format!(
+            "log json\nsubscribe {{\n    listen {}\n    keys feed.keys\n}}\n{all}",
+            self.feed_address(index)
+        )
     }
 
-    fn events(&self, place: usize, name: &str) -> Vec<Json> {
-        let lines = self.routers.lines(place);
+    fn events(&self, index: usize, name: &str) -> Vec<Json> {
+        let lines = self.routers.lines(index);
         let lines = lines.into_iter().map(|line| serde_json::from_str::<Json>(&line).unwrap());
         lines.filter(|line| line["event"] == name).collect()
     }
 
-    /// Whom a router follows by now, by its log.
-    fn followed(&self, place: usize) -> Vec<String> {
+    /// The control instances that a router currently follows, according to its log.
+    fn followed_instances(&self, index: usize) -> Vec<String> {
         let mut followed = BTreeMap::new();
-        let lines = self.routers.lines(place);
+        let lines = self.routers.lines(index);
         for line in lines.into_iter().map(|line| serde_json::from_str::<Json>(&line).unwrap()) {
             let follows = line["event"] == "feed_following";
             if follows || line["event"] == "feed_lost" {
@@ -135,234 +145,256 @@
         followed.into_iter().filter(|(_, follows)| *follows).map(|(name, _)| name).collect()
     }
 
-    fn follows(&self, place: usize, names: &[&str]) {
-        until(&format!("router {place} follows {names:?}"), || self.followed(place) == names);
+    fn await_following(&self, index: usize, names: &[&str]) {
+        wait_until(&format!("router {index} follows {names:?}"), || self.followed_instances(index) == names);
     }
 
-    /// The counts that a process logs when it reads its configuration again.
-    fn counts(&self, place: usize, event: &str) -> Json {
-        let before = self.events(place, event).len();
-        self.routers.signal(place, "-HUP");
-        until(&format!("{event} of {place}"), || self.events(place, event).len() > before);
-        self.events(place, event).pop().unwrap()
+    /// Sends SIGHUP, on which a process logs its counts, and returns them.
+    fn logged_counts(&self, index: usize, event: &str) -> Json {
+        let before = self.events(index, event).len();
+        self.routers.signal(index, "-HUP");
+        wait_until(&format!("process {index} logs {event}"), || self.events(index, event).len() > before);
+        self.events(index, event).pop().unwrap()
     }
 
-    fn probes(&self, place: usize, event: &str) -> usize {
-        self.counts(place, event)["probes"].as_u64().unwrap() as usize
+    fn health_checks(&self, index: usize, event: &str) -> usize {
+        self.logged_counts(index, event)["probes"].as_u64().unwrap() as usize
     }
 
-    /// What reached the replicas: probes, and RPCs.
-    fn reached(&self) -> (usize, usize) {
+    /// The number of health checks at all nodes, and of RPCs at the replicas.
+    fn received_requests(&self) -> (usize, usize) {
         let probes = self.store.nodes.iter().map(|node| node.probes(Duration::ZERO)).sum();
         let replicas = self.store.nodes.iter().filter(|node| !node.primary);
         (probes, replicas.map(|node| node.rpcs(Duration::ZERO, Duration::MAX)).sum())
     }
 
-    /// Waits for a round in which replicas answered RPCs and no router probed: all probes that reached the nodes
-    /// were of these control instances, but for what was on its way.
-    fn calm(&self, control: &[usize]) {
-        let sum = |places: &[usize], event: &str| -> usize {
-            places.iter().map(|place| self.probes(*place, event)).sum()
+    /// Waits for a round in which replicas answered RPCs and no router made a health check: all health checks
+    /// that reached the nodes were made by these control instances, except for those in flight at the ends of
+    /// the round.
+    fn await_round_without_router_checks(&self, control: &[usize]) {
+        let health_checks = |processes: &[usize], event: &str| -> usize {
+            processes.iter().map(|index| self.health_checks(*index, event)).sum()
         };
         let mut rounds = Vec::new();
         for _ in 0..ROUNDS {
-            let own = sum(&ROUTERS, "feed_counts");
-            // In this order a probe may be counted that is not in the counts yet, but not the other way round.
-            let (probes, rpcs) = self.reached();
-            let others = sum(control, "fleet_counts");
-            until("RPCs at replicas", || self.reached().1 >= rpcs + 12);
-            let (more, others_more) = (self.reached().0, sum(control, "fleet_counts"));
-            let own = sum(&ROUTERS, "feed_counts") - own;
-            let on_the_way = self.store.nodes.len() * (control.len() + 1);
-            if own == 0 && more - probes <= others_more - others + on_the_way {
+            let by_routers = health_checks(&ROUTERS, "feed_counts");
+            // Read in this order, the nodes may already count a health check that the control instances have
+            // not counted yet, but never the reverse.
+            let (probes, rpcs) = self.received_requests();
+            let by_instances_before = health_checks(control, "fleet_counts");
+            wait_until("replicas receive RPCs", || self.received_requests().1 >= rpcs + 12);
+            let (at_nodes, by_instances) =
+                (self.received_requests().0, health_checks(control, "fleet_counts"));
+            let by_routers = health_checks(&ROUTERS, "feed_counts") - by_routers;
+            let in_flight = self.store.nodes.len() * (control.len() + 1);
+            if by_routers == 0 && at_nodes - probes <= by_instances - by_instances_before + in_flight {
                 return;
             }
-            rounds.push((own, more - probes, others_more - others));
+            rounds.push((by_routers, at_nodes - probes, by_instances - by_instances_before));
         }
-        panic!("no calm round: {rounds:?}");
+        panic!(
+            "no round without health checks by routers; (routers, at the nodes, control instances): {rounds:?}"
+        );
     }
 
-    /// Bounded reads so rare that each router's own record is too old at each of them: only the feed lets them go.
-    fn rare_reads(&self) -> Load {
+    /// Bounded reads at such long intervals that a router's own observations are always too old for them:
+    /// only the feed allows a replica to be read.
+    fn start_rare_reads(&self) -> Load {
         Load::of(&self.addresses(), 1, Duration::from_millis(400), &["recent"])
     }
 
     fn addresses(&self) -> Vec<SocketAddr> {
-        ROUTERS.iter().map(|place| self.routers.all[*place].address).collect()
+        ROUTERS.iter().map(|index| self.routers.all[*index].address).collect()
     }
 
-    fn load(&self, methods: &'static [&'static str]) -> Load {
+    fn start_load(&self, methods: &'static [&'static str]) -> Load {
         Load::of(&self.addresses(), 3, Duration::from_millis(10), methods)
     }
 
-    /// The rules, over a load that has ended.
-    fn kept(&self, tally: &Tally) {
+    /// Checks that a finished load lost no RPC, ran no write twice, ran every acknowledged write and no
+    /// rejected one.
+    fn check_rpcs(&self, tally: &Tally) {
         assert_eq!(tally.lost.load(Ordering::SeqCst), 0);
         assert!(tally.ok.load(Ordering::SeqCst) > 0);
-        assert_eq!(self.store.writes().1, 0, "none ran twice");
+        assert_eq!(self.store.writes().1, 0, "a write ran more than once");
         assert!(tally.entered.lock().unwrap().iter().all(|id| self.store.has_run(id)));
         assert!(tally.refused.lock().unwrap().iter().all(|id| !self.store.has_run(id)));
     }
 }
 
-fn until(what: &str, holds: impl Fn() -> bool) {
-    let end = now() + NEVER;
-    while !holds() {
-        assert!(now() < end, "never: {what}");
-        sleep(LOOK);
+fn wait_until(what: &str, condition: impl Fn() -> bool) {
+    let end = now() + EVENT_TIMEOUT;
+    while !condition() {
+        assert!(now() < end, "timed out waiting until {what}");
+        sleep(CHECK_INTERVAL);
     }
 }
 
-fn oks(load: &Load) -> u64 {
+fn ok_count(load: &Load) -> u64 {
     load.tally.ok.load(Ordering::SeqCst)
 }
 
 #[test]
-fn routers_read_at_replicas_by_the_feed_and_check_none() {
-    let five = Five::started("calm", &[20, 20], "50ms");
-    let load = five.rare_reads();
-    five.calm(&CONTROL);
-    five.kept(&load.end());
-    let load = five.load(&["recent", "look", "recent", "enter"]);
-    five.calm(&CONTROL);
-    five.kept(&load.end());
-    assert!(five.store.nodes.iter().all(|node| node.stale() == 0));
-    let counts = five.counts(0, "feed_counts");
+fn routers_on_the_feed_read_from_replicas_without_their_own_health_checks() {
+    let cluster = TestCluster::start("calm", &[20, 20], "50ms");
+    let load = cluster.start_rare_reads();
+    cluster.await_round_without_router_checks(&CONTROL_INSTANCES);
+    cluster.check_rpcs(&load.end());
+    let load = cluster.start_load(&["recent", "look", "recent", "enter"]);
+    cluster.await_round_without_router_checks(&CONTROL_INSTANCES);
+    cluster.check_rpcs(&load.end());
+    assert!(cluster.store.nodes.iter().all(|node| node.stale() == 0));
+    let counts = cluster.logged_counts(0, "feed_counts");
     assert_eq!(counts["subscribers"], ROUTERS.len(), "{counts}");
     assert!(
         counts["sent_bytes"].as_u64().unwrap() > 1000 && counts["read"].as_u64().unwrap() > 0,
         "{counts}"
     );
-    let counts = five.counts(2, "feed_counts");
+    let counts = cluster.logged_counts(2, "feed_counts");
     assert_eq!(counts["following"], 2, "{counts}");
     assert_eq!(counts["refused"], "", "{counts}");
 }
 
 #[test]
-fn health_checks_of_a_control_instance_are_spared_by_routers_that_need_more() {
-    // Too rare for bounded reads, which are as rare themselves, so that routers would look for themselves.
-    let five = Five::started("spared", &[20, 20], "600ms");
-    let load = Load::of(&[five.routers.all[2].address], 1, Duration::from_millis(400), &["recent"]);
-    let count = |name: &str| five.counts(2, "feed_counts")[name].as_u64().unwrap();
-    let calm = (0..ROUNDS).any(|_| {
+fn a_router_leaves_health_checks_to_control_instances_even_if_they_check_too_rarely() {
+    // The control instances check too rarely for the bounded reads, which are rare as well, so routers would
+    // make their own health checks if they were allowed to.
+    let cluster = TestCluster::start("spared", &[20, 20], "600ms");
+    let load = Load::of(&[cluster.routers.all[2].address], 1, Duration::from_millis(400), &["recent"]);
+    let count = |name: &str| cluster.logged_counts(2, "feed_counts")[name].as_u64().unwrap();
+    let found_round = (0..ROUNDS).any(|_| {
         let (probes, spared) = (count("probes"), count("spared"));
-        until("probes are spared", || count("spared") >= spared + 3);
+        wait_until("the router skips health checks", || count("spared") >= spared + 3);
         count("probes") == probes
     });
-    assert!(calm, "no round without a probe of its own: {:?}", five.events(2, "feed_counts"));
+    assert!(
+        found_round,
+        "no round without health checks by the router: {:?}",
+        cluster.events(2, "feed_counts")
+    );
     assert_eq!(load.end().lost.load(Ordering::SeqCst), 0);
-    assert!(five.store.nodes.iter().all(|node| node.stale() == 0));
+    assert!(cluster.store.nodes.iter().all(|node| node.stale() == 0));
 }
 
 #[test]
-fn when_one_control_instance_dies_the_routers_go_on_with_the_other() {
-    let mut five = Five::started("one", &[20, 20], "50ms");
-    let load = five.load(&["recent", "look", "recent", "enter"]);
-    for place in CONTROL {
-        five.routers.kill(place);
-        let other = 1 - place;
+fn routers_continue_with_the_remaining_control_instance_when_one_is_killed() {
+    let mut cluster = TestCluster::start("one", &[20, 20], "50ms");
+    let load = cluster.start_load(&["recent", "look", "recent", "enter"]);
+    for index in CONTROL_INSTANCES {
+        cluster.routers.kill(index);
+        let other = 1 - index;
         let name = format!("r{other}");
-        ROUTERS.iter().for_each(|router| five.follows(*router, &[&name]));
-        five.calm(&[other]);
-        five.routers.start(place).unwrap();
-        ROUTERS.iter().for_each(|router| five.follows(*router, &["r0", "r1"]));
+        ROUTERS.iter().for_each(|router| cluster.await_following(*router, &[&name]));
+        cluster.await_round_without_router_checks(&[other]);
+        cluster.routers.start(index).unwrap();
+        ROUTERS.iter().for_each(|router| cluster.await_following(*router, &["r0", "r1"]));
     }
-    five.kept(&load.end());
-    assert!(five.store.nodes.iter().all(|node| node.stale() == 0));
+    cluster.check_rpcs(&load.end());
+    assert!(cluster.store.nodes.iter().all(|node| node.stale() == 0));
 }
 
 #[test]
-fn when_none_is_left_the_routers_go_on_within_their_quota() {
-    // So rare, and replicas so near the bound, that a router which paced itself by its reads alone would probe many
-    // times as often.
+fn without_control_instances_routers_make_health_checks_within_their_quota() {
+    // The period is so long, and the replicas lag so close to the staleness bound, that a router paced by its
+    // reads alone would make many times as many health checks.
     let period = Duration::from_secs(1);
-    let mut five = Five::started("none", &[270, 270], "1s");
-    let load =
-        Load::of(&five.addresses(), 1, Duration::from_millis(40), &["recent", "recent", "recent", "enter"]);
-    CONTROL.iter().for_each(|place| five.routers.kill(*place));
-    for place in ROUTERS {
-        assert!(five.routers.await_line(place, "\"feed_isolated\"", NEVER));
-    }
-    let (from, oks_before) = (now(), oks(&load));
-    let at = |node: &quillpoint_testbed::store::Node| node.probes(from);
-    until("probes of their own", || five.store.nodes.iter().map(at).sum::<usize>() >= 6);
+    let mut cluster = TestCluster::start("none", &[270, 270], "1s");
+    let load = Load::of(
+        &cluster.addresses(),
+        1,
+        Duration::from_millis(40),
+        &["recent", "recent", "recent", "enter"],
+    );
+    CONTROL_INSTANCES.iter().for_each(|index| cluster.routers.kill(*index));
+    for index in ROUTERS {
+        assert!(cluster.routers.await_line(index, "\"feed_isolated\"", EVENT_TIMEOUT));
+    }
+    let (from, ok_before) = (now(), ok_count(&load));
+    let checks_at = |node: &quillpoint_testbed::store::Node| node.probes(from);
+    wait_until("routers make health checks", || {
+        cluster.store.nodes.iter().map(checks_at).sum::<usize>() >= 6
+    });
     sleep(period * 3);
-    for node in &five.store.nodes {
-        // Each router once a period, and once more at either end; what answered late may come together.
+    for node in &cluster.store.nodes {
+        // Each router once per period, and once more at either end: delayed answers may arrive together.
         let most = ROUTERS.len() * ((now() - from).div_duration_f64(period).ceil() as usize + 2);
         assert!(node.probes(from) <= most, "{} of {most}", node.probes(from));
     }
-    until("RPCs go on", || oks(&load) > oks_before + 50);
-    // They come back, and are followed again.
-    for place in CONTROL {
-        five.routers.start(place).unwrap();
+    wait_until("RPCs continue to succeed", || ok_count(&load) > ok_before + 50);
+    // The control instances restart, and the routers follow them again.
+    for index in CONTROL_INSTANCES {
+        cluster.routers.start(index).unwrap();
     }
-    for place in ROUTERS {
-        assert!(five.routers.await_line(place, "\"feed_reconnected\"", NEVER));
-        five.follows(place, &["r0", "r1"]);
+    for index in ROUTERS {
+        assert!(cluster.routers.await_line(index, "\"feed_reconnected\"", EVENT_TIMEOUT));
+        cluster.await_following(index, &["r0", "r1"]);
     }
-    five.kept(&load.end());
-    assert!(five.store.nodes.iter().all(|node| node.stale() == 0));
+    cluster.check_rpcs(&load.end());
+    assert!(cluster.store.nodes.iter().all(|node| node.stale() == 0));
 }
 
 #[test]
-fn what_one_control_instance_observes_another_publishes() {
-    // The first takes no tasks: all that it publishes it has from the second.
-    let five = Five::new("weight", &[20, 20], "50ms");
-    five.write(0, &five.instance(0, "50ms").replace("fleet.keys\n", "fleet.keys\n    weight 0\n"));
-    five.write(2, &five.router(2, &CONTROL[..1]));
-    five.write(3, &five.router(3, &CONTROL[1..]));
-    let mut five = five;
-    five.routers.start_all().unwrap();
-    for (place, names) in [(2, ["r0"].as_slice()), (3, &["r1"]), (4, &["r0", "r1"])] {
-        five.follows(place, names);
-    }
-    until("the second has all tasks", || {
-        five.events(0, "fleet_tasks").last().is_some_and(|line| line["owned"] == 0 && line["routers"] == 2)
+fn a_control_instance_publishes_the_observations_of_another() {
+    // The first instance has weight 0 and owns no tasks, so all that it publishes was observed by the second.
+    let cluster = TestCluster::prepare("weight", &[20, 20], "50ms");
+    cluster.write_conf(
+        0,
+        &cluster.instance_conf(0, "50ms").replace("fleet.keys\n", "fleet.keys\n    weight 0\n"),
+    );
+    cluster.write_conf(2, &cluster.router_conf(2, &CONTROL_INSTANCES[..1]));
+    cluster.write_conf(3, &cluster.router_conf(3, &CONTROL_INSTANCES[1..]));
+    let mut cluster = cluster;
+    cluster.routers.start_all().unwrap();
+    for (index, names) in [(2, ["r0"].as_slice()), (3, &["r1"]), (4, &["r0", "r1"])] {
+        cluster.await_following(index, names);
+    }
+    wait_until("the second instance owns all tasks", || {
+        cluster.events(0, "fleet_tasks").last().is_some_and(|line| line["owned"] == 0 && line["routers"] == 2)
     });
-    let load = five.rare_reads();
-    five.calm(&CONTROL);
-    five.kept(&load.end());
-    assert!(five.store.nodes.iter().all(|node| node.stale() == 0));
+    let load = cluster.start_rare_reads();
+    cluster.await_round_without_router_checks(&CONTROL_INSTANCES);
+    cluster.check_rpcs(&load.end());
+    assert!(cluster.store.nodes.iter().all(|node| node.stale() == 0));
 }
 
-/// Guards against budgets of a small fleet at a control instance, which would leave databases unchecked and unpublished.
+/// Guards against a control instance that keeps the configured budgets of a small fleet: databases would then
+/// be neither checked nor published.
 #[test]
-fn a_control_instance_has_the_budgets_that_its_databases_take_whatever_it_is_told() {
-    let mut five = Five::new("budgets", &[20, 20], "50ms");
-    for place in CONTROL {
+fn a_control_instance_raises_configured_budgets_to_the_needs_of_its_databases() {
+    let mut cluster = TestCluster::prepare("budgets", &[20, 20], "50ms");
+    for index in CONTROL_INSTANCES {
         let short = "fleet.keys\n    work-budget 1\n    news-budget 4KiB\n";
-        five.write(place, &five.instance(place, "50ms").replace("fleet.keys\n", short));
-    }
-    five.routers.start_all().unwrap();
-    ROUTERS.iter().for_each(|place| five.follows(*place, &["r0", "r1"]));
-    let load = five.rare_reads();
-    five.calm(&CONTROL);
-    five.kept(&load.end());
-    assert!(five.store.nodes.iter().all(|node| node.stale() == 0));
+        cluster.write_conf(index, &cluster.instance_conf(index, "50ms").replace("fleet.keys\n", short));
+    }
+    cluster.routers.start_all().unwrap();
+    ROUTERS.iter().for_each(|index| cluster.await_following(*index, &["r0", "r1"]));
+    let load = cluster.start_rare_reads();
+    cluster.await_round_without_router_checks(&CONTROL_INSTANCES);
+    cluster.check_rpcs(&load.end());
+    assert!(cluster.store.nodes.iter().all(|node| node.stale() == 0));
 }
 
 #[test]
-fn a_replica_that_is_named_as_an_exception_gets_no_bounded_read() {
-    let five = Five::started("stale", &[20, 2000], "50ms");
-    let load = five.load(&["recent"]);
-    five.calm(&CONTROL);
-    five.kept(&load.end());
-    assert_eq!(five.store.nodes[2].rpcs(Duration::ZERO, Duration::MAX), 0);
-    assert!(five.store.nodes[1].rpcs(Duration::ZERO, Duration::MAX) > 0);
+fn a_replica_published_as_stale_gets_no_bounded_reads() {
+    let cluster = TestCluster::start("stale", &[20, 2000], "50ms");
+    let load = cluster.start_load(&["recent"]);
+    cluster.await_round_without_router_checks(&CONTROL_INSTANCES);
+    cluster.check_rpcs(&load.end());
+    assert_eq!(cluster.store.nodes[2].rpcs(Duration::ZERO, Duration::MAX), 0);
+    assert!(cluster.store.nodes[1].rpcs(Duration::ZERO, Duration::MAX) > 0);
 }
 
-/// Bounded reads at a router, one after the other: what each was answered with, `None` where it was not ok.
-fn reads(address: SocketAddr, count: usize) -> Vec<Option<Vec<u8>>> {
+/// Makes bounded reads at a router, one after the other. Returns the value of each, or `None` if it failed.
+fn read_repeatedly(address: SocketAddr, count: usize) -> Vec<Option<Vec<u8>>> {
     let mut stream = TcpStream::connect(address).unwrap();
     let (mut out, mut unread) = (Vec::new(), Vec::new());
     pg::encode_startup(&mut out, "portal", "crm");
     stream.write_all(&out).unwrap();
     while next(&mut stream, &mut unread, pg::decode_backend_message) != Some(BackendMessage::ReadyForQuery) {}
     let mut answers = Vec::new();
-    for place in 0..count {
+    for index in 0..count {
         let text = format!(
-            "/* id=f{place:015x},c=recent,d=1500,cluster=0 */ SELECT data FROM facts WHERE code = '7f3a'"
+            "/* id=f{index:015x},c=recent,d=1500,cluster=0 */ SELECT data FROM facts WHERE code = '7f3a'"
         );
         stream.write_all(&pg::query_message(text.as_bytes())).unwrap();
         let mut answer = None;
@@ -379,19 +411,20 @@
 }
 
 #[test]
-fn a_published_position_is_proved_by_the_answer_of_the_replica() {
-    // It tells control instances that it is up to date, and is not: they pass that on in good faith.
-    let five = Five::new("proof", &[20, 2000], "50ms");
-    five.store.nodes[2].boast(Duration::from_millis(1980));
-    let mut five = five;
-    five.routers.start_all().unwrap();
-    ROUTERS.iter().for_each(|place| five.follows(*place, &["r0", "r1"]));
-    let tried = || five.store.nodes[2].stale() >= 5;
-    let end = now() + NEVER;
+fn a_stale_replica_that_reports_a_recent_position_is_detected_by_its_answers() {
+    // The second replica reports a recent position to health checks although it is stale. The control
+    // instances publish that position, so routers send it reads and must reject its answers.
+    let cluster = TestCluster::prepare("proof", &[20, 2000], "50ms");
+    cluster.store.nodes[2].boast(Duration::from_millis(1980));
+    let mut cluster = cluster;
+    cluster.routers.start_all().unwrap();
+    ROUTERS.iter().for_each(|index| cluster.await_following(*index, &["r0", "r1"]));
+    let tried = || cluster.store.nodes[2].stale() >= 5;
+    let end = now() + EVENT_TIMEOUT;
     let mut fresh = 0;
     while !tried() || fresh == 0 {
-        assert!(now() < end, "the replica is never tried by the feed, or nothing is answered");
-        for answer in reads(five.routers.all[2].address, 20) {
+        assert!(now() < end, "the stale replica got too few reads, or no read succeeded");
+        for answer in read_repeatedly(cluster.routers.all[2].address, 20) {
             assert_ne!(answer.as_deref(), Some(&b"stale"[..]), "a stale answer reached a client");
             fresh += usize::from(answer.is_some());
         }
@@ -399,38 +432,38 @@
 }
 
 #[test]
-fn a_forged_digest_changes_nothing() {
-    let five = Five::started("forged", &[20, 2000], "50ms");
-    // All are up to date and will be for an hour, says somebody who has no key, in the name of either instance.
-    let start = |place: usize| five.events(place, "serves")[0]["start"].as_u64().unwrap();
+fn forged_digests_are_rejected_and_have_no_effect() {
+    let cluster = TestCluster::start("forged", &[20, 2000], "50ms");
+    // A sender without the key claims, in the name of each instance, that all nodes are up to date.
+    let start = |index: usize| cluster.events(index, "serves")[0]["start"].as_u64().unwrap();
     let other = Keyring::parse(&"d1".repeat(32)).unwrap();
     let own = Keyring::parse(&OWN_KEY.repeat(32)).unwrap();
     let (socket, mut sealer) = (UdpSocket::bind("127.0.0.1:0").unwrap(), Sealer::default());
-    let load = five.load(&["recent"]);
+    let load = cluster.start_load(&["recent"]);
     for number in 0..300 {
-        for (name, place) in [("r0", 0), ("r1", 1)] {
-            let envelope = forged(name, start(place), 1_000_000 + number);
+        for (name, index) in [("r0", 0), ("r1", 1)] {
+            let envelope = forged_digest(name, start(index), 1_000_000 + number);
             let session = Some(Incarnation(start(2)));
             let mut bytes = sealer.seal(&other, session, &envelope).unwrap();
             if number % 2 == 0 {
-                // With the name of the key that it would need.
+                // With the key id of the valid key, so that verification fails instead of the key lookup.
                 bytes[3..7].copy_from_slice(&sealer.seal(&own, session, &envelope).unwrap()[3..7]);
             }
-            socket.send_to(&bytes, five.feed(2)).unwrap();
+            socket.send_to(&bytes, cluster.feed_address(2)).unwrap();
         }
         sleep(Duration::from_millis(2));
     }
-    until("forged and unknown are told apart", || {
-        let refused = five.counts(2, "feed_counts")["refused"].as_str().unwrap().to_string();
+    wait_until("the router counts forged datagrams and unknown keys separately", || {
+        let refused = cluster.logged_counts(2, "feed_counts")["refused"].as_str().unwrap().to_string();
         refused.contains("Forged:") && refused.contains("UnknownKey:")
     });
-    five.calm(&CONTROL);
-    five.kept(&load.end());
-    assert_eq!(five.followed(2), ["r0", "r1"]);
-    assert_eq!(five.store.nodes[2].rpcs(Duration::ZERO, Duration::MAX), 0);
+    cluster.await_round_without_router_checks(&CONTROL_INSTANCES);
+    cluster.check_rpcs(&load.end());
+    assert_eq!(cluster.followed_instances(2), ["r0", "r1"]);
+    assert_eq!(cluster.store.nodes[2].rpcs(Duration::ZERO, Duration::MAX), 0);
 }
 
-fn forged(name: &str, start: u64, number: u32) -> Envelope {
+fn forged_digest(name: &str, start: u64, number: u32) -> Envelope {
     let digest = Digest {
         number: DigestNumber(number),
         sent: now(),
@@ -448,8 +481,8 @@
     }
 }
 
-/// A subscriber of the test's own, which shows what is sent.
-struct Follower {
+/// A subscriber inside the test, to inspect the messages of a control instance.
+struct TestSubscriber {
     socket: UdpSocket,
     name: PeerName,
     control: SocketAddr,
@@ -458,7 +491,7 @@
     opener: Opener<Envelope>,
 }
 
-impl Follower {
+impl TestSubscriber {
     const START: Incarnation = Incarnation(77);
 
     fn new(name: &str, control: SocketAddr) -> Self {
@@ -468,9 +501,9 @@
         Self { socket, name, control, keys, sealer: Sealer::default(), opener: Opener::new(4) }
     }
 
-    /// Subscribes again and again until it receives this.
-    fn until(&mut self, what: &str, found: impl Fn(&Message) -> bool) {
-        let end = now() + NEVER;
+    /// Subscribes repeatedly until a matching message arrives.
+    fn receive_until(&mut self, what: &str, matches: impl Fn(&Message) -> bool) {
+        let end = now() + EVENT_TIMEOUT;
         let mut asked = Duration::ZERO;
         while now() < end {
             if asked + Duration::from_secs(1) < now() {
@@ -481,75 +514,85 @@
                 _ = self.socket.send_to(&bytes, self.control);
             }
             let mut bytes = [0; 1500];
-            // While nobody listens there the system may say so, which is no answer either.
+            // Also fails if nobody listens at the address: the kernel then returns the ICMP error.
             let Ok((length, _)) = self.socket.recv_from(&mut bytes) else { continue };
             let opened = self.opener.open(&self.keys, Self::START, &bytes[..length]);
-            if opened.is_ok_and(|envelope| found(&envelope.message)) {
+            if opened.is_ok_and(|envelope| matches(&envelope.message)) {
                 return;
             }
         }
-        panic!("never received: {what}");
+        panic!("timed out waiting for {what}");
     }
 }
 
 #[test]
-fn a_control_instance_that_shuts_down_says_goodbye() {
-    let mut five = Five::started("leave", &[20], "50ms");
-    let mut follower = Follower::new("x1", five.feed(0));
-    follower.until("digests", |message| matches!(message, Message::Digest(_)));
-    five.routers.signal(0, "-TERM");
-    assert!(five.routers.ended(0));
-    assert_eq!(five.events(0, "feed_left").len(), 1);
-    follower.until("goodbye", |message| *message == Message::Leaving);
-    ROUTERS.iter().for_each(|place| five.follows(*place, &["r1"]));
-    // A router says so too, and is sent nothing any more.
-    five.routers.signal(2, "-TERM");
-    assert!(five.routers.ended(2));
-    assert_eq!(five.events(2, "feed_left").len(), 1);
-    until("one subscriber less", || five.counts(1, "feed_counts")["subscribers"] == ROUTERS.len() - 1);
+fn a_control_instance_announces_its_shutdown_and_a_router_unsubscribes() {
+    let mut cluster = TestCluster::start("leave", &[20], "50ms");
+    let mut subscriber = TestSubscriber::new("x1", cluster.feed_address(0));
+    subscriber.receive_until("a digest", |message| matches!(message, Message::Digest(_)));
+    cluster.routers.signal(0, "-TERM");
+    assert!(cluster.routers.ended(0));
+    assert_eq!(cluster.events(0, "feed_left").len(), 1);
+    subscriber.receive_until("the announcement of the shutdown", |message| *message == Message::Leaving);
+    ROUTERS.iter().for_each(|index| cluster.await_following(*index, &["r1"]));
+    // A router that shuts down unsubscribes.
+    cluster.routers.signal(2, "-TERM");
+    assert!(cluster.routers.ended(2));
+    assert_eq!(cluster.events(2, "feed_left").len(), 1);
+    wait_until("the instance has one subscriber less", || {
+        cluster.logged_counts(1, "feed_counts")["subscribers"] == ROUTERS.len() - 1
+    });
 }
 
 #[test]
-fn keys_and_control_instances_change_on_sighup() {
-    let five = Five::started("hup", &[20, 20], "50ms");
-    let load = five.load(&["recent", "look", "recent", "enter"]);
+fn keys_and_control_instances_are_reloaded_on_sighup() {
+    let cluster = TestCluster::start("hup", &[20, 20], "50ms");
+    let load = cluster.start_load(&["recent", "look", "recent", "enter"]);
     let all = [["7e", "d1"].as_slice(), &["d1", "7e"], &["d1"]];
     for (step, bytes) in all.iter().enumerate() {
-        keys(&five.folder, "feed.keys", bytes);
-        for place in CONTROL.into_iter().chain(ROUTERS) {
-            five.routers.signal(place, "-HUP");
-            until("keys taken over", || five.events(place, "feed_keys").len() > step);
+        write_keys(&cluster.folder, "feed.keys", bytes);
+        for index in CONTROL_INSTANCES.into_iter().chain(ROUTERS) {
+            cluster.routers.signal(index, "-HUP");
+            wait_until("the new keys are loaded", || cluster.events(index, "feed_keys").len() > step);
         }
     }
-    ROUTERS.iter().for_each(|place| five.follows(*place, &["r0", "r1"]));
-    five.calm(&CONTROL);
-    // One router is configured with the first instance alone: the other has one subscriber less, and then again as many.
-    for (control, subscribers) in [(&CONTROL[..1], 2), (&CONTROL, 3)] {
-        five.write(2, &five.router(2, control));
-        five.routers.signal(2, "-HUP");
-        until("the second has so many", || five.counts(1, "feed_counts")["subscribers"] == subscribers);
-        until("so many are followed", || five.counts(2, "feed_counts")["following"] == control.len());
-    }
-    five.calm(&CONTROL);
-    // A fault in the file changes nothing but the log.
-    five.write(2, "subscribe {\n}\n");
-    five.routers.signal(2, "-HUP");
-    assert!(five.routers.await_line(2, "configuration reload failed", NEVER));
-    until("all is as it was", || five.counts(1, "feed_counts")["subscribers"] == ROUTERS.len());
-    five.kept(&load.end());
-    assert!(five.store.nodes.iter().all(|node| node.stale() == 0));
+    ROUTERS.iter().for_each(|index| cluster.await_following(*index, &["r0", "r1"]));
+    cluster.await_round_without_router_checks(&CONTROL_INSTANCES);
+    // One router is reconfigured to follow only the first instance, so the second has one subscriber less.
+    // Then it follows both again.
+    for (control, subscribers) in [(&CONTROL_INSTANCES[..1], 2), (&CONTROL_INSTANCES, 3)] {
+        cluster.write_conf(2, &cluster.router_conf(2, control));
+        cluster.routers.signal(2, "-HUP");
+        wait_until("the second instance has the expected number of subscribers", || {
+            cluster.logged_counts(1, "feed_counts")["subscribers"] == subscribers
+        });
+        wait_until("the router follows the configured control instances", || {
+            cluster.logged_counts(2, "feed_counts")["following"] == control.len()
+        });
+    }
+    cluster.await_round_without_router_checks(&CONTROL_INSTANCES);
+    // An invalid file is logged and has no other effect.
+    cluster.write_conf(2, "subscribe {\n}\n");
+    cluster.routers.signal(2, "-HUP");
+    assert!(cluster.routers.await_line(2, "configuration reload failed", EVENT_TIMEOUT));
+    wait_until("the second instance has all subscribers", || {
+        cluster.logged_counts(1, "feed_counts")["subscribers"] == ROUTERS.len()
+    });
+    cluster.check_rpcs(&load.end());
+    assert!(cluster.store.nodes.iter().all(|node| node.stale() == 0));
 }
 
 fn check(name: &str, conf: &str, mode: u32) -> Output {
-    let five = Five::new(name, &[20], "50ms");
-    std::fs::write(five.folder.join("x.conf"), conf).unwrap();
-    std::fs::set_permissions(five.folder.join("feed.keys"), std::fs::Permissions::from_mode(mode)).unwrap();
+    let cluster = TestCluster::prepare(name, &[20], "50ms");
+    std::fs::write(cluster.folder.join("x.conf"), conf).unwrap();
+    std::fs::set_permissions(cluster.folder.join("feed.keys"), std::fs::Permissions::from_mode(mode))
+        .unwrap();
     let mut command = Command::new(env!("CARGO_BIN_EXE_quillpoint"));
-    command.arg("check").arg("--conf").arg(five.folder.join("x.conf")).env_clear().output().unwrap()
+    command.arg("check").arg("--conf").arg(cluster.folder.join("x.conf")).env_clear().output().unwrap()
 }
 
 #[test]
-fn check_names_what_is_wrong_with_either_end() {
+fn check_reports_configuration_errors_of_publishers_and_subscribers() {
     let router = "platform router-2.json\nsubscribe {\n listen 127.0.0.1:0\n keys feed.keys\n}\n\
                   control c1 {\n address 127.0.0.1:7500\n}\n";
     let instance = "platform router-0.json\nfleet {\n listen 127.0.0.1:7400\n keys fleet.keys\n}\npublish {\n \
@@ -578,10 +621,10 @@
             "x.conf:2:1: subscribe: expected a section control beside it",
         ),
     ];
-    for (place, (conf, mode, fault)) in cases.iter().enumerate() {
-        let refused = check(&format!("bad-{place}"), conf, *mode);
-        let text = String::from_utf8(refused.stderr).unwrap();
-        assert_eq!(refused.status.code(), Some(2), "{text}");
+    for (index, (conf, mode, fault)) in cases.iter().enumerate() {
+        let rejected = check(&format!("bad-{index}"), conf, *mode);
+        let text = String::from_utf8(rejected.stderr).unwrap();
+        assert_eq!(rejected.status.code(), Some(2), "{text}");
         assert!(text.contains(fault), "{text}");
     }
 }
--- a/crates/router/tests/observation_exchange.rs
+++ b/crates/router/tests/observation_exchange.rs
@@ -1,5 +1,9 @@
-//! When the decisions receive what others have observed: right before an RPC of a replica set, while RPCs of the replica set
-//! are pending, and at once where it was published by name. The engine alone: no sockets, and nothing that depends on how long it takes.
+//! When the decision module receives observations made by other processes: right before an RPC for the
+//! replica set, when a digest arrives while RPCs for the replica set are pending, and immediately if the feed
+//! publishes a change of one node. Fetching them at any other time would cost work for every node; fetching
+//! them later would delay RPCs.
+//!
+//! Uses the engine alone, without sockets, and depends on no timing.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -18,7 +22,8 @@
 use quillpoint_router::statement::Statement;
 use serde_json::json;
 
-/// Reports each node as up to date, where it is to; and records whom it was asked about.
+/// An exchange that reports every node as up to date once `has_observations` is set, and records the nodes
+/// that the engine asks about.
 struct TestExchange {
     clock: Clock,
     has_observations: Cell<bool>,
@@ -26,7 +31,7 @@
 }
 
 impl ObservationExchange for TestExchange {
-    fn observed(&self, _finding: LocalObservation) {}
+    fn observed(&self, _observation: LocalObservation) {}
     fn endpoints_changed(&self) {}
     fn permits_health_check(&self, _node: NodeId) -> bool {
         false
@@ -46,11 +51,11 @@
     }
 }
 
-fn node(group: u64, place: u16) -> NodeId {
-    NodeId(SocketAddr::from(([127, 0, 0, 1], 5000 + 10 * group as u16 + place)))
+fn node(replica_set: u64, index: u16) -> NodeId {
+    NodeId(SocketAddr::from(([127, 0, 0, 1], 5000 + 10 * replica_set as u16 + index)))
 }
 
-/// Three replica sets of two replicas each, and bounded reads.
+/// An engine with three replica sets of two replicas each, and bounded reads.
 fn engine() -> (Rc<Engine>, EngineOutputs, Rc<TestExchange>) {
     let settings = json!({
         "Allowed": {"ConnIdleMs": 30000.0, "ConnectTimeoutMs": 250.0, "MaxAttempts": 6, "Probes": true},
@@ -60,32 +65,34 @@
         "Feedback": {"Fields": ["x0", "x1"], "Source": "answers"}, "Tariffs": {"Probe": 0.001},
     });
     let deployment = Deployment::new(quillpoint_settings::settings_from_json(&settings)).unwrap();
-    let (engine, work) = Engine::new(3, &deployment);
-    let listed = |group: u64, place: u16| Endpoint {
-        node: node(group, place),
-        replica_set: ReplicaSetId(group),
+    let (engine, outputs) = Engine::new(3, &deployment);
+    let endpoint = |replica_set: u64, index: u16| Endpoint {
+        node: node(replica_set, index),
+        replica_set: ReplicaSetId(replica_set),
         zone: ZoneId(0),
         kind: 0,
         primary: false,
         status: EndpointStatus::InService,
         started: None,
     };
-    let list: Vec<Endpoint> = (0..3).flat_map(|group| [listed(group, 0), listed(group, 1)]).collect();
+    let list: Vec<Endpoint> =
+        (0..3).flat_map(|replica_set| [endpoint(replica_set, 0), endpoint(replica_set, 1)]).collect();
     engine.endpoints_changed(EndpointUpdate::Snapshot, &list);
     let (clock, has_observations, asked) = (engine.clock, Cell::new(false), RefCell::default());
     let exchange = Rc::new(TestExchange { clock, has_observations, asked });
     engine.set_observation_exchange(Rc::clone(&exchange) as Rc<dyn ObservationExchange>);
-    (engine, work, exchange)
+    (engine, outputs, exchange)
 }
 
-fn statement(group: u64) -> Statement {
-    let text = format!("/* id=7,c=recent,d=60000,cluster={group} */ SELECT data FROM facts WHERE code = 'a'");
+fn statement(replica_set: u64) -> Statement {
+    let text =
+        format!("/* id=7,c=recent,d=60000,cluster={replica_set} */ SELECT data FROM facts WHERE code = 'a'");
     Statement::parse(text.into_bytes()).unwrap()
 }
 
-/// An RPC for a replica set that has just arrived.
-fn arrive(engine: &Rc<Engine>, group: u64) -> PendingResponse {
-    engine.rpc_arrived(MethodId(0), &statement(group), Instant::now(), None).unwrap()
+/// Starts an RPC for a replica set.
+fn arrive(engine: &Rc<Engine>, replica_set: u64) -> PendingResponse {
+    engine.rpc_arrived(MethodId(0), &statement(replica_set), Instant::now(), None).unwrap()
 }
 
 fn asked(exchange: &TestExchange) -> Vec<NodeId> {
@@ -93,44 +100,48 @@
 }
 
 #[test]
-fn the_nodes_of_a_replica_set_are_asked_about_right_before_its_rpc_and_no_others() {
-    let (engine, _work, exchange) = engine();
+fn an_arriving_rpc_fetches_observations_of_its_replica_set_only() {
+    let (engine, _outputs, exchange) = engine();
     exchange.has_observations.set(true);
-    let owed = arrive(&engine, 1);
+    let pending = arrive(&engine, 1);
     assert_eq!(asked(&exchange), [node(1, 0), node(1, 1)]);
-    let Some(Command::Attempt(attempt)) = owed.try_next_command() else {
-        panic!("it is sent by the feed at once")
+    let Some(Command::Attempt(attempt)) = pending.try_next_command() else {
+        panic!("expected an attempt at once, based on the observations of others")
     };
     assert!([node(1, 0), node(1, 1)].contains(&attempt.node));
-    // A replica set that is not known has no nodes.
+    // An unknown replica set has no nodes.
     arrive(&engine, 9);
     assert_eq!(asked(&exchange), []);
 }
 
 #[test]
-fn a_pending_rpc_goes_on_when_a_digest_arrives_and_nothing_else_is_asked_about() {
-    let (engine, _work, exchange) = engine();
+fn a_digest_fetches_observations_for_pending_rpcs_only_and_lets_them_proceed() {
+    let (engine, _outputs, exchange) = engine();
     engine.digest_received();
-    assert_eq!(asked(&exchange), [], "nothing is pending");
-    let owed = arrive(&engine, 2);
-    assert!(owed.try_next_command().is_none(), "nobody says that any replica is up to date");
+    assert_eq!(asked(&exchange), [], "no RPC is pending");
+    let pending = arrive(&engine, 2);
+    assert!(pending.try_next_command().is_none(), "no replica is known to be up to date");
     asked(&exchange);
     engine.digest_received();
     assert_eq!(asked(&exchange), [node(2, 0), node(2, 1)]);
-    assert!(owed.try_next_command().is_none());
+    assert!(pending.try_next_command().is_none());
     exchange.has_observations.set(true);
     engine.digest_received();
-    assert!(matches!(owed.try_next_command(), Some(Command::Attempt(_))));
-    // One that has ended is not pending any more.
+    assert!(matches!(pending.try_next_command(), Some(Command::Attempt(_))));
+    // An RPC that has ended is no longer pending.
     drop(arrive(&engine, 0));
     asked(&exchange);
     engine.digest_received();
-    assert_eq!(asked(&exchange), [node(2, 0), node(2, 1)], "the one that is out may need another attempt");
+    assert_eq!(
+        asked(&exchange),
+        [node(2, 0), node(2, 1)],
+        "the RPC with an attempt in flight may need another one"
+    );
 }
 
 #[test]
-fn what_changes_by_name_is_received_at_once() {
-    let (engine, _work, exchange) = engine();
+fn a_change_of_a_single_node_is_received_immediately() {
+    let (engine, _outputs, exchange) = engine();
     let at = engine.clock.now();
     let observation = FeedObservation {
         node: node(0, 1).0,
@@ -142,35 +153,41 @@
     };
     engine.feed_observation_received(observation);
     assert!(engine.is_ejected(node(0, 1)) && !engine.is_ejected(node(0, 0)));
-    assert_eq!(asked(&exchange), [], "nobody needs to ask for it");
+    assert_eq!(asked(&exchange), [], "the change is received without fetching");
 }
 
 #[test]
-fn an_unverified_position_lets_a_read_try_and_its_answer_decides() {
-    let (engine, _work, exchange) = engine();
+fn a_read_sent_on_an_unverified_position_succeeds_only_if_the_answer_confirms_it() {
+    let (engine, _outputs, exchange) = engine();
     exchange.has_observations.set(true);
-    let owed = arrive(&engine, 1);
-    let Some(Command::Attempt(attempt)) = owed.try_next_command() else { panic!("it is sent by the feed") };
+    let pending = arrive(&engine, 1);
+    let Some(Command::Attempt(attempt)) = pending.try_next_command() else {
+        panic!("expected an attempt, based on the observations of others")
+    };
     let other = if attempt.node == node(1, 0) { node(1, 1) } else { node(1, 0) };
     assert!(engine.permits_attempt(&attempt));
     let stale = engine.clock.now() - Duration::from_secs(5);
-    engine.attempt_ended(attempt, quillpoint::host::Outcome::Ok, heard(Some(stale)));
-    // No answer to the client: another replica is tried.
-    let Some(Command::Attempt(attempt)) = owed.try_next_command() else { panic!("a further attempt") };
+    engine.attempt_ended(attempt, quillpoint::host::Outcome::Ok, node_response(Some(stale)));
+    // The answer is stale: it does not reach the client, and another replica is tried.
+    let Some(Command::Attempt(attempt)) = pending.try_next_command() else {
+        panic!("expected an attempt at the other replica")
+    };
     assert_eq!(attempt.node, other);
     assert!(engine.permits_attempt(&attempt));
-    // An answer that shows no position at all proves nothing either.
-    engine.attempt_ended(attempt, quillpoint::host::Outcome::Ok, heard(None));
-    assert!(!matches!(owed.try_next_command(), Some(Command::Answer { .. })));
-    // One that shows what is needed goes to the client.
-    let owed = arrive(&engine, 0);
-    let Some(Command::Attempt(attempt)) = owed.try_next_command() else { panic!("it is sent by the feed") };
+    // An answer without a position does not confirm anything either.
+    engine.attempt_ended(attempt, quillpoint::host::Outcome::Ok, node_response(None));
+    assert!(!matches!(pending.try_next_command(), Some(Command::Answer { .. })));
+    // An answer with a recent position reaches the client.
+    let pending = arrive(&engine, 0);
+    let Some(Command::Attempt(attempt)) = pending.try_next_command() else {
+        panic!("expected an attempt, based on the observations of others")
+    };
     assert!(engine.permits_attempt(&attempt));
-    engine.attempt_ended(attempt, quillpoint::host::Outcome::Ok, heard(Some(engine.clock.now())));
-    assert!(matches!(owed.try_next_command(), Some(Command::Answer { .. })));
+    engine.attempt_ended(attempt, quillpoint::host::Outcome::Ok, node_response(Some(engine.clock.now())));
+    assert!(matches!(pending.try_next_command(), Some(Command::Answer { .. })));
 }
 
-fn heard(position: Option<Duration>) -> quillpoint_router::engine::NodeResponse {
+fn node_response(position: Option<Duration>) -> quillpoint_router::engine::NodeResponse {
     let answer = quillpoint_testbed::store::row(b"v");
     quillpoint_router::engine::NodeResponse { answer: Some(answer), role: None, position, report: None }
 }
--- a/crates/router/tests/platform_config.rs
+++ b/crates/router/tests/platform_config.rs
@@ -1,4 +1,5 @@
-//! The platform's JSON as it has always been is read in whole, and the variables win over it.
+//! Reads a complete platform configuration. Guards against keys that are no longer read under their
+//! documented names, and against environment variables that no longer override the file.
 
 use std::time::Duration;
 
@@ -25,16 +26,15 @@
         "OverloadForMs": 1000.0, "DroppedStayOpen": false},
     "Clients": {"MarksRetry": true}, "StepMs": 2.0, "Tariffs": {"Probe": 0.02}, "Weights": "none"}}"#;
 
-fn read(variables: &[(&str, &str)]) -> StartupOptions {
+fn read(env_vars: &[(&str, &str)]) -> StartupOptions {
     let json = serde_json::from_str(PLATFORM).unwrap();
-    let variable = |name: &str| {
-        variables.iter().find(|(known, _)| *known == name).map(|(_, value)| (*value).to_string())
-    };
-    StartupOptions::from_json(&json, variable).unwrap()
+    let env_var =
+        |name: &str| env_vars.iter().find(|(known, _)| *known == name).map(|(_, value)| (*value).to_string());
+    StartupOptions::from_json(&json, env_var).unwrap()
 }
 
 #[test]
-fn all_keys_are_read() {
+fn all_top_level_keys_are_read() {
     let options = read(&[]);
     assert_eq!(options.name, "n3");
     assert_eq!(options.listen, "10.0.0.4:5432".parse().unwrap());
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn the_settings_of_a_deployment_are_read_by_the_platforms_names() {
+fn deployment_settings_are_read_under_their_platform_names() {
     let deployment = read(&[]).deployment;
     assert_eq!(deployment.methods, ["look", "enter"]);
     assert_eq!(deployment.zones, ["west", "east"]);
@@ -69,9 +69,9 @@
 }
 
 #[test]
-fn variables_win_over_the_file() {
-    let variables = [("GW_NAME", "n9"), ("GW_LISTEN", "10.0.0.9:5432"), ("GW_DISCOVERY", "10.2.0.9:8500")];
-    let options = read(&variables);
+fn environment_variables_override_the_file() {
+    let env_vars = [("GW_NAME", "n9"), ("GW_LISTEN", "10.0.0.9:5432"), ("GW_DISCOVERY", "10.2.0.9:8500")];
+    let options = read(&env_vars);
     assert_eq!(options.name, "n9");
     assert_eq!(options.listen, "10.0.0.9:5432".parse().unwrap());
     assert_eq!(options.discovery, "10.2.0.9:8500".parse().unwrap());
