--- a/crates/adapter/src/instance.rs
+++ b/crates/adapter/src/instance.rs
@@ -49,7 +49,7 @@
     /// The panic of decisions that cannot start.
     pub fn start(now: Duration, params: StartParams, actions: ActionWriter) -> Result<Self, Panic> {
         let StartParams { seed, settings } = params;
-        let origin = settings.span("replication.origin").unwrap_or_default();
+        let origin = settings.duration("replication.origin").unwrap_or_default();
         let report_fields = report_fields(&settings);
         let router = catch_unwind(AssertUnwindSafe(|| Router::new(actions, seed, settings, now)))?;
         Ok(Self { router, origin, report_fields })
--- a/crates/router/src/deployment.rs
+++ b/crates/router/src/deployment.rs
@@ -70,7 +70,7 @@
             max_pending_rpcs: values
                 .number("allowed.max_pending_rpcs")
                 .map_or(usize::MAX, |count| count as usize),
-            poll_interval: values.span("rules.poll_interval").unwrap_or(DEFAULT_POLL_INTERVAL),
+            poll_interval: values.duration("rules.poll_interval").unwrap_or(DEFAULT_POLL_INTERVAL),
             polls_from_start: values.text("discovery") == "automatic",
             tightest_staleness_bound: tightest_staleness_bound(&values),
             values,
@@ -84,7 +84,7 @@
 }
 
 fn duration(values: &ValueMap, name: &str) -> Result<Duration, ConfigError> {
-    values.span(name).ok_or_else(|| ConfigError::invalid_setting(name, "milliseconds", "nothing"))
+    values.duration(name).ok_or_else(|| ConfigError::invalid_setting(name, "milliseconds", "nothing"))
 }
 
 fn longest_deadline(values: &ValueMap, methods: usize) -> Result<Duration, ConfigError> {
@@ -105,7 +105,7 @@
 
 fn tightest_staleness_bound(values: &ValueMap) -> Option<Duration> {
     let consistency = |place: usize| format!("replication.consistency.{place}");
-    let bound = |place: usize| values.span(&format!("replication.staleness_bound.{place}"));
+    let bound = |place: usize| values.duration(&format!("replication.staleness_bound.{place}"));
     (0..)
         .take_while(|place| values.0.contains_key(&consistency(*place)))
         .filter(|place| values.text(&consistency(*place)) == "bounded")
--- a/crates/router/src/deployment/words.rs
+++ b/crates/router/src/deployment/words.rs
@@ -90,14 +90,14 @@
 
 fn check_flag(values: &ValueMap, name: &str) -> Result<(), ConfigError> {
     match values.0.get(name) {
-        None | Some(Value::Flag(_)) => Ok(()),
+        None | Some(Value::Bool(_)) => Ok(()),
         Some(other) => Err(ConfigError::invalid_setting(name, "true or false", shown(other))),
     }
 }
 
 /// Reports that come with health checks alone never come where these are not allowed.
 fn check_report_source(values: &ValueMap) -> Result<(), ConfigError> {
-    if values.text("reports.source") != "probe" || values.flag("allowed.health_checks") {
+    if values.text("reports.source") != "probe" || values.is_true("allowed.health_checks") {
         return Ok(());
     }
     let expected = "answers or none, as allowed.health_checks is not true";
@@ -107,8 +107,8 @@
 fn shown(value: &Value) -> String {
     match value {
         Value::Text(text) => text.clone(),
-        Value::Flag(flag) => flag.to_string(),
+        Value::Bool(flag) => flag.to_string(),
         Value::Number(number) => number.to_string(),
-        Value::Span(duration) => format!("{duration:?}"),
+        Value::Duration(duration) => format!("{duration:?}"),
     }
 }
--- a/crates/router/src/engine/methods.rs
+++ b/crates/router/src/engine/methods.rs
@@ -32,7 +32,7 @@
     fn new(index: usize, name: &str, deployment: &Deployment) -> Self {
         let values = &deployment.values;
         let consistency = values.text(&format!("replication.consistency.{index}"));
-        let deadline = values.span(&format!("methods.{index}.deadline"));
+        let deadline = values.duration(&format!("methods.{index}.deadline"));
         let writes = consistency == "write";
         Self {
             name: name.to_string(),
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -97,11 +97,11 @@
 
 fn leaf_value(leaf: &Json, setting: &SettingPath) -> Option<Value> {
     match leaf {
-        Json::Bool(flag) => Some(Value::Flag(*flag)),
+        Json::Bool(flag) => Some(Value::Bool(*flag)),
         Json::Number(number) => {
             let number = number.as_f64()?;
             Some(if setting.in_milliseconds {
-                Value::Span(duration_from_ms(number))
+                Value::Duration(duration_from_ms(number))
             } else {
                 Value::Number(number)
             })
--- a/crates/settings/tests/platform_names.rs
+++ b/crates/settings/tests/platform_names.rs
@@ -110,9 +110,9 @@
 
 fn shown(settings: &ValueMap) -> String {
     let line = |(name, value): (&String, &Value)| match value {
-        Value::Flag(flag) => format!("{name} = {flag}\n"),
+        Value::Bool(flag) => format!("{name} = {flag}\n"),
         Value::Number(number) => format!("{name} = {number}\n"),
-        Value::Span(duration) => format!("{name} = {duration:?}\n"),
+        Value::Duration(duration) => format!("{name} = {duration:?}\n"),
         Value::Text(text) => format!("{name} = {text:?}\n"),
     };
     settings.0.iter().map(line).collect()
--- a/src/config.rs
+++ b/src/config.rs
@@ -53,24 +53,24 @@
     pub fn new(values: &ValueMap, methods: &[Method]) -> Self {
         let has_session_reads = methods.iter().any(|method| method.consistency == Consistency::Session);
         Self {
-            tick: values.span("tick").unwrap_or(Duration::from_millis(1)),
+            tick: values.duration("tick").unwrap_or(Duration::from_millis(1)),
             max_attempts: values.number("allowed.attempts").unwrap_or(1.0) as usize,
             tightest_bound: tightest_bound(methods),
             routers: values.number("routers").unwrap_or(1.0).max(1.0),
-            poll_interval: values.span("rules.poll_interval").unwrap_or(Duration::from_millis(10_000)),
+            poll_interval: values.duration("rules.poll_interval").unwrap_or(Duration::from_millis(10_000)),
             watches_endpoints: values.text("discovery") == "subscribe",
-            only_listed_draining: values.flag("rules.only_listed_draining"),
+            only_listed_draining: values.is_true("rules.only_listed_draining"),
             reports_by_health_checks_only: values.text("reports.source") == "probe",
-            tells_retry_after: !values.denies("allowed.retry_after"),
-            max_retry_after: values.span("allowed.max_retry_after").unwrap_or_default(),
+            tells_retry_after: !values.is_false("allowed.retry_after"),
+            max_retry_after: values.duration("allowed.max_retry_after").unwrap_or_default(),
             nodes_check_reads: values.text("replication.read_check") != "none",
             remembers_session_tokens: values.text("replication.session_tokens") == "remembered"
                 && has_session_reads,
-            health_checks: values.flag("allowed.health_checks"),
+            health_checks: values.is_true("allowed.health_checks"),
             health_check_price: values.number("prices.health_check").unwrap_or(0.0),
-            hedging: values.flag("allowed.hedging"),
-            connect_timeout: values.span("allowed.connect_timeout").unwrap_or(Duration::MAX),
-            clients_mark_retries: values.flag("clients.mark_retries"),
+            hedging: values.is_true("allowed.hedging"),
+            connect_timeout: values.duration("allowed.connect_timeout").unwrap_or(Duration::MAX),
+            clients_mark_retries: values.is_true("clients.mark_retries"),
             slow_start: SlowStartConfig::new(values),
         }
     }
--- a/src/host.rs
+++ b/src/host.rs
@@ -55,25 +55,26 @@
     fn log(&mut self, line: &str);
 }
 
-/// One setting. The map's names are dotted paths, list places as numbers: `methods.0.deadline`.
+/// The value of one setting.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Value {
-    /// Yes or no.
-    Flag(bool),
+    /// A boolean.
+    Bool(bool),
     /// A count or a ratio.
     Number(f64),
-    /// A time.
-    Span(Duration),
-    /// A name.
+    /// A duration.
+    Duration(Duration),
+    /// A word, such as the name of a mode.
     Text(String),
 }
 
-/// The settings: a plain map, with a look-up for each type of value. A value of another type counts as missing.
+/// The settings by name. A name is a dotted path in which a number is a list index, such as `methods.0.deadline`. A
+/// value whose type differs from the one that is asked for counts as missing.
 #[derive(Clone, Debug, Default)]
 pub struct ValueMap(pub BTreeMap<String, Value>);
 
 impl ValueMap {
-    /// The number of this name.
+    /// The setting's value if it is a number.
     pub fn number(&self, name: &str) -> Option<f64> {
         match self.0.get(name) {
             Some(Value::Number(number)) => Some(*number),
@@ -81,15 +82,15 @@
         }
     }
 
-    /// The time of this name.
-    pub fn span(&self, name: &str) -> Option<Duration> {
+    /// The setting's value if it is a duration.
+    pub fn duration(&self, name: &str) -> Option<Duration> {
         match self.0.get(name) {
-            Some(Value::Span(span)) => Some(*span),
+            Some(Value::Duration(duration)) => Some(*duration),
             _ => None,
         }
     }
 
-    /// The text of this name; empty where the setting is missing.
+    /// The setting's value if it is a text, otherwise an empty string.
     pub fn text(&self, name: &str) -> &str {
         match self.0.get(name) {
             Some(Value::Text(text)) => text,
@@ -97,14 +98,14 @@
         }
     }
 
-    /// Whether the setting says yes; one that is missing does not.
-    pub fn flag(&self, name: &str) -> bool {
-        matches!(self.0.get(name), Some(Value::Flag(true)))
+    /// Whether the setting is explicitly true; a missing one is not.
+    pub fn is_true(&self, name: &str) -> bool {
+        matches!(self.0.get(name), Some(Value::Bool(true)))
     }
 
-    /// Whether the setting says no; one that is missing does not.
-    pub fn denies(&self, name: &str) -> bool {
-        matches!(self.0.get(name), Some(Value::Flag(false)))
+    /// Whether the setting is explicitly false; a missing one is not.
+    pub fn is_false(&self, name: &str) -> bool {
+        matches!(self.0.get(name), Some(Value::Bool(false)))
     }
 }
 
--- a/src/method.rs
+++ b/src/method.rs
@@ -122,13 +122,13 @@
     /// strictest read, an unknown idempotency as non-idempotent.
     pub fn from_values(values: &ValueMap, place: usize, now: Duration) -> Option<Self> {
         let path = |name: &str| format!("methods.{place}.{name}");
-        let latency_objective = values.span(&path("latency_objective"))?;
+        let latency_objective = values.duration(&path("latency_objective"))?;
         let priority_weight = values.number(&path("priority_weight")).unwrap_or(1.0);
         Some(Self {
             consistency: consistency(values, place),
             idempotency: idempotency(values, place),
             latency_objective,
-            deadline: values.span(&path("deadline")).unwrap_or(latency_objective),
+            deadline: values.duration(&path("deadline")).unwrap_or(latency_objective),
             priority_weight,
             late_weight: priority_weight * values.number(&path("late_weight")).unwrap_or(0.0),
             first_try_wait: FirstTryWait::default(),
@@ -138,7 +138,7 @@
 }
 
 fn consistency(values: &ValueMap, place: usize) -> Consistency {
-    let bound = values.span(&format!("replication.staleness_bound.{place}")).unwrap_or_default();
+    let bound = values.duration(&format!("replication.staleness_bound.{place}")).unwrap_or_default();
     match values.text(&format!("replication.consistency.{place}")) {
         "write" => Consistency::Write,
         "session" => Consistency::Session,
@@ -149,7 +149,7 @@
 }
 
 fn idempotency(values: &ValueMap, place: usize) -> Idempotency {
-    let window = values.span(&format!("methods.{place}.idempotency_window")).unwrap_or_default();
+    let window = values.duration(&format!("methods.{place}.idempotency_window")).unwrap_or_default();
     let scope = match values.text(&format!("methods.{place}.idempotency_scope")) {
         "all" => IdempotencyScope::All,
         "zone" => IdempotencyScope::Zone,
--- a/src/slow_start.rs
+++ b/src/slow_start.rs
@@ -36,9 +36,9 @@
 
 impl SlowStartConfig {
     pub fn new(values: &ValueMap) -> Self {
-        let window = values.span("rules.overload_window").unwrap_or(Duration::from_millis(1000));
+        let window = values.duration("rules.overload_window").unwrap_or(Duration::from_millis(1000));
         Self {
-            duration: values.span("rules.slow_start_duration").unwrap_or_default(),
+            duration: values.duration("rules.slow_start_duration").unwrap_or_default(),
             initial_capacity: values.number("rules.slow_start_initial_capacity").unwrap_or(1.0),
             overload_multiple: values.number("rules.overload_multiple").unwrap_or(1.0),
             overload_window_s: window.as_secs_f64(),
--- a/tests/decisions/admission.rs
+++ b/tests/decisions/admission.rs
@@ -20,7 +20,7 @@
 #[test]
 fn a_retry_past_its_latency_objective_is_not_served() {
     // First tries wait 300 ms here, and the whole deadline is 600 ms: 250 ms left tell that 350 ms have gone.
-    let mut simulation = checked(4, 0, &[("methods.1.deadline", Value::Span(ms(600)))]);
+    let mut simulation = checked(4, 0, &[("methods.1.deadline", Value::Duration(ms(600)))]);
     for _ in 0..30 {
         let id = simulation.arrive(1, ms(300), None);
         simulation.end_attempt(id, Outcome::Ok);
@@ -35,8 +35,8 @@
 #[test]
 fn a_marked_retry_is_told_by_its_mark_and_not_by_its_wait() {
     // Taken for a retry, its latency objective would have ended before it came.
-    let deadline = ("methods.1.deadline", Value::Span(ms(600)));
-    let mut simulation = checked(3, 0, &[("clients.mark_retries", Value::Flag(true)), deadline]);
+    let deadline = ("methods.1.deadline", Value::Duration(ms(600)));
+    let mut simulation = checked(3, 0, &[("clients.mark_retries", Value::Bool(true)), deadline]);
     sent(&mut simulation, 1, None, 60);
     let short = simulation.arrive(1, ms(150), None);
     assert_eq!(simulation.sent_to(short).len(), 1, "a first try");
--- a/tests/decisions/balancing.rs
+++ b/tests/decisions/balancing.rs
@@ -7,14 +7,14 @@
 
 #[test]
 fn long_any_reads_keep_to_one_replica() {
-    let mut simulation = checked(4, 0, &[("methods.1.latency_objective", Value::Span(ms(2400)))]);
+    let mut simulation = checked(4, 0, &[("methods.1.latency_objective", Value::Duration(ms(2400)))]);
     assert!(sent(&mut simulation, 1, None, 6).iter().all(|at| *at == node(4)));
 }
 
 #[test]
 fn any_reads_no_longer_than_bounded_ones_fill_no_single_replica() {
     // Each of 300 routers would have its first ones in flight at the same replica.
-    let slow = |name| (name, Value::Span(ms(2400)));
+    let slow = |name| (name, Value::Duration(ms(2400)));
     let change = [
         slow("methods.0.latency_objective"),
         slow("methods.1.latency_objective"),
--- a/tests/decisions/endpoints.rs
+++ b/tests/decisions/endpoints.rs
@@ -14,7 +14,7 @@
 
 #[test]
 fn a_node_that_drained_and_was_forgotten_is_not_sent_to_when_it_is_listed_as_removed_again() {
-    let mut simulation = checked(3, 0, &[("rules.only_listed_draining", Value::Flag(true))]);
+    let mut simulation = checked(3, 0, &[("rules.only_listed_draining", Value::Bool(true))]);
     for status in [EndpointStatus::Draining, EndpointStatus::Removed, EndpointStatus::Removed] {
         let entry = simulation.endpoint(2, status);
         simulation.update_endpoints(EndpointUpdate::Delta, &[entry]);
@@ -56,7 +56,7 @@
 
 #[test]
 fn where_only_listed_nodes_drain_an_unlisted_one_is_kept_while_it_serves_and_forgotten_once_it_is_dead() {
-    let mut simulation = checked(3, 0, &[("rules.only_listed_draining", Value::Flag(true))]);
+    let mut simulation = checked(3, 0, &[("rules.only_listed_draining", Value::Bool(true))]);
     let left = [1, 3].map(|number| simulation.endpoint(number, EndpointStatus::InService));
     simulation.update_endpoints(EndpointUpdate::Snapshot, &left);
     assert!(sent(&mut simulation, 1, None, 40).contains(&node(2)), "it was not told to drain");
--- a/tests/decisions/outlier_detection.rs
+++ b/tests/decisions/outlier_detection.rs
@@ -59,7 +59,7 @@
 
 #[test]
 fn without_health_checks_an_ejected_node_is_tried_again() {
-    let mut simulation = Simulation::new(2, 1, &[("allowed.health_checks", Value::Flag(false))]);
+    let mut simulation = Simulation::new(2, 1, &[("allowed.health_checks", Value::Bool(false))]);
     let id = simulation.arrive(4, LONG, None);
     simulation.end_attempt(id, Outcome::ConnectFailed);
     simulation.advance(ms(100));
@@ -68,7 +68,7 @@
 
 #[test]
 fn a_connect_cut_short_by_its_rpcs_deadline_shows_no_connection_shortage() {
-    let mut simulation = checked(2, 0, &[("allowed.connect_timeout", Value::Span(ms(250)))]);
+    let mut simulation = checked(2, 0, &[("allowed.connect_timeout", Value::Duration(ms(250)))]);
     // The write may be late, so it goes on until its client gives up, which is before a connect would.
     let write = simulation.arrive(4, ms(120), None);
     simulation.advance(ms(118));
--- a/tests/decisions/peer_observations.rs
+++ b/tests/decisions/peer_observations.rs
@@ -53,7 +53,7 @@
 
 #[test]
 fn an_answer_without_a_position_proves_nothing() {
-    let mut simulation = Simulation::new(3, 1, &[("replication.stamps", Value::Flag(false))]);
+    let mut simulation = Simulation::new(3, 1, &[("replication.stamps", Value::Bool(false))]);
     let observation = simulation.observation(2, simulation.now());
     simulation.peer_observes(observation);
     let read = simulation.arrive(0, LONG, None);
--- a/tests/decisions/retry_policy.rs
+++ b/tests/decisions/retry_policy.rs
@@ -19,7 +19,7 @@
 #[test]
 fn a_method_whose_answers_were_slow_is_still_sent() {
     // Two methods compete for capacity; the one whose answers once took long must not be given up for good.
-    let mut simulation = checked(2, 0, &[("methods.2.latency_objective", Value::Span(ms(16)))]);
+    let mut simulation = checked(2, 0, &[("methods.2.latency_objective", Value::Duration(ms(16)))]);
     sent(&mut simulation, 2, None, 200);
     simulation.advance(ms(100));
     let busy: Vec<RpcId> = (0..30).map(|_| simulation.arrive(1, LONG, None)).collect();
--- a/tests/decisions/rules.rs
+++ b/tests/decisions/rules.rs
@@ -15,7 +15,7 @@
         let mut change =
             vec![text("methods.4.idempotency", "keyed"), text("methods.4.idempotency_scope", scope)];
         change.extend([text("methods.0.idempotency", "keyed"), text("methods.0.idempotency_scope", scope)]);
-        change.push(("methods.4.idempotency_window", Value::Span(ms(60))));
+        change.push(("methods.4.idempotency_window", Value::Duration(ms(60))));
         change
     };
     vec![
@@ -23,24 +23,24 @@
         vec![text("replication.read_check", "reject"), text("discovery", "subscribe")],
         vec![text("replication.read_check", "hold"), ("methods.0.late_weight", Value::Number(0.2))],
         vec![text("replication.session_tokens", "remembered"), text("discovery", "automatic")],
-        vec![("replication.stamps", Value::Flag(false))],
-        vec![("allowed.hedging", Value::Flag(false)), ("allowed.cancel", Value::Flag(false))],
+        vec![("replication.stamps", Value::Bool(false))],
+        vec![("allowed.hedging", Value::Bool(false)), ("allowed.cancel", Value::Bool(false))],
         vec![
-            ("allowed.health_checks", Value::Flag(false)),
-            ("rules.only_listed_draining", Value::Flag(true)),
+            ("allowed.health_checks", Value::Bool(false)),
+            ("rules.only_listed_draining", Value::Bool(true)),
         ],
         vec![text("methods.0.idempotency", "non_idempotent"), text("replication.consistency.1", "write")],
         vec![
             text("reports.source", "probe"),
-            ("replication.stamps", Value::Flag(false)),
-            ("test.load_reports", Value::Flag(true)),
+            ("replication.stamps", Value::Bool(false)),
+            ("test.load_reports", Value::Bool(true)),
         ],
         keyed("replica_set"),
         keyed("zone"),
         keyed("all"),
-        vec![("test.observations", Value::Flag(true))],
-        vec![("test.observations", Value::Flag(true)), text("methods.0.idempotency", "non_idempotent")],
-        vec![("test.observations", Value::Flag(true)), text("replication.session_tokens", "remembered")],
+        vec![("test.observations", Value::Bool(true))],
+        vec![("test.observations", Value::Bool(true)), text("methods.0.idempotency", "non_idempotent")],
+        vec![("test.observations", Value::Bool(true)), text("replication.session_tokens", "remembered")],
     ]
 }
 
--- a/tests/decisions/session_tokens.rs
+++ b/tests/decisions/session_tokens.rs
@@ -31,7 +31,7 @@
 fn with_remembered_tokens() -> Simulation {
     let change = [
         ("replication.session_tokens", Value::Text("remembered".into())),
-        ("replication.stamps", Value::Flag(false)),
+        ("replication.stamps", Value::Bool(false)),
     ];
     let mut simulation = checked(3, 500, &change);
     assert!(sent(&mut simulation, 2, None, 20).iter().any(|at| *at != node(1)), "nothing was written yet");
--- a/tests/decisions/simulation/checker.rs
+++ b/tests/decisions/simulation/checker.rs
@@ -87,14 +87,14 @@
 
     /// Whether answers tell positions.
     pub fn has_stamps(&self) -> bool {
-        !self.values.denies("replication.stamps")
+        !self.values.is_false("replication.stamps")
     }
 
     /// Returns the position that the answer must stand for.
     fn check_send(&self, id: RpcId, to: NodeId) -> Option<Duration> {
         self.check_request(id, to);
         self.check_repeat(id, to);
-        let grace = self.values.span("rules.drain_grace").unwrap();
+        let grace = self.values.duration("rules.drain_grace").unwrap();
         let draining_since = self.nodes[&to].draining_since;
         assert!(draining_since.is_none_or(|at| self.now <= at + grace), "rule 3: sent to a draining node");
         self.check_slow_start(to);
@@ -111,13 +111,13 @@
         assert_eq!(self.endpoints[&to].replica_set, request.rpc.replica_set, "sent to another replica set");
         assert!(request.attempts.len() < self.values.number("allowed.attempts").unwrap() as usize);
         let is_in_flight = request.attempts.iter().any(|attempt| attempt.outcome.is_none());
-        assert!(!is_in_flight || self.values.flag("allowed.hedging"), "two attempts at once");
+        assert!(!is_in_flight || self.values.is_true("allowed.hedging"), "two attempts at once");
     }
 
     fn check_repeat(&self, id: RpcId, to: NodeId) {
         let request = &self.requests[&id];
         let (endpoint, method) = (&self.endpoints[&to], request.rpc.method.0);
-        let window = self.values.span(&format!("methods.{method}.idempotency_window")).unwrap();
+        let window = self.values.duration(&format!("methods.{method}.idempotency_window")).unwrap();
         let may_have_run = |attempt: &&AttemptRecord| !attempt.outcome.is_some_and(Outcome::never_ran);
         for attempt in request.attempts.iter().filter(may_have_run) {
             let earlier = &self.endpoints[&attempt.node];
@@ -158,7 +158,7 @@
         let excused = node.was_primary && !node.answered_as_replica;
         let required = match self.text("replication.consistency.#", method) {
             "bounded" => {
-                self.now - self.values.span(&format!("replication.staleness_bound.{method}")).unwrap()
+                self.now - self.values.duration(&format!("replication.staleness_bound.{method}")).unwrap()
             }
             "session" => request.token.unwrap_or_default(),
             "fresh" => request.arrived,
--- a/tests/decisions/simulation/mod.rs
+++ b/tests/decisions/simulation/mod.rs
@@ -57,9 +57,9 @@
         let idempotency = if place == 4 { "non_idempotent" } else { "idempotent" };
         put(&format!("replication.consistency.{place}"), text(consistency));
         put(&format!("methods.{place}.idempotency"), text(idempotency));
-        put(&format!("replication.staleness_bound.{place}"), Value::Span(ms(300)));
-        put(&format!("methods.{place}.latency_objective"), Value::Span(ms(200)));
-        put(&format!("methods.{place}.idempotency_window"), Value::Span(ms(400)));
+        put(&format!("replication.staleness_bound.{place}"), Value::Duration(ms(300)));
+        put(&format!("methods.{place}.latency_objective"), Value::Duration(ms(200)));
+        put(&format!("methods.{place}.idempotency_window"), Value::Duration(ms(400)));
     }
     put("replication.read_check", text("none"));
     let numbers = [
@@ -75,11 +75,11 @@
         ("overload_window", 1000),
         ("poll_interval", 8000),
     ];
-    rules.into_iter().for_each(|(name, span)| put(&format!("rules.{name}"), Value::Span(ms(span))));
-    put("allowed.max_retry_after", Value::Span(ms(1000)));
-    put("tick", Value::Span(ms(1)));
+    rules.into_iter().for_each(|(name, span)| put(&format!("rules.{name}"), Value::Duration(ms(span))));
+    put("allowed.max_retry_after", Value::Duration(ms(1000)));
+    put("tick", Value::Duration(ms(1)));
     let flags = ["allowed.health_checks", "allowed.cancel", "allowed.hedging"];
-    flags.into_iter().for_each(|flag| put(flag, Value::Flag(true)));
+    flags.into_iter().for_each(|flag| put(flag, Value::Bool(true)));
     change.iter().for_each(|(name, value)| put(name, value.clone()));
     ValueMap(values)
 }
@@ -131,7 +131,7 @@
         let is_primary = |node| node == self.primary;
         for entry in list {
             let mut record = self.record_mut();
-            let only_listed_draining = record.values.flag("rules.only_listed_draining");
+            let only_listed_draining = record.values.is_true("rules.only_listed_draining");
             let was = record.endpoints.insert(entry.node, entry.clone());
             let new = NodeRecord {
                 was_primary: is_primary(entry.node),
--- a/tests/decisions/simulation/random_run.rs
+++ b/tests/decisions/simulation/random_run.rs
@@ -53,10 +53,10 @@
             let now = self.now();
             let some = rng.random_range(1..=count);
             let in_flight = self.attempts_in_flight();
-            if self.record().values.flag("test.observations") && rng.random_bool(0.3) {
+            if self.record().values.is_true("test.observations") && rng.random_bool(0.3) {
                 self.observe_anything(some, &mut rng);
             }
-            if self.record().values.flag("test.load_reports") {
+            if self.record().values.is_true("test.load_reports") {
                 self.in_flight = Some(f64::from(rng.random_range(0..12u8)));
             }
             match rng.random_range(0..100) {
--- a/tests/decisions/support.rs
+++ b/tests/decisions/support.rs
@@ -49,7 +49,7 @@
     let change = [
         ("reports.source", Value::Text("probe".into())),
         ("routers", Value::Number(100.0)),
-        ("allowed.retry_after", Value::Flag(retry_after)),
+        ("allowed.retry_after", Value::Bool(retry_after)),
     ];
     let mut simulation = checked(4, 0, &change);
     simulation.in_flight = Some(in_flight);
