--- a/crates/adapter/src/action.rs
+++ b/crates/adapter/src/action.rs
@@ -36,7 +36,7 @@
 }
 
 impl Host for ActionWriter {
-    fn attempt(&mut self, rpc: RpcId, node: NodeId, timeout: Duration) {
+    fn start_attempt(&mut self, rpc: RpcId, node: NodeId, timeout: Duration) {
         self.write_line(format_args!(
             "CALL_OUT Who={} OpId={:016x} Node={} TimeoutMs={:.3}",
             self.instance,
@@ -59,11 +59,11 @@
         self.write_line(format_args!("END_FAILED Who={} OpId={:016x}", self.instance, rpc.0));
     }
 
-    fn health_check(&mut self, node: NodeId) {
+    fn start_health_check(&mut self, node: NodeId) {
         self.write_line(format_args!("TOUCH Who={} Node={}", self.instance, node.0));
     }
 
-    fn close_idle(&mut self, node: NodeId) {
+    fn close_idle_connections(&mut self, node: NodeId) {
         self.write_line(format_args!("RELEASE Who={} Node={}", self.instance, node.0));
     }
 
--- a/crates/router/src/engine/host.rs
+++ b/crates/router/src/engine/host.rs
@@ -54,7 +54,7 @@
 pub(super) struct DecisionHost(pub(super) Rc<HostState>);
 
 impl Host for DecisionHost {
-    fn attempt(&mut self, rpc: RpcId, node: NodeId, timeout: Duration) {
+    fn start_attempt(&mut self, rpc: RpcId, node: NodeId, timeout: Duration) {
         let state = &self.0;
         let started = state.clock.now();
         let mut pending = state.pending.borrow_mut();
@@ -82,11 +82,11 @@
         self.0.finish(rpc, |pending| Command::Abort { last_outcome: pending.last_outcome });
     }
 
-    fn health_check(&mut self, node: NodeId) {
+    fn start_health_check(&mut self, node: NodeId) {
         _ = self.0.background_tasks.try_send(BackgroundTask::HealthCheck(node));
     }
 
-    fn close_idle(&mut self, node: NodeId) {
+    fn close_idle_connections(&mut self, node: NodeId) {
         _ = self.0.background_tasks.try_send(BackgroundTask::CloseIdle(node));
     }
 
--- a/src/attempt_check.rs
+++ b/src/attempt_check.rs
@@ -148,6 +148,6 @@
         let ends_at = request.deadline.saturating_sub(self.config.tick);
         self.due.insert(DueTime { at: ends_at, rpc: id });
         self.spend_primary_quota(replica_set, node, is_write);
-        self.host.attempt(id, node, timeout);
+        self.host.start_attempt(id, node, timeout);
     }
 }
--- a/src/connection_shortage.rs
+++ b/src/connection_shortage.rs
@@ -55,7 +55,7 @@
     pub(crate) fn give_back_connections(&mut self, now: Duration, node: NodeId, result: ConnectResult) {
         let is_unused = self.nodes.get(&node).is_some_and(|state| state.in_flight.is_empty());
         if result == ConnectResult::NotRefused && self.in_connection_shortage(now) && is_unused {
-            self.host.close_idle(node);
+            self.host.close_idle_connections(node);
         }
     }
 
@@ -64,7 +64,7 @@
         if self.nodes.get(&node).is_some_and(|state| state.refused_connects > 0) {
             self.connection_shortage_until = now + SHORTAGE_DURATION;
             for node in self.nodes.keys() {
-                self.host.close_idle(*node);
+                self.host.close_idle_connections(*node);
             }
         }
     }
--- a/src/endpoints.rs
+++ b/src/endpoints.rs
@@ -114,7 +114,7 @@
             self.nodes.remove(&node);
             self.lose_primary(now, replica_set, node);
             self.replica_sets.entry(replica_set).or_default().nodes.remove(&node);
-            self.host.close_idle(node);
+            self.host.close_idle_connections(node);
         }
     }
 }
--- a/src/health_checks.rs
+++ b/src/health_checks.rs
@@ -145,7 +145,7 @@
             state.health.suspicion = 0.0;
         } else if !state.health_check.in_flight && self.health_check_budget.spend() {
             state.health_check.in_flight = true;
-            self.host.health_check(node);
+            self.host.start_health_check(node);
         }
     }
 
--- a/src/host.rs
+++ b/src/host.rs
@@ -38,15 +38,15 @@
 /// What a router may do. Everything takes effect at once, in the order of the calls.
 pub trait Host {
     /// Sends the RPC to the node; the attempt ends with [`Outcome::TimedOut`] after `timeout`.
-    fn attempt(&mut self, rpc: RpcId, node: NodeId, timeout: Duration);
+    fn start_attempt(&mut self, rpc: RpcId, node: NodeId, timeout: Duration);
     /// Final answer: nothing ran, come back after `retry_after` (zero: no advice).
     fn reject(&mut self, rpc: RpcId, retry_after: Duration);
     /// Final answer that promises nothing about the effect.
     fn abort(&mut self, rpc: RpcId);
     /// Asks the node how it is, without an RPC; `health_check_ended` has to be called when that ends.
-    fn health_check(&mut self, node: NodeId);
+    fn start_health_check(&mut self, node: NodeId);
     /// Closes this router's idle connections to the node.
-    fn close_idle(&mut self, node: NodeId);
+    fn close_idle_connections(&mut self, node: NodeId);
     /// Asks for updates of the endpoint list from now on.
     fn watch_endpoints(&mut self);
     /// Asks for one call of `timer_fired` after this span. It cannot be taken back.
--- a/tests/decisions/simulation/checker.rs
+++ b/tests/decisions/simulation/checker.rs
@@ -195,7 +195,7 @@
 pub struct InvariantChecker(pub Rc<RefCell<Record>>);
 
 impl Host for InvariantChecker {
-    fn attempt(&mut self, rpc: RpcId, node: NodeId, _: Duration) {
+    fn start_attempt(&mut self, rpc: RpcId, node: NodeId, _: Duration) {
         let mut record = self.0.borrow_mut();
         let required = record.check_send(rpc, node);
         let now = record.now;
@@ -209,12 +209,12 @@
     fn abort(&mut self, rpc: RpcId) {
         self.0.borrow_mut().answer(rpc, FinalAnswer::Aborted, Duration::ZERO);
     }
-    fn health_check(&mut self, node: NodeId) {
+    fn start_health_check(&mut self, node: NodeId) {
         let mut record = self.0.borrow_mut();
         assert!(!record.health_checks.contains(&node), "two health checks in flight at one node");
         record.health_checks.push(node);
     }
-    fn close_idle(&mut self, node: NodeId) {
+    fn close_idle_connections(&mut self, node: NodeId) {
         self.0.borrow_mut().closed_idle.push(node);
     }
     fn watch_endpoints(&mut self) {
