--- a/crates/adapter/src/event.rs
+++ b/crates/adapter/src/event.rs
@@ -95,7 +95,7 @@
         remaining: message.required_duration("RemainingMs")?,
         work: message.duration("EffortMs")?,
         since_write: message.duration("SinceWriteMs")?.filter(|since| !since.is_zero()),
-        retried: message.flag("Retry")?,
+        is_retry: message.flag("Retry")?,
     })
 }
 
@@ -111,7 +111,7 @@
         attempt: AttemptNumber(message.required("SeqNo")?),
         node: message.node()?,
         outcome: outcome(message)?,
-        finished: message.flag("Last")?,
+        rpc_finished: message.flag("Last")?,
         took: message.duration("TookMs")?.unwrap_or_default(),
         role: stamp.role(),
         position: stamp.position(origin),
@@ -160,7 +160,7 @@
         node: message.node()?,
         replica_set: ReplicaSetId(message.parsed::<f64>("Shard")?.unwrap_or(0.0) as u64),
         zone: ZoneId(message.parsed("Campus")?.unwrap_or(0)),
-        kind: message.parsed("Shape")?.unwrap_or(0),
+        machine_type: message.parsed("Shape")?.unwrap_or(0),
         primary: message.parsed::<f64>("Primary")?.unwrap_or(0.0) > 0.0,
         status: endpoint_status(message)?,
         started: message.duration("LastStartMs")?.filter(|at| !at.is_zero()),
--- a/crates/router/src/endpoint_list.rs
+++ b/crates/router/src/endpoint_list.rs
@@ -109,7 +109,7 @@
             node: NodeId(entry.address),
             replica_set: ReplicaSetId(entry.replica_set),
             zone: ZoneId(index(&self.zones, &entry.zone)),
-            kind: index(&self.kinds, &entry.kind),
+            machine_type: index(&self.kinds, &entry.kind),
             primary: entry.role == "primary",
             status: match entry.status {
                 Status::InService => EndpointStatus::InService,
--- a/crates/router/src/engine/observations.rs
+++ b/crates/router/src/engine/observations.rs
@@ -78,7 +78,7 @@
         observed: ObservedState,
     ) {
         let Some(exchange) = self.exchange.get() else { return };
-        let started = self.decisions.borrow().started(node);
+        let started = self.decisions.borrow().process_start(node);
         exchange.observed(LocalObservation {
             node,
             asked,
--- a/crates/router/src/engine/rpcs.rs
+++ b/crates/router/src/engine/rpcs.rs
@@ -73,7 +73,7 @@
                 remaining,
                 work: None,
                 since_write: last_write.map(|at| now.saturating_sub(at)),
-                retried: statement.retried,
+                is_retry: statement.retried,
             };
             decisions.rpc_arrived(now, rpc);
         });
@@ -117,9 +117,10 @@
             // The first answer goes to the client without asking the decisions again.
             self.host.finish(rpc, |_| Command::Answer { answer, position });
         }
-        let finished = !self.record_outcome(rpc, outcome);
+        let rpc_finished = !self.record_outcome(rpc, outcome);
         let took = now.saturating_sub(started);
-        let end = AttemptEnd { rpc, attempt: number, node, outcome, finished, took, role, position, report };
+        let end =
+            AttemptEnd { rpc, attempt: number, node, outcome, rpc_finished, took, role, position, report };
         self.decisions.borrow_mut().attempt_ended(now, end);
         self.share_attempt(node, started, role, position, report);
     }
--- a/crates/router/tests/control_instance.rs
+++ b/crates/router/tests/control_instance.rs
@@ -66,7 +66,7 @@
             node: node(place),
             replica_set: ReplicaSetId(0),
             zone: ZoneId(0),
-            kind: 0,
+            machine_type: 0,
             primary: false,
             status: EndpointStatus::InService,
             started: None,
--- a/crates/router/tests/messages.rs
+++ b/crates/router/tests/messages.rs
@@ -341,7 +341,7 @@
         let endpoints = parser.apply(&list);
         endpoints
             .iter()
-            .map(|endpoint| (endpoint.node.0.port(), endpoint.status, endpoint.zone.0, endpoint.kind))
+            .map(|endpoint| (endpoint.node.0.port(), endpoint.status, endpoint.zone.0, endpoint.machine_type))
             .collect::<Vec<_>>()
     };
     assert_eq!(
--- a/crates/router/tests/observation_exchange.rs
+++ b/crates/router/tests/observation_exchange.rs
@@ -65,7 +65,7 @@
         node: node(group, place),
         replica_set: ReplicaSetId(group),
         zone: ZoneId(0),
-        kind: 0,
+        machine_type: 0,
         primary: false,
         status: EndpointStatus::InService,
         started: None,
--- a/src/accessors.rs
+++ b/src/accessors.rs
@@ -12,7 +12,7 @@
     }
 
     /// When the node's process started, on the clock that all routers read; none where that is not known.
-    pub fn started(&self, node: NodeId) -> Option<Duration> {
+    pub fn process_start(&self, node: NodeId) -> Option<Duration> {
         self.nodes.get(&node)?.started
     }
 
--- a/src/admission.rs
+++ b/src/admission.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use crate::freshness::FRESHNESS_WAIT;
+use crate::freshness::MAX_FRESHNESS_WAIT;
 use crate::host::{Host, Rpc, RpcId};
 use crate::maintenance::DueTime;
 use crate::pending_request::PendingRequest;
@@ -18,7 +18,8 @@
     pub(crate) fn objective_end(&mut self, now: Duration, rpc: &Rpc) -> Option<Duration> {
         let method = self.methods.get_mut(rpc.method.0)?;
         let waits_like_first_try = method.first_try_wait.count(rpc.remaining, method.deadline);
-        let is_first_try = if self.config.clients_mark_retries { !rpc.retried } else { waits_like_first_try };
+        let is_first_try =
+            if self.config.clients_mark_retries { !rpc.is_retry } else { waits_like_first_try };
         let left = if is_first_try { method.deadline } else { rpc.remaining };
         let since_first_try = method.deadline.saturating_sub(left);
         Some((now + method.latency_objective).saturating_sub(since_first_try))
@@ -50,7 +51,7 @@
         request.is_queued = true;
         self.replica_sets.entry(request.rpc.replica_set).or_default().queue.insert(request);
         let request = &self.pending[&id];
-        let next = self.send_useful_until(request).min(request.arrived + FRESHNESS_WAIT).max(now);
+        let next = self.send_useful_until(request).min(request.arrived + MAX_FRESHNESS_WAIT).max(now);
         self.due.insert(DueTime { at: next, rpc: id });
     }
 
--- a/src/balancing.rs
+++ b/src/balancing.rs
@@ -7,7 +7,7 @@
 
 use rand::seq::IndexedRandom;
 
-use crate::freshness::FRESHNESS_WAIT;
+use crate::freshness::MAX_FRESHNESS_WAIT;
 use crate::host::{Host, NodeId, RpcId};
 use crate::method::{Consistency, Method};
 use crate::node_state::NodeState;
@@ -80,7 +80,7 @@
         if let Some(primary) = self.choose_primary_for_read(now, id, &mut candidates) {
             return RoutingChoice::Send(primary);
         }
-        let may_wait = now < self.pending[&id].arrived + FRESHNESS_WAIT;
+        let may_wait = now < self.pending[&id].arrived + MAX_FRESHNESS_WAIT;
         let mut to_check = if may_wait { candidates.unknown_freshness } else { Vec::new() };
         to_check.extend(candidates.unknown_load);
         self.check_for_request(now, to_check);
--- a/src/dispatch.rs
+++ b/src/dispatch.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use crate::balancing::RoutingChoice;
-use crate::freshness::FRESHNESS_WAIT;
+use crate::freshness::MAX_FRESHNESS_WAIT;
 use crate::host::{Host, MethodId, ReplicaSetId, RpcId};
 use crate::maintenance::DueTime;
 use crate::router::Router;
@@ -23,7 +23,7 @@
                 self.replica_sets.entry(replica_set).or_default().last_wanted = now;
                 match self.choose_node(now, head.entry.rpc) {
                     RoutingChoice::Send(node) => self.send(now, head.entry.rpc, node),
-                    RoutingChoice::Reject => self.finish(head.entry.rpc, FRESHNESS_WAIT),
+                    RoutingChoice::Reject => self.finish(head.entry.rpc, MAX_FRESHNESS_WAIT),
                     RoutingChoice::Wait => {
                         blocked.insert(head.method);
                     }
--- a/src/freshness.rs
+++ b/src/freshness.rs
@@ -13,7 +13,7 @@
 
 /// How long a read may wait for a node that is known to be fresh enough. Its client is then told to come back after the
 /// same time.
-pub const FRESHNESS_WAIT: Duration = Duration::from_millis(50);
+pub const MAX_FRESHNESS_WAIT: Duration = Duration::from_millis(50);
 /// Positions are times on the nodes' clocks: one further ahead of the router's is malformed, and would count for ever.
 const MAX_POSITION_LEAD: Duration = Duration::from_millis(50);
 /// An answer's position may be a commit time, which nodes round up to this: the log surely reaches only as far as the
--- a/src/host.rs
+++ b/src/host.rs
@@ -127,7 +127,7 @@
     /// How long ago the session's last write was committed, where clients carry that.
     pub since_write: Option<Duration>,
     /// The client marks it as a retry of its own.
-    pub retried: bool,
+    pub is_retry: bool,
 }
 
 /// What a node is in its replica set.
@@ -166,7 +166,7 @@
 
 impl Outcome {
     /// Whether no node can have been sent the whole request.
-    pub fn unwritten(self) -> bool {
+    pub fn never_sent(self) -> bool {
         matches!(self, Self::ConnectFailed | Self::NotSent)
     }
 
@@ -201,7 +201,7 @@
     /// How it ended.
     pub outcome: Outcome,
     /// The RPC has its final answer; nothing more is owed.
-    pub finished: bool,
+    pub rpc_finished: bool,
     /// Time from the attempt's order to its end.
     pub took: Duration,
     /// What the answer itself says of the node's role.
@@ -252,7 +252,7 @@
     /// The zone that it is in.
     pub zone: ZoneId,
     /// The kind of machine that it runs on.
-    pub kind: usize,
+    pub machine_type: usize,
     /// Whether it was the primary when the list was made.
     pub primary: bool,
     /// Whether it may be sent to.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -59,5 +59,5 @@
 mod wait_queue;
 mod zone_latency;
 
-pub use freshness::FRESHNESS_WAIT;
+pub use freshness::MAX_FRESHNESS_WAIT;
 pub use router::Router;
--- a/src/node_state.rs
+++ b/src/node_state.rs
@@ -15,7 +15,7 @@
     pub replica_set: ReplicaSetId,
     pub zone: ZoneId,
     /// The kind of machine: nodes of one kind are taken to be equally strong.
-    pub kind: usize,
+    pub machine_type: usize,
     /// No new attempt is sent. Set when the list says so, and on removal unless `only_listed_draining`. Attempts in
     /// flight are not cancelled; `forget_removed_nodes` keeps the node until they have ended.
     pub draining: bool,
@@ -41,7 +41,7 @@
         Self {
             replica_set: endpoint.replica_set,
             zone: endpoint.zone,
-            kind: endpoint.kind,
+            machine_type: endpoint.machine_type,
             draining: false,
             removed: false,
             started,
--- a/src/retry_policy.rs
+++ b/src/retry_policy.rs
@@ -45,7 +45,7 @@
         let end = self.answer_useful_until(request);
         let most_needed = end.saturating_sub(request.arrived).mul_f64(MAX_NEEDED_PART);
         let last = end - needed.min(most_needed);
-        let is_unsent = |attempt: &Attempt| attempt.outcome.is_some_and(Outcome::unwritten);
+        let is_unsent = |attempt: &Attempt| attempt.outcome.is_some_and(Outcome::never_sent);
         if !request.attempts.iter().all(is_unsent) {
             return last;
         }
--- a/src/router.rs
+++ b/src/router.rs
@@ -11,7 +11,7 @@
 
 use crate::config::Config;
 use crate::endpoints::PollSchedule;
-use crate::freshness::{FRESHNESS_WAIT, is_plausible};
+use crate::freshness::{MAX_FRESHNESS_WAIT, is_plausible};
 use crate::health_checks::HealthCheckBudget;
 use crate::host::{
     AttemptEnd, AttemptNumber, Endpoint, EndpointUpdate, Host, LoadReport, NodeId, Outcome, PeerObservation,
@@ -96,7 +96,7 @@
         let Some(objective_at) = self.objective_end(now, &rpc) else { return self.host.abort(id) };
         // Of a replica set without nodes nothing is kept: its number may be anything.
         if !self.replica_sets.contains_key(&replica_set) {
-            return self.reject(id, FRESHNESS_WAIT);
+            return self.reject(id, MAX_FRESHNESS_WAIT);
         }
         let is_write = self.methods[rpc.method.0].consistency == Consistency::Write;
         let admitted_part = self.admitted_part();
@@ -121,7 +121,7 @@
             attempt.outcome = Some(end.outcome);
         }
         self.learn_from_attempt(now, &end);
-        if end.finished {
+        if end.rpc_finished {
             self.forget(end.rpc);
         } else if self.pending.get(&end.rpc).is_some_and(|it| !it.is_in_flight() && !it.is_queued) {
             self.retry_or_finish(now, end.rpc);
--- a/src/slow_start.rs
+++ b/src/slow_start.rs
@@ -123,7 +123,7 @@
             let slow_start = &mut node.slow_start;
             slow_start.work_rate *= (-elapsed_s / WORK_RATE_WINDOW_S).exp();
             slow_start.capacity_fraction = config.capacity_fraction(now, node.started);
-            let kind = kinds.get(&node.kind).copied().unwrap_or(WorkRateSum { sum: 0.0, nodes: 1.0 });
+            let kind = kinds.get(&node.machine_type).copied().unwrap_or(WorkRateSum { sum: 0.0, nodes: 1.0 });
             let mean = kind.sum / kind.nodes;
             let rate = (mean * slow_start.capacity_fraction * config.overload_multiple).max(least);
             let most_saved = rate * window_s / SAVED_WINDOW_DIVISOR;
@@ -134,7 +134,7 @@
     fn work_rates_by_kind(&self) -> BTreeMap<usize, WorkRateSum> {
         let mut kinds: BTreeMap<usize, WorkRateSum> = BTreeMap::new();
         for node in self.nodes.values().filter(|node| node.is_open()) {
-            let kind = kinds.entry(node.kind).or_default();
+            let kind = kinds.entry(node.machine_type).or_default();
             kind.sum += node.slow_start.work_rate;
             kind.nodes += 1.0;
         }
--- a/tests/decisions/simulation/mod.rs
+++ b/tests/decisions/simulation/mod.rs
@@ -119,7 +119,7 @@
     pub fn endpoint(&self, number: usize, status: EndpointStatus) -> Endpoint {
         let (node, zone) = (node(number), ZoneId(number % 2));
         let primary = node == self.primary;
-        Endpoint { node, replica_set: ReplicaSetId(0), zone, kind: 0, primary, status, started: None }
+        Endpoint { node, replica_set: ReplicaSetId(0), zone, machine_type: 0, primary, status, started: None }
     }
 
     pub fn now(&self) -> Duration {
@@ -176,7 +176,7 @@
         let session = (method == 2 || method == 4).then_some(SessionKey(7));
         let (method, replica_set) = (MethodId(method), self.replica_set);
         let rpc =
-            Rpc { id, method, session, replica_set, remaining, work: None, since_write, retried: false };
+            Rpc { id, method, session, replica_set, remaining, work: None, since_write, is_retry: false };
         let is_remembered = self.record().values.text("replication.session_tokens") == "remembered";
         let commit = self.record().commit;
         let token = if is_remembered { commit } else { since_write.map(|since| now - since) };
@@ -212,7 +212,7 @@
         if outcome == Outcome::Ok && request.answer.is_none() {
             request.answer = Some(FinalAnswer::Ok);
         }
-        let finished = request.answer.is_some();
+        let rpc_finished = request.answer.is_some();
         let is_answer =
             answered || matches!(outcome, Outcome::Misrouted | Outcome::Rejected | Outcome::Error);
         let role = if node == self.primary { Role::Primary } else { Role::Replica };
@@ -237,7 +237,7 @@
         let role = is_answer.then_some(role);
         let attempt = AttemptNumber(place as u32);
         let report = self.queued.map(|queued| LoadReport { queued: Some(queued), ..LoadReport::default() });
-        let end = AttemptEnd { rpc: id, attempt, node, outcome, finished, took, role, position, report };
+        let end = AttemptEnd { rpc: id, attempt, node, outcome, rpc_finished, took, role, position, report };
         self.router.attempt_ended(now, end);
     }
 
