--- a/src/host.rs
+++ b/src/host.rs
@@ -38,15 +38,15 @@
 /// What a router may do. Everything takes effect at once, in the order of the calls.
 pub trait Host {
     /// Sends the RPC to the node; the attempt ends with [`Outcome::TimedOut`] after `timeout`.
-    fn attempt(&mut self, rpc: RpcId, node: NodeId, timeout: Duration);
+    fn start_attempt(&mut self, rpc: RpcId, node: NodeId, timeout: Duration);
     /// Final answer: nothing ran, come back after `retry_after` (zero: no advice).
     fn reject(&mut self, rpc: RpcId, retry_after: Duration);
     /// Final answer that promises nothing about the effect.
     fn abort(&mut self, rpc: RpcId);
     /// Asks the node how it is, without an RPC; `health_check_ended` has to be called when that ends.
-    fn health_check(&mut self, node: NodeId);
+    fn start_health_check(&mut self, node: NodeId);
     /// Closes this router's idle connections to the node.
-    fn close_idle(&mut self, node: NodeId);
+    fn close_idle_connections(&mut self, node: NodeId);
     /// Asks for updates of the endpoint list from now on.
     fn watch_endpoints(&mut self);
     /// Asks for one call of `timer_fired` after this span. It cannot be taken back.
@@ -55,25 +55,26 @@
     fn log(&mut self, line: &str);
 }
 
-/// One setting. The map's names are dotted paths, list places as numbers: `methods.0.deadline`.
+/// The value of one setting.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Value {
-    /// Yes or no.
-    Flag(bool),
+    /// A boolean.
+    Bool(bool),
     /// A count or a ratio.
     Number(f64),
-    /// A time.
-    Span(Duration),
-    /// A name.
+    /// A duration.
+    Duration(Duration),
+    /// A word, such as the name of a mode.
     Text(String),
 }
 
-/// The settings: a plain map, with a look-up for each type of value. A value of another type counts as missing.
+/// The settings by name. A name is a dotted path in which a number is a list index, such as `methods.0.deadline`. A
+/// value whose type differs from the one that is asked for counts as missing.
 #[derive(Clone, Debug, Default)]
 pub struct ValueMap(pub BTreeMap<String, Value>);
 
 impl ValueMap {
-    /// The number of this name.
+    /// The setting's value if it is a number.
     pub fn number(&self, name: &str) -> Option<f64> {
         match self.0.get(name) {
             Some(Value::Number(number)) => Some(*number),
@@ -81,15 +82,15 @@
         }
     }
 
-    /// The time of this name.
-    pub fn span(&self, name: &str) -> Option<Duration> {
+    /// The setting's value if it is a duration.
+    pub fn duration(&self, name: &str) -> Option<Duration> {
         match self.0.get(name) {
-            Some(Value::Span(span)) => Some(*span),
+            Some(Value::Duration(duration)) => Some(*duration),
             _ => None,
         }
     }
 
-    /// The text of this name; empty where the setting is missing.
+    /// The setting's value if it is a text, otherwise an empty string.
     pub fn text(&self, name: &str) -> &str {
         match self.0.get(name) {
             Some(Value::Text(text)) => text,
@@ -97,14 +98,14 @@
         }
     }
 
-    /// Whether the setting says yes; one that is missing does not.
-    pub fn flag(&self, name: &str) -> bool {
-        matches!(self.0.get(name), Some(Value::Flag(true)))
+    /// Whether the setting is explicitly true; a missing one is not.
+    pub fn is_true(&self, name: &str) -> bool {
+        matches!(self.0.get(name), Some(Value::Bool(true)))
     }
 
-    /// Whether the setting says no; one that is missing does not.
-    pub fn denies(&self, name: &str) -> bool {
-        matches!(self.0.get(name), Some(Value::Flag(false)))
+    /// Whether the setting is explicitly false; a missing one is not.
+    pub fn is_false(&self, name: &str) -> bool {
+        matches!(self.0.get(name), Some(Value::Bool(false)))
     }
 }
 
@@ -126,7 +127,7 @@
     /// How long ago the session's last write was committed, where clients carry that.
     pub since_write: Option<Duration>,
     /// The client marks it as a retry of its own.
-    pub retried: bool,
+    pub is_retry: bool,
 }
 
 /// What a node is in its replica set.
@@ -165,7 +166,7 @@
 
 impl Outcome {
     /// Whether no node can have been sent the whole request.
-    pub fn unwritten(self) -> bool {
+    pub fn never_sent(self) -> bool {
         matches!(self, Self::ConnectFailed | Self::NotSent)
     }
 
@@ -200,7 +201,7 @@
     /// How it ended.
     pub outcome: Outcome,
     /// The RPC has its final answer; nothing more is owed.
-    pub finished: bool,
+    pub rpc_finished: bool,
     /// Time from the attempt's order to its end.
     pub took: Duration,
     /// What the answer itself says of the node's role.
@@ -251,7 +252,7 @@
     /// The zone that it is in.
     pub zone: ZoneId,
     /// The kind of machine that it runs on.
-    pub kind: usize,
+    pub machine_type: usize,
     /// Whether it was the primary when the list was made.
     pub primary: bool,
     /// Whether it may be sent to.
--- a/tests/decisions/simulation/mod.rs
+++ b/tests/decisions/simulation/mod.rs
@@ -57,9 +57,9 @@
         let idempotency = if place == 4 { "non_idempotent" } else { "idempotent" };
         put(&format!("replication.consistency.{place}"), text(consistency));
         put(&format!("methods.{place}.idempotency"), text(idempotency));
-        put(&format!("replication.staleness_bound.{place}"), Value::Span(ms(300)));
-        put(&format!("methods.{place}.latency_objective"), Value::Span(ms(200)));
-        put(&format!("methods.{place}.idempotency_window"), Value::Span(ms(400)));
+        put(&format!("replication.staleness_bound.{place}"), Value::Duration(ms(300)));
+        put(&format!("methods.{place}.latency_objective"), Value::Duration(ms(200)));
+        put(&format!("methods.{place}.idempotency_window"), Value::Duration(ms(400)));
     }
     put("replication.read_check", text("none"));
     let numbers = [
@@ -75,11 +75,11 @@
         ("overload_window", 1000),
         ("poll_interval", 8000),
     ];
-    rules.into_iter().for_each(|(name, span)| put(&format!("rules.{name}"), Value::Span(ms(span))));
-    put("allowed.max_retry_after", Value::Span(ms(1000)));
-    put("tick", Value::Span(ms(1)));
+    rules.into_iter().for_each(|(name, span)| put(&format!("rules.{name}"), Value::Duration(ms(span))));
+    put("allowed.max_retry_after", Value::Duration(ms(1000)));
+    put("tick", Value::Duration(ms(1)));
     let flags = ["allowed.health_checks", "allowed.cancel", "allowed.hedging"];
-    flags.into_iter().for_each(|flag| put(flag, Value::Flag(true)));
+    flags.into_iter().for_each(|flag| put(flag, Value::Bool(true)));
     change.iter().for_each(|(name, value)| put(name, value.clone()));
     ValueMap(values)
 }
@@ -119,7 +119,7 @@
     pub fn endpoint(&self, number: usize, status: EndpointStatus) -> Endpoint {
         let (node, zone) = (node(number), ZoneId(number % 2));
         let primary = node == self.primary;
-        Endpoint { node, replica_set: ReplicaSetId(0), zone, kind: 0, primary, status, started: None }
+        Endpoint { node, replica_set: ReplicaSetId(0), zone, machine_type: 0, primary, status, started: None }
     }
 
     pub fn now(&self) -> Duration {
@@ -131,7 +131,7 @@
         let is_primary = |node| node == self.primary;
         for entry in list {
             let mut record = self.record_mut();
-            let only_listed_draining = record.values.flag("rules.only_listed_draining");
+            let only_listed_draining = record.values.is_true("rules.only_listed_draining");
             let was = record.endpoints.insert(entry.node, entry.clone());
             let new = NodeRecord {
                 was_primary: is_primary(entry.node),
@@ -176,7 +176,7 @@
         let session = (method == 2 || method == 4).then_some(SessionKey(7));
         let (method, replica_set) = (MethodId(method), self.replica_set);
         let rpc =
-            Rpc { id, method, session, replica_set, remaining, work: None, since_write, retried: false };
+            Rpc { id, method, session, replica_set, remaining, work: None, since_write, is_retry: false };
         let is_remembered = self.record().values.text("replication.session_tokens") == "remembered";
         let commit = self.record().commit;
         let token = if is_remembered { commit } else { since_write.map(|since| now - since) };
@@ -212,7 +212,7 @@
         if outcome == Outcome::Ok && request.answer.is_none() {
             request.answer = Some(FinalAnswer::Ok);
         }
-        let finished = request.answer.is_some();
+        let rpc_finished = request.answer.is_some();
         let is_answer =
             answered || matches!(outcome, Outcome::Misrouted | Outcome::Rejected | Outcome::Error);
         let role = if node == self.primary { Role::Primary } else { Role::Replica };
@@ -237,7 +237,7 @@
         let role = is_answer.then_some(role);
         let attempt = AttemptNumber(place as u32);
         let report = self.queued.map(|queued| LoadReport { queued: Some(queued), ..LoadReport::default() });
-        let end = AttemptEnd { rpc: id, attempt, node, outcome, finished, took, role, position, report };
+        let end = AttemptEnd { rpc: id, attempt, node, outcome, rpc_finished, took, role, position, report };
         self.router.attempt_ended(now, end);
     }
 
