--- a/crates/router/src/client.rs
+++ b/crates/router/src/client.rs
@@ -90,12 +90,12 @@
     }
 
     /// The numbers of the open sessions, the oldest first.
-    pub fn sessions(&self) -> Vec<u64> {
+    pub fn session_ids(&self) -> Vec<u64> {
         self.open.borrow().keys().copied().collect()
     }
 
     /// Closes a session as soon as it is idle. One that is not open changes nothing.
-    pub fn close(&self, session: u64) {
+    pub fn close_when_idle(&self, session: u64) {
         if let Some(close) = self.open.borrow().get(&session) {
             _ = close.try_send(());
         }
@@ -111,11 +111,11 @@
     /// From now on each session is closed as soon as it is idle.
     pub fn drain(&self) {
         self.draining.set(true);
-        self.sessions().into_iter().for_each(|session| self.close(session));
+        self.session_ids().into_iter().for_each(|session| self.close_when_idle(session));
     }
 
     /// How many sessions are open.
-    pub fn open_sessions(&self) -> usize {
+    pub fn open_session_count(&self) -> usize {
         self.open.borrow().len()
     }
 }
--- a/crates/router/src/client/intake.rs
+++ b/crates/router/src/client/intake.rs
@@ -102,7 +102,7 @@
     ) {
         // What was cancelled before anything was under way is over.
         while !pipeline.has_running_statement() && self.cancelled.try_recv().is_ok() {}
-        let scope = self.clients.engine.scope(method, &statement.statement);
+        let scope = self.clients.engine.statement_scope(method, &statement.statement);
         let commits = Rc::clone(&self.commits);
         let request = RpcRequest { method, statement: Rc::new(statement), arrived, commits };
         pipeline.push_statement(scope, Box::pin(Rc::clone(self.clients).run_rpc(request)));
@@ -138,14 +138,14 @@
         let client = ClientLiveness::new(Rc::downgrade(&self.stream));
         QueryIntake::Statement {
             method,
-            statement: InFlightStatement { statement, client, memory, open_id: id },
+            statement: InFlightStatement { statement, client, memory, active_id: id },
         }
     }
 
     /// An empty query asks whether the router serves.
     fn answer_empty_query(&self) -> QueryIntake {
         let mut out = Vec::new();
-        if self.clients.engine.reports_ready() {
+        if self.clients.engine.is_ready() {
             pg::encode_empty_query_response(&mut out);
         } else {
             pg::encode_error(&mut out, false, "57P03", "no list of nodes has come yet", None);
--- a/crates/router/src/client/request.rs
+++ b/crates/router/src/client/request.rs
@@ -10,7 +10,7 @@
 use super::ClientSessions;
 use super::receive::DISCONNECT_CHECK_INTERVAL;
 use super::response_writer::{TOO_MANY_RPCS, encode_abort, encode_no_capacity, encode_rejection};
-use crate::engine::Command;
+use crate::engine::RpcCommand;
 use crate::pg;
 use crate::request_pipeline::EncodedResponse;
 use crate::session_commits::SessionCommits;
@@ -56,18 +56,18 @@
         };
         loop {
             match pending.next_command().await {
-                Some(Command::Attempt(attempt)) => {
+                Some(RpcCommand::Attempt(attempt)) => {
                     self.pool.make_attempt(Rc::clone(engine), attempt, Rc::clone(&in_flight));
                     continue;
                 }
-                Some(Command::Answer { answer, position }) => {
+                Some(RpcCommand::Answer { answer, position }) => {
                     if let Some(commit) = position.filter(|_| statement.writes) {
                         commits.borrow_mut().record(statement.replica_set, statement.session, commit);
                     }
                     pg::encode_result(&mut out, &answer);
                 }
-                Some(Command::Reject { retry_after }) => encode_rejection(&mut out, retry_after),
-                Some(Command::Abort { last_outcome }) => encode_abort(&mut out, last_outcome),
+                Some(RpcCommand::Reject { retry_after }) => encode_rejection(&mut out, retry_after),
+                Some(RpcCommand::Abort { last_outcome }) => encode_abort(&mut out, last_outcome),
                 // The engine gives each RPC that is pending its final response.
                 None => return future::pending().await,
             }
--- a/crates/router/src/control_instance.rs
+++ b/crates/router/src/control_instance.rs
@@ -90,7 +90,7 @@
         // A failure counts when several members have failed by themselves, which the fleet reports. The node may have
         // read its state as early as the request was sent, so the observation is dated then.
         if !failed {
-            let at = own.asked;
+            let at = own.requested_at;
             let dated = DatedObservation { node, at, position, primary, waiting, started, failed };
             self.publisher.observe(dated);
         }
--- a/crates/router/src/drain.rs
+++ b/crates/router/src/drain.rs
@@ -67,7 +67,7 @@
     fn close_up_to(&mut self, fraction: f64) {
         let due = (self.sessions.len() as f64 * fraction).ceil() as usize;
         for session in &self.sessions[self.closed..due] {
-            self.clients.close(*session);
+            self.clients.close_when_idle(*session);
         }
         self.closed = due;
         if fraction >= 1.0 {
@@ -89,7 +89,7 @@
         self.accepting.cancel().await;
         clients.accept_remaining(&self.listener).await;
         drop(self.listener);
-        log::info!("no new sessions are taken, {} sessions go on", clients.open_sessions());
+        log::info!("no new sessions are taken, {} sessions go on", clients.open_session_count());
     }
 }
 
@@ -102,14 +102,15 @@
     listener: Rc<Async<TcpListener>>,
     accepting: Task<T>,
 ) {
-    let schedule = Schedule::new(Instant::now(), engine.deadlines());
+    let schedule = Schedule::new(Instant::now(), engine.deadline_range());
     engine.set_shutdown_deadline(schedule.end);
     Timer::after(ACCEPT_AFTER_SIGTERM).await;
     let mut open_listener = Some(OpenListener { listener, accepting });
-    let mut closer = SessionCloser { clients, sessions: clients.sessions(), closed: 0 };
+    let mut closer = SessionCloser { clients, sessions: clients.session_ids(), closed: 0 };
     let mut checks_past_end = 0;
     // Past the end only sessions are open that have not asked, or do not read.
-    while clients.open_sessions() > 0 && checks_past_end < MAX_CHECKS_PAST_END || open_listener.is_some() {
+    while clients.open_session_count() > 0 && checks_past_end < MAX_CHECKS_PAST_END || open_listener.is_some()
+    {
         let may_close = |open: &mut OpenListener<T>| {
             !has_pending_connection(open.listener.get_ref()) || schedule.is_over()
         };
--- a/crates/router/src/engine.rs
+++ b/crates/router/src/engine.rs
@@ -29,7 +29,7 @@
 use methods::MethodTable;
 
 pub use clock::Clock;
-pub use command::{AttemptCommand, BackgroundTask, Command, NodeResponse};
+pub use command::{AttemptCommand, BackgroundTask, NodeResponse, RpcCommand};
 pub use methods::DeadlineRange;
 pub use observations::{LocalObservation, ObservationExchange};
 pub use pending_response::PendingResponse;
@@ -102,7 +102,7 @@
 
     /// Whether an empty query is answered as ready: the endpoint list has come, or has been waited for long enough. RPCs are not
     /// held back: without nodes each is rejected at once.
-    pub fn reports_ready(&self) -> bool {
+    pub fn is_ready(&self) -> bool {
         self.has_endpoint_list.get()
             || self.clock.uptime() >= quillpoint_discovery_watch::SERVE_WITHOUT_LIST_AFTER
     }
@@ -123,13 +123,13 @@
     }
 
     /// What a statement of the method reads or writes.
-    pub fn scope(&self, method: MethodId, statement: &Statement) -> StatementScope {
-        self.methods.scope(method, statement)
+    pub fn statement_scope(&self, method: MethodId, statement: &Statement) -> StatementScope {
+        self.methods.statement_scope(method, statement)
     }
 
     /// The shortest deadline of a method, and the longest.
-    pub fn deadlines(&self) -> DeadlineRange {
-        self.methods.deadlines()
+    pub fn deadline_range(&self) -> DeadlineRange {
+        self.methods.deadline_range()
     }
 
     /// No RPC is waited for past this time, be it pending by now or yet to come.
--- a/crates/router/src/engine/command.rs
+++ b/crates/router/src/engine/command.rs
@@ -7,7 +7,7 @@
 use crate::pg::QueryResult;
 
 /// A command to the task of one RPC. All but an attempt are final responses.
-pub enum Command {
+pub enum RpcCommand {
     /// Make an attempt.
     Attempt(AttemptCommand),
     /// Send a node's answer to the client.
--- a/crates/router/src/engine/host.rs
+++ b/crates/router/src/engine/host.rs
@@ -11,11 +11,11 @@
 use quillpoint::host::{AttemptNumber, Host, NodeId, Outcome, ReplicaSetId, RpcId};
 
 use super::clock::Clock;
-use super::command::{AttemptCommand, BackgroundTask, Command};
+use super::command::{AttemptCommand, BackgroundTask, RpcCommand};
 
 /// An RPC whose final response is pending.
 pub(super) struct PendingRpc {
-    pub(super) commands: Sender<Command>,
+    pub(super) commands: Sender<RpcCommand>,
     pub(super) replica_set: ReplicaSetId,
     pub(super) deadline: Duration,
     pub(super) attempts: u32,
@@ -42,7 +42,7 @@
     }
 
     /// Gives the final response: the RPC ends here, whoever gives it.
-    pub(super) fn finish(&self, rpc: RpcId, command: impl FnOnce(&PendingRpc) -> Command) {
+    pub(super) fn finish(&self, rpc: RpcId, command: impl FnOnce(&PendingRpc) -> RpcCommand) {
         if let Some(pending) = self.remove(rpc) {
             // Its task may have ended with its client; then nobody waits for the response.
             _ = pending.commands.try_send(command(&pending));
@@ -71,15 +71,15 @@
         if number.0 >= state.max_attempts {
             return state.unsent.borrow_mut().push(attempt);
         }
-        _ = entry.commands.try_send(Command::Attempt(attempt));
+        _ = entry.commands.try_send(RpcCommand::Attempt(attempt));
     }
 
     fn reject(&mut self, rpc: RpcId, retry_after: Duration) {
-        self.0.finish(rpc, |_| Command::Reject { retry_after });
+        self.0.finish(rpc, |_| RpcCommand::Reject { retry_after });
     }
 
     fn abort(&mut self, rpc: RpcId) {
-        self.0.finish(rpc, |pending| Command::Abort { last_outcome: pending.last_outcome });
+        self.0.finish(rpc, |pending| RpcCommand::Abort { last_outcome: pending.last_outcome });
     }
 
     fn health_check(&mut self, node: NodeId) {
--- a/crates/router/src/engine/methods.rs
+++ b/crates/router/src/engine/methods.rs
@@ -65,17 +65,17 @@
         self.get(method).writes
     }
 
-    pub(super) fn scope(&self, method: MethodId, statement: &Statement) -> StatementScope {
+    pub(super) fn statement_scope(&self, method: MethodId, statement: &Statement) -> StatementScope {
         let method = self.get(method);
         StatementScope {
             replica_set: statement.replica_set,
-            key: statement.session,
+            session: statement.session,
             writes: method.writes,
             reads_fresh: method.reads_fresh,
         }
     }
 
-    pub(super) fn deadlines(&self) -> DeadlineRange {
+    pub(super) fn deadline_range(&self) -> DeadlineRange {
         let deadlines = || self.0.iter().map(|method| method.deadline);
         DeadlineRange {
             shortest: deadlines().min().unwrap_or_default(),
--- a/crates/router/src/engine/observations.rs
+++ b/crates/router/src/engine/observations.rs
@@ -13,8 +13,8 @@
 pub struct LocalObservation {
     /// The node.
     pub node: NodeId,
-    /// When the node was asked, on the engine's clock.
-    pub asked: Duration,
+    /// When the request was sent to the node, on the engine's clock.
+    pub requested_at: Duration,
     /// Whether it comes from a health check, which has ended then.
     pub by_health_check: bool,
     /// Whether the health check brought nothing of use: no answer, or one that could not be read.
@@ -73,7 +73,7 @@
     pub(super) fn share(
         &self,
         node: NodeId,
-        asked: Duration,
+        requested_at: Duration,
         source: ObservationSource,
         observed: ObservedState,
     ) {
@@ -81,7 +81,7 @@
         let started = self.decisions.borrow().started(node);
         exchange.observed(LocalObservation {
             node,
-            asked,
+            requested_at,
             by_health_check: matches!(source, ObservationSource::HealthCheck { .. }),
             failed: matches!(source, ObservationSource::HealthCheck { failed: true }),
             position: observed.position,
--- a/crates/router/src/engine/rpcs.rs
+++ b/crates/router/src/engine/rpcs.rs
@@ -6,7 +6,7 @@
 use quillpoint::host::{AttemptEnd, LoadReport, MethodId, NodeId, Outcome, Role, Rpc, RpcId};
 
 use super::Engine;
-use super::command::{AttemptCommand, Command, NodeResponse};
+use super::command::{AttemptCommand, NodeResponse, RpcCommand};
 use super::host::PendingRpc;
 use super::observations::{ObservationSource, ObservedState};
 use super::pending_response::PendingResponse;
@@ -115,7 +115,7 @@
         }
         if let Some(answer) = answer.filter(|_| outcome == Outcome::Ok) {
             // The first answer goes to the client without asking the decisions again.
-            self.host.finish(rpc, |_| Command::Answer { answer, position });
+            self.host.finish(rpc, |_| RpcCommand::Answer { answer, position });
         }
         let finished = !self.record_outcome(rpc, outcome);
         let took = now.saturating_sub(started);
@@ -157,11 +157,11 @@
         self.share(node, started, ObservationSource::Attempt, observed);
     }
 
-    /// A health check that was begun at `asked` has ended, with the node's load report if it gave one.
+    /// A health check that was begun at `requested_at` has ended, with the node's load report if it gave one.
     pub fn health_check_ended(
         &self,
         node: NodeId,
-        asked: Duration,
+        requested_at: Duration,
         outcome: Outcome,
         report: Option<LoadReport>,
     ) {
@@ -169,6 +169,6 @@
         let failed = !matches!(outcome, Outcome::Ok | Outcome::Error | Outcome::Rejected);
         let LoadReport { position, primary, queued, .. } = report.filter(|_| !failed).unwrap_or_default();
         let observed = ObservedState { position, primary, queued };
-        self.share(node, asked, ObservationSource::HealthCheck { failed }, observed);
+        self.share(node, requested_at, ObservationSource::HealthCheck { failed }, observed);
     }
 }
--- a/crates/router/src/observation_exchange.rs
+++ b/crates/router/src/observation_exchange.rs
@@ -10,9 +10,9 @@
     fn observed(&self, own: LocalObservation) {
         let observation = observations::to_fleet(&own);
         if own.by_health_check {
-            self.health_check_observed(own.asked, observation);
+            self.health_check_observed(own.requested_at, observation);
         } else {
-            self.attempt_observed(own.asked, observation);
+            self.attempt_observed(own.requested_at, observation);
         }
     }
 
--- a/crates/router/src/pg/response.rs
+++ b/crates/router/src/pg/response.rs
@@ -42,7 +42,7 @@
     ///
     /// # Errors
     /// Any other order than that of one value is no response: a second row, say, would be a part of something else.
-    pub fn take(&mut self, message: BackendMessage) -> Result<Option<Response>, ProtocolViolation> {
+    pub fn push(&mut self, message: BackendMessage) -> Result<Option<Response>, ProtocolViolation> {
         match message {
             BackendMessage::RowDescription(column) if self.column.is_none() => {
                 self.column = Some(column);
--- a/crates/router/src/pool/exchange.rs
+++ b/crates/router/src/pool/exchange.rs
@@ -115,7 +115,7 @@
                 BackendMessage::ReadyForQuery => {
                     return outcome.ok_or_else(|| without_outcome(ProtocolViolation::UnexpectedOrder));
                 }
-                message if outcome.is_none() => match reading.take(message).map_err(without_outcome)? {
+                message if outcome.is_none() => match reading.push(message).map_err(without_outcome)? {
                     None => {}
                     Some(Response::Result(answer)) => {
                         outcome = Some(Outcome::Ok);
--- a/crates/router/src/pool/health_check.rs
+++ b/crates/router/src/pool/health_check.rs
@@ -18,19 +18,19 @@
     pub(super) fn spawn_health_check(self: &Rc<Self>, engine: &Rc<Engine>, node: NodeId) {
         let pool = Rc::clone(self);
         let engine = Rc::clone(engine);
-        let asked = engine.clock.now();
-        let task = async move { pool.check_health(&engine, node, asked).await };
+        let requested_at = engine.clock.now();
+        let task = async move { pool.check_health(&engine, node, requested_at).await };
         self.executor.spawn(task).detach();
     }
 
-    async fn check_health(self: &Rc<Self>, engine: &Engine, node: NodeId, asked: Duration) {
+    async fn check_health(self: &Rc<Self>, engine: &Engine, node: NodeId, requested_at: Duration) {
         let deadline = Instant::now() + self.connect_timeout;
         let query = || Some(pg::query_message(HEALTH_CHECK_QUERY));
         let Exchange { outcome, response } = self.exchange(node, deadline, query).await;
         let row = response.answer.and_then(|answer| answer.value);
         let row = row.and_then(|bytes| String::from_utf8(bytes).ok());
         let report = row.and_then(|text| self.parse_load_report(&text)).or(response.report);
-        engine.health_check_ended(node, asked, outcome, report);
+        engine.health_check_ended(node, requested_at, outcome, report);
     }
 
     /// Logs when a node becomes unreachable, and when it is reachable again.
--- a/crates/router/src/request_pipeline.rs
+++ b/crates/router/src/request_pipeline.rs
@@ -21,7 +21,7 @@
     /// The replica set that it goes to.
     pub replica_set: ReplicaSetId,
     /// The session that it belongs to; none may be any.
-    pub key: Option<SessionKey>,
+    pub session: Option<SessionKey>,
     /// Whether it writes.
     pub writes: bool,
     /// Whether it must see all that was committed before it, of any session.
@@ -34,7 +34,8 @@
     /// Writes of a replica set keep their order whatever their sessions: of a statement only one literal is known
     /// here, and a client that sends one behind the other may count on the first.
     pub fn waits_for(&self, earlier: &Self) -> bool {
-        let same_session = self.key.is_none() || earlier.key.is_none() || self.key == earlier.key;
+        let same_session =
+            self.session.is_none() || earlier.session.is_none() || self.session == earlier.session;
         let both_write = self.writes && earlier.writes;
         let must_see_write = self.reads_fresh && earlier.writes;
         let one_writes = self.writes || earlier.writes;
--- a/crates/router/src/statement.rs
+++ b/crates/router/src/statement.rs
@@ -52,7 +52,7 @@
     /// The memory that is reserved for its text.
     pub memory: Reservation,
     /// Its id, which no other RPC here can have meanwhile.
-    pub open_id: ActiveRequestId,
+    pub active_id: ActiveRequestId,
 }
 
 impl Statement {
--- a/crates/router/tests/connection_checkout.rs
+++ b/crates/router/tests/connection_checkout.rs
@@ -16,7 +16,7 @@
 use quillpoint_router::config::StartupOptions;
 use quillpoint_router::descriptors::DescriptorLimiter;
 use quillpoint_router::endpoint_list::EndpointParser;
-use quillpoint_router::engine::{AttemptCommand, Command, Engine, EngineOutputs, PendingResponse};
+use quillpoint_router::engine::{AttemptCommand, Engine, EngineOutputs, PendingResponse, RpcCommand};
 use quillpoint_router::pool::ConnectionPool;
 use quillpoint_router::socket_liveness::{ClientLiveness, peer_has_closed};
 use quillpoint_router::statement::{InFlightStatement, Statement};
@@ -86,7 +86,7 @@
         let kept = InFlightStatement {
             client: ClientLiveness::new(Rc::downgrade(&session)),
             memory: self.budget.reserve(Category::Statements, statement.size()).unwrap(),
-            open_id: self.active_ids.register(statement.id.clone()).unwrap(),
+            active_id: self.active_ids.register(statement.id.clone()).unwrap(),
             statement,
         };
         ArrivedRpc { pending, kept: Rc::new(kept), session, client }
@@ -103,7 +103,7 @@
         let attempt = rpc.commanded_attempt();
         self.make_attempt(&rpc, attempt).await;
         match rpc.pending.try_next_command() {
-            Some(Command::Answer { answer, .. }) => assert_eq!(answer.value.as_deref(), Some(VALUE)),
+            Some(RpcCommand::Answer { answer, .. }) => assert_eq!(answer.value.as_deref(), Some(VALUE)),
             _ => panic!("it has no answer"),
         }
     }
@@ -121,7 +121,7 @@
 impl ArrivedRpc {
     fn commanded_attempt(&self) -> AttemptCommand {
         match self.pending.try_next_command() {
-            Some(Command::Attempt(attempt)) => attempt,
+            Some(RpcCommand::Attempt(attempt)) => attempt,
             _ => panic!("no attempt was commanded at once"),
         }
     }
--- a/crates/router/tests/control_instance.rs
+++ b/crates/router/tests/control_instance.rs
@@ -22,7 +22,7 @@
 use quillpoint_observation_feed::publisher;
 use quillpoint_router::control_instance::ControlInstanceRuntime;
 use quillpoint_router::deployment::Deployment;
-use quillpoint_router::engine::{Command, Engine, EngineOutputs, ObservationExchange, PendingResponse};
+use quillpoint_router::engine::{Engine, EngineOutputs, ObservationExchange, PendingResponse, RpcCommand};
 use quillpoint_router::statement::Statement;
 use serde_json::json;
 
@@ -168,7 +168,7 @@
 
 fn sent(owed: &PendingResponse) -> Option<NodeId> {
     match owed.try_next_command()? {
-        Command::Attempt(attempt) => Some(attempt.node),
+        RpcCommand::Attempt(attempt) => Some(attempt.node),
         _ => panic!("an answer to what was never sent"),
     }
 }
--- a/crates/router/tests/messages.rs
+++ b/crates/router/tests/messages.rs
@@ -93,7 +93,7 @@
         if matches!(told, BackendMessage::ParameterStatus { .. } | BackendMessage::Ignored) {
             continue;
         }
-        if let Some(said) = reading.take(told)? {
+        if let Some(said) = reading.push(told)? {
             return Ok(Some(said));
         }
     }
--- a/crates/router/tests/observation_exchange.rs
+++ b/crates/router/tests/observation_exchange.rs
@@ -13,7 +13,7 @@
 use quillpoint_observation_feed::FeedObservation;
 use quillpoint_router::deployment::Deployment;
 use quillpoint_router::engine::{
-    Clock, Command, Engine, EngineOutputs, LocalObservation, ObservationExchange, PendingResponse,
+    Clock, Engine, EngineOutputs, LocalObservation, ObservationExchange, PendingResponse, RpcCommand,
 };
 use quillpoint_router::statement::Statement;
 use serde_json::json;
@@ -98,7 +98,7 @@
     exchange.has_observations.set(true);
     let owed = arrive(&engine, 1);
     assert_eq!(asked(&exchange), [node(1, 0), node(1, 1)]);
-    let Some(Command::Attempt(attempt)) = owed.try_next_command() else {
+    let Some(RpcCommand::Attempt(attempt)) = owed.try_next_command() else {
         panic!("it is sent by the feed at once")
     };
     assert!([node(1, 0), node(1, 1)].contains(&attempt.node));
@@ -120,7 +120,7 @@
     assert!(owed.try_next_command().is_none());
     exchange.has_observations.set(true);
     engine.digest_received();
-    assert!(matches!(owed.try_next_command(), Some(Command::Attempt(_))));
+    assert!(matches!(owed.try_next_command(), Some(RpcCommand::Attempt(_))));
     // One that has ended is not pending any more.
     drop(arrive(&engine, 0));
     asked(&exchange);
@@ -150,24 +150,28 @@
     let (engine, _work, exchange) = engine();
     exchange.has_observations.set(true);
     let owed = arrive(&engine, 1);
-    let Some(Command::Attempt(attempt)) = owed.try_next_command() else { panic!("it is sent by the feed") };
+    let Some(RpcCommand::Attempt(attempt)) = owed.try_next_command() else {
+        panic!("it is sent by the feed")
+    };
     let other = if attempt.node == node(1, 0) { node(1, 1) } else { node(1, 0) };
     assert!(engine.permits_attempt(&attempt));
     let stale = engine.clock.now() - Duration::from_secs(5);
     engine.attempt_ended(attempt, quillpoint::host::Outcome::Ok, heard(Some(stale)));
     // No answer to the client: another replica is tried.
-    let Some(Command::Attempt(attempt)) = owed.try_next_command() else { panic!("a further attempt") };
+    let Some(RpcCommand::Attempt(attempt)) = owed.try_next_command() else { panic!("a further attempt") };
     assert_eq!(attempt.node, other);
     assert!(engine.permits_attempt(&attempt));
     // An answer that shows no position at all proves nothing either.
     engine.attempt_ended(attempt, quillpoint::host::Outcome::Ok, heard(None));
-    assert!(!matches!(owed.try_next_command(), Some(Command::Answer { .. })));
+    assert!(!matches!(owed.try_next_command(), Some(RpcCommand::Answer { .. })));
     // One that shows what is needed goes to the client.
     let owed = arrive(&engine, 0);
-    let Some(Command::Attempt(attempt)) = owed.try_next_command() else { panic!("it is sent by the feed") };
+    let Some(RpcCommand::Attempt(attempt)) = owed.try_next_command() else {
+        panic!("it is sent by the feed")
+    };
     assert!(engine.permits_attempt(&attempt));
     engine.attempt_ended(attempt, quillpoint::host::Outcome::Ok, heard(Some(engine.clock.now())));
-    assert!(matches!(owed.try_next_command(), Some(Command::Answer { .. })));
+    assert!(matches!(owed.try_next_command(), Some(RpcCommand::Answer { .. })));
 }
 
 fn heard(position: Option<Duration>) -> quillpoint_router::engine::NodeResponse {
--- a/crates/testbed/src/scale/prober.rs
+++ b/crates/testbed/src/scale/prober.rs
@@ -86,7 +86,7 @@
                 BackendMessage::ReadyForQuery => return report,
                 BackendMessage::ParameterStatus { .. } | BackendMessage::Ignored => {}
                 told => {
-                    if let Some(Response::Result(answer)) = reading.take(told).ok()? {
+                    if let Some(Response::Result(answer)) = reading.push(told).ok()? {
                         report = read(&answer.value?);
                     }
                 }
