--- a/crates/router/tests/connection_checkout.rs
+++ b/crates/router/tests/connection_checkout.rs
@@ -146,7 +146,7 @@
         parts.serve_rpc().await;
         assert_eq!(node.queries().len(), 2);
         assert_eq!(
-            (count(&node.connections), count(&node.open)),
+            (count(&node.connections), count(&node.open_connections)),
             (1, 1),
             "it has come back each time, and serves"
         );
@@ -166,7 +166,7 @@
         parts.serve_rpc().await;
         let used = Instant::now();
         // Closed where it stands, or found too old when it is to be checked out.
-        while count(&node.open) == 1 && count(&node.connections) == 1 {
+        while count(&node.open_connections) == 1 && count(&node.connections) == 1 {
             assert!(
                 used.elapsed() < NEVER,
                 "checkouts that came to nothing have kept it for {:?}",
--- a/crates/router/tests/crossings.rs
+++ b/crates/router/tests/crossings.rs
@@ -252,7 +252,7 @@
     bytes.extend([b'X', 0, 0, 0, 4]);
     bytes.extend([b'z'; 48 * 1024]);
     client.send(&bytes);
-    router.await_line(": finished");
+    router.await_log_line(": finished");
     assert!(client.reply() == Reply::Value(vec![b'v'; 300_000]), "it did not come whole");
     assert_eq!(client.next_message(), None);
 }
@@ -283,11 +283,11 @@
     let bytes = pg::query_message(statement("look", 900).as_bytes());
     client.send(&bytes[..20]);
     router.signal("-TERM");
-    router.await_line("no new sessions are taken");
+    router.await_log_line("no new sessions are taken");
     // A second signal, and a configuration anew, between the halves.
     router.signal("-TERM");
     router.signal("-HUP");
-    router.await_line("configuration read anew");
+    router.await_log_line("configuration read anew");
     client.send(&bytes[20..]);
     assert_eq!(client.reply(), ok());
     assert_eq!(client.next_message(), None, "and closed then");
@@ -318,7 +318,7 @@
 #[test]
 fn a_router_that_is_told_to_stop_before_its_first_list_ends() {
     let discovery = Discovery::start("[]".into());
-    discovery.silent.store(true, Ordering::SeqCst);
+    discovery.unresponsive.store(true, Ordering::SeqCst);
     let mut router = RouterProcess::start(&configuration(discovery.address, "[]", 200));
     let mut client = router.client();
     discovery.await_calls(1);
@@ -335,13 +335,14 @@
     // It may wait 20 s.
     let (primary, replica, router, discovery) = pair(&[], 200);
     discovery.await_calls(2);
-    discovery.silent.store(true, Ordering::SeqCst);
+    discovery.unresponsive.store(true, Ordering::SeqCst);
     let since = Instant::now();
-    discovery.change(targets(&[(&primary, "primary", "in_service"), (&replica, "replica", "terminating")]));
-    until(|| discovery.has_left_unanswered());
+    discovery
+        .set_targets(targets(&[(&primary, "primary", "in_service"), (&replica, "replica", "terminating")]));
+    until(|| discovery.has_unanswered_calls());
     // Fresh calls are answered from now on; the watch that stands never is.
-    discovery.silent.store(false, Ordering::SeqCst);
-    router.await_line("list 2: 2 entries");
+    discovery.unresponsive.store(false, Ordering::SeqCst);
+    router.await_log_line("list 2: 2 entries");
     assert!(since.elapsed() < Duration::from_secs(6), "{:?}", since.elapsed());
 }
 
@@ -350,14 +351,14 @@
     let node = Node::start(true);
     let list = targets(&[(&node, "primary", "in_service")]);
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let discovery = Discovery::start(list.clone()).advertised_at(listener.local_addr().unwrap());
+    let discovery = Discovery::start(list.clone()).with_advertised_address(listener.local_addr().unwrap());
     let router = RouterProcess::start(&configuration(discovery.address, &list, 200));
     let (mut stream, _) = listener.accept().unwrap();
     // A part of the call stays unread, so that the close is a reset. There is no length: an end would be one.
     stream.read_exact(&mut [0; 4]).unwrap();
     stream.write_all(b"HTTP/1.1 200 OK\r\n\r\n{\"rev\":9,\"all\":true,\"targets\":[]}").unwrap();
     drop(stream);
-    router.await_line("poll of the endpoint list failed");
+    router.await_log_line("poll of the endpoint list failed");
     assert_eq!(router.client().rpc("enter", 9000), ok(), "the node is known on");
 }
 
@@ -369,14 +370,14 @@
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     drop(listener);
-    let down = Discovery::start(list.clone()).advertised_at(address);
+    let down = Discovery::start(list.clone()).with_advertised_address(address);
     let router = RouterProcess::start(&configuration(down.address, &list, 64));
-    router.await_line("poll of the endpoint list failed");
+    router.await_log_line("poll of the endpoint list failed");
     let mut clients: Vec<Client> = (0..60).map(|_| router.client()).collect();
     let back = Instant::now();
     let drains = targets(&[(&primary, "primary", "in_service"), (&replica, "replica", "terminating")]);
     let _up = Discovery::start_at(address, drains);
-    router.await_line("list 1: 2 entries");
+    router.await_log_line("list 1: 2 entries");
     assert!(back.elapsed() < Duration::from_secs(6), "{:?}", back.elapsed());
     clients[59].rpc("look", 9000);
     assert!(replica.queries().is_empty(), "it was told to drain");
@@ -387,12 +388,12 @@
 fn thirty_routers_are_ready_in_time_whatever_discovery_does() {
     let refused = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
     let silent = Discovery::start("[]".into());
-    silent.silent.store(true, Ordering::SeqCst);
+    silent.unresponsive.store(true, Ordering::SeqCst);
     let [empty, node] = [
         Discovery::start("[]".into()),
         Discovery::start(targets(&[(&Node::start(true), "primary", "in_service")])),
     ];
-    let down = empty.advertised_at(refused);
+    let down = empty.with_advertised_address(refused);
     let all = [&down, &silent, &empty, &node].into_iter().cycle().take(30);
     let fronts = all.map(|discovery| {
         let text = configuration(discovery.address, "[]", 200);
@@ -494,7 +495,7 @@
     let mut client = router.client();
     let told = Instant::now();
     router.signal("-TERM");
-    router.await_line("draining");
+    router.await_log_line("draining");
     std::thread::sleep(Duration::from_millis(400));
     client.send_query(&statement("look", 600));
     replica.await_queries(1);
--- a/crates/router/tests/endpoint_polls.rs
+++ b/crates/router/tests/endpoint_polls.rs
@@ -223,9 +223,9 @@
     thread::sleep(PAST_POLL_TIMEOUT);
     let mut second = installation.discovery.next();
     second.answer(3, &installation.draining_list());
-    installation.router.await_line("list 3: 3 entries");
+    installation.router.await_log_line("list 3: 3 entries");
     first.answer(2, &Installation::list(&installation.nodes, "in_service"));
-    installation.router.await_line("came behind a newer one");
+    installation.router.await_log_line("came behind a newer one");
     assert_eq!(installation.reads_sent_to_draining(), 0);
 }
 
@@ -234,5 +234,5 @@
     let installation = Installation::start();
     let most = installation.discovery.ignore_all_for(Duration::from_secs(16));
     assert_eq!(most, 3, "the newest poll, and two that have timed out");
-    installation.router.await_line("closed without an answer");
+    installation.router.await_log_line("closed without an answer");
 }
--- a/crates/router/tests/pipeline.rs
+++ b/crates/router/tests/pipeline.rs
@@ -350,7 +350,7 @@
     floods.join().unwrap();
     drop((client, primary));
     router.signal("-TERM");
-    let line = router.line("buffers_coming_high");
+    let line = router.log_line("buffers_coming_high");
     let high = |name: &str| {
         let number = line.split(&format!("{name}=")).nth(1).unwrap().split(' ').next().unwrap();
         number.parse::<usize>().unwrap()
@@ -374,7 +374,7 @@
         primary.await_queries(1);
         router.signal("-TERM");
         if answers {
-            router.await_line("told to stop");
+            router.await_log_line("told to stop");
             primary.set_behavior(NodeBehavior::Answer);
         }
         let replies: Vec<Reply> = all.iter().map(|_| client.reply()).collect();
--- a/crates/router/tests/shapes.rs
+++ b/crates/router/tests/shapes.rs
@@ -148,8 +148,8 @@
     [0, 1].into_iter().for_each(|place| ask(place, 20));
     // Node 1 drains, and node 2 drops out of the list while it serves.
     let listed = [(&nodes[0], "primary", "in_service"), (&nodes[1], "replica", "terminating")];
-    discovery.change(targets(&[listed[0], listed[1], (&nodes[3], "replica", "in_service")]));
-    routers.iter().for_each(|router| router.await_line("list 2"));
+    discovery.set_targets(targets(&[listed[0], listed[1], (&nodes[3], "replica", "in_service")]));
+    routers.iter().for_each(|router| router.await_log_line("list 2"));
     let before = nodes[1].queries().len();
     let sent = |node: &Node| node.queries().len();
     let at_dropped = sent(&nodes[2]);
@@ -182,8 +182,8 @@
     let listed = listed(&nodes, ROLES);
     // The last one has started anew.
     let (front, last) = listed.split_at(listed.rfind("boot_ms").unwrap());
-    discovery.change(front.to_string() + &last.replacen(":0", &format!(":{}", standin::unix_ms()), 1));
-    routers.iter().for_each(|router| router.await_line("list 2"));
+    discovery.set_targets(front.to_string() + &last.replacen(":0", &format!(":{}", standin::unix_ms()), 1));
+    routers.iter().for_each(|router| router.await_log_line("list 2"));
     let counts = || [&nodes[1], &nodes[2], &nodes[3]].map(|node| node.queries().len());
     let before = counts();
     thread::sleep(Duration::from_millis(1000));
--- a/crates/router/tests/soak/routers.rs
+++ b/crates/router/tests/soak/routers.rs
@@ -223,7 +223,7 @@
             self.logs.lock().unwrap().push(format!(
                 "router {}:\n{}",
                 router.number,
-                running.lines().join("\n")
+                running.log_lines().join("\n")
             ));
         }
         self.lifetime(router.number, |lifetime| lifetime.ended = Some((ended, by_itself)));
--- a/crates/router/tests/sockets/command_line.rs
+++ b/crates/router/tests/sockets/command_line.rs
@@ -1,18 +1,18 @@
 //! The command line and the checks of the configuration.
 
-use crate::standin::{Discovery, command, configuration, file};
+use crate::standin::{Discovery, configuration, router_command, write_config_file};
 
 #[test]
 fn the_command_line_names_the_faulty_key() {
-    let run = |words: &[&str], variables: &[(&str, &str)]| {
-        let output = command(words, variables).output().unwrap();
+    let run = |arguments: &[&str], variables: &[(&str, &str)]| {
+        let output = router_command(arguments, variables).output().unwrap();
         let text = [output.stdout, output.stderr].concat();
         (output.status.code(), String::from_utf8(text).unwrap())
     };
     let discovery = Discovery::start("[]".into());
     let good = configuration(discovery.address, "[]", 200);
     let check = |text: &str, variables: &[(&str, &str)]| {
-        run(&["check", "-c", file(text).to_str().unwrap()], variables)
+        run(&["check", "-c", write_config_file(text).to_str().unwrap()], variables)
     };
     assert_eq!(check(&good, &[]).0, Some(0));
     for (from, to, named) in [
--- a/crates/router/tests/sockets/connections.rs
+++ b/crates/router/tests/sockets/connections.rs
@@ -41,7 +41,7 @@
     let mut client = router.client();
     replica.set_behavior(NodeBehavior::AnswerAndClose);
     let mut answered = || {
-        while count(&replica.open) > 0 {
+        while count(&replica.open_connections) > 0 {
             std::thread::yield_now();
         }
         client.rpc("look", 9000) == ok()
--- a/crates/router/tests/sockets/shutdown.rs
+++ b/crates/router/tests/sockets/shutdown.rs
@@ -46,7 +46,7 @@
     let mut clients: Vec<Client> = (0..20).map(|_| router.client()).collect();
     assert!(clients.iter_mut().all(|client| client.rpc("look", 500) == ok()));
     router.signal("-TERM");
-    router.await_line("20 sessions go on");
+    router.await_log_line("20 sessions go on");
     assert!(std::net::TcpStream::connect(router.address).is_err());
     let replies: Vec<Reply> = clients.iter_mut().map(|client| client.try_rpc("look", 500)).collect();
     let served = replies.iter().filter(|reply| **reply == ok()).count();
@@ -99,7 +99,7 @@
     let told = |text: &str, line: &str| {
         std::fs::write(&router.path, text).unwrap();
         router.signal("-HUP");
-        router.await_line(line);
+        router.await_log_line(line);
     };
     told("{", "not taken over");
     told(&text.replace("192", "64"), "limits.memory_mb has changed");
@@ -109,8 +109,8 @@
     second.await_queries(1);
     // Also while it drains, with an attempt under way.
     router.signal("-TERM");
-    router.await_line("draining");
-    old.change(only(first));
+    router.await_log_line("draining");
+    old.set_targets(only(first));
     let calls = old.calls();
     std::fs::write(&router.path, &text).unwrap();
     router.signal("-HUP");
--- a/crates/router/tests/standin/discovery.rs
+++ b/crates/router/tests/standin/discovery.rs
@@ -16,7 +16,7 @@
     list: Arc<(Mutex<(u64, String)>, Condvar)>,
     calls: Arc<(Mutex<usize>, Condvar)>,
     /// Calls that come meanwhile, and those that wait, are never answered; their connections stay open.
-    pub silent: Arc<AtomicBool>,
+    pub unresponsive: Arc<AtomicBool>,
     /// Calls that were left without an answer.
     unanswered: Arc<AtomicUsize>,
 }
@@ -42,8 +42,8 @@
         let listener = TcpListener::bind(address).unwrap();
         let address = listener.local_addr().unwrap();
         let list = Arc::new((Mutex::new((1, targets)), Condvar::new()));
-        let (calls, silent, unanswered) = Default::default();
-        let discovery = Self { address, list, calls, silent, unanswered };
+        let (calls, unresponsive, unanswered) = Default::default();
+        let discovery = Self { address, list, calls, unresponsive, unanswered };
         let served = discovery.clone();
         thread::spawn(move || {
             for stream in listener.incoming() {
@@ -54,7 +54,7 @@
         discovery
     }
 
-    pub fn change(&self, targets: String) {
+    pub fn set_targets(&self, targets: String) {
         let mut list = self.list.0.lock().unwrap();
         *list = (list.0 + 1, targets);
         self.list.1.notify_all();
@@ -68,7 +68,7 @@
                 let digits = call.split(name).nth(1)?.split(['&', ' ']).next()?;
                 digits.parse::<u64>().ok()
             };
-            let silent = self.silent.load(Ordering::SeqCst);
+            let unresponsive = self.unresponsive.load(Ordering::SeqCst);
             *self.calls.0.lock().unwrap() += 1;
             self.calls.1.notify_all();
             let (from, hold) = (number("from="), number("hold_ms="));
@@ -78,7 +78,7 @@
             let (rev, all) = (list.0, Some(list.0) != from);
             let targets = if all { list.1.clone() } else { "[]".to_string() };
             drop(list);
-            if silent || self.silent.load(Ordering::SeqCst) {
+            if unresponsive || self.unresponsive.load(Ordering::SeqCst) {
                 self.unanswered.fetch_add(1, Ordering::SeqCst);
                 continue;
             }
@@ -95,11 +95,11 @@
     }
 
     /// The same, where routers are told another address than its own.
-    pub fn advertised_at(&self, address: SocketAddr) -> Self {
+    pub fn with_advertised_address(&self, address: SocketAddr) -> Self {
         Self { address, ..self.clone() }
     }
 
-    pub fn has_left_unanswered(&self) -> bool {
+    pub fn has_unanswered_calls(&self) -> bool {
         count(&self.unanswered) > 0
     }
 
--- a/crates/router/tests/standin/mod.rs
+++ b/crates/router/tests/standin/mod.rs
@@ -13,7 +13,7 @@
 pub use client::{Client, Reply, statement};
 pub use discovery::{Discovery, targets};
 pub use node::{ConnectBehavior, Node, NodeBehavior, VALUE};
-pub use router_process::{RouterProcess, command, configuration, file};
+pub use router_process::{RouterProcess, configuration, router_command, write_config_file};
 
 /// Far longer than anything here takes: what is awaited for so long never comes.
 const NEVER: Duration = Duration::from_secs(30);
--- a/crates/router/tests/standin/node.rs
+++ b/crates/router/tests/standin/node.rs
@@ -68,7 +68,7 @@
     pub address: SocketAddr,
     state: Arc<(Mutex<NodeState>, Condvar)>,
     pub connections: Arc<AtomicUsize>,
-    pub open: Arc<AtomicUsize>,
+    pub open_connections: Arc<AtomicUsize>,
     /// Connections that were accepted.
     pub accepted: Arc<AtomicUsize>,
 }
@@ -87,7 +87,7 @@
             address: listener.local_addr().unwrap(),
             state: Arc::new((Mutex::new(state), Condvar::new())),
             connections: Arc::default(),
-            open: Arc::default(),
+            open_connections: Arc::default(),
             accepted: Arc::default(),
         };
         let served = node.clone();
@@ -96,10 +96,10 @@
                 let node = served.clone();
                 // Both are counted here: a connection's own thread may begin much later.
                 let index = node.connections.fetch_add(1, Ordering::SeqCst);
-                node.open.fetch_add(1, Ordering::SeqCst);
+                node.open_connections.fetch_add(1, Ordering::SeqCst);
                 thread::spawn(move || {
                     node.serve(index, stream.unwrap());
-                    node.open.fetch_sub(1, Ordering::SeqCst);
+                    node.open_connections.fetch_sub(1, Ordering::SeqCst);
                 });
             }
         });
--- a/crates/router/tests/standin/router_process.rs
+++ b/crates/router/tests/standin/router_process.rs
@@ -41,7 +41,7 @@
     )
 }
 
-pub fn file(text: &str) -> PathBuf {
+pub fn write_config_file(text: &str) -> PathBuf {
     static NEXT: AtomicUsize = AtomicUsize::new(0);
     let number = NEXT.fetch_add(1, Ordering::SeqCst);
     let name = format!("config-{}-{number}.json", std::process::id());
@@ -50,9 +50,9 @@
     path
 }
 
-pub fn command(words: &[&str], variables: &[(&str, &str)]) -> Command {
+pub fn router_command(arguments: &[&str], variables: &[(&str, &str)]) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_quillpoint"));
-    command.args(words).env_clear().envs(variables.iter().copied());
+    command.args(arguments).env_clear().envs(variables.iter().copied());
     command
 }
 
@@ -62,8 +62,8 @@
     }
 
     pub fn start_with(configuration: &str, variables: &[(&str, &str)]) -> Self {
-        let path = file(configuration);
-        let mut command = command(&["serve", "--config", path.to_str().unwrap()], variables);
+        let path = write_config_file(configuration);
+        let mut command = router_command(&["serve", "--config", path.to_str().unwrap()], variables);
         let mut child = command.stderr(Stdio::piped()).spawn().unwrap();
         let mut lines = BufReader::new(child.stderr.take().unwrap()).lines();
         let address = loop {
@@ -84,12 +84,12 @@
     }
 
     /// Until a line with this in it has been logged since the start.
-    pub fn await_line(&self, part: &str) {
-        self.line(part);
+    pub fn await_log_line(&self, part: &str) {
+        self.log_line(part);
     }
 
     /// The first line with this in it that has been logged since the start, once there is one.
-    pub fn line(&self, part: &str) -> String {
+    pub fn log_line(&self, part: &str) -> String {
         let lines = self.log.0.lock().unwrap();
         let missing = |lines: &mut Vec<String>| !lines.iter().any(|line| line.contains(part));
         let (lines, wait) = self.log.1.wait_timeout_while(lines, NEVER, missing).unwrap();
@@ -98,7 +98,7 @@
     }
 
     /// All that it has logged since the start.
-    pub fn lines(&self) -> Vec<String> {
+    pub fn log_lines(&self) -> Vec<String> {
         self.log.0.lock().unwrap().clone()
     }
 
