--- a/crates/discovery-watch/src/lib.rs
+++ b/crates/discovery-watch/src/lib.rs
@@ -3,8 +3,8 @@
 //! [`DiscoveryWatch`] is the one owner of the state "idle, polling, backing off". It has no I/O, no clock and no threads: times
 //! are handed in, as spans since any fixed moment.
 //!
-//! It guarantees, whatever fails: [`MAX_PROPAGATION`] after discovery had a change and could be reached, the change is known
-//! here. The longest ways to it, with an answer to a fresh poll within [`FRESH_POLL_ANSWER`]:
+//! It guarantees, whatever fails: [`MAX_PROPAGATION_DELAY`] after discovery had a change and could be reached, the change is known
+//! here. The longest ways to it, with an answer to a fresh poll within [`FRESH_POLL_RESPONSE_TIME`]:
 //!
 //! | what fails first | time until the answer |
 //! | --- | --- |
@@ -22,7 +22,7 @@
 
 mod list_versions;
 
-pub use list_versions::{AnswerUse, ListBasis, ListVersions};
+pub use list_versions::{ApplyScope, ListVersions, PollBasis};
 
 use std::time::Duration;
 
@@ -30,9 +30,9 @@
 use rand_chacha::ChaCha8Rng;
 
 /// By when a change of the list is known here, once discovery has it and can be reached.
-pub const MAX_PROPAGATION: Duration = Duration::from_millis(6000);
+pub const MAX_PROPAGATION_DELAY: Duration = Duration::from_millis(6000);
 /// How long, within that, a discovery that can be reached may take to answer a fresh poll.
-pub const FRESH_POLL_ANSWER: Duration = Duration::from_millis(500);
+pub const FRESH_POLL_RESPONSE_TIME: Duration = Duration::from_millis(500);
 /// A router that has no list serves all the same after this, and rejects RPCs with Retry-After: one that never says it is
 /// ready is taken for one that cannot start.
 pub const SERVE_WITHOUT_LIST_AFTER: Duration = Duration::from_millis(5000);
@@ -55,7 +55,7 @@
 const BODY_TIMEOUT: Duration = Duration::from_millis(750);
 /// How long after its start and its hold the answer to a poll is still accepted. A later one holds nothing that later polls
 /// have not brought.
-pub const LATE_ANSWER_WINDOW: Duration = Duration::from_millis(12_000);
+pub const LATE_RESPONSE_WINDOW: Duration = Duration::from_millis(12_000);
 /// How many polls that have timed out are kept open beside the newest one.
 pub const MAX_LATE_POLLS: usize = 2;
 /// The interval within which a failed poll is repeated, at a random moment. It doubles with each further failure.
@@ -68,12 +68,15 @@
 
 // The table above holds.
 const _: () = {
-    let after_failure = MAX_BACKOFF.as_millis() + FRESH_POLL_ANSWER.as_millis();
+    let after_failure = MAX_BACKOFF.as_millis() + FRESH_POLL_RESPONSE_TIME.as_millis();
     let watch = MAX_HOLD.as_millis() + HOLD_SLACK.as_millis() + BODY_TIMEOUT.as_millis() + after_failure;
     let poll =
         CONNECT_TIMEOUT.as_millis() + HEAD_TIMEOUT.as_millis() + BODY_TIMEOUT.as_millis() + after_failure;
-    assert!(watch <= MAX_PROPAGATION.as_millis() && poll <= MAX_PROPAGATION.as_millis());
-    assert!(HEAD_TIMEOUT.as_millis() >= DISCOVERY_REJECTS_AFTER.as_millis() + FRESH_POLL_ANSWER.as_millis());
+    assert!(watch <= MAX_PROPAGATION_DELAY.as_millis() && poll <= MAX_PROPAGATION_DELAY.as_millis());
+    assert!(
+        HEAD_TIMEOUT.as_millis()
+            >= DISCOVERY_REJECTS_AFTER.as_millis() + FRESH_POLL_RESPONSE_TIME.as_millis()
+    );
 };
 
 /// When the list is polled for the first time.
@@ -87,11 +90,11 @@
 
 /// The phases of a call to discovery, in their order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum CallPhase {
+pub enum PollPhase {
     /// Until the connection is up.
     Connect,
     /// From the request to the end of the answer's head. The hold is within it.
-    Head,
+    Headers,
     /// Until the end of the answer.
     Body,
 }
@@ -100,9 +103,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FailureKind {
     /// A watch has fallen silent. It is begun again at once.
-    SilentWatch,
+    WatchTimeout,
     /// A poll. It is repeated after a backoff.
-    Poll,
+    PollFailed,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -112,7 +115,7 @@
     /// The next poll is due then.
     Scheduled(Duration),
     Polling {
-        phase: CallPhase,
+        phase: PollPhase,
         phase_started: Duration,
         poll_started: Duration,
     },
@@ -145,7 +148,7 @@
     }
 
     /// The list is requested. A poll that is under way or scheduled serves that.
-    pub fn requested(&mut self, now: Duration) {
+    pub fn list_requested(&mut self, now: Duration) {
         if let State::Idle = self.state {
             self.state = State::Scheduled(now);
         }
@@ -167,21 +170,21 @@
         }
     }
 
-    fn timeout(&self, phase: CallPhase) -> Duration {
+    fn timeout(&self, phase: PollPhase) -> Duration {
         match phase {
-            CallPhase::Connect => CONNECT_TIMEOUT,
-            CallPhase::Head if self.hold.is_zero() => HEAD_TIMEOUT,
-            CallPhase::Head => self.hold + HOLD_SLACK,
-            CallPhase::Body => BODY_TIMEOUT,
+            PollPhase::Connect => CONNECT_TIMEOUT,
+            PollPhase::Headers if self.hold.is_zero() => HEAD_TIMEOUT,
+            PollPhase::Headers => self.hold + HOLD_SLACK,
+            PollPhase::Body => BODY_TIMEOUT,
         }
     }
 
     /// Begins a poll if one is due. Returns how long discovery may hold it until there is a change.
-    pub fn begin_if_due(&mut self, now: Duration) -> Option<Duration> {
+    pub fn start_poll_if_due(&mut self, now: Duration) -> Option<Duration> {
         match self.state {
             State::Scheduled(at) if at <= now => {
                 self.state =
-                    State::Polling { phase: CallPhase::Connect, phase_started: now, poll_started: now };
+                    State::Polling { phase: PollPhase::Connect, phase_started: now, poll_started: now };
                 Some(self.hold)
             }
             _ => None,
@@ -189,7 +192,7 @@
     }
 
     /// The current poll has come to this phase.
-    pub fn phase_reached(&mut self, now: Duration, next: CallPhase) {
+    pub fn phase_reached(&mut self, now: Duration, next: PollPhase) {
         if let State::Polling { phase, phase_started, .. } = &mut self.state {
             *phase = next;
             *phase_started = now;
@@ -197,7 +200,7 @@
     }
 
     /// The current poll has its complete answer, with changes of the list or without.
-    pub fn answered(&mut self, now: Duration, has_changes: bool) {
+    pub fn response_received(&mut self, now: Duration, has_changes: bool) {
         let State::Polling { poll_started, .. } = self.state else { return };
         let came_at_once = now.saturating_sub(poll_started) < self.hold / 2;
         let pause = if !has_changes && came_at_once { EMPTY_ANSWER_PAUSE } else { Duration::ZERO };
@@ -206,7 +209,7 @@
 
     /// A poll that had timed out has its complete answer after all. Discovery answers again, so a backoff ends here. A poll
     /// that is under way goes on.
-    pub fn answered_late(&mut self, now: Duration) {
+    pub fn late_response_received(&mut self, now: Duration) {
         if let State::Scheduled(_) = self.state {
             self.watch_from(now);
         }
@@ -219,24 +222,26 @@
     }
 
     /// The current poll has failed, or its phase has timed out.
-    pub fn failed(&mut self, now: Duration) -> FailureKind {
+    pub fn poll_failed(&mut self, now: Duration) -> FailureKind {
         let is_silent = self.is_silent(now);
         self.hold = Duration::ZERO;
         if is_silent {
             self.state = State::Scheduled(now);
-            return FailureKind::SilentWatch;
+            return FailureKind::WatchTimeout;
         }
         let interval = (INITIAL_BACKOFF * 2u32.pow(self.failures_in_a_row.min(8))).min(MAX_BACKOFF);
         self.failures_in_a_row += 1;
         // Anywhere in the interval: routers that were rejected together must not come back together.
         let backoff = interval.mul_f64(self.rng.random_range(0.0..1.0));
         self.state = State::Scheduled(now + backoff);
-        FailureKind::Poll
+        FailureKind::PollFailed
     }
 
     /// Whether a watch has had no answer by the end of its hold.
     fn is_silent(&self, now: Duration) -> bool {
-        let State::Polling { phase: CallPhase::Head, phase_started, .. } = self.state else { return false };
-        !self.hold.is_zero() && phase_started + self.timeout(CallPhase::Head) <= now
+        let State::Polling { phase: PollPhase::Headers, phase_started, .. } = self.state else {
+            return false;
+        };
+        !self.hold.is_zero() && phase_started + self.timeout(PollPhase::Headers) <= now
     }
 }
--- a/crates/discovery-watch/src/list_versions.rs
+++ b/crates/discovery-watch/src/list_versions.rs
@@ -3,16 +3,16 @@
 
 /// What was known when a poll was made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ListBasis {
+pub struct PollBasis {
     /// How often discovery had changed its address by then.
     address_changes: u64,
     /// The version from which a delta was requested; none where a snapshot was.
-    pub from: Option<u64>,
+    pub from_version: Option<u64>,
 }
 
 /// What of an answer is applied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum AnswerUse {
+pub enum ApplyScope {
     /// All of it.
     All,
     /// Only which nodes are draining or removed: it comes from an earlier address of discovery.
@@ -35,8 +35,8 @@
     }
 
     /// The basis of a poll that begins now.
-    pub fn basis(&self) -> ListBasis {
-        ListBasis { address_changes: self.address_changes, from: self.known }
+    pub fn poll_basis(&self) -> PollBasis {
+        PollBasis { address_changes: self.address_changes, from_version: self.known }
     }
 
     /// Discovery has another address from now on, where versions may be numbered otherwise.
@@ -46,23 +46,23 @@
     }
 
     /// Whether a poll was made to the present address of discovery.
-    pub fn is_present(&self, basis: ListBasis) -> bool {
+    pub fn is_from_current_address(&self, basis: PollBasis) -> bool {
         basis.address_changes == self.address_changes
     }
 
     /// What is applied of the answer to a poll, which has the list as of this version.
-    pub fn judge(&self, basis: ListBasis, version: u64) -> AnswerUse {
-        if !self.is_present(basis) {
+    pub fn apply_scope(&self, basis: PollBasis, version: u64) -> ApplyScope {
+        if !self.is_from_current_address(basis) {
             // A list from the present address is later than any from an earlier one.
-            return if self.known.is_none() { AnswerUse::DrainingOnly } else { AnswerUse::Nothing };
+            return if self.known.is_none() { ApplyScope::DrainingOnly } else { ApplyScope::Nothing };
         }
         // Where nothing has been applied since the poll, discovery is right, even with a lower version after a restart.
-        let is_next = basis.from == self.known || Some(version) > self.known;
-        if is_next { AnswerUse::All } else { AnswerUse::Nothing }
+        let is_next = basis.from_version == self.known || Some(version) > self.known;
+        if is_next { ApplyScope::All } else { ApplyScope::Nothing }
     }
 
     /// All of an answer has been applied, which had the list as of this version.
-    pub fn applied(&mut self, version: u64) {
+    pub fn record_applied(&mut self, version: u64) {
         self.known = Some(version);
     }
 }
--- a/crates/discovery-watch/tests/propagation.rs
+++ b/crates/discovery-watch/tests/propagation.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use quillpoint_discovery_watch::{
-    CallPhase, DiscoveryWatch, FRESH_POLL_ANSWER, FailureKind, MAX_PROPAGATION, WatchStart,
+    DiscoveryWatch, FRESH_POLL_RESPONSE_TIME, FailureKind, MAX_PROPAGATION_DELAY, PollPhase, WatchStart,
 };
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -31,7 +31,7 @@
 /// The current poll, and what becomes of it by itself.
 #[derive(Clone, Copy)]
 struct Poll {
-    phase: CallPhase,
+    phase: PollPhase,
     hold: Duration,
     phase_started: Duration,
     /// It was connected while discovery answered, and falls silent all the same.
@@ -90,10 +90,10 @@
         };
         // A phase takes up to a third of what a fresh poll is granted; the head of a watch waits for a change.
         let is_held =
-            poll.phase == CallPhase::Head && self.is_known() && self.now < poll.phase_started + poll.hold;
+            poll.phase == PollPhase::Headers && self.is_known() && self.now < poll.phase_started + poll.hold;
         let goes_on = !is_held && !poll.is_silent && self.behaviour == Behaviour::Answers;
         if poll.next_phase_at.is_none() && goes_on {
-            let longest_phase = FRESH_POLL_ANSWER.as_millis() as u64 / 3;
+            let longest_phase = FRESH_POLL_RESPONSE_TIME.as_millis() as u64 / 3;
             poll.next_phase_at = Some(self.now + ms(rng.random_range(0..longest_phase)));
         }
         self.poll = Some(poll);
@@ -101,11 +101,11 @@
     }
 
     fn begin_poll(&mut self, watch: &mut DiscoveryWatch, rng: &mut ChaCha8Rng) {
-        let Some(hold) = watch.begin_if_due(self.now) else { return };
+        let Some(hold) = watch.start_poll_if_due(self.now) else { return };
         self.poll_starts.push(self.now);
         let is_silent = !hold.is_zero() && rng.random_bool(0.4);
         let next_phase_at = Some(self.now + ms(rng.random_range(0..20)));
-        let phase = CallPhase::Connect;
+        let phase = PollPhase::Connect;
         self.poll = Some(Poll { phase, hold, phase_started: self.now, is_silent, next_phase_at });
     }
 
@@ -116,19 +116,19 @@
         }
         poll.next_phase_at = None;
         let next = match (poll.phase, self.behaviour) {
-            (_, Behaviour::Refuses) | (CallPhase::Head | CallPhase::Body, Behaviour::Breaks) => {
-                assert_eq!(watch.failed(self.now), FailureKind::Poll);
+            (_, Behaviour::Refuses) | (PollPhase::Headers | PollPhase::Body, Behaviour::Breaks) => {
+                assert_eq!(watch.poll_failed(self.now), FailureKind::PollFailed);
                 return Progress::Ended;
             }
-            (CallPhase::Connect, Behaviour::Drops)
-            | (CallPhase::Head, Behaviour::Drops | Behaviour::Mutes)
-            | (CallPhase::Body, Behaviour::Stalls) => return Progress::GoesOn(poll),
-            (CallPhase::Connect, _) => CallPhase::Head,
-            (CallPhase::Head, _) => CallPhase::Body,
-            (CallPhase::Body, _) => {
+            (PollPhase::Connect, Behaviour::Drops)
+            | (PollPhase::Headers, Behaviour::Drops | Behaviour::Mutes)
+            | (PollPhase::Body, Behaviour::Stalls) => return Progress::GoesOn(poll),
+            (PollPhase::Connect, _) => PollPhase::Headers,
+            (PollPhase::Headers, _) => PollPhase::Body,
+            (PollPhase::Body, _) => {
                 let has_changes = !self.is_known();
                 self.known_version = self.version;
-                watch.answered(self.now, has_changes);
+                watch.response_received(self.now, has_changes);
                 return Progress::Ended;
             }
         };
@@ -141,7 +141,7 @@
     fn time_out(&mut self, watch: &mut DiscoveryWatch) {
         if watch.deadline().is_some_and(|deadline| deadline <= self.now) {
             self.poll = None;
-            if watch.failed(self.now) == FailureKind::SilentWatch {
+            if watch.poll_failed(self.now) == FailureKind::WatchTimeout {
                 self.silent_watches += 1;
             }
         }
@@ -194,7 +194,7 @@
             if let Some(reachable) = world.reachable_since.filter(|_| !world.is_known()) {
                 let waited = world.now - reachable.max(world.changed_at);
                 assert!(
-                    waited <= MAX_PROPAGATION,
+                    waited <= MAX_PROPAGATION_DELAY,
                     "seed {seed} at {:?}: not known after {waited:?}",
                     world.now
                 );
@@ -213,8 +213,8 @@
     let mut retries = Vec::new();
     for seed in 0..300 {
         let mut watch = DiscoveryWatch::new(ms(10_000), WatchStart::Immediate, seed);
-        assert_eq!(watch.begin_if_due(ms(0)), Some(ms(0)));
-        assert_eq!(watch.failed(ms(1)), FailureKind::Poll);
+        assert_eq!(watch.start_poll_if_due(ms(0)), Some(ms(0)));
+        assert_eq!(watch.poll_failed(ms(1)), FailureKind::PollFailed);
         retries.extend(watch.deadline());
     }
     retries.sort();
@@ -229,25 +229,25 @@
 #[test]
 fn a_poll_is_not_begun_twice_and_a_new_address_ends_the_current_one() {
     let mut watch = DiscoveryWatch::new(ms(1000), WatchStart::OnRequest, 7);
-    assert_eq!((watch.deadline(), watch.begin_if_due(ms(0))), (None, None), "the list is not requested");
-    watch.requested(ms(5));
-    assert_eq!(watch.begin_if_due(ms(5)), Some(ms(0)));
-    watch.requested(ms(6));
-    assert_eq!(watch.begin_if_due(ms(6)), None, "one is under way");
-    watch.phase_reached(ms(10), CallPhase::Head);
-    watch.phase_reached(ms(20), CallPhase::Body);
-    watch.answered(ms(30), true);
-    let hold = watch.begin_if_due(ms(30)).unwrap();
+    assert_eq!((watch.deadline(), watch.start_poll_if_due(ms(0))), (None, None), "the list is not requested");
+    watch.list_requested(ms(5));
+    assert_eq!(watch.start_poll_if_due(ms(5)), Some(ms(0)));
+    watch.list_requested(ms(6));
+    assert_eq!(watch.start_poll_if_due(ms(6)), None, "one is under way");
+    watch.phase_reached(ms(10), PollPhase::Headers);
+    watch.phase_reached(ms(20), PollPhase::Body);
+    watch.response_received(ms(30), true);
+    let hold = watch.start_poll_if_due(ms(30)).unwrap();
     assert!((ms(875)..=ms(1000)).contains(&hold), "{hold:?}");
     watch.address_changed(ms(40));
-    assert_eq!(watch.begin_if_due(ms(40)), Some(ms(0)));
-    watch.phase_reached(ms(41), CallPhase::Head);
-    watch.answered(ms(42), true);
-    watch.begin_if_due(ms(42)).unwrap();
-    watch.phase_reached(ms(43), CallPhase::Head);
-    watch.answered(ms(44), false);
+    assert_eq!(watch.start_poll_if_due(ms(40)), Some(ms(0)));
+    watch.phase_reached(ms(41), PollPhase::Headers);
+    watch.response_received(ms(42), true);
+    watch.start_poll_if_due(ms(42)).unwrap();
+    watch.phase_reached(ms(43), PollPhase::Headers);
+    watch.response_received(ms(44), false);
     assert_eq!(
-        (watch.begin_if_due(ms(100)), watch.begin_if_due(ms(144)).is_some()),
+        (watch.start_poll_if_due(ms(100)), watch.start_poll_if_due(ms(144)).is_some()),
         (None, true),
         "nor does it spin"
     );
--- a/crates/router/src/discovery.rs
+++ b/crates/router/src/discovery.rs
@@ -15,8 +15,8 @@
 use futures_lite::{FutureExt, future};
 use quillpoint::host::{Endpoint, EndpointStatus, EndpointUpdate};
 use quillpoint_discovery_watch::{
-    AnswerUse, CallPhase, DiscoveryWatch, FailureKind, LATE_ANSWER_WINDOW, ListBasis, ListVersions,
-    MAX_LATE_POLLS, WatchStart,
+    ApplyScope, DiscoveryWatch, FailureKind, LATE_RESPONSE_WINDOW, ListVersions, MAX_LATE_POLLS, PollBasis,
+    PollPhase, WatchStart,
 };
 
 use crate::deployment::Deployment;
@@ -51,7 +51,7 @@
 /// A poll that has been made and has not ended.
 struct PollInFlight {
     number: u64,
-    basis: ListBasis,
+    basis: PollBasis,
     started: Duration,
     /// The poll ends and its connection is closed when this is dropped.
     _task: Task<()>,
@@ -64,7 +64,7 @@
 }
 
 enum Progress {
-    PhaseReached(CallPhase),
+    PhaseReached(PollPhase),
     Ended(Result<PollAnswer, PollError>),
 }
 
@@ -132,13 +132,13 @@
     pub async fn run(mut self, engine: Rc<Engine>, requests: Receiver<()>, addresses: Receiver<SocketAddr>) {
         loop {
             let now = self.clock.now();
-            if let Some(hold) = self.watch.begin_if_due(now) {
+            if let Some(hold) = self.watch.start_poll_if_due(now) {
                 self.begin_poll(now, hold);
             }
             match self.next_event(&requests, &addresses).await {
                 Event::PollReported(report) => self.poll_reported(report, &engine),
                 Event::AddressChanged(address) => self.address_changed(address),
-                Event::ListRequested => self.watch.requested(self.clock.now()),
+                Event::ListRequested => self.watch.list_requested(self.clock.now()),
                 Event::Deadline => self.deadline_came(),
             }
         }
@@ -163,10 +163,10 @@
     }
 
     fn begin_poll(&mut self, now: Duration, hold: Duration) {
-        let basis = self.versions.basis();
+        let basis = self.versions.poll_basis();
         let number = self.next_number;
         self.next_number += 1;
-        let path = match basis.from {
+        let path = match basis.from_version {
             None => "/catalog/members".to_string(),
             Some(from) => format!("/catalog/members?from={from}&hold_ms={}", hold.as_millis()),
         };
@@ -177,7 +177,7 @@
             let report = |progress| report(&sender, number, progress);
             let answer = poll.run(kept_connection, |phase| report(Progress::PhaseReached(phase)));
             let timeout = async {
-                Timer::after(hold + LATE_ANSWER_WINDOW).await;
+                Timer::after(hold + LATE_RESPONSE_WINDOW).await;
                 Err(PollError::TimedOut)
             };
             report(Progress::Ended(answer.or(timeout).await));
@@ -207,14 +207,16 @@
 
     fn newest_ended(&mut self, poll: &PollInFlight, result: Result<PollAnswer, PollError>, engine: &Engine) {
         match result.and_then(|answer| self.apply(poll, answer, engine)) {
-            Ok(has_changes) => self.watch.answered(self.clock.now(), has_changes),
+            Ok(has_changes) => self.watch.response_received(self.clock.now(), has_changes),
             Err(error) => self.poll_failed(poll, &error),
         }
     }
 
     fn late_ended(&mut self, poll: &PollInFlight, result: Result<PollAnswer, PollError>, engine: &Engine) {
         match result.and_then(|answer| self.apply(poll, answer, engine)) {
-            Ok(_) if self.versions.is_present(poll.basis) => self.watch.answered_late(self.clock.now()),
+            Ok(_) if self.versions.is_from_current_address(poll.basis) => {
+                self.watch.late_response_received(self.clock.now())
+            }
             Ok(_) => {}
             Err(error) => log::debug!("poll {} of the endpoint list, late, failed: {error}", poll.number),
         }
@@ -223,13 +225,13 @@
     /// Hands the decisions what an answer brings, and says whether that is anything.
     fn apply(&mut self, poll: &PollInFlight, answer: PollAnswer, engine: &Engine) -> Result<bool, PollError> {
         let PollAnswer { list, connection } = answer;
-        if self.versions.is_present(poll.basis) {
+        if self.versions.is_from_current_address(poll.basis) {
             self.kept_connection = connection;
         }
-        let (update, endpoints) = match self.versions.judge(poll.basis, list.version) {
-            AnswerUse::All => self.apply_list(&list)?,
-            AnswerUse::DrainingOnly => (EndpointUpdate::Delta, self.parser.draining_or_removed(&list)),
-            AnswerUse::Nothing => {
+        let (update, endpoints) = match self.versions.apply_scope(poll.basis, list.version) {
+            ApplyScope::All => self.apply_list(&list)?,
+            ApplyScope::DrainingOnly => (EndpointUpdate::Delta, self.parser.draining_or_removed(&list)),
+            ApplyScope::Nothing => {
                 log::info!(
                     event = "endpoint_list_superseded", call = poll.number, version = list.version;
                     "an answer with version {} of the endpoint list came behind a newer one", list.version
@@ -250,10 +252,10 @@
         if endpoints.is_empty() && !list.entries.is_empty() {
             return Err(PollError::NoReadableEntry { entries: list.entries.len() });
         }
-        self.versions.applied(list.version);
+        self.versions.record_applied(list.version);
         // Polls to earlier addresses of discovery have nothing to add.
         let versions = &self.versions;
-        self.late.retain(|late| versions.is_present(late.basis));
+        self.late.retain(|late| versions.is_from_current_address(late.basis));
         let update = if list.is_snapshot { EndpointUpdate::Snapshot } else { EndpointUpdate::Delta };
         Ok((update, endpoints))
     }
@@ -275,12 +277,12 @@
 
     fn poll_failed(&mut self, poll: &PollInFlight, error: &PollError) {
         let waited_ms = self.waited_ms(poll);
-        match self.watch.failed(self.clock.now()) {
-            FailureKind::SilentWatch => log::warn!(
+        match self.watch.poll_failed(self.clock.now()) {
+            FailureKind::WatchTimeout => log::warn!(
                 event = "endpoint_poll_failed", call = poll.number, waited_ms = waited_ms;
                 "the watch of the endpoint list has fallen silent"
             ),
-            FailureKind::Poll => log::warn!(
+            FailureKind::PollFailed => log::warn!(
                 event = "endpoint_poll_failed", call = poll.number, waited_ms = waited_ms;
                 "poll of the endpoint list failed: {error}"
             ),
--- a/crates/router/src/endpoint_poll.rs
+++ b/crates/router/src/endpoint_poll.rs
@@ -6,7 +6,7 @@
 
 use async_io::Async;
 use futures_lite::future;
-use quillpoint_discovery_watch::CallPhase;
+use quillpoint_discovery_watch::PollPhase;
 
 use crate::endpoint_list::EndpointList;
 use crate::http::{self, InvalidResponse, StreamState};
@@ -71,7 +71,7 @@
     pub async fn run(
         self,
         kept: Option<Connection>,
-        phase_reached: impl Fn(CallPhase),
+        phase_reached: impl Fn(PollPhase),
     ) -> Result<PollAnswer, PollError> {
         if let Some(connection) = kept {
             match self.request(connection, &phase_reached).await {
@@ -81,7 +81,7 @@
                 result => return result,
             }
         }
-        phase_reached(CallPhase::Connect);
+        phase_reached(PollPhase::Connect);
         let connection = Connection::connect(self.address).await?;
         self.request(connection, &phase_reached).await
     }
@@ -89,15 +89,15 @@
     async fn request(
         &self,
         connection: Connection,
-        phase_reached: &impl Fn(CallPhase),
+        phase_reached: &impl Fn(PollPhase),
     ) -> Result<PollAnswer, PollError> {
         let Self { address, path } = self;
         let request = format!("GET {path} HTTP/1.1\r\nHost: {address}\r\nAccept: application/json\r\n\r\n");
-        phase_reached(CallPhase::Head);
+        phase_reached(PollPhase::Headers);
         socket::write_all(&connection, request.as_bytes()).await?;
         let mut bytes = Vec::new();
         read_head(&connection, &mut bytes).await?;
-        phase_reached(CallPhase::Body);
+        phase_reached(PollPhase::Body);
         let body = read_body(&connection, &mut bytes).await?;
         let list = serde_json::from_slice(&body.bytes)?;
         Ok(PollAnswer { list, connection: body.keeps_connection.then_some(connection) })
