--- a/crates/control-plane/src/control_host.rs
+++ b/crates/control-plane/src/control_host.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use quillpoint_membership::DatedObservation;
+use quillpoint_membership::TimestampedObservation;
 use quillpoint_observation_feed::FeedObservation;
 
 /// The process around the control side: a router's engine or a hollow router.
@@ -14,7 +14,7 @@
     /// The databases on the endpoint list, with the indices of their zones.
     fn nodes(&self) -> BTreeMap<SocketAddr, u16>;
     /// Takes what another member of the fleet has observed; unverified.
-    fn observation_received(&self, observation: DatedObservation);
+    fn observation_received(&self, observation: TimestampedObservation);
     /// Takes what a control instance has published by name; unverified.
     fn feed_observation_received(&self, observation: FeedObservation);
     /// Starts an assigned health check, whose end is reported after this call. False if one is under way already.
--- a/crates/control-plane/src/fleet_commands.rs
+++ b/crates/control-plane/src/fleet_commands.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use quillpoint_membership::ids::TaskId;
-use quillpoint_membership::{DatedObservation, Event, GossipMessage, Host, Incarnation};
+use quillpoint_membership::{Event, GossipMessage, Host, Incarnation, TimestampedObservation};
 
 /// What the fleet has asked for during a call.
 pub(crate) enum Command {
@@ -18,7 +18,7 @@
         message: GossipMessage,
     },
     RunTask(TaskId),
-    ReceiveObservation(DatedObservation),
+    ReceiveObservation(TimestampedObservation),
     LogEvent(Event),
 }
 
@@ -56,7 +56,7 @@
     fn run_task(&mut self, task: TaskId) {
         self.0.push(Command::RunTask(task));
     }
-    fn observation_received(&mut self, observation: DatedObservation) {
+    fn observation_received(&mut self, observation: TimestampedObservation) {
         self.0.push(Command::ReceiveObservation(observation));
     }
     fn report_event(&mut self, event: Event) {
--- a/crates/control-plane/src/fleet_member.rs
+++ b/crates/control-plane/src/fleet_member.rs
@@ -10,10 +10,10 @@
 use async_io::Timer;
 use quillpoint_datagram::Opener;
 use quillpoint_membership::fleet::TICK_INTERVAL;
-use quillpoint_membership::ids::{Subject, TaskId};
+use quillpoint_membership::ids::{TaskId, TaskTarget};
 use quillpoint_membership::{
-    DatedObservation, Fleet, GossipMessage, Host, Incarnation, MemberRecord, MemberState, MemberVersion,
-    Observation,
+    Fleet, GossipMessage, Host, Incarnation, MemberRecord, MemberState, MemberVersion, Observation,
+    TimestampedObservation,
 };
 
 use crate::control_host::ControlHost;
@@ -104,9 +104,9 @@
 
     fn run_task(&self, task: TaskId) {
         self.health_checks.set(self.health_checks.get() + 1);
-        let has_started = match task.subject {
-            Subject::Node(node) => self.host.start_health_check(node),
-            Subject::Installation => false,
+        let has_started = match task.target {
+            TaskTarget::Node(node) => self.host.start_health_check(node),
+            TaskTarget::Deployment => false,
         };
         if !has_started {
             // One is under way already, whose end serves as well.
@@ -193,7 +193,7 @@
     }
 
     /// What peers have observed of a node last, if that is of use yet.
-    pub fn latest_observation(&self, node: SocketAddr) -> Option<DatedObservation> {
+    pub fn latest_observation(&self, node: SocketAddr) -> Option<TimestampedObservation> {
         self.fleet.borrow().latest_observation(self.host.now(), node)
     }
 
--- a/crates/control-plane/src/publisher_service.rs
+++ b/crates/control-plane/src/publisher_service.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use quillpoint_datagram::Opener;
-use quillpoint_membership::{DatedObservation, Incarnation, PeerName};
+use quillpoint_membership::{Incarnation, PeerName, TimestampedObservation};
 use quillpoint_observation_feed::{Envelope, Publisher};
 
 use crate::control_host::ControlHost;
@@ -112,7 +112,7 @@
     }
 
     /// This control instance, or another of its fleet as far as that is believed, has made an observation.
-    pub fn observe(&self, observation: DatedObservation) {
+    pub fn observe(&self, observation: TimestampedObservation) {
         self.call(|publisher, now| publisher.observe(now, observation));
     }
 
--- a/crates/control-plane/tests/socket_delay.rs
+++ b/crates/control-plane/tests/socket_delay.rs
@@ -15,8 +15,8 @@
 use quillpoint_membership::scheduler::Priority;
 use quillpoint_membership::sharded_tasks::TaskParams;
 use quillpoint_membership::{
-    DatedObservation, FleetParams, GossipBody, GossipMessage, Incarnation, MemberRecord, MemberState,
-    MemberVersion, Observation, PeerName,
+    FleetParams, GossipBody, GossipMessage, Incarnation, MemberRecord, MemberState, MemberVersion,
+    Observation, PeerName, TimestampedObservation,
 };
 use quillpoint_observation_feed::message::{
     Digest, DigestNumber, LAG_CLASSES, LagClass, PARTITIONS, PartitionId, Revision, SnapshotChunk,
@@ -33,7 +33,7 @@
 struct TestHost {
     unix: Duration,
     since: Instant,
-    received: RefCell<Vec<DatedObservation>>,
+    received: RefCell<Vec<TimestampedObservation>>,
 }
 
 impl TestHost {
@@ -50,7 +50,7 @@
     fn nodes(&self) -> BTreeMap<SocketAddr, u16> {
         BTreeMap::from([(node(), 0)])
     }
-    fn observation_received(&self, observation: DatedObservation) {
+    fn observation_received(&self, observation: TimestampedObservation) {
         self.received.borrow_mut().push(observation);
     }
     fn feed_observation_received(&self, _: FeedObservation) {}
--- a/crates/datagram/tests/datagrams.rs
+++ b/crates/datagram/tests/datagrams.rs
@@ -4,7 +4,9 @@
 use quillpoint_datagram::keys::{KeyFileError, Keyring};
 use quillpoint_datagram::{MAX_DATAGRAM_BYTES, OpenError, Opener, Sealer};
 use quillpoint_membership::ids::{MAX_PEER_NAME_BYTES, PingNumber};
-use quillpoint_membership::message::{MAX_JOIN_REPLY_RECORDS, MAX_PIGGYBACKED_RECORDS, OBSERVATION_BATCH};
+use quillpoint_membership::message::{
+    MAX_JOIN_REPLY_RECORDS, MAX_PIGGYBACKED_RECORDS, OBSERVATION_BATCH_SIZE,
+};
 use quillpoint_membership::{
     GossipBody, GossipMessage, Incarnation, MemberRecord, MemberState, MemberVersion, Observation, PeerName,
 };
@@ -59,7 +61,7 @@
     };
     let along = GossipMessage {
         from: card.clone(),
-        body: GossipBody::Observations(vec![news; OBSERVATION_BATCH]),
+        body: GossipBody::Observations(vec![news; OBSERVATION_BATCH_SIZE]),
         records: vec![card.clone(); MAX_PIGGYBACKED_RECORDS + 1],
     };
     let whole = GossipMessage {
--- a/crates/datagram/tests/gossip_size.rs
+++ b/crates/datagram/tests/gossip_size.rs
@@ -6,7 +6,9 @@
 use quillpoint_datagram::keys::Keyring;
 use quillpoint_datagram::{MAX_DATAGRAM_BYTES, Sealer};
 use quillpoint_membership::ids::MAX_PEER_NAME_BYTES;
-use quillpoint_membership::message::{MAX_OBSERVATION_BYTES, MAX_PIGGYBACKED_RECORDS, OBSERVATION_BATCH};
+use quillpoint_membership::message::{
+    MAX_OBSERVATION_BATCH_BYTES, MAX_PIGGYBACKED_RECORDS, OBSERVATION_BATCH_SIZE,
+};
 use quillpoint_membership::observation_store::ObservationStore;
 use quillpoint_membership::{
     GossipBody, GossipMessage, Incarnation, MemberRecord, MemberState, MemberVersion, Observation, PeerName,
@@ -50,7 +52,7 @@
     for node in ["[2001:db8:ffff:ffff:ffff:ffff:ffff:ffff]:65535", "255.255.255.255:65535", "1.1.1.1:1"] {
         for long in [true, false] {
             let observation = observation(node.parse().unwrap(), long);
-            let bytes = observation.encoded_bytes();
+            let bytes = observation.max_encoded_bytes();
             assert!(sealed_bytes(vec![observation]) - empty <= bytes && bytes < 70, "{node}: {bytes}");
         }
     }
@@ -71,11 +73,14 @@
             let batches = store.take_outgoing(now, 3);
             assert_eq!(batches.concat().len(), 200, "all of them, each once");
             for batch in &batches {
-                assert!(batch.iter().map(Observation::encoded_bytes).sum::<usize>() <= MAX_OBSERVATION_BYTES);
+                assert!(
+                    batch.iter().map(Observation::max_encoded_bytes).sum::<usize>()
+                        <= MAX_OBSERVATION_BATCH_BYTES
+                );
                 assert!(sealed_bytes(batch.clone()) <= MAX_DATAGRAM_BYTES);
             }
             // All but the last are full, so that there are fewer of them than of ten each.
-            assert!(batches.len() < 200 / OBSERVATION_BATCH || (!v4 && long), "{}", batches.len());
+            assert!(batches.len() < 200 / OBSERVATION_BATCH_SIZE || (!v4 && long), "{}", batches.len());
         }
     }
 }
--- a/crates/membership/src/fleet.rs
+++ b/crates/membership/src/fleet.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use crate::fleet_params::{Budgets, FleetParams};
-use crate::host::{DatedObservation, Event, Host};
-use crate::ids::{PeerName, Subject, TaskId};
+use crate::host::{Event, Host, TimestampedObservation};
+use crate::ids::{PeerName, TaskId, TaskTarget};
 use crate::membership::{Membership, ObservationSnapshot};
 use crate::message::{GossipBody, GossipMessage, MemberRecord, MemberState, Observation};
 use crate::observation_store::{Assessment, ObservationStore};
@@ -92,12 +92,12 @@
         let task = self.health_check_task(observation.node);
         let observed_at = now.saturating_sub(observation.age);
         match self.observations.record_from_peer(now, peer, observation) {
-            Assessment::Believed(dated) => {
-                self.tasks.done(task, observed_at);
+            Assessment::Accepted(dated) => {
+                self.tasks.record_run(task, observed_at);
                 self.host.observation_received(dated);
             }
             Assessment::Unconfirmed => {
-                self.tasks.done(task, observed_at);
+                self.tasks.record_run(task, observed_at);
                 self.tasks.expedite(now, task);
             }
             Assessment::Rejected => {}
@@ -111,7 +111,7 @@
         }
         self.members.tick(now, &mut self.host);
         self.assign_tasks(now);
-        while let Some(task) = self.tasks.next(now) {
+        while let Some(task) = self.tasks.start_next(now) {
             self.host.run_task(task);
         }
         if now >= self.next_flush {
@@ -125,8 +125,8 @@
     pub fn nodes_changed(&mut self, now: Duration, nodes: &BTreeMap<SocketAddr, u16>) {
         let addresses: BTreeSet<SocketAddr> = nodes.keys().copied().collect();
         self.observations.nodes_changed(&addresses);
-        let subjects = nodes.iter().map(|(node, zone)| (Subject::Node(*node), *zone)).collect();
-        self.tasks.subjects_changed(now, self.params.health_check, &subjects);
+        let targets = nodes.iter().map(|(node, zone)| (TaskTarget::Node(*node), *zone)).collect();
+        self.tasks.targets_changed(now, self.params.health_check, &targets);
         let Budgets { work_rate, work_burst, gossip_bytes_per_second } = self.params.budgets(nodes.len());
         self.tasks.set_budget(work_rate, work_burst);
         self.observations.set_budget(gossip_bytes_per_second);
@@ -146,7 +146,7 @@
         }
         if !failed {
             // Any answer shows what a health check would.
-            self.tasks.done(self.health_check_task(node), now);
+            self.tasks.record_run(self.health_check_task(node), now);
         }
     }
 
@@ -157,13 +157,13 @@
     }
 
     /// What peers have last observed of a node, unless it is too old.
-    pub fn latest_observation(&self, now: Duration, node: SocketAddr) -> Option<DatedObservation> {
+    pub fn latest_observation(&self, now: Duration, node: SocketAddr) -> Option<TimestampedObservation> {
         self.observations.latest_from_peers(now, node)
     }
 
     /// Records that a task which the host was asked to run has ended.
     pub fn task_ended(&mut self, now: Duration, task: TaskId) {
-        self.tasks.ended(now, task);
+        self.tasks.run_ended(now, task);
     }
 
     /// Sends the last observations and announces that this router leaves. It runs no tasks from then on.
@@ -173,7 +173,7 @@
         }
         self.flush_observations(now);
         self.members.leave(&mut self.host);
-        self.tasks.view_changed(now, Vec::new());
+        self.tasks.candidates_changed(now, Vec::new());
     }
 
     /// The members.
@@ -194,14 +194,14 @@
 
     /// The task of checking this node.
     pub fn health_check_task(&self, node: SocketAddr) -> TaskId {
-        TaskId { kind: self.params.health_check.kind, subject: Subject::Node(node) }
+        TaskId { kind: self.params.health_check.kind, target: TaskTarget::Node(node) }
     }
 
     /// Divides the tasks among the routers that may own some by now.
     fn assign_tasks(&mut self, now: Duration) {
         let candidates = self.candidates();
         let routers = candidates.len();
-        let has_view_changed = self.tasks.view_changed(now, candidates);
+        let has_view_changed = self.tasks.candidates_changed(now, candidates);
         let have_nodes_changed = std::mem::take(&mut self.have_nodes_changed);
         // There may be thousands of tasks: they are not counted at each tick.
         if !has_view_changed && !have_nodes_changed {
--- a/crates/membership/src/fleet_params.rs
+++ b/crates/membership/src/fleet_params.rs
@@ -1,6 +1,6 @@
 //! The settings of a fleet, and its budgets by the number of nodes.
 
-use crate::observation_store::OBSERVATION_BYTES;
+use crate::observation_store::TYPICAL_OBSERVATION_BYTES;
 use crate::sharded_tasks::TaskParams;
 
 /// How many times the budgets exceed what health checks of all nodes take: the rest of the fleet may be gone.
@@ -44,7 +44,7 @@
             work_burst: self.work_burst * (work_rate / self.work_rate),
             gossip_bytes_per_second: self
                 .gossip_bytes_per_second
-                .max(checks_per_second * OBSERVATION_BYTES * HEADROOM),
+                .max(checks_per_second * TYPICAL_OBSERVATION_BYTES * HEADROOM),
         }
     }
 }
--- a/crates/membership/src/host.rs
+++ b/crates/membership/src/host.rs
@@ -16,14 +16,14 @@
     /// Runs the task once. Its end is reported by `task_ended`.
     fn run_task(&mut self, task: TaskId);
     /// Takes what peers have observed of a node.
-    fn observation_received(&mut self, observation: DatedObservation);
+    fn observation_received(&mut self, observation: TimestampedObservation);
     /// Reports a change that operators want to know of.
     fn report_event(&mut self, event: Event);
 }
 
 /// A peer's observation that is believed, with its age turned into a time on this router's clock.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct DatedObservation {
+pub struct TimestampedObservation {
     /// The node that was observed.
     pub node: SocketAddr,
     /// When it was observed, at the latest: the time on the network is not counted.
--- a/crates/membership/src/ids.rs
+++ b/crates/membership/src/ids.rs
@@ -100,11 +100,11 @@
 
 /// What a sharded task is about.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Subject {
+pub enum TaskTarget {
     /// One node.
     Node(SocketAddr),
     /// The whole installation, as for a comparison of lists or a report.
-    Installation,
+    Deployment,
 }
 
 /// A sharded task.
@@ -113,5 +113,5 @@
     /// What is done.
     pub kind: TaskKind,
     /// What it is done to.
-    pub subject: Subject,
+    pub target: TaskTarget,
 }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -24,6 +24,6 @@
 
 pub use fleet::Fleet;
 pub use fleet_params::FleetParams;
-pub use host::{DatedObservation, Event, Host};
+pub use host::{Event, Host, TimestampedObservation};
 pub use ids::{Incarnation, MemberVersion, PeerName};
 pub use message::{GossipBody, GossipMessage, MemberRecord, MemberState, Observation};
--- a/crates/membership/src/message.rs
+++ b/crates/membership/src/message.rs
@@ -13,10 +13,10 @@
 /// The most member records in a join reply, beside the receiver's own. More do not fit a datagram.
 pub const MAX_JOIN_REPLY_RECORDS: usize = 10;
 /// The number of observations that fit a datagram whatever they hold, beside records with the longest names.
-pub const OBSERVATION_BATCH: usize = 10;
+pub const OBSERVATION_BATCH_SIZE: usize = 10;
 /// More observations go into a message while their encoded size is no larger: the rest of a datagram is left for a sender
 /// and records with the longest names.
-pub const MAX_OBSERVATION_BYTES: usize = 680;
+pub const MAX_OBSERVATION_BATCH_BYTES: usize = 680;
 
 /// The state of a member, in ascending order: of two records with the same version the one with the higher state holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -119,7 +119,7 @@
 
 impl Observation {
     /// An upper bound of the encoded size in bytes. Postcard encodes a number in a byte for each seven bits.
-    pub fn encoded_bytes(&self) -> usize {
+    pub fn max_encoded_bytes(&self) -> usize {
         let number = |value: u64| (64 - (value | 1).leading_zeros() as usize).div_ceil(7);
         let duration = |value: Duration| number(value.as_secs()) + number(u64::from(value.subsec_nanos()));
         let optional_duration = |value: Option<Duration>| 1 + value.map_or(0, duration);
--- a/crates/membership/src/node_observations.rs
+++ b/crates/membership/src/node_observations.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use crate::host::DatedObservation;
+use crate::host::TimestampedObservation;
 use crate::ids::PeerName;
 use crate::message::Observation;
 use crate::observation_store::{Assessment, MAX_OBSERVATION_AGE};
@@ -30,10 +30,10 @@
     }
 
     /// What it shows. A time ahead of this router's clock shows nothing.
-    pub(crate) fn dated(&self, now: Duration) -> DatedObservation {
+    pub(crate) fn dated(&self, now: Duration) -> TimestampedObservation {
         let &Observation { node, position, primary, waiting, started, .. } = &self.observation;
         let is_past = |time: &Duration| *time <= now;
-        DatedObservation {
+        TimestampedObservation {
             node,
             at: self.at,
             position: position.filter(is_past),
@@ -125,7 +125,7 @@
         if self.from_peers.as_ref().is_none_or(|latest| latest.at <= timed.at) {
             self.from_peers = Some(timed);
         }
-        Assessment::Believed(dated)
+        Assessment::Accepted(dated)
     }
 
     fn record_peer_failure(
@@ -142,7 +142,7 @@
         if self.failures.len() < MIN_FAILED_ROUTERS {
             return Assessment::Unconfirmed;
         }
-        Assessment::Believed(DatedObservation { failed: true, ..failure.dated(now) })
+        Assessment::Accepted(TimestampedObservation { failed: true, ..failure.dated(now) })
     }
 
     fn record_claim(&mut self, peer: &PeerName, position: Duration, observed_at: Duration) {
--- a/crates/membership/src/observation_store.rs
+++ b/crates/membership/src/observation_store.rs
@@ -10,16 +10,16 @@
 use std::time::Duration;
 
 use crate::fast_hash_map::FastHashMap;
-use crate::host::DatedObservation;
+use crate::host::TimestampedObservation;
 use crate::ids::PeerName;
-use crate::message::{MAX_OBSERVATION_BYTES, OBSERVATION_BATCH, Observation};
+use crate::message::{MAX_OBSERVATION_BATCH_BYTES, OBSERVATION_BATCH_SIZE, Observation};
 use crate::node_observations::{NodeObservations, TimedObservation};
 use crate::token_bucket::TokenBucket;
 
 /// An older observation is neither sent nor accepted.
 pub const MAX_OBSERVATION_AGE: Duration = Duration::from_secs(10);
 /// About the bytes of an observation in a message.
-pub const OBSERVATION_BYTES: f64 = 40.0;
+pub const TYPICAL_OBSERVATION_BYTES: f64 = 40.0;
 /// About the bytes of a message without its observations.
 const MESSAGE_OVERHEAD_BYTES: f64 = 160.0;
 /// How long a peer that a node has contradicted is not believed.
@@ -31,7 +31,7 @@
 #[derive(Debug, PartialEq)]
 pub enum Assessment {
     /// It is believed.
-    Believed(DatedObservation),
+    Accepted(TimestampedObservation),
     /// A failure that no other router has met yet: a reason for a health check of one's own.
     Unconfirmed,
     /// It is too old, of a node that is not listed, outweighed by a later answer, or from a peer that is not believed.
@@ -109,7 +109,7 @@
     }
 
     /// What peers have last observed of a node, unless it is too old.
-    pub fn latest_from_peers(&self, now: Duration, node: SocketAddr) -> Option<DatedObservation> {
+    pub fn latest_from_peers(&self, now: Duration, node: SocketAddr) -> Option<TimestampedObservation> {
         let latest = self.nodes.get(&node)?.latest_from_peers()?;
         (now.saturating_sub(latest.at) <= MAX_OBSERVATION_AGE).then(|| latest.dated(now))
     }
@@ -125,8 +125,8 @@
             return Vec::new();
         }
         let mut batches = Batches::default();
-        for nodes in self.unsent_latest_first(now).chunks(OBSERVATION_BATCH) {
-            let message_bytes = MESSAGE_OVERHEAD_BYTES + OBSERVATION_BYTES * nodes.len() as f64;
+        for nodes in self.unsent_latest_first(now).chunks(OBSERVATION_BATCH_SIZE) {
+            let message_bytes = MESSAGE_OVERHEAD_BYTES + TYPICAL_OBSERVATION_BYTES * nodes.len() as f64;
             if !self.budget.try_take_in_full(message_bytes * peers as f64) {
                 break;
             }
@@ -159,7 +159,8 @@
         let mut nodes: Vec<SocketAddr> = self.nodes.keys().copied().collect();
         nodes.sort_unstable();
         let latest = |node: &SocketAddr| self.nodes[node].latest_answer()?.aged(now);
-        let batches = nodes.chunks(OBSERVATION_BATCH).map(|nodes| nodes.iter().filter_map(latest).collect());
+        let batches =
+            nodes.chunks(OBSERVATION_BATCH_SIZE).map(|nodes| nodes.iter().filter_map(latest).collect());
         batches.filter(|batch: &Vec<Observation>| !batch.is_empty()).collect()
     }
 
@@ -193,12 +194,12 @@
 
 impl Batches {
     fn push(&mut self, observation: Observation) {
-        let bytes = observation.encoded_bytes();
+        let bytes = observation.max_encoded_bytes();
         match self.batches.last_mut() {
             Some(last) if bytes <= self.bytes_left => last.push(observation),
             _ => {
                 self.batches.push(vec![observation]);
-                self.bytes_left = MAX_OBSERVATION_BYTES;
+                self.bytes_left = MAX_OBSERVATION_BATCH_BYTES;
             }
         }
         self.bytes_left = self.bytes_left.saturating_sub(bytes);
--- a/crates/membership/src/rendezvous.rs
+++ b/crates/membership/src/rendezvous.rs
@@ -5,7 +5,7 @@
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use crate::ids::{PeerName, Subject, TaskId};
+use crate::ids::{PeerName, TaskId, TaskTarget};
 
 /// How much more likely a router owns a task in its own zone than in another: health checks across zones cost.
 const SAME_ZONE_FACTOR: f64 = 4.0;
@@ -21,7 +21,7 @@
     pub weight: u8,
 }
 
-/// The score of a candidate for a task whose subject is in `zone`. The highest score owns the task.
+/// The score of a candidate for a task whose target is in `zone`. The highest score owns the task.
 pub fn score(task: TaskId, zone: u16, candidate: &Candidate) -> f64 {
     let uniform = unit_interval(xxh3_64_with_seed(candidate.name.as_str().as_bytes(), task_hash(task)));
     let zone_factor = if zone == candidate.zone { SAME_ZONE_FACTOR } else { 1.0 };
@@ -44,11 +44,11 @@
 }
 
 fn task_hash(task: TaskId) -> u64 {
-    let subject = match task.subject {
-        Subject::Node(address) => address.to_string(),
-        Subject::Installation => String::new(),
+    let target = match task.target {
+        TaskTarget::Node(address) => address.to_string(),
+        TaskTarget::Deployment => String::new(),
     };
-    xxh3_64_with_seed(subject.as_bytes(), u64::from(task.kind.0))
+    xxh3_64_with_seed(target.as_bytes(), u64::from(task.kind.0))
 }
 
 /// A hash as a number in the open interval from 0 to 1.
--- a/crates/membership/src/sharded_tasks.rs
+++ b/crates/membership/src/sharded_tasks.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 use crate::fast_hash_map::FastHashMap;
-use crate::ids::{PeerName, Subject, TaskId, TaskKind};
+use crate::ids::{PeerName, TaskId, TaskKind, TaskTarget};
 use crate::rendezvous::{self, Candidate};
 use crate::scheduler::{Priority, Scheduler};
 
@@ -50,7 +50,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TakeoverInputs {
     /// When any router last ran it.
-    pub last_done: Option<Duration>,
+    pub last_run: Option<Duration>,
     /// Since when it is due where nobody has run it yet.
     pub due_since: Duration,
     /// From when on this router may start it again.
@@ -61,7 +61,7 @@
 
 /// The rule of takeover, all of it: when a router runs a task.
 pub fn due_at(params: &TaskParams, inputs: TakeoverInputs) -> Duration {
-    let due = inputs.last_done.map_or(inputs.due_since, |done| done + params.period);
+    let due = inputs.last_run.map_or(inputs.due_since, |done| done + params.period);
     (due + params.takeover_delay * inputs.rank).max(inputs.earliest_start)
 }
 
@@ -69,7 +69,7 @@
     params: TaskParams,
     zone: u16,
     /// When any router last ran it, as far as is known.
-    last_done: Option<Duration>,
+    last_run: Option<Duration>,
     /// When this router last started it.
     last_started: Option<Duration>,
     is_running: bool,
@@ -85,7 +85,7 @@
     /// When this router would run it; never while it owns no tasks.
     fn due(&self) -> Option<Duration> {
         let inputs = TakeoverInputs {
-            last_done: self.last_done,
+            last_run: self.last_run,
             due_since: self.due_since,
             earliest_start: self.earliest_start(),
             rank: self.rank?,
@@ -111,7 +111,7 @@
 
     fn is_overdue(&self, now: Duration) -> bool {
         let TaskParams { period, takeover_delay, .. } = self.params;
-        self.last_done.is_none_or(|done| done + period + takeover_delay <= now)
+        self.last_run.is_none_or(|done| done + period + takeover_delay <= now)
     }
 }
 
@@ -133,13 +133,13 @@
 
     /// Takes the routers that own tasks from now on, and says whether they have changed. This router owns none
     /// while it is not among them.
-    pub fn view_changed(&mut self, now: Duration, candidates: Vec<Candidate>) -> bool {
+    pub fn candidates_changed(&mut self, now: Duration, candidates: Vec<Candidate>) -> bool {
         if candidates == self.candidates {
             return false;
         }
         self.candidates = candidates;
         for (id, task) in &mut self.tasks {
-            if task.rank.is_none() && task.last_done.is_none() {
+            if task.rank.is_none() && task.last_run.is_none() {
                 // Nobody here has been responsible for it before.
                 task.due_since = first_due(now, &task.params, *id, &self.own_name);
             }
@@ -149,20 +149,25 @@
         true
     }
 
-    /// Takes all subjects of the kind, with their zones. Tasks of the kind with other subjects are removed.
-    pub fn subjects_changed(&mut self, now: Duration, params: TaskParams, subjects: &BTreeMap<Subject, u16>) {
-        let is_gone = |id: &TaskId| id.kind == params.kind && !subjects.contains_key(&id.subject);
+    /// Takes all targets of the kind, with their zones. Tasks of the kind with other targets are removed.
+    pub fn targets_changed(
+        &mut self,
+        now: Duration,
+        params: TaskParams,
+        targets: &BTreeMap<TaskTarget, u16>,
+    ) {
+        let is_gone = |id: &TaskId| id.kind == params.kind && !targets.contains_key(&id.target);
         for id in self.tasks.keys().copied().filter(is_gone).collect::<Vec<_>>() {
             self.tasks.remove(&id);
             self.scheduler.remove(id);
         }
-        for (subject, zone) in subjects {
-            let id = TaskId { kind: params.kind, subject: *subject };
+        for (target, zone) in targets {
+            let id = TaskId { kind: params.kind, target: *target };
             let rank = rendezvous::rank(id, *zone, &self.own_name, &self.candidates);
             let task = self.tasks.entry(id).or_insert_with(|| ShardedTask {
                 params,
                 zone: *zone,
-                last_done: None,
+                last_run: None,
                 last_started: None,
                 is_running: false,
                 rank,
@@ -182,12 +187,12 @@
     }
 
     /// Records that a router ran the task at that time, or that something else made a run needless.
-    pub fn done(&mut self, id: TaskId, at: Duration) {
+    pub fn record_run(&mut self, id: TaskId, at: Duration) {
         let Some(task) = self.tasks.get_mut(&id) else { return };
-        if task.last_done >= Some(at) {
+        if task.last_run >= Some(at) {
             return;
         }
-        let is_first = task.last_done.replace(at).is_none();
+        let is_first = task.last_run.replace(at).is_none();
         task.expedited_to = None;
         // A task that was done before is only postponed by this, and the scheduler asks for that when the queued time
         // comes: there are thousands of observations a second.
@@ -197,10 +202,10 @@
     }
 
     /// Records that this router's own run has ended. The next is due a period after the start of this one.
-    pub fn ended(&mut self, now: Duration, id: TaskId) {
+    pub fn run_ended(&mut self, now: Duration, id: TaskId) {
         if let Some(task) = self.tasks.get_mut(&id) {
             task.is_running = false;
-            task.last_done = task.last_done.max(Some(task.last_started.unwrap_or(now)));
+            task.last_run = task.last_run.max(Some(task.last_started.unwrap_or(now)));
             schedule(&mut self.scheduler, id, task);
         }
     }
@@ -233,7 +238,7 @@
     }
 
     /// Starts the next task that is due and returns it. Called until there is none.
-    pub fn next(&mut self, now: Duration) -> Option<TaskId> {
+    pub fn start_next(&mut self, now: Duration) -> Option<TaskId> {
         let postponed_until = |id| self.tasks.get(&id).and_then(ShardedTask::planned);
         let id = self.scheduler.pop_unless_postponed(now, postponed_until)?;
         let task = self.tasks.get_mut(&id)?;
--- a/crates/membership/tests/budgets.rs
+++ b/crates/membership/tests/budgets.rs
@@ -7,12 +7,12 @@
 use std::time::Duration;
 
 use quillpoint_membership::fleet::TICK_INTERVAL;
-use quillpoint_membership::ids::{Subject, TaskId, TaskKind};
+use quillpoint_membership::ids::{TaskId, TaskKind, TaskTarget};
 use quillpoint_membership::scheduler::Priority;
 use quillpoint_membership::sharded_tasks::TaskParams;
 use quillpoint_membership::{
-    DatedObservation, Event, Fleet, FleetParams, GossipBody, GossipMessage, Host, Incarnation, MemberRecord,
-    MemberState, MemberVersion, Observation, PeerName,
+    Event, Fleet, FleetParams, GossipBody, GossipMessage, Host, Incarnation, MemberRecord, MemberState,
+    MemberVersion, Observation, PeerName, TimestampedObservation,
 };
 
 const NODES: u16 = 3000;
@@ -52,7 +52,7 @@
     fn run_task(&mut self, task: TaskId) {
         self.0.borrow_mut().tasks.push(task);
     }
-    fn observation_received(&mut self, _: DatedObservation) {}
+    fn observation_received(&mut self, _: TimestampedObservation) {}
     fn report_event(&mut self, _: Event) {}
 }
 
@@ -98,7 +98,7 @@
         }
         let Effects { sent, tasks } = std::mem::take(&mut *effects.borrow_mut());
         for task in tasks {
-            let Subject::Node(node) = task.subject else { continue };
+            let TaskTarget::Node(node) = task.target else { continue };
             let observation = Observation {
                 node,
                 age: ms(0),
--- a/crates/membership/tests/handover.rs
+++ b/crates/membership/tests/handover.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use quillpoint_membership::PeerName;
-use quillpoint_membership::ids::{Subject, TaskId, TaskKind};
+use quillpoint_membership::ids::{TaskId, TaskKind, TaskTarget};
 use quillpoint_membership::rendezvous::{Candidate, rank};
 use quillpoint_membership::scheduler::Priority;
 use quillpoint_membership::sharded_tasks::{TakeoverInputs, TaskParams, due_at};
@@ -37,7 +37,7 @@
     alive: bool,
     /// The routers that it takes for active, a bit for each.
     view: u8,
-    last_done: Option<u64>,
+    last_run: Option<u64>,
     last_started: Option<u64>,
     due_since: u64,
     process: u8,
@@ -114,9 +114,9 @@
         let active = (0..ROUTERS).filter(|other| own.view & (1 << other) != 0);
         let candidates: Vec<Candidate> =
             active.map(|other| Candidate { name: name(other), zone: 0, weight: 1 }).collect();
-        let task = TaskId { kind: TaskKind(0), subject: Subject::Installation };
+        let task = TaskId { kind: TaskKind(0), target: TaskTarget::Deployment };
         let inputs = TakeoverInputs {
-            last_done: own.last_done.map(ticks),
+            last_run: own.last_run.map(ticks),
             due_since: ticks(own.due_since),
             earliest_start: own.last_started.map_or(Duration::ZERO, |started| ticks(started + MIN_INTERVAL)),
             rank: if self.broken { 0 } else { rank(task, 0, &name(router), &candidates)? },
@@ -137,7 +137,7 @@
         let router = Router {
             alive: true,
             view: 0b111,
-            last_done: Some(START - 1),
+            last_run: Some(START - 1),
             last_started: None,
             due_since: START,
             process: 0,
@@ -195,7 +195,7 @@
                 let process = world.routers[router].process;
                 world.runs.push(TaskRun { at: now, router, process });
                 world.routers[router].last_started = Some(now);
-                world.routers[router].last_done = Some(now);
+                world.routers[router].last_run = Some(now);
                 let others = (0..ROUTERS).filter(|other| *other != router);
                 world.messages.extend(others.map(|to| Message { to, run_at: now }));
             }
@@ -203,7 +203,7 @@
                 let Message { to, run_at } = world.messages.remove(place);
                 let router = &mut world.routers[to];
                 if router.alive {
-                    router.last_done = router.last_done.max(Some(run_at));
+                    router.last_run = router.last_run.max(Some(run_at));
                 }
             }
             Step::Lose(place) => {
@@ -220,7 +220,7 @@
                 world.routers[router] = Router {
                     alive: true,
                     view: 0b111,
-                    last_done: alive.filter_map(|other| other.last_done).max(),
+                    last_run: alive.filter_map(|other| other.last_run).max(),
                     last_started: None,
                     due_since: world.now,
                     process: world.routers[router].process + 1,
--- a/crates/membership/tests/observation_store.rs
+++ b/crates/membership/tests/observation_store.rs
@@ -91,7 +91,7 @@
 fn the_latest_observation_of_a_peer_is_known_until_it_is_too_old() {
     let mut store = store(2, 1e6);
     assert_eq!(store.latest_from_peers(ms(900), node(0)), None);
-    let Assessment::Believed(first) = store.record_from_peer(ms(1000), &name(1), observation(0, 900)) else {
+    let Assessment::Accepted(first) = store.record_from_peer(ms(1000), &name(1), observation(0, 900)) else {
         panic!("an answer")
     };
     assert_eq!(store.latest_from_peers(ms(1000), node(0)), Some(first));
@@ -100,7 +100,7 @@
     store.record_from_peer(ms(1100), &name(2), failure(0));
     store.record_own(ms(1200), ms(1190), observation(0, 1150));
     assert_eq!(store.latest_from_peers(ms(1200), node(0)), Some(first));
-    let Assessment::Believed(later) = store.record_from_peer(ms(1300), &name(2), observation(0, 1290)) else {
+    let Assessment::Accepted(later) = store.record_from_peer(ms(1300), &name(2), observation(0, 1290)) else {
         panic!("an answer")
     };
     assert_eq!(store.latest_from_peers(ms(1300) + MAX_OBSERVATION_AGE, node(0)), Some(later));
@@ -128,7 +128,7 @@
         Assessment::Unconfirmed,
         "too far apart"
     );
-    let Assessment::Believed(dated) = store.record_from_peer(ms(8500), &name(1), failure(0)) else {
+    let Assessment::Accepted(dated) = store.record_from_peer(ms(8500), &name(1), failure(0)) else {
         panic!("two routers")
     };
     assert!(dated.failed);
@@ -160,7 +160,7 @@
     );
     assert!(matches!(
         store.record_from_peer(ms(70_000), &name(1), observation(0, 69_000)),
-        Assessment::Believed(_)
+        Assessment::Accepted(_)
     ));
 }
 
@@ -170,7 +170,7 @@
     let old = Observation { age: MAX_OBSERVATION_AGE + ms(1), ..observation(0, 900) };
     assert_eq!(store.record_from_peer(ms(20_000), &name(1), old), Assessment::Rejected);
     assert_eq!(store.record_from_peer(ms(20_000), &name(1), observation(9, 900)), Assessment::Rejected);
-    let Assessment::Believed(dated) = store.record_from_peer(ms(20_000), &name(1), observation(0, 20_001))
+    let Assessment::Accepted(dated) = store.record_from_peer(ms(20_000), &name(1), observation(0, 20_001))
     else {
         panic!("an answer")
     };
--- a/crates/membership/tests/rendezvous.rs
+++ b/crates/membership/tests/rendezvous.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use quillpoint_membership::PeerName;
-use quillpoint_membership::ids::{Subject, TaskId, TaskKind};
+use quillpoint_membership::ids::{TaskId, TaskKind, TaskTarget};
 use quillpoint_membership::rendezvous::{Candidate, phase, rank};
 
 fn name(number: usize) -> PeerName {
@@ -16,7 +16,7 @@
 }
 
 fn task(number: u16) -> TaskId {
-    TaskId { kind: TaskKind(0), subject: Subject::Node(node(number)) }
+    TaskId { kind: TaskKind(0), target: TaskTarget::Node(node(number)) }
 }
 
 fn candidates(count: usize) -> Vec<Candidate> {
--- a/crates/observation-feed/src/observation_store.rs
+++ b/crates/observation-feed/src/observation_store.rs
@@ -14,7 +14,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use quillpoint_membership::DatedObservation;
+use quillpoint_membership::TimestampedObservation;
 
 use self::change_log::{ChangeLog, LoggedChange};
 pub use self::node_record::START_PUBLISHED_FOR;
@@ -106,7 +106,7 @@
     }
 
     /// Takes an observation. One that is older than what is known changes nothing.
-    pub fn observe(&mut self, now: Duration, observation: DatedObservation) {
+    pub fn observe(&mut self, now: Duration, observation: TimestampedObservation) {
         let partition = &mut self.partitions[PartitionId::of(observation.node).index()];
         if let Some(record) = partition.nodes.get_mut(&observation.node) {
             record.observe(now, observation);
--- a/crates/observation-feed/src/observation_store/node_record.rs
+++ b/crates/observation-feed/src/observation_store/node_record.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use quillpoint_membership::DatedObservation;
+use quillpoint_membership::TimestampedObservation;
 
 use crate::message::{Entry, LAG_CLASSES, LagClass, NodeStatus};
 
@@ -75,7 +75,7 @@
     }
 
     /// Takes an observation unless it is older than what is known.
-    pub(super) fn observe(&mut self, now: Duration, observation: DatedObservation) {
+    pub(super) fn observe(&mut self, now: Duration, observation: TimestampedObservation) {
         let observed_at = observation.at.min(now);
         if self.answered_at.is_some_and(|answered_at| observed_at < answered_at) {
             return;
--- a/crates/observation-feed/src/publisher.rs
+++ b/crates/observation-feed/src/publisher.rs
@@ -9,7 +9,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use quillpoint_membership::{DatedObservation, Incarnation, PeerName};
+use quillpoint_membership::{Incarnation, PeerName, TimestampedObservation};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -88,7 +88,7 @@
     }
 
     /// This control instance, or another of its fleet, has made an observation.
-    pub fn observe(&mut self, now: Duration, observation: DatedObservation) {
+    pub fn observe(&mut self, now: Duration, observation: TimestampedObservation) {
         self.store.observe(now, observation);
     }
 
--- a/crates/observation-feed/tests/replays.rs
+++ b/crates/observation-feed/tests/replays.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use quillpoint_membership::{DatedObservation, Incarnation, PeerName};
+use quillpoint_membership::{Incarnation, PeerName, TimestampedObservation};
 use quillpoint_observation_feed::publisher::PublisherParams;
 use quillpoint_observation_feed::subscriber::SubscriberParams;
 use quillpoint_observation_feed::{
@@ -88,8 +88,15 @@
         for port in 0..10 {
             let (node, at) = (SocketAddr::from(([10, 2, 0, 1], port)), ms(now));
             let (position, primary) = (Some(at), Some(port == 0));
-            let observation =
-                DatedObservation { node, at, position, primary, waiting: None, started: None, failed: false };
+            let observation = TimestampedObservation {
+                node,
+                at,
+                position,
+                primary,
+                waiting: None,
+                started: None,
+                failed: false,
+            };
             self.publisher.observe(at, observation);
         }
         self.publisher.timer_fired(ms(now));
--- a/crates/observation-feed/tests/units/encoded_size.rs
+++ b/crates/observation-feed/tests/units/encoded_size.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use quillpoint_membership::{DatedObservation, Incarnation};
+use quillpoint_membership::{Incarnation, TimestampedObservation};
 use quillpoint_observation_feed::message::{Digest, DigestNumber, LAG_CLASSES, PARTITIONS, PartitionId};
 use quillpoint_observation_feed::observation_store::{Audience, ObservationStore};
 use quillpoint_observation_feed::{Envelope, Message, encoded_size};
@@ -20,7 +20,7 @@
 
 fn observe_all(store: &mut ObservationStore, at: Duration, primary: bool) {
     for number in 0..NODES {
-        let observation = DatedObservation {
+        let observation = TimestampedObservation {
             node: node(number),
             at,
             position: Some(at - Duration::new(u64::from(number % 9), 999)),
--- a/crates/observation-feed/tests/units/fixtures.rs
+++ b/crates/observation-feed/tests/units/fixtures.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use quillpoint_membership::{DatedObservation, Incarnation, PeerName};
+use quillpoint_membership::{Incarnation, PeerName, TimestampedObservation};
 use quillpoint_observation_feed::message::{LagClass, PartitionId, Revision, SnapshotChunk};
 use quillpoint_observation_feed::{
     ControlInstance, Entry, Event, FeedObservation, Host, Message, NodeStatus,
@@ -25,8 +25,8 @@
     PeerName::new(name).unwrap()
 }
 
-pub fn observation(number: u16, at: Duration, lag: Duration) -> DatedObservation {
-    DatedObservation {
+pub fn observation(number: u16, at: Duration, lag: Duration) -> TimestampedObservation {
+    TimestampedObservation {
         node: node(number),
         at,
         position: Some(at - lag),
--- a/crates/observation-feed/tests/units/observation_store.rs
+++ b/crates/observation-feed/tests/units/observation_store.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use quillpoint_membership::DatedObservation;
+use quillpoint_membership::TimestampedObservation;
 use quillpoint_observation_feed::message::{
     Digest, DigestNumber, LAG_CLASSES, LagClass, PartitionId, Revision,
 };
@@ -139,13 +139,13 @@
     let mut store = settled_store(10, ms(10_000));
     store.observe(
         ms(10_050),
-        DatedObservation { failed: true, position: None, ..observation(1, ms(9000), ms(0)) },
+        TimestampedObservation { failed: true, position: None, ..observation(1, ms(9000), ms(0)) },
     );
     store.revise(ms(10_050), 1000, Audience::Subscribed);
     assert_eq!(status(&store, 1), NodeStatus::Seen(LagClass(0)), "it has been seen since");
     store.observe(
         ms(10_080),
-        DatedObservation { failed: true, position: None, ..observation(1, ms(10_080), ms(0)) },
+        TimestampedObservation { failed: true, position: None, ..observation(1, ms(10_080), ms(0)) },
     );
     store.revise(ms(10_080), 1000, Audience::Subscribed);
     assert_eq!(status(&store, 1), NodeStatus::Down);
--- a/crates/observation-feed/tests/world/mod.rs
+++ b/crates/observation-feed/tests/world/mod.rs
@@ -13,7 +13,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use quillpoint_membership::DatedObservation;
+use quillpoint_membership::TimestampedObservation;
 use quillpoint_observation_feed::{FeedObservation, Publisher, Subscriber};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -46,7 +46,7 @@
 
 enum Scheduled {
     HealthCheck { database: usize, by: usize },
-    DatedObservation { to: usize, observation: DatedObservation },
+    TimestampedObservation { to: usize, observation: TimestampedObservation },
     ToPublisher { index: usize, generation: u64, message_in_flight: InFlightMessage },
     ToRouter { index: usize, generation: u64, message_in_flight: InFlightMessage },
     PublisherTimer { index: usize, generation: u64 },
@@ -211,13 +211,15 @@
     fn step(&mut self, due: Scheduled) {
         match due {
             Scheduled::HealthCheck { database, by } => self.check_database(database, by),
-            Scheduled::DatedObservation { to, observation } => {
+            Scheduled::TimestampedObservation { to, observation } => {
                 let now = self.now + self.publishers[to].clock_offset;
                 let at = observation.at + self.publishers[to].clock_offset;
                 if let Some(process) = &mut self.publishers[to].process {
                     match process.stopped {
-                        false => process.side.observe(now, DatedObservation { at, ..observation }),
-                        true => process.pending_observations.push(DatedObservation { at, ..observation }),
+                        false => process.side.observe(now, TimestampedObservation { at, ..observation }),
+                        true => {
+                            process.pending_observations.push(TimestampedObservation { at, ..observation })
+                        }
                     }
                 }
             }
@@ -274,7 +276,7 @@
         let position = now.saturating_sub(database.lag);
         let before = database.sightings.back().map(|sighting| sighting.position);
         let position = before.map_or(position, |before| before.max(position));
-        let observation = DatedObservation {
+        let observation = TimestampedObservation {
             node: address(index),
             at: now,
             position: Some(position),
@@ -293,14 +295,14 @@
         let observation = if database.up {
             observation
         } else {
-            DatedObservation { position: None, primary: None, started: None, ..observation }
+            TimestampedObservation { position: None, primary: None, started: None, ..observation }
         };
         for to in 0..self.shape.publishers {
             if to == by {
-                self.step(Scheduled::DatedObservation { to, observation });
+                self.step(Scheduled::TimestampedObservation { to, observation });
             } else if !self.rng.random_bool(self.shape.unseen) && !self.blind.contains(&(to, index)) {
                 let after = self.shape.observation_delay.mul_f64(self.rng.random_range(0.0..1.0));
-                self.schedule(now + after, Scheduled::DatedObservation { to, observation });
+                self.schedule(now + after, Scheduled::TimestampedObservation { to, observation });
             }
         }
     }
--- a/crates/observation-feed/tests/world/processes.rs
+++ b/crates/observation-feed/tests/world/processes.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-use quillpoint_membership::{DatedObservation, Incarnation};
+use quillpoint_membership::{Incarnation, TimestampedObservation};
 use quillpoint_observation_feed::publisher::PublisherParams;
 use quillpoint_observation_feed::subscriber::SubscriberParams;
 use quillpoint_observation_feed::{Event, Publisher, Subscriber};
@@ -22,7 +22,7 @@
     pub(super) stopped: bool,
     pub(super) waiting: VecDeque<InFlightMessage>,
     /// What its fleet has sent it meanwhile, dated when it was seen.
-    pub(super) pending_observations: Vec<DatedObservation>,
+    pub(super) pending_observations: Vec<TimestampedObservation>,
     pub(super) timer_due: bool,
 }
 
--- a/crates/router/src/control_instance.rs
+++ b/crates/router/src/control_instance.rs
@@ -10,7 +10,7 @@
 use async_io::Timer;
 use quillpoint::host::{NodeId, PeerObservation};
 use quillpoint_control_plane::{ControlHost, FleetMember, PublisherService};
-use quillpoint_membership::{DatedObservation, Observation};
+use quillpoint_membership::{Observation, TimestampedObservation};
 use quillpoint_observation_feed::FeedObservation;
 
 use crate::engine::{Engine, LocalObservation, ObservationExchange};
@@ -63,7 +63,7 @@
     /// The decisions receive other instances' observations while RPCs are pending, and ask for them when one arrives: of
     /// thousands of databases they may come a hundred thousand times a second, and an instance may serve nobody. A
     /// failure is handed on at once.
-    fn observation_received(&self, observation: DatedObservation) {
+    fn observation_received(&self, observation: TimestampedObservation) {
         self.publisher.observe(observation);
         if observation.failed || self.engine.pending_rpcs() > 0 {
             self.engine.observation_received(observation);
@@ -91,7 +91,7 @@
         // read its state as early as the request was sent, so the observation is dated then.
         if !failed {
             let at = own.asked;
-            let dated = DatedObservation { node, at, position, primary, waiting, started, failed };
+            let dated = TimestampedObservation { node, at, position, primary, waiting, started, failed };
             self.publisher.observe(dated);
         }
         if let Some(member) = self.member.get() {
--- a/crates/router/src/engine_control_host.rs
+++ b/crates/router/src/engine_control_host.rs
@@ -6,7 +6,7 @@
 
 use quillpoint::host::NodeId;
 use quillpoint_control_plane::ControlHost;
-use quillpoint_membership::DatedObservation;
+use quillpoint_membership::TimestampedObservation;
 use quillpoint_observation_feed::FeedObservation;
 
 use crate::engine::Engine;
@@ -21,7 +21,7 @@
         Engine::nodes(self).into_iter().map(|(node, zone)| (node.0, zone.0 as u16)).collect()
     }
 
-    fn observation_received(&self, observation: DatedObservation) {
+    fn observation_received(&self, observation: TimestampedObservation) {
         self.peer_observed(observations::from_fleet(observation));
     }
 
--- a/crates/router/src/observations.rs
+++ b/crates/router/src/observations.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use quillpoint::host::{NodeId, PeerObservation};
-use quillpoint_membership::{DatedObservation, Observation};
+use quillpoint_membership::{Observation, TimestampedObservation};
 use quillpoint_observation_feed::FeedObservation;
 
 use crate::engine::LocalObservation;
@@ -16,8 +16,8 @@
 }
 
 /// An observation of another member of the fleet, for the decisions.
-pub(crate) fn from_fleet(observation: DatedObservation) -> PeerObservation {
-    let DatedObservation { node, at, position, primary, waiting, started, failed } = observation;
+pub(crate) fn from_fleet(observation: TimestampedObservation) -> PeerObservation {
+    let TimestampedObservation { node, at, position, primary, waiting, started, failed } = observation;
     let queued = waiting.map(f64::from);
     PeerObservation { node: NodeId(node), at, position, primary, queued, started, failed }
 }
--- a/crates/simulator/src/feed_world.rs
+++ b/crates/simulator/src/feed_world.rs
@@ -10,10 +10,10 @@
 
 use quillpoint_datagram::Sealer;
 use quillpoint_datagram::keys::Keyring;
-use quillpoint_membership::ids::{Subject, TaskId};
+use quillpoint_membership::ids::{TaskId, TaskTarget};
 use quillpoint_membership::{
-    DatedObservation, Event, Fleet, FleetParams, GossipBody, GossipMessage, Host, Incarnation, MemberRecord,
-    MemberState, MemberVersion, Observation, PeerName,
+    Event, Fleet, FleetParams, GossipBody, GossipMessage, Host, Incarnation, MemberRecord, MemberState,
+    MemberVersion, Observation, PeerName, TimestampedObservation,
 };
 use quillpoint_observation_feed::{
     ControlInstance, Envelope, FeedObservation, Message, Publisher, Subscriber, publisher, subscriber,
@@ -56,7 +56,7 @@
     fleet_wake: Option<Duration>,
     feed_wake: Option<Duration>,
     duties: Vec<TaskId>,
-    heard: Vec<DatedObservation>,
+    heard: Vec<TimestampedObservation>,
     instances: Option<usize>,
 }
 
@@ -73,7 +73,7 @@
     fn run_task(&mut self, duty: TaskId) {
         self.0.borrow_mut().duties.push(duty);
     }
-    fn observation_received(&mut self, evidence: DatedObservation) {
+    fn observation_received(&mut self, evidence: TimestampedObservation) {
         self.0.borrow_mut().heard.push(evidence);
     }
     fn report_event(&mut self, event: Event) {
@@ -580,7 +580,7 @@
     }
 
     fn probe(&mut self, place: usize, duty: TaskId) {
-        let Subject::Node(address) = duty.subject else { return };
+        let TaskTarget::Node(address) = duty.target else { return };
         let (node, asked, life) = (place_of(address), self.now, self.control[place].life);
         let there = self.network.delay(&mut self.chance);
         let back = self.network.delay(&mut self.chance);
@@ -606,7 +606,7 @@
     found: Option<(Duration, bool)>,
 ) {
     instance.fleet.task_ended(now, duty);
-    let Subject::Node(node) = duty.subject else { return };
+    let TaskTarget::Node(node) = duty.target else { return };
     let (position, primary) = (found.map(|(position, _)| position), found.map(|(_, primary)| primary));
     let (age, failed, waiting, started) = (Duration::ZERO, found.is_none(), None, None);
     instance.fleet.record_own_observation(
@@ -616,7 +616,7 @@
     );
     // An own failure is one voice; the fleet tells of it when there are two.
     if !failed {
-        let evidence = DatedObservation { node, at: now, position, primary, waiting, started, failed };
+        let evidence = TimestampedObservation { node, at: now, position, primary, waiting, started, failed };
         instance.publisher.observe(now, evidence);
     }
 }
--- a/crates/simulator/src/world.rs
+++ b/crates/simulator/src/world.rs
@@ -9,12 +9,12 @@
 
 use quillpoint_datagram::Sealer;
 use quillpoint_datagram::keys::Keyring;
-use quillpoint_membership::ids::{Subject, TaskId, TaskKind};
+use quillpoint_membership::ids::{TaskId, TaskKind, TaskTarget};
 use quillpoint_membership::scheduler::Priority;
 use quillpoint_membership::sharded_tasks::TaskParams;
 use quillpoint_membership::{
-    DatedObservation, Event, Fleet, FleetParams, GossipBody, GossipMessage, Host, Incarnation, MemberRecord,
-    MemberState, MemberVersion, Observation, PeerName,
+    Event, Fleet, FleetParams, GossipBody, GossipMessage, Host, Incarnation, MemberRecord, MemberState,
+    MemberVersion, Observation, PeerName, TimestampedObservation,
 };
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -69,7 +69,7 @@
     sent: Vec<(SocketAddr, Option<Incarnation>, GossipMessage)>,
     wake: Option<Duration>,
     duties: Vec<TaskId>,
-    heard: Vec<DatedObservation>,
+    heard: Vec<TimestampedObservation>,
     events: Vec<Event>,
 }
 
@@ -86,7 +86,7 @@
     fn run_task(&mut self, duty: TaskId) {
         self.0.borrow_mut().duties.push(duty);
     }
-    fn observation_received(&mut self, evidence: DatedObservation) {
+    fn observation_received(&mut self, evidence: TimestampedObservation) {
         self.0.borrow_mut().heard.push(evidence);
     }
     fn report_event(&mut self, event: Event) {
@@ -410,7 +410,7 @@
             Happening::Timer => process.fleet.timer_fired(now),
             Happening::ProbeEnded { duty, asked, position } => {
                 process.fleet.task_ended(now, duty);
-                if let Subject::Node(node) = duty.subject {
+                if let TaskTarget::Node(node) = duty.target {
                     let primary = position.map(|_| false);
                     let (age, failed) = (Duration::ZERO, position.is_none());
                     let news =
@@ -473,7 +473,7 @@
             }
         }
         for duty in wishes.duties {
-            let Subject::Node(node) = duty.subject else { continue };
+            let TaskTarget::Node(node) = duty.target else { continue };
             let after = self.network.delay(&mut self.chance);
             let due = Due::Probe { node: place_of(node), by: place, life, duty };
             self.queue.enter(self.now + after, due);
--- a/crates/testbed/src/scale/observations.rs
+++ b/crates/testbed/src/scale/observations.rs
@@ -8,7 +8,7 @@
 
 use async_channel::Sender;
 use quillpoint_control_plane::{ControlHost, SubscriberService};
-use quillpoint_membership::DatedObservation;
+use quillpoint_membership::TimestampedObservation;
 use quillpoint_observation_feed::FeedObservation;
 
 use crate::now;
@@ -157,8 +157,8 @@
     fn nodes(&self) -> BTreeMap<SocketAddr, u16> {
         (*self.nodes).clone()
     }
-    fn observation_received(&self, evidence: DatedObservation) {
-        let DatedObservation { node, at, primary, failed, .. } = evidence;
+    fn observation_received(&self, evidence: TimestampedObservation) {
+        let TimestampedObservation { node, at, primary, failed, .. } = evidence;
         if !failed {
             self.note(node, at, primary);
         }
--- a/crates/testbed/src/scale/roles.rs
+++ b/crates/testbed/src/scale/roles.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use quillpoint_membership::PeerName;
-use quillpoint_membership::ids::{Subject, TaskId, TaskKind};
+use quillpoint_membership::ids::{TaskId, TaskKind, TaskTarget};
 use quillpoint_membership::rendezvous::{self, Candidate};
 
 use crate::record::{Mode, Sizes};
@@ -28,7 +28,7 @@
         let candidates: Vec<Candidate> = places.iter().map(candidate).collect();
         let mut owned = vec![0; candidates.len()];
         for database in databases {
-            let duty = TaskId { kind: TaskKind(0), subject: Subject::Node(*database) };
+            let duty = TaskId { kind: TaskKind(0), target: TaskTarget::Node(*database) };
             let scores = candidates.iter().map(|candidate| rendezvous::score(duty, 0, candidate));
             let first = scores.enumerate().max_by(|(_, one), (_, other)| one.total_cmp(other));
             owned[first.map_or(0, |(place, _)| place)] += 1;
