--- a/crates/control-plane/src/datagram_socket.rs
+++ b/crates/control-plane/src/datagram_socket.rs
@@ -42,7 +42,7 @@
 }
 
 /// A datagram that has been read into the caller's buffer.
-pub struct Arrival {
+pub struct ReceivedDatagram {
     /// Its bytes.
     pub length: usize,
     /// Its sender.
@@ -105,7 +105,7 @@
     }
 
     /// Reads the next datagram, paced so that a flood gets no more than its share of the thread.
-    pub async fn read(&self, bytes: &mut [u8]) -> Arrival {
+    pub async fn read(&self, bytes: &mut [u8]) -> ReceivedDatagram {
         loop {
             self.pacer.wait().await;
             match self.socket.read_with(|socket| self.receive(socket, bytes)).await {
@@ -123,7 +123,7 @@
         }
     }
 
-    fn receive(&self, socket: &UdpSocket, bytes: &mut [u8]) -> io::Result<Arrival> {
+    fn receive(&self, socket: &UdpSocket, bytes: &mut [u8]) -> io::Result<ReceivedDatagram> {
         let mut control_buffer = nix::cmsg_space!(TimeVal);
         let mut buffers = [IoSliceMut::new(bytes)];
         let received = recvmsg::<SockaddrStorage>(
@@ -144,7 +144,7 @@
         let max_delay = self.last_empty.get().elapsed();
         let delay = arrival_time(&message)?.and_then(|arrived| arrived.elapsed().ok());
         let socket_delay = delay.map_or(max_delay, |delay| delay.min(max_delay));
-        Ok(Arrival { length: message.bytes, from, socket_delay })
+        Ok(ReceivedDatagram { length: message.bytes, from, socket_delay })
     }
 
     fn count(&self, traffic: Traffic) {
--- a/crates/control-plane/src/fleet_member.rs
+++ b/crates/control-plane/src/fleet_member.rs
@@ -31,7 +31,7 @@
     /// Health checks that were made as a task or claimed.
     pub health_checks: u64,
     /// Health checks that another router's observation made needless.
-    pub health_checks_spared: u64,
+    pub health_checks_avoided: u64,
 }
 
 /// A member of a fleet on its socket.
@@ -41,7 +41,7 @@
     queue: Rc<CommandQueue>,
     transport: SealedTransport<GossipMessage>,
     health_checks: Cell<u64>,
-    health_checks_spared: Cell<u64>,
+    health_checks_avoided: Cell<u64>,
 }
 
 impl FleetMember {
@@ -75,7 +75,7 @@
             queue,
             transport: SealedTransport::new(socket, config.keys, Opener::default(), EVENT_NAMES),
             health_checks: Cell::new(0),
-            health_checks_spared: Cell::new(0),
+            health_checks_avoided: Cell::new(0),
         }))
     }
 
@@ -138,7 +138,7 @@
     }
 
     fn log_counts(&self) {
-        let MemberCounts { transport, health_checks: probes, health_checks_spared: spared } = self.counts();
+        let MemberCounts { transport, health_checks: probes, health_checks_avoided: spared } = self.counts();
         let Traffic { sent, sent_bytes, read, read_bytes } = transport.traffic;
         let taken = transport.accepted;
         let state = self.fleet.borrow().state_bytes();
@@ -187,7 +187,7 @@
     pub fn claim_health_check(&self, node: SocketAddr) -> bool {
         let needs_own_check = self.host.is_ejected(node);
         let is_granted = self.call(|fleet, now| fleet.claim_health_check(now, node, needs_own_check));
-        let count = if is_granted { &self.health_checks } else { &self.health_checks_spared };
+        let count = if is_granted { &self.health_checks } else { &self.health_checks_avoided };
         count.set(count.get() + 1);
         is_granted
     }
@@ -207,7 +207,7 @@
         MemberCounts {
             transport: self.transport.counts(),
             health_checks: self.health_checks.get(),
-            health_checks_spared: self.health_checks_spared.get(),
+            health_checks_avoided: self.health_checks_avoided.get(),
         }
     }
 
--- a/crates/control-plane/src/sealed_transport.rs
+++ b/crates/control-plane/src/sealed_transport.rs
@@ -9,7 +9,7 @@
 use quillpoint_datagram::{MAX_DATAGRAM_BYTES, OpenError, Opener, Payload, Sealer};
 use quillpoint_membership::Incarnation;
 
-use crate::datagram_socket::{Arrival, DatagramSocket, Traffic};
+use crate::datagram_socket::{DatagramSocket, ReceivedDatagram, Traffic};
 use crate::log_rate_limiter::LogRateLimiter;
 
 /// How often the counts are logged.
@@ -117,7 +117,7 @@
     ) {
         let mut bytes = [0; MAX_DATAGRAM_BYTES + 1];
         loop {
-            let Arrival { length, from, socket_delay } = self.socket.read(&mut bytes).await;
+            let ReceivedDatagram { length, from, socket_delay } = self.socket.read(&mut bytes).await;
             if let Some(payload) = self.open(own_incarnation(), &bytes[..length]) {
                 handle(from, socket_delay, payload);
             }
--- a/crates/control-plane/src/subscriber_service.rs
+++ b/crates/control-plane/src/subscriber_service.rs
@@ -34,7 +34,7 @@
     /// Health checks that were claimed.
     pub health_checks: u64,
     /// Health checks that an observation of the feed made needless, or that had to wait.
-    pub health_checks_spared: u64,
+    pub health_checks_avoided: u64,
 }
 
 /// The last answer of [`SubscriberService::newer_observation`] about a database.
@@ -57,7 +57,7 @@
     digest_count: Cell<u64>,
     last_answers: RefCell<BTreeMap<SocketAddr, LastAnswer>>,
     health_checks: Cell<u64>,
-    health_checks_spared: Cell<u64>,
+    health_checks_avoided: Cell<u64>,
 }
 
 impl SubscriberService {
@@ -85,7 +85,7 @@
             digest_count: Cell::new(0),
             last_answers: RefCell::default(),
             health_checks: Cell::new(0),
-            health_checks_spared: Cell::new(0),
+            health_checks_avoided: Cell::new(0),
         }))
     }
 
@@ -138,7 +138,7 @@
 
     fn log_counts(&self) {
         let counts = self.counts();
-        let SubscriberCounts { transport, health_checks: probes, health_checks_spared: spared } = counts;
+        let SubscriberCounts { transport, health_checks: probes, health_checks_avoided: spared } = counts;
         let Traffic { sent, sent_bytes, read, read_bytes } = transport.traffic;
         let taken = transport.accepted;
         let following = self.subscriber.borrow().active_instance_names().count();
@@ -176,7 +176,7 @@
         let needs_own_check = self.host.is_ejected(node);
         let is_granted =
             self.call(|subscriber, now| subscriber.claim_health_check(now, node, needs_own_check));
-        let count = if is_granted { &self.health_checks } else { &self.health_checks_spared };
+        let count = if is_granted { &self.health_checks } else { &self.health_checks_avoided };
         count.set(count.get() + 1);
         is_granted
     }
@@ -206,7 +206,7 @@
         SubscriberCounts {
             transport: self.transport.counts(),
             health_checks: self.health_checks.get(),
-            health_checks_spared: self.health_checks_spared.get(),
+            health_checks_avoided: self.health_checks_avoided.get(),
         }
     }
 
--- a/crates/observation-feed/src/digest_delay.rs
+++ b/crates/observation-feed/src/digest_delay.rs
@@ -27,7 +27,7 @@
     }
 
     /// How far a digest sent at `sent` and read now would lower the baseline; zero if it would not.
-    pub fn drop_by(&self, now: Duration, sent: Duration) -> Duration {
+    pub fn would_lower_by(&self, now: Duration, sent: Duration) -> Duration {
         let drop = self.at(now).map_or(0, |baseline| baseline - clock_difference(now, sent));
         Duration::from_nanos(u64::try_from(drop.max(0)).unwrap_or(u64::MAX))
     }
@@ -52,7 +52,7 @@
     /// Too late to be of use.
     Discarded,
     /// The publisher is alive, but the baseline is not known well enough to date what the digest says.
-    MeasuresOnly,
+    BaselineOnly,
     /// What the digest says was true this long before it was read, and its own age more.
     Delayed(Duration),
 }
@@ -68,7 +68,7 @@
 impl DelayMeasurement {
     /// Takes a digest into the measurement.
     pub fn record(&mut self, now: Duration, sent: Duration, digest_interval: Duration) -> DigestTiming {
-        let baseline_drop = self.baseline.drop_by(now, sent);
+        let baseline_drop = self.baseline.would_lower_by(now, sent);
         let delay = self.baseline.record(now, sent);
         if delay > MAX_DELAY {
             return DigestTiming::Discarded;
@@ -78,7 +78,7 @@
             self.last_counted_at = Some(now);
         }
         if self.counted_digests <= BASELINE_DIGESTS || baseline_drop > MAX_BASELINE_DROP {
-            return DigestTiming::MeasuresOnly;
+            return DigestTiming::BaselineOnly;
         }
         DigestTiming::Delayed(delay)
     }
--- a/crates/observation-feed/src/health_check_quota.rs
+++ b/crates/observation-feed/src/health_check_quota.rs
@@ -153,7 +153,7 @@
         {
             claim.due = now + first_check_delay(router_count, rng);
         }
-        if claim.due > now || !self.tokens.has(now, 1.0) {
+        if claim.due > now || !self.tokens.has_at_least(now, 1.0) {
             return false;
         }
         self.tokens.spend(1.0);
--- a/crates/observation-feed/src/observation_store.rs
+++ b/crates/observation-feed/src/observation_store.rs
@@ -1,6 +1,6 @@
 //! What a control instance knows of each database, and the snapshots of the partitions that it publishes.
 //!
-//! The snapshots change only in [`ObservationStore::revise`], right before a digest, and by no more than that digest can
+//! The snapshots change only in [`ObservationStore::update_snapshots`], right before a digest, and by no more than that digest can
 //! carry. So a chunk and a digest of the same revision say the same, whichever arrives first, and a burst of changes is
 //! published in order instead of making every replica useless at once. What has to wait does no harm: a database that is
 //! better than its entry says is an exception a little longer; a partition with one that is silent although its entry says
@@ -17,7 +17,7 @@
 use quillpoint_membership::DatedObservation;
 
 use self::change_log::{ChangeLog, LoggedChange};
-pub use self::node_record::START_PUBLISHED_FOR;
+pub use self::node_record::START_TIME_PUBLISHED_FOR;
 use self::node_record::{DesiredChange, NodeRecord, Urgency};
 use crate::encoded_size;
 use crate::message::{
@@ -35,9 +35,9 @@
 
 /// Whether any router receives the digests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Audience {
+pub enum SubscriberPresence {
     /// Changes have to reach subscribers.
-    Subscribed,
+    Present,
     /// Nobody has a replica: all changes are taken at once.
     Absent,
 }
@@ -115,11 +115,16 @@
 
     /// Takes into the snapshots what has changed, as far as `max_bytes` of a digest can carry it. Returns whether any
     /// change has to wait.
-    pub fn revise(&mut self, now: Duration, max_bytes: usize, audience: Audience) -> bool {
+    pub fn update_snapshots(
+        &mut self,
+        now: Duration,
+        max_bytes: usize,
+        subscriber_presence: SubscriberPresence,
+    ) -> bool {
         let mut changes = self.queued_changes(now);
         changes.sort_by_key(|change| (change.urgency, change.turn));
         self.first_partition = (self.first_partition + 1) % PARTITIONS;
-        let has_backlog = self.apply_changes(changes, max_bytes, audience);
+        let has_backlog = self.apply_changes(changes, max_bytes, subscriber_presence);
         let withheld_after = self.health_check_period * MAX_SILENT_PERIODS;
         for partition in &mut self.partitions {
             if partition.is_new() {
@@ -156,13 +161,18 @@
         changes
     }
 
-    fn apply_changes(&mut self, changes: Vec<QueuedChange>, max_bytes: usize, audience: Audience) -> bool {
+    fn apply_changes(
+        &mut self,
+        changes: Vec<QueuedChange>,
+        max_bytes: usize,
+        subscriber_presence: SubscriberPresence,
+    ) -> bool {
         let mut free_bytes = max_bytes;
         let mut change_count = 0;
         let mut has_backlog = false;
         for QueuedChange { partition, node, entry, .. } in changes {
             let partition = &mut self.partitions[partition];
-            let is_unbounded = partition.is_new() || audience == Audience::Absent;
+            let is_unbounded = partition.is_new() || subscriber_presence == SubscriberPresence::Absent;
             let change = Change { revision: Revision(partition.revision.0 + 1), node, entry };
             let bytes = encoded_size::change(&change);
             if !is_unbounded && (bytes > free_bytes || change_count >= MAX_CHANGES_PER_DIGEST) {
@@ -177,7 +187,7 @@
                 continue;
             }
             partition.revision = change.revision;
-            if audience == Audience::Subscribed {
+            if subscriber_presence == SubscriberPresence::Present {
                 free_bytes -= bytes;
                 change_count += 1;
                 self.change_log.push(change);
@@ -221,7 +231,7 @@
         self.partitions.iter().map(revision).collect()
     }
 
-    /// The highest revisions that the partitions can have after the next `revise`.
+    /// The highest revisions that the partitions can have after the next `update_snapshots`.
     pub fn highest_revisions(&self) -> Vec<Revision> {
         let highest = |partition: &Partition| Revision(partition.revision.0 + MAX_CHANGES_PER_DIGEST as u32);
         self.partitions.iter().map(highest).collect()
--- a/crates/observation-feed/src/observation_store/node_record.rs
+++ b/crates/observation-feed/src/observation_store/node_record.rs
@@ -11,7 +11,7 @@
 /// for dead.
 const IMPROVEMENT_PERIODS: u32 = 10;
 /// A start is published for this long: routers' slow start ends sooner.
-pub const START_PUBLISHED_FOR: Duration = Duration::from_secs(120);
+pub const START_TIME_PUBLISHED_FOR: Duration = Duration::from_secs(120);
 /// A database that has not answered yet gets an entry after this many periods.
 const FIRST_ANSWER_PERIODS: u32 = 4;
 
@@ -131,7 +131,7 @@
         if self.is_removed {
             return Some(DesiredChange { urgency: Urgency::Notable, entry: None });
         }
-        let started = self.started.filter(|started| *started + START_PUBLISHED_FOR > now);
+        let started = self.started.filter(|started| *started + START_TIME_PUBLISHED_FOR > now);
         let status = self.current_status(now, max_silence, period);
         let Some(published) = self.published else {
             // Time to answer first, so that a start is no burst of changes.
--- a/crates/observation-feed/src/partition_replica.rs
+++ b/crates/observation-feed/src/partition_cache.rs
@@ -58,7 +58,7 @@
 
 /// A router's replica of one partition.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub(crate) struct PartitionReplica {
+pub(crate) struct PartitionCache {
     revision: Revision,
     nodes: BTreeMap<SocketAddr, CachedNode>,
     coverage: Option<Coverage>,
@@ -67,7 +67,7 @@
     arriving: Option<ArrivingSnapshot>,
 }
 
-impl PartitionReplica {
+impl PartitionCache {
     /// The revision of the entries; the default before the first snapshot.
     pub(crate) fn revision(&self) -> Revision {
         self.revision
--- a/crates/observation-feed/src/partition_replicas.rs
+++ b/crates/observation-feed/src/partition_caches.rs
@@ -5,31 +5,31 @@
 
 use crate::host::FeedObservation;
 use crate::message::{Change, PARTITIONS, PartitionId, Revision, SnapshotChunk};
-pub use crate::partition_replica::Coverage;
-use crate::partition_replica::PartitionReplica;
+pub use crate::partition_cache::Coverage;
+use crate::partition_cache::PartitionCache;
 
 /// The replicas of all partitions.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct PartitionReplicas {
-    partitions: Vec<PartitionReplica>,
+pub struct PartitionCaches {
+    partitions: Vec<PartitionCache>,
 }
 
 /// How much a replica holds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct ReplicaSize {
+pub struct CacheSize {
     /// Databases with an entry.
     pub nodes: usize,
     /// Entries that wait for the rest of their snapshot.
     pub pending_entries: usize,
 }
 
-impl Default for PartitionReplicas {
+impl Default for PartitionCaches {
     fn default() -> Self {
-        Self { partitions: (0..PARTITIONS).map(|_| PartitionReplica::default()).collect() }
+        Self { partitions: (0..PARTITIONS).map(|_| PartitionCache::default()).collect() }
     }
 }
 
-impl PartitionReplicas {
+impl PartitionCaches {
     /// Takes the changes that follow on the replica's revisions, in their order and none left out. `seen_at`: the date of
     /// the digest that they came with. Returns the databases whose role, failure or start has changed.
     pub fn apply_changes(&mut self, mut changes: Vec<Change>, seen_at: Duration) -> Vec<SocketAddr> {
@@ -60,17 +60,17 @@
 
     /// The revision of a partition; the default before its first snapshot.
     pub fn revision(&self, partition: PartitionId) -> Revision {
-        self.partitions.get(partition.index()).map_or(Revision::default(), PartitionReplica::revision)
+        self.partitions.get(partition.index()).map_or(Revision::default(), PartitionCache::revision)
     }
 
     /// Whether a digest has ever covered the partition.
     pub fn is_covered(&self, partition: PartitionId) -> bool {
-        self.partitions.get(partition.index()).is_some_and(PartitionReplica::is_covered)
+        self.partitions.get(partition.index()).is_some_and(PartitionCache::is_covered)
     }
 
     /// Whether each partition has been covered.
     pub fn is_complete(&self) -> bool {
-        self.partitions.iter().all(PartitionReplica::is_covered)
+        self.partitions.iter().all(PartitionCache::is_covered)
     }
 
     /// What is known of a database.
@@ -80,14 +80,14 @@
 
     /// About the bytes that it takes.
     pub fn state_bytes(&self) -> usize {
-        size_of::<Self>() + self.partitions.iter().map(PartitionReplica::state_bytes).sum::<usize>()
+        size_of::<Self>() + self.partitions.iter().map(PartitionCache::state_bytes).sum::<usize>()
     }
 
     /// How much it holds.
-    pub fn size(&self) -> ReplicaSize {
-        ReplicaSize {
-            nodes: self.partitions.iter().map(PartitionReplica::node_count).sum(),
-            pending_entries: self.partitions.iter().map(PartitionReplica::pending_entry_count).sum(),
+    pub fn size(&self) -> CacheSize {
+        CacheSize {
+            nodes: self.partitions.iter().map(PartitionCache::node_count).sum(),
+            pending_entries: self.partitions.iter().map(PartitionCache::pending_entry_count).sum(),
         }
     }
 }
--- a/crates/observation-feed/src/publisher/rounds.rs
+++ b/crates/observation-feed/src/publisher/rounds.rs
@@ -6,7 +6,7 @@
 use crate::encoded_size;
 use crate::host::Host;
 use crate::message::{Digest, DigestNumber, LAG_CLASSES, Message};
-use crate::observation_store::Audience;
+use crate::observation_store::SubscriberPresence;
 
 /// In how many batches the subscribers are served over a digest interval.
 const BATCHES_PER_ROUND: u32 = 10;
@@ -78,8 +78,12 @@
         self.rounds.number = DigestNumber(self.rounds.number.0 + 1);
         let mut digest = self.longest_digest(now);
         let max_change_bytes = encoded_size::MAX_PAYLOAD_BYTES.saturating_sub(encoded_size::digest(&digest));
-        let audience = if self.subscriptions.is_empty() { Audience::Absent } else { Audience::Subscribed };
-        let has_backlog = self.store.revise(now, max_change_bytes, audience);
+        let subscriber_presence = if self.subscriptions.is_empty() {
+            SubscriberPresence::Absent
+        } else {
+            SubscriberPresence::Present
+        };
+        let has_backlog = self.store.update_snapshots(now, max_change_bytes, subscriber_presence);
         digest.revisions = self.store.revisions();
         digest.changes = self.store.take_changes(max_change_bytes);
         self.rounds.digest = Some(digest);
--- a/crates/observation-feed/src/publisher/snapshots.rs
+++ b/crates/observation-feed/src/publisher/snapshots.rs
@@ -53,7 +53,7 @@
     }
 
     fn has_work(&mut self, now: Duration) -> bool {
-        self.budget_bytes.has(now, 0.0) && !self.waiting.is_empty()
+        self.budget_bytes.has_at_least(now, 0.0) && !self.waiting.is_empty()
     }
 }
 
--- a/crates/observation-feed/src/publisher_replica.rs
+++ b/crates/observation-feed/src/publisher_cache.rs
@@ -3,7 +3,7 @@
 use quillpoint_membership::Incarnation;
 
 use crate::message::DigestNumber;
-use crate::partition_replicas::PartitionReplicas;
+use crate::partition_caches::PartitionCaches;
 
 /// The last digest that was accepted of a publisher.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -16,12 +16,12 @@
 
 /// What a router has received of one publisher.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub struct PublisherReplica {
+pub struct PublisherCache {
     incarnation: Incarnation,
     number: DigestNumber,
     /// The publisher was silent for so long that an earlier incarnation means a clock that was set back.
     accepts_any_incarnation: bool,
-    partitions: PartitionReplicas,
+    partitions: PartitionCaches,
 }
 
 /// A message's incarnation compared with the one that is known.
@@ -35,7 +35,7 @@
     Later,
 }
 
-impl PublisherReplica {
+impl PublisherCache {
     /// An empty replica of a publisher that was heard before; what it sent by then is not accepted again.
     pub fn resuming_after(last: LastDigest) -> Self {
         Self { incarnation: last.incarnation, number: last.number, ..Self::default() }
@@ -73,12 +73,12 @@
     }
 
     /// The replicas of the partitions.
-    pub fn partitions(&self) -> &PartitionReplicas {
+    pub fn partitions(&self) -> &PartitionCaches {
         &self.partitions
     }
 
     /// The replicas of the partitions, to be changed.
-    pub fn partitions_mut(&mut self) -> &mut PartitionReplicas {
+    pub fn partitions_mut(&mut self) -> &mut PartitionCaches {
         &mut self.partitions
     }
 }
--- a/crates/observation-feed/src/subscriber.rs
+++ b/crates/observation-feed/src/subscriber.rs
@@ -22,9 +22,9 @@
 use crate::health_check_quota::{HealthCheckQuota, QuotaParams};
 use crate::host::{Event, FeedObservation, Host};
 use crate::message::{Digest, Message, PARTITIONS, PartitionId};
-use crate::partition_replicas::{Coverage, ReplicaSize};
+use crate::partition_caches::{CacheSize, Coverage};
 use crate::preference::{ControlInstance, rank_control_instances};
-use crate::publisher_replica::IncarnationOrder;
+use crate::publisher_cache::IncarnationOrder;
 
 /// The time between two timers.
 const TICK: Duration = Duration::from_millis(50);
@@ -57,7 +57,7 @@
     ranked_instances: Vec<ControlInstance>,
     followed: Vec<FollowedInstance>,
     /// Instances that are no longer followed; their replicas may be of use again.
-    cached: Vec<FollowedInstance>,
+    retained: Vec<FollowedInstance>,
     /// Of each instance that has been followed.
     last_heard: BTreeMap<PeerName, LastHeard>,
     backoffs: BTreeMap<PeerName, InstanceBackoff>,
@@ -88,7 +88,7 @@
             rng: ChaCha8Rng::seed_from_u64(seed),
             ranked_instances,
             followed: Vec::new(),
-            cached: Vec::new(),
+            retained: Vec::new(),
             last_heard: BTreeMap::new(),
             backoffs: BTreeMap::new(),
             failback_at: None,
@@ -123,14 +123,14 @@
             return;
         };
         let followed = &mut self.followed[index];
-        match followed.replica.check_incarnation(incarnation) {
+        match followed.cache.check_incarnation(incarnation) {
             IncarnationOrder::Earlier => return,
             IncarnationOrder::Same => {}
             IncarnationOrder::Later => followed.restart(now),
         }
         match message {
             Message::Digest(digest) => self.digest_arrived(now, index, digest),
-            Message::Chunk(chunk) => followed.replica.partitions_mut().add_chunk(chunk),
+            Message::Chunk(chunk) => followed.cache.partitions_mut().add_chunk(chunk),
             Message::SubscriptionRejected => self.give_up(now, from, REJECTION_BACKOFF),
             Message::Leaving => self.give_up(now, from, LEAVE_BACKOFF),
             // Messages of other routers are none of its concern.
@@ -141,7 +141,7 @@
     fn digest_arrived(&mut self, now: Duration, index: usize, digest: Digest) {
         let digest_interval = self.params.digest_interval;
         let followed = &mut self.followed[index];
-        if !digest.is_well_formed() || !followed.replica.accept_digest(digest.number) {
+        if !digest.is_well_formed() || !followed.cache.accept_digest(digest.number) {
             return;
         }
         let timing = followed.delays.record(now, digest.sent, digest_interval);
@@ -169,11 +169,11 @@
     fn apply_digest(&mut self, now: Duration, index: usize, digest: Digest, delay: Duration) {
         let Digest { number, age, watermarks, revisions, changes, .. } = digest;
         let seen_at = now.saturating_sub(delay).saturating_sub(age);
-        let partitions = self.followed[index].replica.partitions_mut();
+        let partitions = self.followed[index].cache.partitions_mut();
         let mut notable = partitions.apply_changes(changes, seen_at);
         notable.extend(partitions.cover(&revisions, Coverage { number, seen_at, watermarks }));
         self.schedule_pulls(now, index, &revisions);
-        let partitions = self.followed[index].replica.partitions();
+        let partitions = self.followed[index].cache.partitions();
         for node in notable.into_iter().filter(|node| self.quota.is_listed(*node)) {
             if let Some(observation) = partitions.observation(node) {
                 self.host.observation_changed(observation);
@@ -205,14 +205,14 @@
         if !self.quota.is_listed(node) {
             return None;
         }
-        let replicas = self.replicas();
-        replicas
-            .filter_map(|followed| followed.replica.partitions().observation(node))
+        let instances_with_cache = self.instances_with_cache();
+        instances_with_cache
+            .filter_map(|followed| followed.cache.partitions().observation(node))
             .max_by_key(|observation| observation.seen_at)
     }
 
-    fn replicas(&self) -> impl Iterator<Item = &FollowedInstance> {
-        self.followed.iter().chain(&self.cached)
+    fn instances_with_cache(&self) -> impl Iterator<Item = &FollowedInstance> {
+        self.followed.iter().chain(&self.retained)
     }
 
     /// Shuts down: unsubscribes, and sends nothing from then on.
@@ -230,23 +230,23 @@
 
     /// About the bytes that the subscriber takes, by number and size of what it holds.
     pub fn state_bytes(&self) -> usize {
-        let replica_bytes = |followed: &FollowedInstance| {
+        let cache_bytes = |followed: &FollowedInstance| {
             size_of::<FollowedInstance>()
-                + followed.replica.partitions().state_bytes()
+                + followed.cache.partitions().state_bytes()
                 + followed.pulls.len() * size_of::<(PartitionId, PendingPull)>()
         };
         let instance_bytes = size_of::<ControlInstance>() + 2 * size_of::<PeerName>();
         size_of::<Self>()
             + self.ranked_instances.len() * instance_bytes
-            + self.replicas().map(replica_bytes).sum::<usize>()
+            + self.instances_with_cache().map(cache_bytes).sum::<usize>()
             + self.quota.state_bytes()
     }
 
     /// How much the replicas hold, those of cached instances too.
-    pub fn replica_size(&self) -> ReplicaSize {
-        let mut total = ReplicaSize::default();
-        for followed in self.replicas() {
-            let size = followed.replica.partitions().size();
+    pub fn cache_size(&self) -> CacheSize {
+        let mut total = CacheSize::default();
+        for followed in self.instances_with_cache() {
+            let size = followed.cache.partitions().size();
             total.nodes += size.nodes;
             total.pending_entries += size.pending_entries;
         }
@@ -256,7 +256,7 @@
     /// Whether each partition is covered by an instance that sends digests.
     pub fn is_complete(&self) -> bool {
         let is_covered = |partition: PartitionId| {
-            self.active_instances().any(|active| active.replica.partitions().is_covered(partition))
+            self.active_instances().any(|active| active.cache.partitions().is_covered(partition))
         };
         (0..PARTITIONS as u8).map(PartitionId).all(is_covered)
     }
--- a/crates/observation-feed/src/subscriber/followed_instance.rs
+++ b/crates/observation-feed/src/subscriber/followed_instance.rs
@@ -9,7 +9,7 @@
 use crate::digest_delay::DelayMeasurement;
 use crate::message::PartitionId;
 use crate::preference::ControlInstance;
-use crate::publisher_replica::PublisherReplica;
+use crate::publisher_cache::PublisherCache;
 
 pub(super) struct FollowedInstance {
     pub(super) instance: ControlInstance,
@@ -19,7 +19,7 @@
     /// When the last digest arrived at any time, or since when it is known.
     pub(super) last_heard_at: Duration,
     pub(super) next_renewal_at: Duration,
-    pub(super) replica: PublisherReplica,
+    pub(super) cache: PublisherCache,
     /// Of its digests since it is followed.
     pub(super) delays: DelayMeasurement,
     /// The partitions whose replica has another revision than its last digest names.
@@ -29,14 +29,14 @@
 }
 
 impl FollowedInstance {
-    pub(super) fn new(instance: ControlInstance, replica: PublisherReplica, now: Duration) -> Self {
+    pub(super) fn new(instance: ControlInstance, cache: PublisherCache, now: Duration) -> Self {
         Self {
             instance,
             followed_since: now,
             last_digest_at: None,
             last_heard_at: now,
             next_renewal_at: now,
-            replica,
+            cache,
             delays: DelayMeasurement::default(),
             pulls: BTreeMap::new(),
             redundant_pulls_from: None,
@@ -80,10 +80,10 @@
     }
 
     pub(super) fn is_complete(&self) -> bool {
-        self.replica.partitions().is_complete()
+        self.cache.partitions().is_complete()
     }
 
     pub(super) fn incarnation(&self) -> Option<Incarnation> {
-        self.replica.last_digest().map(|last| last.incarnation)
+        self.cache.last_digest().map(|last| last.incarnation)
     }
 }
--- a/crates/observation-feed/src/subscriber/following.rs
+++ b/crates/observation-feed/src/subscriber/following.rs
@@ -11,12 +11,12 @@
 use crate::host::{Event, Host};
 use crate::message::Message;
 use crate::preference::{ControlInstance, rank_control_instances};
-use crate::publisher_replica::{LastDigest, PublisherReplica};
+use crate::publisher_cache::{LastDigest, PublisherCache};
 
 /// How many control instances are followed; one more while it takes another's place.
 const FOLLOWED_INSTANCES: usize = 2;
 /// Of how many others the replicas are cached.
-const MAX_CACHED_INSTANCES: usize = 2;
+const MAX_RETAINED_INSTANCES: usize = 2;
 /// An instance that has sent no digest for this many intervals is lost.
 const MAX_SILENT_INTERVALS: u32 = 5;
 /// An instance that has sent no digest within this time of being followed is lost.
@@ -37,7 +37,7 @@
 /// No datagram is under way for this long: after it any incarnation of an instance is accepted.
 const MAX_DATAGRAM_LIFETIME: Duration = Duration::from_secs(10);
 /// How long a replica is cached: where nothing has changed meanwhile, no snapshot is needed.
-const REPLICA_CACHED_FOR: Duration = Duration::from_secs(60);
+const CACHE_RETENTION: Duration = Duration::from_secs(60);
 
 /// The last digest of an instance that has been followed.
 pub(super) struct LastHeard {
@@ -63,12 +63,12 @@
         let unlisted = self.followed.iter().filter(|followed| !ranked.contains(&followed.instance));
         let unlisted: Vec<PeerName> = unlisted.map(|followed| followed.instance.name.clone()).collect();
         // Before those that are followed no longer are cached, so that they push out none that is still listed.
-        self.cached.retain(|cached| ranked.contains(&cached.instance));
+        self.retained.retain(|retained| ranked.contains(&retained.instance));
         for name in &unlisted {
             self.stop_following(name);
         }
         // And after it, since they are not listed themselves.
-        self.cached.retain(|cached| self.ranked_instances.contains(&cached.instance));
+        self.retained.retain(|retained| self.ranked_instances.contains(&retained.instance));
         self.failback_at = None;
         self.update_isolation(now);
     }
@@ -120,14 +120,14 @@
         };
         let mut removed = self.followed.remove(index);
         let was_active = removed.last_digest_at.take().is_some();
-        if let Some(digest) = removed.replica.last_digest() {
+        if let Some(digest) = removed.cache.last_digest() {
             let receiver = Some(digest.incarnation);
             self.host.send(removed.instance.address, receiver, Message::Unsubscribe);
             self.last_heard.insert(name.clone(), LastHeard { digest, at: removed.last_heard_at });
             removed.pulls.clear();
-            self.cached.push(removed);
-            if self.cached.len() > MAX_CACHED_INSTANCES {
-                self.cached.remove(0);
+            self.retained.push(removed);
+            if self.retained.len() > MAX_RETAINED_INSTANCES {
+                self.retained.remove(0);
             }
         }
         was_active
@@ -156,21 +156,20 @@
 
     fn follow(&mut self, now: Duration, instance: ControlInstance) {
         self.last_heard.retain(|_, last| last.at + MAX_DATAGRAM_LIFETIME > now);
-        self.cached.retain(|cached| cached.last_heard_at + REPLICA_CACHED_FOR > now);
-        let cached = self.cached.iter().position(|cached| cached.instance == instance);
-        let followed = match cached.map(|index| self.cached.remove(index)) {
-            Some(mut cached) => {
-                if cached.last_heard_at + MAX_DATAGRAM_LIFETIME <= now {
-                    cached.replica.accept_any_incarnation();
+        self.retained.retain(|retained| retained.last_heard_at + CACHE_RETENTION > now);
+        let retained = self.retained.iter().position(|retained| retained.instance == instance);
+        let followed = match retained.map(|index| self.retained.remove(index)) {
+            Some(mut retained) => {
+                if retained.last_heard_at + MAX_DATAGRAM_LIFETIME <= now {
+                    retained.cache.accept_any_incarnation();
                 }
-                cached.followed_again(now)
+                retained.followed_again(now)
             }
             None => {
                 let last = self.last_heard.get(&instance.name);
-                let replica = last.map_or_else(PublisherReplica::default, |last| {
-                    PublisherReplica::resuming_after(last.digest)
-                });
-                FollowedInstance::new(instance, replica, now)
+                let cache = last
+                    .map_or_else(PublisherCache::default, |last| PublisherCache::resuming_after(last.digest));
+                FollowedInstance::new(instance, cache, now)
             }
         };
         self.followed.push(followed);
--- a/crates/observation-feed/src/subscriber/snapshot_pulls.rs
+++ b/crates/observation-feed/src/subscriber/snapshot_pulls.rs
@@ -36,7 +36,7 @@
 
 impl FollowedInstance {
     fn revision(&self, partition: PartitionId) -> Revision {
-        self.replica.partitions().revision(partition)
+        self.cache.partitions().revision(partition)
     }
 }
 
@@ -101,7 +101,7 @@
         }
         let mut others = active.iter().filter(|other| **other != active[turn]);
         let is_covered_elsewhere =
-            others.any(|other| self.followed[*other].replica.partitions().is_covered(partition));
+            others.any(|other| self.followed[*other].cache.partitions().is_covered(partition));
         if is_covered_elsewhere {
             return followed.redundant_pulls_from.is_some_and(|from| from <= now);
         }
--- a/crates/observation-feed/src/token_bucket.rs
+++ b/crates/observation-feed/src/token_bucket.rs
@@ -30,7 +30,7 @@
     }
 
     /// Whether at least so many tokens are there now.
-    pub fn has(&mut self, now: Duration, tokens: f64) -> bool {
+    pub fn has_at_least(&mut self, now: Duration, tokens: f64) -> bool {
         self.refill(now);
         self.tokens >= tokens
     }
--- a/crates/observation-feed/tests/handover.rs
+++ b/crates/observation-feed/tests/handover.rs
@@ -1,5 +1,5 @@
 //! The hand-over of one partition's snapshots from a publisher to a router, and from one incarnation of the publisher to the next,
-//! model-checked: the router's side as it is ([`PublisherReplica`]), in every order in which messages come, come again or are lost.
+//! model-checked: the router's side as it is ([`PublisherCache`]), in every order in which messages come, come again or are lost.
 //! Nothing that was ever sent leaves the network, so that each may come at any time, twice, late or never. Time goes in
 //! ticks.
 
@@ -11,8 +11,8 @@
 use quillpoint_observation_feed::message::{
     DigestNumber, LAG_CLASSES, LagClass, PARTITIONS, PartitionId, Revision, SnapshotChunk,
 };
-use quillpoint_observation_feed::partition_replicas::Coverage;
-use quillpoint_observation_feed::publisher_replica::{IncarnationOrder, PublisherReplica};
+use quillpoint_observation_feed::partition_caches::Coverage;
+use quillpoint_observation_feed::publisher_cache::{IncarnationOrder, PublisherCache};
 use quillpoint_observation_feed::{Change, Entry, FeedObservation, NodeStatus};
 use stateright::{Checker, Model, Property};
 
@@ -54,7 +54,7 @@
     change: Option<(u32, usize, bool)>,
     steps: u8,
     sent: BTreeSet<(u64, Sent)>,
-    router: PublisherReplica,
+    router: PublisherCache,
     /// A message has made something that was known older, though it was of the same incarnation.
     older: bool,
 }
@@ -90,7 +90,7 @@
     world.router.partitions().observation(nodes()[node])
 }
 
-fn take(router: &mut PublisherReplica, start: u64, message: &Sent) {
+fn take(router: &mut PublisherCache, start: u64, message: &Sent) {
     if router.check_incarnation(Incarnation(start)) == IncarnationOrder::Earlier {
         return;
     }
@@ -139,7 +139,7 @@
             change: None,
             steps: 0,
             sent: BTreeSet::new(),
-            router: PublisherReplica::default(),
+            router: PublisherCache::default(),
             older: false,
         }]
     }
@@ -197,8 +197,8 @@
                 }
                 let same = world.router.last_digest().map(|last| last.incarnation)
                     == before.router.last_digest().map(|last| last.incarnation);
-                let at = |replica: &PublisherReplica, node| {
-                    replica.partitions().observation(node).map(|observation| observation.seen_at)
+                let at = |cache: &PublisherCache, node| {
+                    cache.partitions().observation(node).map(|observation| observation.seen_at)
                 };
                 let older = nodes().iter().any(|node| at(&world.router, *node) < at(&before.router, *node));
                 world.older |= same && older;
--- a/crates/observation-feed/tests/units/encoded_size.rs
+++ b/crates/observation-feed/tests/units/encoded_size.rs
@@ -5,7 +5,7 @@
 
 use quillpoint_membership::{DatedObservation, Incarnation};
 use quillpoint_observation_feed::message::{Digest, DigestNumber, LAG_CLASSES, PARTITIONS, PartitionId};
-use quillpoint_observation_feed::observation_store::{Audience, ObservationStore};
+use quillpoint_observation_feed::observation_store::{ObservationStore, SubscriberPresence};
 use quillpoint_observation_feed::{Envelope, Message, encoded_size};
 
 use crate::fixtures::{ms, name};
@@ -45,7 +45,7 @@
     let mut store = ObservationStore::new(ms(150), 0);
     store.nodes_changed(now, &(0..NODES).map(node).collect());
     observe_all(&mut store, now, false);
-    store.revise(now, 0, Audience::Subscribed);
+    store.update_snapshots(now, 0, SubscriberPresence::Present);
     for partition in (0..PARTITIONS as u8).map(PartitionId) {
         for chunk in store.snapshot(partition) {
             assert!(datagram_bytes(Message::Chunk(chunk)) <= 1200);
@@ -67,7 +67,7 @@
         };
         let max_change_bytes = encoded_size::MAX_PAYLOAD_BYTES - encoded_size::digest(&digest);
         assert!(
-            store.revise(now, max_change_bytes, Audience::Subscribed),
+            store.update_snapshots(now, max_change_bytes, SubscriberPresence::Present),
             "more has changed than a digest can carry"
         );
         (digest.revisions, digest.changes) = (store.revisions(), store.take_changes(max_change_bytes));
--- a/crates/observation-feed/tests/units/main.rs
+++ b/crates/observation-feed/tests/units/main.rs
@@ -5,7 +5,7 @@
 mod fixtures;
 mod health_check_quota;
 mod observation_store;
-mod partition_replicas;
+mod partition_caches;
 mod preference;
 mod publisher;
 mod subscriber;
--- a/crates/observation-feed/tests/units/observation_store.rs
+++ b/crates/observation-feed/tests/units/observation_store.rs
@@ -7,7 +7,7 @@
 use quillpoint_observation_feed::message::{
     Digest, DigestNumber, LAG_CLASSES, LagClass, PartitionId, Revision,
 };
-use quillpoint_observation_feed::observation_store::{Audience, ObservationStore};
+use quillpoint_observation_feed::observation_store::{ObservationStore, SubscriberPresence};
 use quillpoint_observation_feed::{NodeStatus, encoded_size};
 
 use crate::fixtures::{PERIOD, ms, node, observation};
@@ -17,7 +17,7 @@
     let mut store = ObservationStore::new(PERIOD, 0);
     store.nodes_changed(now, &(0..nodes).map(node).collect());
     (0..nodes).for_each(|number| store.observe(now, observation(number, now, ms(0))));
-    assert!(!store.revise(now, 1000, Audience::Subscribed));
+    assert!(!store.update_snapshots(now, 1000, SubscriberPresence::Present));
     store
 }
 
@@ -49,7 +49,7 @@
         let now = ms(10_000) + PERIOD * step;
         // Now within a period, now nearly three behind.
         (0..10).for_each(|number| store.observe(now, observation(number, now, PERIOD * (step % 2) * 3)));
-        assert!(!store.revise(now, 1000, Audience::Subscribed));
+        assert!(!store.update_snapshots(now, 1000, SubscriberPresence::Present));
         changes +=
             store.take_changes(1000).iter().map(|change| change.revision).collect::<BTreeSet<_>>().len();
         let digest = digest(&store, now);
@@ -71,7 +71,7 @@
     for step in 100..115 {
         let now = ms(10_000) + PERIOD * step;
         (0..10).for_each(|number| store.observe(now, observation(number, now, ms(0))));
-        store.revise(now, 1000, Audience::Subscribed);
+        store.update_snapshots(now, 1000, SubscriberPresence::Present);
     }
     assert_eq!(status(&store, 4), NodeStatus::Seen(LagClass(0)));
 }
@@ -87,7 +87,7 @@
         if step % 4 == 0 {
             store.observe(now, observation(0, now, ms(0)));
         }
-        store.revise(now, 1000, Audience::Subscribed);
+        store.update_snapshots(now, 1000, SubscriberPresence::Present);
         is_seen.push(status(&store, 0) != NodeStatus::Unseen);
     }
     assert_eq!(is_seen, [true, false, false, true].repeat(4));
@@ -99,7 +99,7 @@
     for step in 1..=10 {
         let now = ms(10_000) + PERIOD * step;
         (1..100).for_each(|number| store.observe(now, observation(number, now, ms(0))));
-        store.revise(now, 1000, Audience::Subscribed);
+        store.update_snapshots(now, 1000, SubscriberPresence::Present);
         let digest = digest(&store, now + ms(30));
         let silent = PERIOD * step;
         if silent <= PERIOD {
@@ -119,7 +119,7 @@
     loop {
         now += PERIOD;
         store.observe(now, observation(7, now, ms(0)));
-        let has_backlog = store.revise(now, 300, Audience::Subscribed);
+        let has_backlog = store.update_snapshots(now, 300, SubscriberPresence::Present);
         let digest = digest(&store, now);
         assert!(digest.age <= PERIOD * 4, "{:?}", digest.age);
         let changes = store.take_changes(300);
@@ -141,19 +141,19 @@
         ms(10_050),
         DatedObservation { failed: true, position: None, ..observation(1, ms(9000), ms(0)) },
     );
-    store.revise(ms(10_050), 1000, Audience::Subscribed);
+    store.update_snapshots(ms(10_050), 1000, SubscriberPresence::Present);
     assert_eq!(status(&store, 1), NodeStatus::Seen(LagClass(0)), "it has been seen since");
     store.observe(
         ms(10_080),
         DatedObservation { failed: true, position: None, ..observation(1, ms(10_080), ms(0)) },
     );
-    store.revise(ms(10_080), 1000, Audience::Subscribed);
+    store.update_snapshots(ms(10_080), 1000, SubscriberPresence::Present);
     assert_eq!(status(&store, 1), NodeStatus::Down);
     store.observe(ms(10_090), observation(1, ms(10_070), ms(0)));
-    store.revise(ms(10_090), 1000, Audience::Subscribed);
+    store.update_snapshots(ms(10_090), 1000, SubscriberPresence::Present);
     // Answered before the failure, heard after it: it had been seen later than was known, and that is all.
     store.observe(ms(10_095), observation(1, ms(10_095), ms(0)));
-    store.revise(ms(10_095), 1000, Audience::Subscribed);
+    store.update_snapshots(ms(10_095), 1000, SubscriberPresence::Present);
     assert_eq!(status(&store, 1), NodeStatus::Seen(LagClass(0)));
     // One that is not listed is nobody's.
     store.observe(ms(10_100), observation(77, ms(10_100), ms(0)));
--- a/crates/observation-feed/tests/units/token_bucket.rs
+++ b/crates/observation-feed/tests/units/token_bucket.rs
@@ -7,10 +7,10 @@
 #[test]
 fn a_bucket_saves_no_more_than_its_burst_and_pays_debt_first() {
     let mut bucket = TokenBucket::new(100.0, 10.0, ms(0));
-    assert!(!bucket.has(ms(0), 1.0), "empty at the start");
-    assert!(bucket.has(ms(60_000), 10.0) && !bucket.has(ms(60_000), 10.1));
+    assert!(!bucket.has_at_least(ms(0), 1.0), "empty at the start");
+    assert!(bucket.has_at_least(ms(60_000), 10.0) && !bucket.has_at_least(ms(60_000), 10.1));
     bucket.spend(30.0);
-    assert!(!bucket.has(ms(60_190), 0.0) && bucket.has(ms(60_200), 0.0));
+    assert!(!bucket.has_at_least(ms(60_190), 0.0) && bucket.has_at_least(ms(60_200), 0.0));
     bucket.set_rate(ms(60_300), 1000.0, 5.0);
-    assert!(bucket.has(ms(60_300), 5.0) && !bucket.has(ms(60_300), 5.1));
+    assert!(bucket.has_at_least(ms(60_300), 5.0) && !bucket.has_at_least(ms(60_300), 5.1));
 }
--- a/crates/observation-feed/tests/world/checks.rs
+++ b/crates/observation-feed/tests/world/checks.rs
@@ -5,7 +5,7 @@
 
 use quillpoint_membership::Incarnation;
 use quillpoint_observation_feed::FeedObservation;
-use quillpoint_observation_feed::partition_replicas::ReplicaSize;
+use quillpoint_observation_feed::partition_caches::CacheSize;
 
 use super::shape::ms;
 use super::{Sighting, World};
@@ -36,7 +36,7 @@
     /// The rules, for one router.
     pub fn check_router(&self, router: usize) {
         let Some(process) = &self.routers[router].process else { return };
-        let ReplicaSize { nodes, pending_entries } = process.side.replica_size();
+        let CacheSize { nodes, pending_entries } = process.side.cache_size();
         // Two that are followed, one on its bound in, two that rest; each may still name what has just left the list.
         assert!(
             nodes <= 5 * self.databases.len() && pending_entries <= 3 * self.databases.len(),
