--- a/src/admission.rs
+++ b/src/admission.rs
@@ -1,4 +1,5 @@
-//! Admission: which requests are admitted or shed, and their place among the pending and the queued ones.
+//! Admission: which requests are admitted and which are shed. Also adds requests to the pending requests and
+//! the wait queues.
 
 use std::time::Duration;
 
@@ -8,30 +9,31 @@
 use crate::pending_request::PendingRequest;
 use crate::router::Router;
 
-/// Past a root utilization of 1, reads are admitted by 1 / this power of it, which is the fourth power of
-/// in flight / limit.
-const SHED_POWER: i32 = 8;
+/// While the root utilization is above 1, the admitted fraction of the reads is 1 / this power of it, which
+/// is the fourth power of in flight / limit.
+const SHED_EXPONENT: i32 = 8;
 
 impl<H: Host> Router<H> {
-    /// When the latency objective of an arriving request ends, counted from its first try: a late retry must not crowd
-    /// out first tries. A client that marks nothing shows a retry by a shorter wait. None for an unknown method.
+    /// When the latency objective of an arriving request ends. It is counted from the request's first try, so
+    /// that a late retry does not displace first tries. If clients do not mark retries, a retry is recognized
+    /// by its shorter wait. None for an unknown method.
     pub(crate) fn objective_end(&mut self, now: Duration, rpc: &Rpc) -> Option<Duration> {
         let method = self.methods.get_mut(rpc.method.0)?;
-        let waits_like_first_try = method.first_try_wait.count(rpc.remaining, method.deadline);
-        let is_first_try =
-            if self.config.clients_mark_retries { !rpc.is_retry } else { waits_like_first_try };
+        let has_first_try_wait = method.first_try_wait.count_vote(rpc.remaining, method.deadline);
+        let is_first_try = if self.config.clients_mark_retries { !rpc.is_retry } else { has_first_try_wait };
         let left = if is_first_try { method.deadline } else { rpc.remaining };
         let since_first_try = method.deadline.saturating_sub(left);
         Some((now + method.latency_objective).saturating_sub(since_first_try))
     }
 
-    /// The part of the reads that is admitted, 0 to 1, by the root utilization that nodes report. All routers add to an
-    /// overload before their own answers tell of it.
-    pub(crate) fn admitted_part(&self) -> f64 {
-        1.0 / self.fleet_load.root_utilization().powi(SHED_POWER).max(1.0)
+    /// The fraction of the reads that is admitted, 0 to 1, according to the root utilization that nodes
+    /// report. The reports show an overload that all routers cause together before this router's own response
+    /// times show it.
+    pub(crate) fn admitted_fraction(&self) -> f64 {
+        1.0 / self.fleet_load.root_utilization().powi(SHED_EXPONENT).max(1.0)
     }
 
-    /// Keeps the request until it has its final answer.
+    /// Keeps the request until it has its final response.
     pub(crate) fn track_pending(&mut self, now: Duration, rpc: Rpc, objective_at: Duration) {
         let request = PendingRequest {
             objective_at,
@@ -45,7 +47,7 @@
         self.pending.insert(request.rpc.id, request);
     }
 
-    /// Puts a request into the wait queue of its replica set.
+    /// Adds a request to the wait queue of its replica set.
     pub(crate) fn enqueue(&mut self, now: Duration, id: RpcId) {
         let Some(request) = self.pending.get_mut(&id) else { return };
         request.is_queued = true;
@@ -55,7 +57,7 @@
         self.due.insert(DueTime { at: next, rpc: id });
     }
 
-    /// Takes a request out of its wait queue.
+    /// Removes a request from its wait queue.
     pub(crate) fn dequeue(&mut self, id: RpcId) {
         let Some(request) = self.pending.get_mut(&id) else { return };
         request.is_queued = false;
--- a/src/attempt_evidence.rs
+++ b/src/attempt_evidence.rs
@@ -1,5 +1,5 @@
-//! What is known when an attempt ends, gathered before anything is learned from it: the rules that learn then act on
-//! one state, whatever the order in which they change it.
+//! What is known when an attempt ends. It is collected before any state is updated, so that all the rules
+//! that learn from the attempt see the same state, regardless of the order of their updates.
 
 use std::time::Duration;
 
@@ -10,21 +10,21 @@
 
 /// What is known when an attempt ends.
 pub(crate) struct AttemptEvidence {
-    /// None where it was no longer in flight.
+    /// None if it was no longer in flight.
     pub attempt: Option<InFlightAttempt>,
-    /// It was given up before its end came, so its time says nothing.
+    /// The attempt already counted as lost before it ended, so its duration is not a response time.
     pub lost: bool,
     pub connect: ConnectResult,
-    /// Requests queued at the node by its last report.
+    /// Requests queued at the node according to its last report.
     pub queued_before: Option<f64>,
-    /// The relative latency of the zone whose answers are least delayed.
+    /// The relative latency of the zone with the lowest latency.
     pub lowest_zone_latency: f64,
-    /// Nodes report what they have in flight.
+    /// Whether nodes report how many requests they have in flight.
     pub load_is_known: bool,
 }
 
 impl<H: Host> Router<H> {
-    /// Takes the attempt off its node and notes what is known at its end. None for an unknown node.
+    /// Removes the attempt from its node and collects what is known at its end. None for an unknown node.
     pub(crate) fn take_attempt_evidence(
         &mut self,
         now: Duration,
--- a/src/concurrency_limit.rs
+++ b/src/concurrency_limit.rs
@@ -1,7 +1,7 @@
 //! Concurrency limits: how many attempts of this router may be in flight to a node.
 //!
-//! The limit follows the ratio of the shortest answer time to the present one. A node that cannot take one attempt of
-//! each router rests between two of them.
+//! The limit follows the ratio of the baseline response time to the average one. A node that cannot take one
+//! attempt from each router is paused between two attempts.
 
 use std::time::Duration;
 
@@ -12,41 +12,42 @@
 use crate::node_state::NodeState;
 use crate::router::Router;
 
-/// Limit at a node until answers tell, of all routers together.
+/// Initial limit of a node, for all routers together.
 const INITIAL_LIMIT: f64 = 10.0;
-/// The least limit at a node, of all routers together; one for each router where they are few.
+/// The lowest limit of a node, for all routers together. With fewer routers than this, each may have at least
+/// one attempt in flight.
 const MIN_LIMIT: f64 = 6.0;
-/// A relative latency up to this leaves the limit as it is: a little queueing keeps a node busy.
+/// A relative latency up to this leaves the limit unchanged: a short queue keeps a node busy.
 const LATENCY_TOLERANCE: f64 = 1.15;
-/// The same where the node itself says that nothing is queued there, as at a primary that waits for its replicas.
-const UNQUEUED_LATENCY_TOLERANCE: f64 = 2.0;
-/// The limit shrinks by half at the most for one answer, before the answer's weight.
+/// The same if the node reports an empty queue, as a primary does that waits for its replicas.
+const EMPTY_QUEUE_LATENCY_TOLERANCE: f64 = 2.0;
+/// One response shrinks the limit by half at most, before the weight of the sample is applied.
 const MIN_LIMIT_RATIO: f64 = 0.5;
-/// The least relative latency that is used: answers that take no time would divide by zero.
+/// Lower bound of the relative latency, since a response time of zero would cause a division by zero.
 const MIN_RELATIVE_LATENCY: f64 = 0.1;
-/// The part of a limit that must be in use for it to grow.
+/// The limit grows only if at least this fraction of it is in use.
 const GROWTH_UTILIZATION: f64 = 0.7;
-/// A report of fewer queued requests than this says that nothing is queued.
-const UNQUEUED: f64 = 0.5;
-/// How long a node rests that rejected an attempt, or that has no connection left.
-const REJECTED_REST: Duration = Duration::from_millis(50);
-/// So many rests may be saved up, as requests come in clumps.
-const SAVED_RESTS: u32 = 3;
-/// The longest rest after one answer: after an overload, a rest must not outlast it by much.
-const MAX_REST: Duration = Duration::from_millis(10_000);
-/// A latency of all zones past this lengthens the rests, by its square.
-const CROWDED_LATENCY: f64 = 1.5;
+/// A node that reports fewer queued requests than this has an empty queue.
+const EMPTY_QUEUE_THRESHOLD: f64 = 0.5;
+/// How long a node is paused after it rejected an attempt or had no connection left.
+const REJECTION_PAUSE: Duration = Duration::from_millis(50);
+/// Up to this many unused pauses carry over, because requests come in bursts.
+const MAX_SAVED_PAUSES: u32 = 3;
+/// The longest pause after one response: pauses must not outlast an overload by much.
+const MAX_PAUSE: Duration = Duration::from_millis(10_000);
+/// If the relative latency of every zone exceeds this, pauses are lengthened by the square of the excess.
+const CONGESTED_LATENCY: f64 = 1.5;
 
-/// What this router may have in flight to one node.
+/// How much this router may have in flight to one node.
 pub(crate) struct ConcurrencyLimit {
-    /// Attempts; below one where there are more routers than the node can take attempts.
+    /// The limit in attempts; less than one if there are more routers than the node can take attempts.
     pub limit: f64,
-    /// Present answer time against the shortest of each method.
+    /// Average ratio of a response time to the baseline of its method.
     pub relative_latency: f64,
-    /// Answers that make up the relative latency.
-    pub answers: f64,
-    /// Nothing is sent to the node until then, unless it says that it has capacity.
-    pub rests_until: Duration,
+    /// Number of responses in the relative latency.
+    pub responses: f64,
+    /// Until then nothing is sent to the node, unless it reports that it has capacity.
+    pub paused_until: Duration,
 }
 
 impl ConcurrencyLimit {
@@ -54,20 +55,20 @@
         Self {
             limit: INITIAL_LIMIT / routers,
             relative_latency: 1.0,
-            answers: 0.0,
-            rests_until: Duration::ZERO,
+            responses: 0.0,
+            paused_until: Duration::ZERO,
         }
     }
 
-    /// Takes in one answer's time against its method's shortest. The first answers make up a plain mean.
+    /// Adds the relative latency of one response. The first responses are averaged with equal weights.
     fn record_latency(&mut self, relative_latency: f64) {
-        self.answers += 1.0;
-        let weight = SAMPLE_WEIGHT.max(1.0 / (self.answers + 1.0));
+        self.responses += 1.0;
+        let weight = SAMPLE_WEIGHT.max(1.0 / (self.responses + 1.0));
         self.relative_latency += (relative_latency - self.relative_latency) * weight;
     }
 
-    /// Moves the limit by the latency gradient. It grows only while it is used: a burst must not find a limit that no
-    /// answer time has tried.
+    /// Adapts the limit by the latency gradient. It grows only while it is used: otherwise a burst could use
+    /// a limit at which no response time has been measured.
     fn adapt(&mut self, in_flight: f64, tolerance: f64, routers: f64) {
         let ratio = (tolerance / self.relative_latency.max(MIN_RELATIVE_LATENCY)).clamp(MIN_LIMIT_RATIO, 1.0);
         let is_used = in_flight + 1.0 >= self.limit * GROWTH_UTILIZATION;
@@ -75,24 +76,24 @@
         self.limit += (self.limit * (ratio - 1.0) + growth / routers) * SAMPLE_WEIGHT;
     }
 
-    /// Spaces attempts: after an answer the node rests `answer_times` x `took`. Up to `SAVED_RESTS` unused rests carry
-    /// over, so that a clump of requests is not held back.
-    fn rest(&mut self, now: Duration, took: Duration, answer_times: f64) {
-        let rest = took.mul_f64(answer_times).min(MAX_REST);
-        self.rests_until = self.rests_until.max(now.saturating_sub(rest * SAVED_RESTS)) + rest;
+    /// Paces attempts: after a response the node is paused for `took` times `response_times`. Up to
+    /// `MAX_SAVED_PAUSES` unused pauses carry over, so that a burst of requests is not held back.
+    fn pause(&mut self, now: Duration, took: Duration, response_times: f64) {
+        let pause = took.mul_f64(response_times).min(MAX_PAUSE);
+        self.paused_until = self.paused_until.max(now.saturating_sub(pause * MAX_SAVED_PAUSES)) + pause;
     }
 }
 
-/// Whether a node that reports so many queued requests says that nothing is queued there.
-pub(crate) fn is_unqueued(queued: Option<f64>) -> bool {
-    queued.is_some_and(|queued| queued < UNQUEUED)
+/// Whether this reported number of queued requests means that the node's queue is empty.
+pub(crate) fn has_empty_queue(queued: Option<f64>) -> bool {
+    queued.is_some_and(|queued| queued < EMPTY_QUEUE_THRESHOLD)
 }
 
 impl<H: Host> Router<H> {
-    /// A node that rejected an attempt, or has no connection left, is not answered with the next attempt at once. Where
-    /// reports come with health checks alone, one of them must say that there is capacity again: hundreds of routers
-    /// would otherwise come back after each rest.
-    pub(crate) fn rest_after_rejection(
+    /// Pauses a node that rejected an attempt or has no connection left, so that the next attempt does not
+    /// follow immediately. Where load reports come only with health checks, a health check must first report
+    /// free capacity: otherwise hundreds of routers would send again after each pause.
+    pub(crate) fn pause_after_rejection(
         &mut self,
         now: Duration,
         end: &AttemptEnd,
@@ -101,14 +102,15 @@
         let Some(node) = self.nodes.get_mut(&end.node) else { return };
         let rejected = end.outcome == Outcome::Rejected;
         if rejected || evidence.connect == ConnectResult::RefusedInShortage {
-            node.concurrency.rests_until = now + REJECTED_REST;
+            node.concurrency.paused_until = now + REJECTION_PAUSE;
         }
         if rejected && self.config.reports_by_health_checks_only {
-            self.note_no_capacity(now, end.node);
+            self.record_no_capacity(now, end.node);
         }
     }
 
-    /// The limit after an attempt ended. `relative_latency` is its answer time against the shortest of its method.
+    /// Adapts the limit after an attempt ended. `relative_latency` is the ratio of its response time to the
+    /// baseline of its method.
     pub(crate) fn adapt_concurrency_limit(
         &mut self,
         now: Duration,
@@ -121,33 +123,39 @@
         if matches!(end.outcome, Outcome::Ok | Outcome::TimedOut) && !evidence.lost {
             node.concurrency.record_latency(relative_latency);
             self.zones.record(node.zone, relative_latency);
-            let unqueued = is_unqueued(evidence.queued_before);
-            let tolerance = if unqueued { UNQUEUED_LATENCY_TOLERANCE } else { LATENCY_TOLERANCE };
+            let is_queue_empty = has_empty_queue(evidence.queued_before);
+            let tolerance = if is_queue_empty { EMPTY_QUEUE_LATENCY_TOLERANCE } else { LATENCY_TOLERANCE };
             let in_flight = node.in_flight_count(now);
             node.concurrency.adapt(in_flight, tolerance, routers);
         }
         node.concurrency.limit = node.concurrency.limit.max((MIN_LIMIT / routers).min(1.0));
     }
 
-    /// Below a limit of one the node rests between two attempts, the longer the more crowded all nodes are. One router
-    /// of many sees too little for that by itself: where the node says that nothing is queued, there is no rest.
-    pub(crate) fn rest_after_answer(&mut self, now: Duration, end: &AttemptEnd, evidence: &AttemptEvidence) {
+    /// While the limit is below one, pauses the node between two attempts, and longer the more congested all
+    /// nodes are. One of many routers sees too few responses to judge the load alone, so there is no pause if
+    /// the node reports an empty queue.
+    pub(crate) fn pause_after_response(
+        &mut self,
+        now: Duration,
+        end: &AttemptEnd,
+        evidence: &AttemptEvidence,
+    ) {
         let Some(node) = self.nodes.get_mut(&end.node) else { return };
         let queued = end.report.map_or(evidence.queued_before, |report| report.queued);
-        let needs_no_rest = evidence.load_is_known || evidence.lost || is_unqueued(queued);
-        let crowding = (evidence.lowest_zone_latency / CROWDED_LATENCY).max(1.0).powi(2);
-        let answer_times =
-            if needs_no_rest { 0.0 } else { (crowding / node.concurrency.limit - 1.0).max(0.0) };
-        node.concurrency.rest(now, end.took, answer_times);
+        let needs_no_pause = evidence.load_is_known || evidence.lost || has_empty_queue(queued);
+        let congestion = (evidence.lowest_zone_latency / CONGESTED_LATENCY).max(1.0).powi(2);
+        let response_times =
+            if needs_no_pause { 0.0 } else { (congestion / node.concurrency.limit - 1.0).max(0.0) };
+        node.concurrency.pause(now, end.took, response_times);
     }
 
-    /// This router's part of the free capacity at a node, in attempts. A rest stands in for a report of what the node
-    /// holds, so a current report ends it where only health checks bring reports.
+    /// This router's share of the free capacity of a node, in attempts. A pause substitutes for a report of
+    /// the node's load, so where reports come only with health checks, a current report ends the pause.
     pub(crate) fn available_capacity(&self, now: Duration, node: &NodeState) -> f64 {
         let has_report =
             self.config.reports_by_health_checks_only && self.current_report(now, node).is_some();
-        let rests = node.concurrency.rests_until > now && !has_report;
-        if !node.is_open() || rests {
+        let is_paused = node.concurrency.paused_until > now && !has_report;
+        if !node.is_routable() || is_paused {
             return 0.0;
         }
         let in_flight = self.reported_in_flight(now, node).unwrap_or(node.in_flight_count(now));
--- a/src/config.rs
+++ b/src/config.rs
@@ -6,46 +6,48 @@
 use crate::method::{Consistency, Method};
 use crate::slow_start::SlowStartConfig;
 
-/// The staleness bound where no method sets one. It then only paces the periodic work and the health checks.
+/// The staleness bound if no method sets one. It then only sets the pace of the periodic work and the health
+/// checks.
 const DEFAULT_STALENESS_BOUND: Duration = Duration::from_millis(1000);
 
-/// What the deployment promises and allows. A setting that is missing is taken in its strictest reading.
+/// What the deployment guarantees and allows. A missing setting gets its strictest value.
 pub(crate) struct Config {
-    /// One step of the host's clock. Final answers are given one tick before a client's deadline.
+    /// The resolution of the host's clock. Final responses are given one tick before a client's deadline.
     pub tick: Duration,
-    /// Attempts that an RPC may have, the first one included.
+    /// The maximum number of attempts of an RPC, including the first.
     pub max_attempts: usize,
     /// The tightest staleness bound of all methods.
     pub tightest_bound: Duration,
-    /// How many routers share the nodes: each takes its part of every limit. At least 1.
+    /// How many routers share the nodes. Each router uses its share of every limit. At least 1.
     pub routers: f64,
-    /// How often the endpoint list has to be polled at the least.
+    /// The maximum time between two polls of the endpoint list.
     pub poll_interval: Duration,
-    /// Whether the endpoint list has to be watched by this router from its start.
+    /// Whether this router must request the endpoint list itself from its start.
     pub watches_endpoints: bool,
-    /// A node that is off the list without having been told to drain may still be sent to.
+    /// Whether only nodes that are listed as draining must not be sent to: a node that left the list without
+    /// draining may still be used.
     pub only_listed_draining: bool,
-    /// Load reports come with health checks alone, and not with answers.
+    /// Whether load reports come only with health checks, and not with responses.
     pub reports_by_health_checks_only: bool,
-    /// Whether clients are told a Retry-After.
-    pub tells_retry_after: bool,
-    /// The Retry-After that is told in an overload.
+    /// Whether clients get a Retry-After.
+    pub sends_retry_after: bool,
+    /// The Retry-After during an overload.
     pub max_retry_after: Duration,
-    /// The nodes themselves see to it that no read is stale.
+    /// Whether the nodes themselves ensure that no read is stale.
     pub nodes_check_reads: bool,
-    /// This router remembers what sessions wrote, as clients do not carry it.
+    /// Whether this router remembers session tokens because clients do not carry them.
     pub remembers_session_tokens: bool,
     /// Whether nodes may be checked without an RPC.
     pub health_checks: bool,
-    /// What a health check costs, in the result's unit.
-    pub health_check_price: f64,
+    /// The cost of one health check, in the unit in which the value of responses is measured.
+    pub health_check_cost: f64,
     /// Whether two attempts of one RPC may be in flight at once.
     pub hedging: bool,
-    /// After this time a connect is given up.
+    /// After this time an unfinished connect is abandoned.
     pub connect_timeout: Duration,
-    /// Whether clients mark the retries that they make.
+    /// Whether clients mark their own retries.
     pub clients_mark_retries: bool,
-    /// The promise towards nodes that have just started.
+    /// The deployment's limits on the load of recently started nodes.
     pub slow_start: SlowStartConfig,
 }
 
@@ -61,13 +63,13 @@
             watches_endpoints: values.text("discovery") == "subscribe",
             only_listed_draining: values.is_true("rules.only_listed_draining"),
             reports_by_health_checks_only: values.text("reports.source") == "probe",
-            tells_retry_after: !values.is_false("allowed.retry_after"),
+            sends_retry_after: !values.is_false("allowed.retry_after"),
             max_retry_after: values.duration("allowed.max_retry_after").unwrap_or_default(),
             nodes_check_reads: values.text("replication.read_check") != "none",
             remembers_session_tokens: values.text("replication.session_tokens") == "remembered"
                 && has_session_reads,
             health_checks: values.is_true("allowed.health_checks"),
-            health_check_price: values.number("prices.health_check").unwrap_or(0.0),
+            health_check_cost: values.number("prices.health_check").unwrap_or(0.0),
             hedging: values.is_true("allowed.hedging"),
             connect_timeout: values.duration("allowed.connect_timeout").unwrap_or(Duration::MAX),
             clients_mark_retries: values.is_true("clients.mark_retries"),
--- a/src/connection_shortage.rs
+++ b/src/connection_shortage.rs
@@ -1,5 +1,5 @@
-//! Connection shortage: a node that is up and refuses connects has none left. All routers then give back theirs after
-//! use for a while, or a few of them would hold all connections idle.
+//! Connection shortage: a node that is up but refuses connects has no connections left. For a while, all
+//! routers then close their connections after use; otherwise a few routers could hold all connections idle.
 
 use std::time::Duration;
 
@@ -7,17 +7,17 @@
 use crate::node_state::InFlightAttempt;
 use crate::router::Router;
 
-/// How long idle connections are given back after a refusal.
+/// How long idle connections are closed after a shortage was detected.
 const SHORTAGE_DURATION: Duration = Duration::from_millis(5000);
 
-/// How the connect of an attempt went.
+/// How the connect of an attempt ended.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(crate) enum ConnectResult {
-    /// It was not refused, or ended too late to tell.
+    /// The connect was not refused, or ended too late to tell.
     NotRefused,
-    /// Refused at once: the node is down or out of connections.
+    /// Refused immediately: the node is down or out of connections.
     Refused,
-    /// Refused at once while connections are known to be short.
+    /// Refused immediately during a known shortage of connections.
     RefusedInShortage,
 }
 
@@ -26,7 +26,8 @@
         now < self.connection_shortage_until
     }
 
-    /// A refusal comes at once. A connect that takes its whole time, or that of its attempt, tells of no shortage.
+    /// A refusal arrives immediately. A connect that uses up its own timeout or that of its attempt says
+    /// nothing about a shortage.
     pub(crate) fn connect_result(
         &self,
         now: Duration,
@@ -44,22 +45,24 @@
         }
     }
 
-    /// Counts refused connects in a row.
-    pub(crate) fn note_connect_result(&mut self, node: NodeId, result: ConnectResult) {
+    /// Counts consecutive refused connects.
+    pub(crate) fn record_connect_result(&mut self, node: NodeId, result: ConnectResult) {
         let Some(state) = self.nodes.get_mut(&node) else { return };
         state.refused_connects =
             if result == ConnectResult::NotRefused { 0 } else { state.refused_connects + 1 };
     }
 
-    /// In a shortage, the node's connections are given back once nothing of this router is in flight there.
-    pub(crate) fn give_back_connections(&mut self, now: Duration, node: NodeId, result: ConnectResult) {
-        let is_unused = self.nodes.get(&node).is_some_and(|state| state.in_flight.is_empty());
-        if result == ConnectResult::NotRefused && self.in_connection_shortage(now) && is_unused {
+    /// During a shortage, closes the idle connections to the node once this router has nothing in flight
+    /// there.
+    pub(crate) fn release_connections(&mut self, now: Duration, node: NodeId, result: ConnectResult) {
+        let is_idle = self.nodes.get(&node).is_some_and(|state| state.in_flight.is_empty());
+        if result == ConnectResult::NotRefused && self.in_connection_shortage(now) && is_idle {
             self.host.close_idle_connections(node);
         }
     }
 
-    /// A node has answered a health check. If it refused connects before, it is short of connections and not down.
+    /// Called when a node has responded to a health check. If it refused connects before, it is up but short
+    /// of connections.
     pub(crate) fn detect_connection_shortage(&mut self, now: Duration, node: NodeId) {
         if self.nodes.get(&node).is_some_and(|state| state.refused_connects > 0) {
             self.connection_shortage_until = now + SHORTAGE_DURATION;
--- a/src/dispatch.rs
+++ b/src/dispatch.rs
@@ -1,4 +1,5 @@
-//! Dispatch: in what order the wait queue of a replica set is served, and when a pending request is looked at again.
+//! Dispatch: the order in which the wait queue of a replica set is served, and when a pending request is
+//! examined again.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -10,17 +11,18 @@
 use crate::router::Router;
 use crate::wait_queue::{AttemptStage, QueueHead};
 
-/// The least work that a method's value is divided by, in seconds.
+/// Lower bound, in seconds, of the work by which a method's value is divided.
 const MIN_WORK_S: f64 = 1e-4;
 
 impl<H: Host> Router<H> {
-    /// Sends what waits in a replica set: first attempts before retries, then by value for the work, then the newest.
-    /// A method whose first request finds no node is passed over.
+    /// Sends the queued requests of a replica set: first attempts before retries, then by value per work,
+    /// then the newest first. If no node can take the first request of a method, the rest of that method is
+    /// skipped.
     pub(crate) fn dispatch(&mut self, now: Duration, replica_set: ReplicaSetId) {
         for stage in [AttemptStage::First, AttemptStage::Retry] {
             let mut blocked = BTreeSet::new();
             while let Some(head) = self.next_queued(replica_set, stage, &blocked) {
-                self.replica_sets.entry(replica_set).or_default().last_wanted = now;
+                self.replica_sets.entry(replica_set).or_default().last_lookup_at = now;
                 match self.choose_node(now, head.entry.rpc) {
                     RoutingChoice::Send(node) => self.send(now, head.entry.rpc, node),
                     RoutingChoice::Reject => self.finish(head.entry.rpc, MAX_FRESHNESS_WAIT),
@@ -32,7 +34,7 @@
         }
     }
 
-    /// The request that is served next at this stage.
+    /// The request to serve next at this stage.
     fn next_queued(
         &self,
         replica_set: ReplicaSetId,
@@ -44,14 +46,15 @@
         heads.max_by_key(|head| (self.rank(head.method), head.entry))
     }
 
-    /// A method's value for its work, in steps of two: methods of about equal value go by time left.
+    /// A method's value per work, rounded to a power of two, so that between methods of similar value the
+    /// time left decides.
     fn rank(&self, method: MethodId) -> i32 {
         let method = &self.methods[method.0];
-        (method.priority_weight / method.answer_time.shortest_s.max(MIN_WORK_S)).log2().round() as i32
+        (method.priority_weight / method.response_time.baseline_s.max(MIN_WORK_S)).log2().round() as i32
     }
 
-    /// A due time of the request has come: it ends, or is looked at again.
-    pub(crate) fn request_due(&mut self, now: Duration, id: RpcId) {
+    /// Handles a due time of the request: finishes it, or tries to send it again.
+    pub(crate) fn process_due_request(&mut self, now: Duration, id: RpcId) {
         let Some(request) = self.pending.get(&id) else { return };
         let ends_at = request.deadline.saturating_sub(self.config.tick);
         let next = if request.is_queued { self.send_useful_until(request).min(ends_at) } else { ends_at };
--- a/src/endpoints.rs
+++ b/src/endpoints.rs
@@ -1,4 +1,4 @@
-//! The endpoint list: nodes that are added, drain or are removed, and how often the list is polled.
+//! The endpoint list: which nodes are added, drain or are removed, and how often the list is polled.
 
 use std::time::Duration;
 
@@ -10,17 +10,18 @@
 use crate::replica_set::ReplicaSet;
 use crate::router::Router;
 
-/// Delay of the next poll after a failed one; it doubles with each further failure.
+/// Delay of the next poll after a failed one. It doubles with each further failure.
 const INITIAL_POLL_BACKOFF: Duration = Duration::from_millis(300);
 /// The longest delay after a failed poll: poll interval / this.
 const MAX_BACKOFF_DIVISOR: u32 = 4;
-/// A poll that is never answered is made again after: poll interval / this. It is then in time.
+/// A poll without a response is repeated after: poll interval / this. The repeat is then within the interval.
 const UNANSWERED_POLL_DIVISOR: u32 = 2;
 
-/// When the host is asked for the list again. The adapter relies on it. On sockets only the first request matters: the
-/// router never reports a failed poll here, and polls, timeouts and backoff are those of quillpoint-discovery-watch.
+/// When the host is asked for the list again. Only quillpoint-adapter relies on this schedule. The router
+/// process needs only the first request: it never calls `endpoint_poll_failed`, and
+/// quillpoint-discovery-watch handles polls, timeouts and backoff.
 pub(crate) struct PollSchedule {
-    /// None where the host keeps the watch by itself.
+    /// None while the host maintains the watch by itself.
     next_at: Option<Duration>,
     backoff: Duration,
 }
@@ -30,7 +31,7 @@
         Self { next_at: watches_endpoints.then_some(now), backoff: INITIAL_POLL_BACKOFF }
     }
 
-    /// A snapshot or a delta came, so the watch stands. A cached snapshot says nothing of it.
+    /// A snapshot or a delta shows that the watch works. A cached snapshot does not.
     fn succeeded(&mut self, update: EndpointUpdate) {
         self.backoff = INITIAL_POLL_BACKOFF;
         if update != EndpointUpdate::CachedSnapshot {
@@ -38,8 +39,8 @@
         }
     }
 
-    /// A poll failed. That does not say whether a watch stands; polling again is always allowed and
-    /// keeps within `poll_interval`.
+    /// A poll failed. The watch may still work or not; polling again is always allowed, and this keeps the
+    /// polls within `poll_interval`.
     pub fn failed(&mut self, now: Duration, poll_interval: Duration) {
         let longest = poll_interval / MAX_BACKOFF_DIVISOR;
         self.next_at = Some(now + self.backoff.min(longest));
@@ -56,25 +57,26 @@
         }
     }
 
-    /// Takes in an update of the endpoint list.
+    /// Applies an update of the endpoint list.
     pub(crate) fn apply_endpoints(&mut self, now: Duration, update: EndpointUpdate, list: &[Endpoint]) {
         self.poll_schedule.succeeded(update);
         if update != EndpointUpdate::Delta {
             self.remove_unlisted(list);
         }
-        // A node that is new on a list known before has just started, even if no time is told.
+        // A node that is added to an already known list has just started, even if its entry has no start
+        // time.
         let is_known_list = !self.nodes.is_empty() && update == EndpointUpdate::Delta;
         let assumed_start = is_known_list.then_some(now);
         for endpoint in list {
-            // A removed node that is not known has drained and been forgotten since.
+            // An unknown node that is listed as removed has already drained and been forgotten.
             if endpoint.status != EndpointStatus::Removed || self.nodes.contains_key(&endpoint.node) {
                 self.apply_endpoint(endpoint, assumed_start);
             }
         }
     }
 
-    /// A snapshot is the whole list: a node that is not on it is removed. Where only nodes that are listed as draining
-    /// have to be left alone, it may still be sent to.
+    /// A snapshot is the whole list, so a node that is missing from it is removed. If `only_listed_draining`
+    /// is set, a removed node may still be sent requests.
     fn remove_unlisted(&mut self, list: &[Endpoint]) {
         for (node, state) in &mut self.nodes {
             state.removed = !list.iter().any(|endpoint| endpoint.node == *node);
@@ -82,8 +84,9 @@
         }
     }
 
-    /// Takes in one entry. A node that is new or has started anew begins its slow start. A new replica set has a part
-    /// of one read in its primary's quota, drawn by chance: no single router of many would ever earn a whole one.
+    /// Applies one entry. A node that is new or has restarted begins its slow start. A new replica set starts
+    /// with a random fraction of one read in its primary's quota: otherwise none of many routers would ever
+    /// earn a whole read.
     fn apply_endpoint(&mut self, endpoint: &Endpoint, assumed_start: Option<Duration>) {
         let routers = self.config.routers;
         let new_node = || NodeState::new(endpoint, assumed_start, routers);
@@ -99,11 +102,12 @@
         let replica_set = self.replica_sets.entry(endpoint.replica_set).or_insert_with(new_replica_set);
         replica_set.nodes.insert(endpoint.node);
         if endpoint.primary {
-            self.note_listed_primary(endpoint);
+            self.record_listed_primary(endpoint);
         }
     }
 
-    /// Periodic: nothing is kept of a node that is removed and not sent to, once all that is in flight there has ended.
+    /// Periodic: drops the state of removed nodes that get no requests, once everything in flight to them has
+    /// ended.
     pub(crate) fn forget_removed_nodes(&mut self, now: Duration) {
         let is_over = |node: &NodeState| {
             let is_dead = node.draining || node.health_check.failed_in_row == MAX_FAILURES;
@@ -112,7 +116,7 @@
         while let Some((node, state)) = self.nodes.iter().find(|(_, state)| is_over(state)) {
             let (node, replica_set) = (*node, state.replica_set);
             self.nodes.remove(&node);
-            self.lose_primary(now, replica_set, node);
+            self.clear_primary(now, replica_set, node);
             self.replica_sets.entry(replica_set).or_default().nodes.remove(&node);
             self.host.close_idle_connections(node);
         }
--- a/src/host.rs
+++ b/src/host.rs
@@ -1,57 +1,60 @@
-//! The interface of the decisions: what they ask of their host, and the plain data that passes.
+//! The interface between the decisions and their host: the calls that the router makes and the plain data
+//! that both sides exchange.
 //!
-//! All times are spans on one clock that every router reads and that only goes forward. A log position is a time on the
-//! same clock.
+//! A point in time is a `Duration` since the origin of one monotonic clock that all routers share. A log
+//! position is a time on the same clock.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// An RPC, unique while its router runs.
+/// Identifies an RPC; unique for the lifetime of its router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RpcId(pub u64);
 
-/// A node: one PostgreSQL server, by its address.
+/// Identifies a node, which is one PostgreSQL server, by its address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct NodeId(pub SocketAddr);
 
-/// A replica set: one primary and its replicas.
+/// Identifies a replica set: one primary and its replicas.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ReplicaSetId(pub u64);
 
-/// A client's session, whose reads see its own writes.
+/// Identifies a client session, whose reads see its own writes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SessionKey(pub u64);
 
-/// Place of a method in the settings.
+/// The index of a method in the settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct MethodId(pub usize);
 
-/// A failure domain that nodes share.
+/// Identifies a zone: a failure domain that several nodes share.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ZoneId(pub usize);
 
-/// Which attempt of its RPC, counted from 0 in the order in which they were made.
+/// The number of an attempt within its RPC, counted from 0 in the order in which the attempts were started.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptNumber(pub u32);
 
-/// What a router may do. Everything takes effect at once, in the order of the calls.
+/// The actions of a router. Each takes effect immediately, in the order of the calls.
 pub trait Host {
-    /// Sends the RPC to the node; the attempt ends with [`Outcome::TimedOut`] after `timeout`.
+    /// Sends the RPC to the node. If no response arrives within `timeout`, the attempt ends with
+    /// [`Outcome::TimedOut`].
     fn start_attempt(&mut self, rpc: RpcId, node: NodeId, timeout: Duration);
-    /// Final answer: nothing ran, come back after `retry_after` (zero: no advice).
+    /// Final response: the RPC was rejected, and repeating it does no harm. The client is advised to wait
+    /// `retry_after` first; zero means no advice.
     fn reject(&mut self, rpc: RpcId, retry_after: Duration);
-    /// Final answer that promises nothing about the effect.
+    /// Final response: the RPC failed, and it may or may not have run.
     fn abort(&mut self, rpc: RpcId);
-    /// Asks the node how it is, without an RPC; `health_check_ended` has to be called when that ends.
+    /// Checks the node's health without an RPC; the host must call `health_check_ended` with the result.
     fn start_health_check(&mut self, node: NodeId);
     /// Closes this router's idle connections to the node.
     fn close_idle_connections(&mut self, node: NodeId);
-    /// Asks for updates of the endpoint list from now on.
+    /// Subscribes to updates of the endpoint list.
     fn watch_endpoints(&mut self);
-    /// Asks for one call of `timer_fired` after this span. It cannot be taken back.
+    /// Requests one call of `timer_fired` after this duration. It cannot be cancelled.
     fn set_timer(&mut self, after: Duration);
-    /// Writes a line to the host's log, for an operator to read. The decisions write none at present.
+    /// Writes a line to the host's log for an operator. The decisions currently log nothing.
     fn log(&mut self, line: &str);
 }
 
@@ -68,8 +71,8 @@
     Text(String),
 }
 
-/// The settings by name. A name is a dotted path in which a number is a list index, such as `methods.0.deadline`. A
-/// value whose type differs from the one that is asked for counts as missing.
+/// The settings by name. A name is a dotted path in which a number is a list index, such as
+/// `methods.0.deadline`. A value of another type than the one asked for counts as missing.
 #[derive(Clone, Debug, Default)]
 pub struct ValueMap(pub BTreeMap<String, Value>);
 
@@ -109,165 +112,168 @@
     }
 }
 
-/// An RPC as it arrives.
+/// An incoming RPC.
 #[derive(Clone, Debug)]
 pub struct Rpc {
-    /// Its number.
+    /// The RPC's identifier.
     pub id: RpcId,
     /// The method that it calls.
     pub method: MethodId,
-    /// The session that it is part of.
+    /// The session that the RPC belongs to.
     pub session: Option<SessionKey>,
-    /// The replica set that it is for.
+    /// The replica set that holds the RPC's data.
     pub replica_set: ReplicaSetId,
-    /// How long the client still waits for this try.
+    /// How long the client will still wait for this try.
     pub remaining: Duration,
-    /// The work that it states.
+    /// The amount of work that the client declares for the RPC. No decision uses it.
     pub work: Option<Duration>,
-    /// How long ago the session's last write was committed, where clients carry that.
+    /// How long ago the session's last write was committed, where clients carry session tokens.
     pub since_write: Option<Duration>,
-    /// The client marks it as a retry of its own.
+    /// Whether the client marks the RPC as a retry of its own.
     pub is_retry: bool,
 }
 
-/// What a node is in its replica set.
+/// The role of a node in its replica set.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// It takes writes.
+    /// Accepts writes.
     Primary,
-    /// It applies the primary's log.
+    /// Replicates the primary's log.
     Replica,
 }
 
 /// How an attempt or a health check ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// It went through.
+    /// Success.
     Ok,
-    /// The node answered with an error.
+    /// The node responded with an error.
     Error,
-    /// Rejected unseen: the node has no capacity, or drains.
+    /// The node rejected the request without running it, because it has no capacity or is draining.
     Rejected,
-    /// No answer came in time.
+    /// No response arrived in time.
     TimedOut,
-    /// No connection to the node came about.
+    /// No connection to the node could be established.
     ConnectFailed,
     /// The connection broke.
     Reset,
-    /// It was given up from here.
+    /// This router gave up on it.
     Cancelled,
-    /// It never left the router.
+    /// It was never sent.
     NotSent,
-    /// The response cannot be read, or is an ok that `permits_response` found stale. The attempt has run.
+    /// The response cannot be parsed, or `permits_response` found that a successful response was stale. The
+    /// attempt has run.
     Malformed,
-    /// Rejected untouched: a write at a replica, or a read that the node is too far behind for.
+    /// The node rejected the request without running it: a write at a replica, or a read for which the node
+    /// lags too far.
     Misrouted,
 }
 
 impl Outcome {
-    /// Whether no node can have been sent the whole request.
+    /// Whether this outcome proves that no node received the whole request.
     pub fn never_sent(self) -> bool {
         matches!(self, Self::ConnectFailed | Self::NotSent)
     }
 
-    /// Whether this outcome proves that nothing ran.
+    /// Whether this outcome proves that the attempt did not run.
     pub fn never_ran(self) -> bool {
         matches!(self, Self::Rejected | Self::ConnectFailed | Self::NotSent | Self::Misrouted)
     }
 }
 
-/// What a node says of itself, as old as the report is. None stands for what it does not say.
+/// A node's report of its own state, as of when the report was made. None means that the node does not report
+/// the value.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// Its log position.
+    /// The node's log position.
     pub position: Option<Duration>,
-    /// Whether it is the primary.
+    /// Whether the node is the primary.
     pub primary: Option<bool>,
-    /// Requests in flight there, from all routers.
+    /// Requests in flight at the node, from all routers.
     pub in_flight: Option<f64>,
-    /// Requests queued there, from all routers.
+    /// Requests queued at the node, from all routers.
     pub queued: Option<f64>,
 }
 
-/// The end of an attempt.
+/// The end of an attempt and what was learned from it.
 #[derive(Clone, Debug)]
 pub struct AttemptEnd {
-    /// The RPC.
+    /// The RPC that the attempt belongs to.
     pub rpc: RpcId,
-    /// Which of its attempts.
+    /// The number of the attempt.
     pub attempt: AttemptNumber,
-    /// The node that it went to.
+    /// The node that the attempt was sent to.
     pub node: NodeId,
     /// How it ended.
     pub outcome: Outcome,
-    /// The RPC has its final answer; nothing more is owed.
+    /// Whether the RPC already has its final response, so that the router must not give another one.
     pub rpc_finished: bool,
-    /// Time from the attempt's order to its end.
+    /// Time from the start of the attempt to its end.
     pub took: Duration,
-    /// What the answer itself says of the node's role.
+    /// The node's role according to the response itself.
     pub role: Option<Role>,
-    /// The node's log position, or the commit time of a write that went through.
+    /// The node's log position, or the commit time of a successful write.
     pub position: Option<Duration>,
-    /// The report that came with the answer.
+    /// The load report in the response.
     pub report: Option<LoadReport>,
 }
 
-/// What another router has found out about a node, dated on this router's clock.
+/// What another router has observed about a node, with times converted to this router's clock.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PeerObservation {
-    /// The node.
+    /// The observed node.
     pub node: NodeId,
-    /// When it was observed.
+    /// Time of the observation.
     pub at: Duration,
-    /// Its log position then.
+    /// The node's log position at that time.
     pub position: Option<Duration>,
-    /// Whether it was the primary.
+    /// Whether the node was the primary.
     pub primary: Option<bool>,
-    /// Requests queued there.
+    /// Requests queued at the node.
     pub queued: Option<f64>,
-    /// When its process started.
+    /// When the node's process started.
     pub started: Option<Duration>,
-    /// Several routers have failed to reach it; all else is then empty.
+    /// Several routers have failed to reach the node. All other values are then empty.
     pub failed: bool,
 }
 
-/// Whether a node may be sent to, by the endpoint list.
+/// The status of a node according to the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointStatus {
-    /// It may.
+    /// The node may be sent requests.
     InService,
-    /// It is told to drain.
+    /// The node is listed as draining.
     Draining,
-    /// It is off the list.
+    /// The node is no longer on the list.
     Removed,
 }
 
 /// One entry of the endpoint list.
 #[derive(Clone, Debug)]
 pub struct Endpoint {
-    /// The node.
+    /// The node's identifier.
     pub node: NodeId,
-    /// The replica set that it is part of.
+    /// The replica set that the node belongs to.
     pub replica_set: ReplicaSetId,
-    /// The zone that it is in.
+    /// The zone that the node is in.
     pub zone: ZoneId,
-    /// The kind of machine that it runs on.
+    /// The type of machine that the node runs on, as an index.
     pub machine_type: usize,
-    /// Whether it was the primary when the list was made.
+    /// Whether the node was the primary when the list was made.
     pub primary: bool,
-    /// Whether it may be sent to.
+    /// Whether the node may be sent requests.
     pub status: EndpointStatus,
-    /// When its process started, where the list says so.
+    /// When the node's process started, if the list says so.
     pub started: Option<Duration>,
 }
 
 /// How much of the endpoint list an update covers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointUpdate {
-    /// Only these entries changed.
+    /// Only the entries that changed.
     Delta,
-    /// The whole list as the registry has it; a node that is missing is removed.
+    /// The whole list according to the discovery service. A node that is missing from it has been removed.
     Snapshot,
-    /// The whole list as this router last saw it, perhaps long ago.
+    /// The whole list as this router last saw it, possibly long ago.
     CachedSnapshot,
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,32 +1,34 @@
-//! The routing decisions of quillpoint, a proxy before a PostgreSQL primary and its replicas.
+//! The routing decisions of quillpoint, a proxy in front of a PostgreSQL primary and its replicas.
 //!
-//! Make a [`Router`] with a [`host::Host`], a seed, the settings and the time. Call its one method for each event, in
-//! the order in which events happen: an RPC arrived, an attempt ended, a health check ended, the endpoint list changed,
-//! the timer fired. It acts by calling the host. The host asks [`Router::permits_attempt`] right before an attempt's
-//! first byte, and [`Router::permits_response`] before it gives an ok to a client. The router does no I/O, reads no
-//! clock and starts no thread; the same seed and the same events give the same calls.
+//! Create a [`Router`] with a [`host::Host`], a seed, the settings and the current time. Call one of its
+//! methods for each event, in the order in which the events happen: an RPC arrived, an attempt ended, a
+//! health check ended, the endpoint list changed, the timer fired. The router acts by calling the host. The
+//! host asks [`Router::permits_attempt`] right before it writes an attempt's first byte, and
+//! [`Router::permits_response`] before it passes a successful response to a client. The router does no I/O,
+//! reads no clock and starts no thread; the same seed and the same events produce the same calls.
 //!
-//! Start reading in `router.rs`: it holds the root type, which hands each event on and owns the order in which the
-//! rules act. Each other module owns one concern with its state, its constants and its rules:
+//! Start reading in `router.rs`: it holds the root type, which passes each event to the modules concerned and
+//! defines the order in which they act. Every other module owns one concern with its state, constants and
+//! rules:
 //!
 //! | module | decides |
 //! | --- | --- |
-//! | `admission` | which request is admitted or shed |
-//! | `dispatch`, `wait_queue` | in what order the queued requests are served |
-//! | `attempt_check` | the five rules that every attempt passes when it is ordered and before its first byte |
-//! | `balancing`, `primary`, `zone_latency` | which node a request goes to; the primary's quota and the search for it |
-//! | `concurrency_limit`, `load_reports` | how much may be in flight to a node |
-//! | `slow_start` | what a node that has just started may be sent |
-//! | `outlier_detection`, `health_checks`, `connection_shortage` | which nodes are ejected, checked and heard again |
-//! | `retry_policy` | a further attempt or the final answer, and until when either is of use |
-//! | `freshness`, `session_tokens` | which node is fresh enough for a read |
-//! | `endpoints` | the endpoint list: nodes added, draining, removed; polling it |
-//! | `maintenance` | the periodic work and the one timer |
+//! | `admission` | which requests are admitted and which are shed |
+//! | `dispatch`, `wait_queue` | the order in which queued requests are sent |
+//! | `attempt_check` | the five rules that an attempt must pass at its start and before its first byte |
+//! | `balancing`, `primary`, `zone_latency` | a request's node; the primary's read quota; the search for it |
+//! | `concurrency_limit`, `load_reports` | how many attempts may be in flight to a node |
+//! | `slow_start` | how much work a recently started node may be sent |
+//! | `outlier_detection`, `health_checks`, `connection_shortage` | which nodes to eject, check and readmit |
+//! | `retry_policy` | another attempt or the final response, and how long a response is useful |
+//! | `freshness`, `session_tokens` | which nodes are fresh enough for a read |
+//! | `endpoints` | the endpoint list: added, draining and removed nodes; when the list is polled |
+//! | `maintenance` | the periodic work and the single timer |
 //!
-//! What they share is in `config` (the settings), `method`, `node_state`, `replica_set`, `pending_request`,
-//! `attempt_evidence` and `moving_average`.
+//! Shared by these modules are `config` (the settings), `method`, `node_state`, `replica_set`,
+//! `pending_request`, `attempt_evidence` and `moving_average`.
 //!
-//! Why each rule exists is in docs/design.md; the terms are in docs/glossary.md.
+//! docs/design.md gives the reason for each rule, docs/glossary.md defines the terms.
 
 #![warn(missing_docs)]
 
--- a/src/load_reports.rs
+++ b/src/load_reports.rs
@@ -1,7 +1,8 @@
-//! Load reports: what nodes say of themselves, and how long that counts.
+//! Load reports: what nodes report about themselves, and how long a report is valid.
 //!
-//! Where reports come with answers, one counts until the next. Where they come with health checks alone, one counts for
-//! half the tightest staleness bound; past a load of the whole fleet nodes are then checked before they are sent to.
+//! A report that comes with a response is valid until the next one. Where reports come only with health
+//! checks, a report is valid for half the tightest staleness bound, and while the load of the whole fleet is
+//! high, a node is checked before requests are sent to it.
 
 use std::time::Duration;
 
@@ -10,28 +11,32 @@
 use crate::node_state::NodeState;
 use crate::router::Router;
 
-/// Stands for the load of a node that says that requests are queued there, or that rejected an attempt.
+/// The requests in flight of a node without free capacity: one that reports queued requests, or that rejected
+/// an attempt.
 const NO_CAPACITY: Option<f64> = Some(f64::INFINITY);
-/// From this many queued requests a node that does not report what is in flight has no capacity.
+/// A node that does not report its requests in flight has no free capacity if it reports at least this many
+/// queued requests.
 const QUEUED: f64 = 0.5;
-/// The most that one report adds to the fleet's root utilization: a malformed one would otherwise count for ever.
+/// Upper bound of what one report contributes to the fleet's root utilization. Without it, the mean would
+/// never recover from an invalid report.
 const MAX_REPORTED_ROOT_UTILIZATION: f64 = 3.0;
-/// Past this root utilization of the fleet (a quarter of the limits in flight), nodes are checked before they are sent
-/// to.
+/// If the fleet's root utilization is above this (a quarter of the limits in flight), nodes are checked
+/// before requests are sent to them.
 const CHECK_FIRST_ROOT_UTILIZATION: f64 = 0.5;
 
-/// A load report and when it came.
+/// A load report and when it was received.
 #[derive(Clone, Copy)]
 pub(crate) struct DatedLoadReport {
     pub received: Duration,
     pub report: LoadReport,
 }
 
-/// The load that the nodes of all replica sets report, if health checks tell what they have in flight.
+/// The load that the nodes of all replica sets report. It is known only if health checks report the requests
+/// in flight.
 #[derive(Default)]
 pub(crate) struct FleetLoad {
-    /// Mean of the square roots of in flight / limit, so that a few nodes do not stand for all; 0 where nothing is
-    /// reported.
+    /// Mean of the square roots of in flight / limit. The square root keeps a few nodes from dominating the
+    /// mean. 0 if nothing is reported.
     root_utilization: f64,
 }
 
@@ -40,17 +45,17 @@
         self.root_utilization
     }
 
-    /// Whether nodes report what they have in flight.
+    /// Whether nodes report their requests in flight.
     pub fn is_reported(&self) -> bool {
         self.root_utilization > 0.0
     }
 
-    /// Whether nodes have to be checked before they are sent to.
+    /// Whether nodes have to be checked before requests are sent to them.
     fn is_high(&self) -> bool {
         self.root_utilization > CHECK_FIRST_ROOT_UTILIZATION
     }
 
-    /// Takes in one node's report of what it has in flight, against its limit for all routers.
+    /// Adds one node's reported requests in flight, relative to its limit for all routers.
     fn record(&mut self, in_flight: f64, limit: f64) {
         let root_utilization = (in_flight.max(0.0) / limit).sqrt().min(MAX_REPORTED_ROOT_UTILIZATION);
         add_sample(&mut self.root_utilization, root_utilization);
@@ -58,7 +63,7 @@
 }
 
 impl<H: Host> Router<H> {
-    /// What the node last said of itself, while that is current.
+    /// The node's last report, if it is still valid.
     pub(crate) fn current_report(&self, now: Duration, node: &NodeState) -> Option<LoadReport> {
         let dated = node.load?;
         let is_current = !self.config.reports_by_health_checks_only
@@ -66,31 +71,34 @@
         is_current.then_some(dated.report)
     }
 
-    /// This router's part of what the node says it has in flight; only where no answer time tells of it.
+    /// This router's share of the node's reported requests in flight. Used only where reports come with
+    /// health checks alone; elsewhere the response times show the load.
     pub(crate) fn reported_in_flight(&self, now: Duration, node: &NodeState) -> Option<f64> {
         let report = self.current_report(now, node)?;
         let in_flight = report.in_flight.filter(|_| self.config.reports_by_health_checks_only)?;
         Some(in_flight / self.config.routers)
     }
 
-    /// Whether the node has to be checked before it is sent to: only health checks tell its load, that of the fleet or
-    /// its own is high, and its last report is no longer current.
+    /// Whether the node has to be checked before a request is sent to it: its load is known only from health
+    /// checks, the fleet's load is high or the node has no free capacity, and its last report is no longer
+    /// valid.
     pub(crate) fn must_check_first(&self, now: Duration, node: &NodeState) -> bool {
         let has_no_capacity = node.load.is_some_and(|load| load.report.in_flight == NO_CAPACITY);
         let load_is_high = has_no_capacity || self.fleet_load.is_high();
         self.config.reports_by_health_checks_only && load_is_high && self.current_report(now, node).is_none()
     }
 
-    /// The node has rejected an attempt: it has no capacity until a report says otherwise.
-    pub(crate) fn note_no_capacity(&mut self, now: Duration, node: NodeId) {
+    /// Marks a node that has rejected an attempt: it has no capacity until a report says otherwise.
+    pub(crate) fn record_no_capacity(&mut self, now: Duration, node: NodeId) {
         let Some(state) = self.nodes.get_mut(&node) else { return };
         let report = LoadReport { in_flight: NO_CAPACITY, ..LoadReport::default() };
         state.load = Some(DatedLoadReport { received: now, report });
     }
 
-    /// Keeps a report. Where a node does not say what is in flight, requests that are queued there say that it has no
-    /// capacity. Where health checks alone bring reports, what is in flight counts for the fleet.
-    pub(crate) fn note_load(&mut self, now: Duration, node: NodeId, report: &LoadReport) {
+    /// Stores a report. If it lacks the requests in flight, queued requests mean that the node has no free
+    /// capacity. Where reports come only with health checks, the requests in flight also count towards the
+    /// fleet's load.
+    pub(crate) fn record_load(&mut self, now: Duration, node: NodeId, report: &LoadReport) {
         let Some(state) = self.nodes.get_mut(&node) else { return };
         let is_queueing = report.queued.is_some_and(|queued| queued >= QUEUED);
         let in_flight = report.in_flight.or(if is_queueing { NO_CAPACITY } else { None });
@@ -102,8 +110,8 @@
         }
     }
 
-    /// Another router's report of how many requests are queued at a node.
-    pub(crate) fn note_peer_load(&mut self, now: Duration, node: NodeId, queued: f64) {
+    /// Stores another router's report of how many requests are queued at a node.
+    pub(crate) fn record_peer_load(&mut self, now: Duration, node: NodeId, queued: f64) {
         let Some(state) = self.nodes.get_mut(&node) else { return };
         let report = LoadReport { queued: Some(queued), ..LoadReport::default() };
         state.load = Some(DatedLoadReport { received: now, report });
--- a/src/node_state.rs
+++ b/src/node_state.rs
@@ -1,42 +1,44 @@
-//! What this router knows of one node: a struct for each concern, whose module owns its rules.
+//! This router's state of one node: one struct for each concern, whose module owns the rules.
 
 use std::time::Duration;
 
 use crate::concurrency_limit::ConcurrencyLimit;
-use crate::freshness::LogPosition;
+use crate::freshness::LogState;
 use crate::health_checks::HealthCheckState;
 use crate::host::{AttemptNumber, Endpoint, ReplicaSetId, RpcId, SessionKey, ZoneId};
 use crate::load_reports::DatedLoadReport;
 use crate::outlier_detection::Health;
 use crate::slow_start::SlowStart;
 
-/// What this router knows of a node.
+/// This router's state of one node.
 pub(crate) struct NodeState {
     pub replica_set: ReplicaSetId,
     pub zone: ZoneId,
-    /// The kind of machine: nodes of one kind are taken to be equally strong.
+    /// The type of machine. Nodes of the same type are assumed to have the same capacity.
     pub machine_type: usize,
-    /// No new attempt is sent. Set when the list says so, and on removal unless `only_listed_draining`. Attempts in
-    /// flight are not cancelled; `forget_removed_nodes` keeps the node until they have ended.
+    /// No new attempt is sent. Set if the node is listed as draining, and on removal unless
+    /// `only_listed_draining` is set. Attempts in flight are not cancelled; `forget_removed_nodes` keeps the
+    /// node until they have ended.
     pub draining: bool,
-    /// Off the endpoint list.
+    /// The node is no longer on the endpoint list.
     pub removed: bool,
-    /// Start of its present process, where that is known.
+    /// When the node's current process started, if known.
     pub started: Option<Duration>,
-    pub log: LogPosition,
+    pub log: LogState,
     pub in_flight: Vec<InFlightAttempt>,
     pub concurrency: ConcurrencyLimit,
     pub health: Health,
     pub health_check: HealthCheckState,
-    /// Connects refused since the last attempt or health check that ended otherwise.
+    /// Refused connects since the last attempt or health check that ended in another way.
     pub refused_connects: u32,
-    /// What it last said of its load.
+    /// The node's last load report.
     pub load: Option<DatedLoadReport>,
     pub slow_start: SlowStart,
 }
 
 impl NodeState {
-    /// A node as the endpoint list names it. `started` is the start that is assumed until one is told.
+    /// Creates the state of a node from its entry in the endpoint list. `started` is the start time to assume
+    /// until a real one is known.
     pub fn new(endpoint: &Endpoint, started: Option<Duration>, routers: f64) -> Self {
         Self {
             replica_set: endpoint.replica_set,
@@ -45,7 +47,7 @@
             draining: false,
             removed: false,
             started,
-            log: LogPosition::default(),
+            log: LogState::default(),
             in_flight: Vec::new(),
             concurrency: ConcurrencyLimit::new(routers),
             health: Health::default(),
@@ -56,27 +58,28 @@
         }
     }
 
-    /// Whether it may be sent to at all.
-    pub fn is_open(&self) -> bool {
+    /// Whether requests may be sent to the node at all.
+    pub fn is_routable(&self) -> bool {
         !(self.draining || self.health.ejected)
     }
 
-    /// Attempts that count against its limit: those that are in flight and not lost.
+    /// Attempts that count against the concurrency limit: those in flight that do not count as lost.
     pub fn in_flight_count(&self, now: Duration) -> f64 {
         self.in_flight.iter().filter(|attempt| !attempt.is_lost(now)).count() as f64
     }
 }
 
-/// An attempt that a node has not answered.
+/// An attempt that the node has not responded to yet.
 pub(crate) struct InFlightAttempt {
     pub rpc: RpcId,
     pub attempt: AttemptNumber,
     pub sent: Duration,
-    /// Seconds that its answer should take.
+    /// Expected response time in seconds.
     pub expected_s: f64,
-    /// From then on it counts as lost.
+    /// From then on the attempt counts as lost.
     pub lost_at: Duration,
-    /// The session that it writes for. Kept here, as its RPC may be over before its answer comes.
+    /// The session that the attempt writes for. It is kept here because the RPC may be finished before its
+    /// response arrives.
     pub writes_for: Option<SessionKey>,
     pub timeout: Duration,
 }
--- a/src/pending_request.rs
+++ b/src/pending_request.rs
@@ -1,4 +1,4 @@
-//! A request that has no final answer yet, and its attempts.
+//! A request without a final response, and its attempts.
 
 use std::time::Duration;
 
@@ -8,42 +8,43 @@
 pub(crate) struct Attempt {
     pub node: NodeId,
     pub sent: Duration,
-    /// None while it is in flight.
+    /// None while the attempt is in flight.
     pub outcome: Option<Outcome>,
-    /// None where nodes check reads themselves.
+    /// None if nodes check reads themselves.
     pub required: Option<RequiredPosition>,
-    /// The start of its node that was known when its slow-start budget was paid.
+    /// The start of the node that was known when the attempt was charged to the node's slow-start budget.
     pub node_started: Option<Duration>,
 }
 
 impl Attempt {
-    /// Whether a node may have run it.
+    /// Whether a node may have run the attempt.
     pub fn may_have_run(&self) -> bool {
         !self.outcome.is_some_and(Outcome::never_ran)
     }
 }
 
-/// What the answer of an attempt has to prove of the node's log position.
+/// What the response to an attempt has to prove about the node's log position.
 #[derive(Clone, Copy)]
 pub(crate) struct RequiredPosition {
-    /// The answer's own position must not fall short of it.
+    /// The position in the response must be at least this.
     pub position: Duration,
-    /// The node had proven as much before the send, so an answer without a position is good enough.
+    /// The node had proven this position before the attempt was sent, so a response without a position is
+    /// accepted.
     pub proven_before: bool,
 }
 
-/// A request that has no final answer yet.
+/// A request without a final response.
 pub(crate) struct PendingRequest {
     pub rpc: Rpc,
-    /// When its latency objective ends.
+    /// When the latency objective ends.
     pub objective_at: Duration,
-    /// When its client stops waiting.
+    /// When the client stops waiting.
     pub deadline: Duration,
     pub arrived: Duration,
-    /// The commit of the session's last write, where the client carries it.
+    /// The commit time of the session's last write, if the client sends it.
     pub session_token: Option<Duration>,
     pub attempts: Vec<Attempt>,
-    /// Whether it is in the wait queue of its replica set.
+    /// Whether the request is in the wait queue of its replica set.
     pub is_queued: bool,
 }
 
@@ -53,8 +54,8 @@
         self.attempts.iter().any(Attempt::may_have_run)
     }
 
-    /// The attempts that may have run, except the one of this number.
-    pub fn may_have_run_besides(&self, except: usize) -> impl Iterator<Item = &Attempt> {
+    /// The attempts that may have run, without the one with this number.
+    pub fn may_have_run_except(&self, except: usize) -> impl Iterator<Item = &Attempt> {
         let others = self.attempts.iter().enumerate().filter(move |(number, _)| *number != except);
         others.map(|(_, attempt)| attempt).filter(|attempt| attempt.may_have_run())
     }
@@ -64,8 +65,8 @@
         self.attempts.iter().any(|attempt| attempt.outcome.is_none())
     }
 
-    /// Whether an attempt is in flight, except the one of this number.
-    pub fn is_in_flight_besides(&self, except: usize) -> bool {
+    /// Whether an attempt other than the one with this number is in flight.
+    pub fn is_in_flight_except(&self, except: usize) -> bool {
         let mut attempts = self.attempts.iter().enumerate();
         attempts.any(|(number, attempt)| number != except && attempt.outcome.is_none())
     }
@@ -74,8 +75,8 @@
         self.attempts.iter().any(|attempt| attempt.node == node)
     }
 
-    /// How many of its attempts ended in this way.
-    pub fn ended_in(&self, outcome: Outcome) -> usize {
+    /// How many attempts ended with this outcome.
+    pub fn count_ended_with(&self, outcome: Outcome) -> usize {
         self.attempts.iter().filter(|attempt| attempt.outcome == Some(outcome)).count()
     }
 }
--- a/src/primary.rs
+++ b/src/primary.rs
@@ -1,4 +1,5 @@
-//! The primary of a replica set: who it is by the newest evidence, which reads may go to it, and the search for it.
+//! The primary of a replica set: which node it is according to the newest evidence, which reads may go to it,
+//! and the search for it.
 
 use std::time::Duration;
 
@@ -7,15 +8,17 @@
 use crate::node_state::NodeState;
 use crate::router::Router;
 
-/// Part of a replica set's reads that may go to its primary.
+/// The fraction of a replica set's reads that may go to its primary.
 const READ_QUOTA: f64 = 0.1;
-/// So many reads may be saved up: the quota is then one of the last thousand reads.
+/// At most this many reads are saved up, which is the quota of the last thousand reads.
 const MAX_SAVED_QUOTA: f64 = 100.0;
-/// Evidence older than this names no primary, and a proven primary is doubted by other routers' observations.
+/// Older evidence than this does not establish a primary. A proven primary whose evidence is older can be
+/// replaced by an observation of another router.
 const MAX_EVIDENCE_AGE: Duration = Duration::from_millis(1000);
-/// Reads leave room for writes: they get the primary's limit / this, where it reports what is in flight.
+/// Reads leave room for writes: they may use the primary's limit / this, if it reports its requests in
+/// flight.
 const READ_LIMIT_DIVISOR: f64 = 2.0;
-/// A write searches for the primary with its attempts / this, and then waits until one is named.
+/// A write uses at most its attempts / this to search for the primary, and then waits until one is known.
 const SEARCH_ATTEMPTS_DIVISOR: usize = 2;
 
 /// A role that a node has shown, and as of when.
@@ -25,18 +28,18 @@
     pub at: Duration,
 }
 
-/// The primary of a replica set.
+/// The node that is believed to be the primary.
 #[derive(Clone, Copy)]
 pub(crate) struct KnownPrimary {
     pub node: NodeId,
     /// Time of the newest evidence.
     pub evidence_at: Duration,
-    /// An answer has shown it, and not a report or the endpoint list alone.
+    /// A response has shown it, not only a load report, an observation or the endpoint list.
     pub proven: bool,
 }
 
 impl<H: Host> Router<H> {
-    /// Each read earns a part of a read at the primary, so that reads go there at a tenth at the most.
+    /// Each read earns a fraction of a read at the primary, so that at most a tenth of the reads go there.
     pub(crate) fn earn_primary_quota(&mut self, replica_set: ReplicaSetId, is_write: bool) {
         if let Some(replica_set) = self.replica_sets.get_mut(&replica_set) {
             let earned = if is_write { 0.0 } else { READ_QUOTA };
@@ -44,8 +47,8 @@
         }
     }
 
-    /// Takes one from the quota for a read at the primary. Fresh reads go there whatever is left, and count too, so the
-    /// quota may go below zero.
+    /// Takes one read from the quota. Fresh reads go to the primary even without quota, and are counted too,
+    /// so the quota can become negative.
     pub(crate) fn spend_primary_quota(&mut self, replica_set: ReplicaSetId, node: NodeId, is_write: bool) {
         let replica_set = self.replica_sets.entry(replica_set).or_default();
         if !is_write && replica_set.primary_node() == Some(node) {
@@ -53,8 +56,8 @@
         }
     }
 
-    /// The primary for a read that no replica may answer, if the quota has one read left. A primary that has to be
-    /// checked first joins the candidates as a node of unknown load.
+    /// The primary for a read that no replica can serve, if the quota allows one more read. A primary that
+    /// has to be checked first is added to the candidates as a node of unknown load.
     pub(crate) fn choose_primary_for_read(
         &self,
         now: Duration,
@@ -74,7 +77,8 @@
         (leaves_room_for_writes && self.may_send(now, id, primary)).then_some(primary)
     }
 
-    /// Writes and fresh reads: the primary, or the search for one.
+    /// Chooses the node for a write or a fresh read: the known primary, or the next node in the search for
+    /// it.
     pub(crate) fn choose_primary(&mut self, now: Duration, id: RpcId) -> RoutingChoice {
         let replica_set = &self.replica_sets[&self.pending[&id].rpc.replica_set];
         let Some(primary) = replica_set.primary_node() else { return self.search_primary(now, id) };
@@ -87,14 +91,15 @@
         RoutingChoice::Wait
     }
 
-    /// With no known primary a write tries the nodes in sorted order, one after each misrouted attempt, and after half
-    /// of its attempts waits until an answer or a health check names one. Nodes that have answered as replicas since
-    /// the primary was lost are passed over, so that one round serves all waiting writes.
+    /// While no primary is known, a write tries the nodes in sorted order, one after each misrouted attempt.
+    /// After half of its attempts it waits until a response or a health check shows the primary. Nodes that
+    /// have responded as replicas since the primary was lost are skipped, so that one round serves all
+    /// waiting writes.
     fn search_primary(&mut self, now: Duration, id: RpcId) -> RoutingChoice {
         let request = &self.pending[&id];
         let replica_set = &self.replica_sets[&request.rpc.replica_set];
         let lost_at = replica_set.primary_lost_at;
-        let misrouted = request.ended_in(Outcome::Misrouted);
+        let misrouted = request.count_ended_with(Outcome::Misrouted);
         let may_try = misrouted * SEARCH_ATTEMPTS_DIVISOR < self.config.max_attempts;
         let is_known_replica = |node: &NodeState| {
             node.log.role.is_some_and(|role| role.at >= lost_at && lost_at > Duration::ZERO)
@@ -113,20 +118,20 @@
         RoutingChoice::Wait
     }
 
-    /// Takes in the role that an answer showed. A primary's position dates its answer, or else the send does; a
-    /// replica's answer counts from when it came.
-    pub(crate) fn note_answered_role(&mut self, now: Duration, end: &AttemptEnd) {
+    /// Records the role shown by a response. Evidence of a primary is dated by the position in the response,
+    /// or otherwise by the time of the send; that of a replica by the arrival of the response.
+    pub(crate) fn record_response_role(&mut self, now: Duration, end: &AttemptEnd) {
         let Some(role) = end.role else { return };
         let at = match role {
             Role::Primary => end.position.unwrap_or(now.saturating_sub(end.took)),
             Role::Replica => now,
         };
-        self.note_role(now, end.node, RoleEvidence { role, at }, true);
+        self.record_role(now, end.node, RoleEvidence { role, at }, true);
     }
 
-    /// The newest evidence of a role wins; on a tie a replica's does, as the one that does no harm. `proven`: an answer
-    /// itself says so, and not a report.
-    pub(crate) fn note_role(&mut self, now: Duration, node: NodeId, evidence: RoleEvidence, proven: bool) {
+    /// The newest evidence of a role wins. On a tie evidence of a replica wins, because assuming a replica
+    /// does no harm. `proven` means that a response itself shows the role, and not only a report.
+    pub(crate) fn record_role(&mut self, now: Duration, node: NodeId, evidence: RoleEvidence, proven: bool) {
         let Some(state) = self.nodes.get_mut(&node) else { return };
         let RoleEvidence { role, at } = evidence;
         let is_older = |known: RoleEvidence| known.at > at || (known.at == at && known.role == Role::Replica);
@@ -146,36 +151,36 @@
             (Role::Primary, _) if at + MAX_EVIDENCE_AGE > now => {
                 replica_set.primary = Some(KnownPrimary { node, evidence_at: at, proven });
             }
-            (Role::Replica, Some(known)) if at >= known.evidence_at => self.lose_primary(now, id, node),
+            (Role::Replica, Some(known)) if at >= known.evidence_at => self.clear_primary(now, id, node),
             _ => {}
         }
     }
 
-    /// Another router has observed a primary. It fills one in only where none has been proven of late.
-    pub(crate) fn note_peer_primary(&mut self, now: Duration, node: NodeId, observed_at: Duration) {
+    /// Another router has observed a primary. It is used only if no primary has been proven recently.
+    pub(crate) fn record_peer_primary(&mut self, now: Duration, node: NodeId, observed_at: Duration) {
         let Some(replica_set) = self.nodes.get(&node).map(|state| state.replica_set) else { return };
         let known = self.replica_sets.get(&replica_set).and_then(|replica_set| replica_set.primary);
         let is_proven =
             |known: KnownPrimary| known.proven && known.evidence_at + MAX_EVIDENCE_AGE > observed_at;
         if !known.is_some_and(is_proven) {
-            self.note_role(now, node, RoleEvidence { role: Role::Primary, at: observed_at }, false);
+            self.record_role(now, node, RoleEvidence { role: Role::Primary, at: observed_at }, false);
         }
     }
 
-    /// The endpoint list names a primary. It is late: it fills one in only where the node has not answered since the
-    /// last primary was lost.
-    pub(crate) fn note_listed_primary(&mut self, endpoint: &Endpoint) {
+    /// The endpoint list names a primary. The list may be outdated, so the entry is used only if no primary
+    /// is known and the node has shown no role since the last primary was lost.
+    pub(crate) fn record_listed_primary(&mut self, endpoint: &Endpoint) {
         let node = endpoint.node;
         let Some(state) = self.nodes.get(&node) else { return };
         let Some(replica_set) = self.replica_sets.get_mut(&endpoint.replica_set) else { return };
-        let is_news = state.log.role.is_none_or(|role| role.at < replica_set.primary_lost_at);
-        if replica_set.primary.is_none() && is_news {
+        let has_no_newer_evidence = state.log.role.is_none_or(|role| role.at < replica_set.primary_lost_at);
+        if replica_set.primary.is_none() && has_no_newer_evidence {
             replica_set.primary = Some(KnownPrimary { node, evidence_at: Duration::ZERO, proven: false });
         }
     }
 
-    /// The node is the primary no longer, if it was.
-    pub(crate) fn lose_primary(&mut self, now: Duration, replica_set: ReplicaSetId, node: NodeId) {
+    /// Clears the replica set's primary if it is this node.
+    pub(crate) fn clear_primary(&mut self, now: Duration, replica_set: ReplicaSetId, node: NodeId) {
         let replica_set = self.replica_sets.entry(replica_set).or_default();
         if replica_set.primary_node() == Some(node) {
             replica_set.primary = None;
--- a/src/replica_set.rs
+++ b/src/replica_set.rs
@@ -1,4 +1,4 @@
-//! What this router knows of one replica set: its nodes, its primary and the requests that wait for it.
+//! This router's state of one replica set: its nodes, its primary and its queued requests.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -12,19 +12,19 @@
 pub(crate) struct ReplicaSet {
     pub nodes: BTreeSet<NodeId>,
     pub primary: Option<KnownPrimary>,
-    /// When the last primary was lost: nodes that have answered as replicas since then are left out of the search.
+    /// When the last primary was lost. The search for the new one skips nodes that have responded as replicas
+    /// since then.
     pub primary_lost_at: Duration,
-    /// Reads that may still go to the primary.
+    /// How many more reads may go to the primary.
     pub primary_quota: f64,
-    /// When a node was last looked for here on behalf of an RPC.
-    pub last_wanted: Duration,
-    /// The newest remembered commit that was dropped because all nodes had passed it.
-    pub passed_commit: Option<Duration>,
+    /// When an RPC last needed a node of this replica set.
+    pub last_lookup_at: Duration,
+    /// The newest session token that was dropped because all nodes had reached it.
+    pub newest_dropped_token: Option<Duration>,
     pub queue: WaitQueue,
 }
 
 impl ReplicaSet {
-    /// The node that is known as the primary.
     pub fn primary_node(&self) -> Option<NodeId> {
         self.primary.map(|primary| primary.node)
     }
--- a/src/session_tokens.rs
+++ b/src/session_tokens.rs
@@ -1,4 +1,5 @@
-//! Session tokens: the commits of the sessions that wrote through this router, where clients do not carry them.
+//! Session tokens: the commit times of sessions that wrote through this router. Used where clients do not
+//! carry tokens.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,10 +9,11 @@
 use crate::node_state::NodeState;
 use crate::router::Router;
 
-/// Past this many tokens none is kept: the newest stands in for all, so that memory has a bound.
+/// With more tokens than this all are dropped, and the newest stands for all of them, which bounds the
+/// memory.
 const MAX_TOKENS: usize = 10_000;
-/// Within this time after a node wrote an answer, the answer has come here or is lost.
-const MAX_ANSWER_DELAY: Duration = Duration::from_millis(100);
+/// A response that has not arrived this long after the node sent it is lost.
+const MAX_RESPONSE_DELAY: Duration = Duration::from_millis(100);
 
 /// A session within a replica set.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -24,21 +26,21 @@
 pub(crate) type SessionTokens = BTreeMap<SessionInSet, Duration>;
 
 impl<H: Host> Router<H> {
-    /// The position up to which the RPC's session has written through this router. A write whose answer stays away may
-    /// be committed and its answer lost.
+    /// The position up to which the RPC's session has written through this router. A write without a response
+    /// may have been committed and its response lost.
     pub(crate) fn remembered_commit(&self, now: Duration, rpc: &Rpc) -> Option<Duration> {
         let session = rpc.session.filter(|_| self.config.remembers_session_tokens)?;
         let replica_set = self.replica_sets.get(&rpc.replica_set)?;
         let mut in_flight = replica_set.nodes.iter().flat_map(|node| &self.nodes[node].in_flight);
         let may_be_lost = in_flight
-            .any(|attempt| attempt.writes_for == Some(session) && attempt.sent + MAX_ANSWER_DELAY <= now);
+            .any(|attempt| attempt.writes_for == Some(session) && attempt.sent + MAX_RESPONSE_DELAY <= now);
         let token = self.session_tokens.get(&SessionInSet { replica_set: rpc.replica_set, session }).copied();
-        let lost_commit = may_be_lost.then(|| now - MAX_ANSWER_DELAY);
-        token.or(replica_set.passed_commit).max(lost_commit)
+        let lost_commit = may_be_lost.then(|| now - MAX_RESPONSE_DELAY);
+        token.or(replica_set.newest_dropped_token).max(lost_commit)
     }
 
-    /// Remembers what a write committed, also if its client has left. A commit that no complete answer tells of is over
-    /// by the attempt's end.
+    /// Remembers the commit of a write, even if its client has disconnected. If no complete response shows
+    /// when the commit happened, it happened before the attempt ended.
     pub(crate) fn remember_commit(&mut self, now: Duration, end: &AttemptEnd, evidence: &AttemptEvidence) {
         let Some(node) = self.nodes.get(&end.node) else { return };
         let session = evidence.attempt.as_ref().and_then(|attempt| attempt.writes_for);
@@ -53,9 +55,9 @@
         }
     }
 
-    /// Periodic: drops the tokens that all nodes of their replica set have passed. Such a token excludes only a node
-    /// that comes back later, and the newest one dropped stands in for all.
-    pub(crate) fn drop_passed_tokens(&mut self) {
+    /// Periodic: drops the tokens that all nodes of their replica set have reached. Such a token could only
+    /// exclude a node that comes back later, and for that the newest dropped token stands for all of them.
+    pub(crate) fn drop_replicated_tokens(&mut self) {
         let nodes = &self.nodes;
         let replica_sets = &mut self.replica_sets;
         let has_capacity = self.session_tokens.len() <= MAX_TOKENS;
@@ -66,7 +68,7 @@
             let keep = has_capacity && nodes.values().any(is_behind);
             let replica_set = replica_sets.entry(key.replica_set).or_default();
             if !keep {
-                replica_set.passed_commit = replica_set.passed_commit.max(Some(*token));
+                replica_set.newest_dropped_token = replica_set.newest_dropped_token.max(Some(*token));
             }
             keep
         });
--- a/src/wait_queue.rs
+++ b/src/wait_queue.rs
@@ -1,4 +1,5 @@
-//! The wait queue of a replica set: requests that no node has capacity for, in one order for each method and stage.
+//! The wait queue of a replica set: requests for which no node has capacity, ordered separately for each
+//! method and stage.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -6,14 +7,14 @@
 use crate::host::{MethodId, RpcId};
 use crate::pending_request::PendingRequest;
 
-/// First attempts are served before retries, so that retries cannot feed an overload.
+/// First attempts are served before retries, so that retries cannot amplify an overload.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum AttemptStage {
     First,
     Retry,
 }
 
-/// What requests share whose entries stand in one order.
+/// The key of the requests that are ordered together.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct QueueKey {
     stage: AttemptStage,
@@ -27,7 +28,7 @@
     }
 }
 
-/// Ordered by `objective_at`: the latest, which is the newest of its method, is served first.
+/// Ordered by `objective_at`: the latest, which is the newest request of its method, is served first.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct QueueEntry {
     pub objective_at: Duration,
@@ -47,7 +48,7 @@
     pub entry: QueueEntry,
 }
 
-/// The requests that wait in one replica set.
+/// The queued requests of one replica set.
 #[derive(Default)]
 pub(crate) struct WaitQueue {
     entries_by_key: BTreeMap<QueueKey, BTreeSet<QueueEntry>>,
@@ -58,7 +59,7 @@
         self.entries_by_key.entry(QueueKey::of(request)).or_default().insert(QueueEntry::of(request));
     }
 
-    /// Takes the request out. Its attempts must be the same as when it was inserted.
+    /// Removes the request. Its attempts must be the same as when it was inserted.
     pub fn remove(&mut self, request: &PendingRequest) {
         if let Some(entries) = self.entries_by_key.get_mut(&QueueKey::of(request)) {
             entries.remove(&QueueEntry::of(request));
