--- a/tests/decisions/health_checks.rs
+++ b/tests/decisions/health_checks.rs
@@ -1,49 +1,49 @@
-//! When nodes are checked, and what that shows.
+//! When nodes are checked, and what the results change.
 
 use quillpoint::host::*;
 
 use crate::simulation::{Simulation, ms, node};
-use crate::support::{LONG, checked, sent};
+use crate::support::{LONG_DEADLINE, checked_simulation, serve_rpcs};
 
 #[test]
-fn a_failed_health_check_ejects_a_replica_until_one_is_answered() {
-    let mut simulation = checked(3, 0, &[]);
+fn failed_health_check_ejects_a_replica_until_one_succeeds() {
+    let mut simulation = checked_simulation(3, 0, &[]);
     simulation.advance(ms(400));
     simulation.arrive(0, ms(1), None);
-    simulation.end_health_checks(|at| at != node(2));
-    assert!(!sent(&mut simulation, 1, None, 40).contains(&node(2)));
+    simulation.end_health_checks(|target| target != node(2));
+    assert!(!serve_rpcs(&mut simulation, 1, None, 40).contains(&node(2)));
     simulation.advance(ms(300));
     simulation.end_health_checks(|_| true);
-    assert!(sent(&mut simulation, 1, None, 40).contains(&node(2)));
+    assert!(serve_rpcs(&mut simulation, 1, None, 40).contains(&node(2)));
 }
 
 #[test]
-fn a_primary_is_lost_only_to_the_third_health_check_in_a_row_that_fails_at_once() {
-    let mut simulation = checked(3, 0, &[]);
+fn primary_is_dropped_only_after_the_third_immediate_health_check_failure_in_a_row() {
+    let mut simulation = checked_simulation(3, 0, &[]);
     simulation.advance(ms(20));
-    let write = simulation.arrive(4, LONG, None);
+    let write = simulation.arrive(4, LONG_DEADLINE, None);
     simulation.end_attempt(write, Outcome::ConnectFailed);
     for round in 0..3 {
-        assert_eq!(simulation.sent_to(write), [node(1)], "round {round}: no search for another yet");
+        assert_eq!(simulation.sent_to(write), [node(1)], "round {round}: no search for another primary yet");
         assert_eq!(
             std::mem::take(&mut simulation.record_mut().health_checks),
             [node(1)],
-            "checked again at once"
+            "checked again immediately"
         );
         let now = simulation.now();
         simulation.router.health_check_ended(now, node(1), Outcome::ConnectFailed, None);
     }
-    assert_eq!(simulation.sent_to(write), [node(1), node(2)], "and now the search");
+    assert_eq!(simulation.sent_to(write), [node(1), node(2)], "the search begins after the third failure");
 }
 
 #[test]
-fn a_quiet_router_checks_nodes_for_its_reads_and_no_more() {
-    // With many routers most entries age unread: none is checked for its age alone, but one after the other for a
-    // read, until one lets it go.
-    let mut simulation = checked(6, 0, &[]);
+fn router_with_little_traffic_checks_nodes_only_for_its_reads() {
+    // With many routers, most of what is known about nodes becomes outdated without being used. No node is
+    // checked for its age alone; for a read, one node after the other is checked until the read can be sent.
+    let mut simulation = checked_simulation(6, 0, &[]);
     simulation.advance(ms(3000));
     assert!(simulation.record().health_checks.is_empty());
-    let id = simulation.arrive(0, LONG, None);
+    let id = simulation.arrive(0, LONG_DEADLINE, None);
     let mut checked_nodes = simulation.record().health_checks.clone();
     simulation.end_health_checks(|_| true);
     checked_nodes.extend(simulation.record().health_checks.clone());
@@ -60,14 +60,15 @@
 }
 
 #[test]
-fn a_health_check_that_lets_a_read_go_is_not_taken_from_what_rpcs_earned() {
-    // Where traffic is thin each bounded read needs a health check; at its price each is well spent.
-    let mut simulation = checked(6, 0, &[("prices.health_check", Value::Number(0.1))]);
+fn health_check_that_allows_a_read_is_not_charged_to_the_budget() {
+    // With little traffic each bounded read needs a health check, and a check that allows a read to be sent
+    // is worth its cost.
+    let mut simulation = checked_simulation(6, 0, &[("prices.health_check", Value::Number(0.1))]);
     let mut served = 0;
     for _ in 0..200 {
         simulation.advance(ms(400));
         (2..=6).for_each(|number| simulation.set_position(number, simulation.now()));
-        let id = simulation.arrive(0, LONG, None);
+        let id = simulation.arrive(0, LONG_DEADLINE, None);
         simulation.end_health_checks(|_| true);
         for _ in simulation.sent_to(id) {
             simulation.end_attempt(id, Outcome::Ok);
@@ -78,8 +79,8 @@
 }
 
 #[test]
-fn health_checks_cost_no_more_than_rpcs_have_earned() {
-    let mut simulation = checked(6, 0, &[("prices.health_check", Value::Number(0.1))]);
+fn health_checks_stay_within_the_budget_earned_by_rpcs() {
+    let mut simulation = checked_simulation(6, 0, &[("prices.health_check", Value::Number(0.1))]);
     let mut checks = 0;
     for _ in 0..200 {
         simulation.arrive(0, ms(1), None);
@@ -87,21 +88,27 @@
         checks += simulation.record().health_checks.len();
         simulation.end_health_checks(|_| false);
     }
-    assert!((12..=20).contains(&checks), "0.06 of 200, and what was saved up: {checks}");
+    assert!((12..=20).contains(&checks), "0.06 checks per RPC for 200 RPCs, plus the saved budget: {checks}");
 }
 
 #[test]
-fn a_fleet_that_starts_checks_each_node_a_few_times_and_not_once_for_each_router() {
-    let change = [("routers", Value::Number(300.0)), ("prices.health_check", Value::Number(0.08))];
-    let mut simulations: Vec<Simulation> = (0..300).map(|seed| Simulation::new(20, seed, &change)).collect();
+fn starting_fleet_checks_each_node_a_few_times_not_once_per_router() {
+    let overrides = [("routers", Value::Number(300.0)), ("prices.health_check", Value::Number(0.08))];
+    let mut simulations: Vec<Simulation> =
+        (0..300).map(|seed| Simulation::new(20, seed, &overrides)).collect();
     let count = |simulations: &[Simulation]| {
         simulations.iter().map(|simulation| simulation.record().health_checks.len()).sum::<usize>()
     };
     for simulation in &mut simulations {
-        simulation.arrive(0, LONG, None);
+        simulation.arrive(0, LONG_DEADLINE, None);
     }
-    assert_eq!(count(&simulations), 300, "one each, though nobody has been heard: 15 a node");
-    // Nobody answers: what each may have saved up is little, as 300 times it is paid for.
+    assert_eq!(
+        count(&simulations),
+        300,
+        "one check per router although no node has responded yet: 15 per node"
+    );
+    // No node responds. What each router may have saved up must be small, because a fleet pays for it 300
+    // times.
     let mut all = 0;
     for _ in 0..100 {
         all += count(&simulations);
@@ -112,9 +119,9 @@
 }
 
 #[test]
-fn a_health_check_answered_with_an_error_shows_that_the_node_is_up() {
-    let mut simulation = checked(2, 0, &[]);
+fn health_check_with_an_error_response_shows_that_the_node_is_up() {
+    let mut simulation = checked_simulation(2, 0, &[]);
     simulation.router.health_check_ended(simulation.now(), node(1), Outcome::Error, None);
-    let write = simulation.arrive(4, LONG, None);
+    let write = simulation.arrive(4, LONG_DEADLINE, None);
     assert_eq!(simulation.sent_to(write), [node(1)]);
 }
--- a/tests/decisions/main.rs
+++ b/tests/decisions/main.rs
@@ -1,5 +1,5 @@
-//! The decisions, by concern: what docs/design.md claims, and each failure that was found, as plain cases; in `rules`
-//! random runs.
+//! Tests of the decisions, one module for each concern. They cover the claims of docs/design.md and, as
+//! single cases, the failures found so far; `rules` makes random runs.
 
 mod admission;
 mod attempt_check;
--- a/tests/decisions/maintenance.rs
+++ b/tests/decisions/maintenance.rs
@@ -1,15 +1,15 @@
 //! The periodic work and its timer.
 
 use crate::simulation::{Simulation, ms};
-use crate::support::checked;
+use crate::support::checked_simulation;
 
 #[test]
-fn with_many_nodes_and_nothing_pending_the_timer_fires_as_seldom_as_it_may() {
-    let simulation = checked(120, 0, &[]);
+fn timer_of_an_idle_router_with_many_nodes_fires_rarely() {
+    let simulation = checked_simulation(120, 0, &[]);
     let next = |simulation: &Simulation| *simulation.record().timers.iter().min().unwrap() - simulation.now();
     assert!(
         next(&simulation) <= ms(38),
-        "a read is pending, and what it waits for may come without an event"
+        "a pending read needs periodic dispatch, as capacity may return without an event"
     );
     let mut simulation = Simulation::new(120, 1, &[]);
     let mut fired = 0;
@@ -18,5 +18,8 @@
         simulation.advance(span);
         fired += 1;
     }
-    assert!(fired <= 10, "120 nodes, 120 ms: {fired} times in a second");
+    assert!(
+        fired <= 10,
+        "one round per 120 ms with 120 nodes, but the timer fired {fired} times in a second"
+    );
 }
--- a/tests/decisions/rules.rs
+++ b/tests/decisions/rules.rs
@@ -1,4 +1,4 @@
-//! Random runs under every kind of setting; the invariant checker checks the five rules at each step.
+//! Random runs under every kind of settings. The invariant checker verifies the five rules at each step.
 
 use quickcheck::{Gen, QuickCheck};
 use quillpoint::host::*;
@@ -9,14 +9,15 @@
     (name, Value::Text(text.into()))
 }
 
-/// What each kind of deployment sets, beside the settings that all share.
+/// What each kind of deployment sets in addition to the common settings.
 fn variants() -> Vec<Vec<(&'static str, Value)>> {
     let keyed = |scope: &str| {
-        let mut change =
+        let mut overrides =
             vec![text("methods.4.idempotency", "keyed"), text("methods.4.idempotency_scope", scope)];
-        change.extend([text("methods.0.idempotency", "keyed"), text("methods.0.idempotency_scope", scope)]);
-        change.push(("methods.4.idempotency_window", Value::Duration(ms(60))));
-        change
+        overrides
+            .extend([text("methods.0.idempotency", "keyed"), text("methods.0.idempotency_scope", scope)]);
+        overrides.push(("methods.4.idempotency_window", Value::Duration(ms(60))));
+        overrides
     };
     vec![
         vec![],
@@ -54,10 +55,10 @@
 }
 
 #[test]
-fn the_five_rules_hold_in_random_runs() {
-    // A fixed seed: the same runs every time.
+fn random_runs_keep_the_five_rules() {
+    // A fixed seed produces the same runs every time.
     let fixed = Gen::from_size_and_seed(64, 20_260);
-    // Each kind of setting, whatever the draws below leave out.
+    // Covers every kind of settings, whichever of them the random runs below omit.
     assert!((0..30).all(|seed| run(seed, false, seed as u8)));
     QuickCheck::new().rng(fixed).tests(120).quickcheck(run as fn(u64, bool, u8) -> bool);
 }
--- a/tests/decisions/simulation/mod.rs
+++ b/tests/decisions/simulation/mod.rs
@@ -1,4 +1,5 @@
-//! One router among simulated nodes, with virtual time. The invariant checker sees each call that it makes.
+//! One router with simulated nodes and virtual time. The invariant checker sees every call that the router
+//! makes.
 
 mod checker;
 mod random_run;
@@ -10,7 +11,7 @@
 use quillpoint::Router;
 use quillpoint::host::*;
 
-pub use checker::FinalAnswer;
+pub use checker::ClientOutcome;
 use checker::{InvariantChecker, NodeRecord, Record, RequestRecord};
 
 pub fn ms(ms: u64) -> Duration {
@@ -21,45 +22,45 @@
     NodeId(format!("10.0.0.{number}:7000").parse().unwrap())
 }
 
-/// How long answers take, by the zone of their node.
+/// Response times, by the zone of the node.
 #[derive(Clone, Copy)]
-pub struct AnswerTimes {
+pub struct ResponseTimes {
     pub even_nodes: Duration,
     pub odd_nodes: Duration,
 }
 
-impl AnswerTimes {
+impl ResponseTimes {
     pub fn all(time: Duration) -> Self {
         Self { even_nodes: time, odd_nodes: time }
     }
 }
 
-/// Methods: 0 bounded by 300 ms, 1 any, 2 session, 3 fresh, 4 write.
+/// One router and its nodes. Methods: 0 is bounded by 300 ms, 1 any, 2 session, 3 fresh, 4 write.
 pub struct Simulation {
     checker: InvariantChecker,
     pub router: Router<InvariantChecker>,
     pub primary: NodeId,
-    pub answer_times: AnswerTimes,
-    /// Requests queued at each node, as answers and health checks report it.
+    pub response_times: ResponseTimes,
+    /// Requests queued at each node, as reported with responses and health checks.
     pub queued: Option<f64>,
-    /// Requests in flight at each node, as health checks report it.
+    /// Requests in flight at each node, as reported with health checks.
     pub in_flight: Option<f64>,
-    /// The replica set that RPCs are for.
+    /// The replica set of the RPCs that arrive.
     pub replica_set: ReplicaSetId,
-    next: u64,
+    next_id: u64,
 }
 
-pub fn settings(change: &[(&str, Value)]) -> ValueMap {
+pub fn settings(overrides: &[(&str, Value)]) -> ValueMap {
     let mut values = BTreeMap::new();
     let mut put = |name: &str, value: Value| _ = values.insert(name.to_string(), value);
     let text = |text: &str| Value::Text(text.into());
-    for (place, consistency) in ["bounded", "any", "session", "fresh", "write"].into_iter().enumerate() {
-        let idempotency = if place == 4 { "non_idempotent" } else { "idempotent" };
-        put(&format!("replication.consistency.{place}"), text(consistency));
-        put(&format!("methods.{place}.idempotency"), text(idempotency));
-        put(&format!("replication.staleness_bound.{place}"), Value::Duration(ms(300)));
-        put(&format!("methods.{place}.latency_objective"), Value::Duration(ms(200)));
-        put(&format!("methods.{place}.idempotency_window"), Value::Duration(ms(400)));
+    for (index, consistency) in ["bounded", "any", "session", "fresh", "write"].into_iter().enumerate() {
+        let idempotency = if index == 4 { "non_idempotent" } else { "idempotent" };
+        put(&format!("replication.consistency.{index}"), text(consistency));
+        put(&format!("methods.{index}.idempotency"), text(idempotency));
+        put(&format!("replication.staleness_bound.{index}"), Value::Duration(ms(300)));
+        put(&format!("methods.{index}.latency_objective"), Value::Duration(ms(200)));
+        put(&format!("methods.{index}.idempotency_window"), Value::Duration(ms(400)));
     }
     put("replication.read_check", text("none"));
     let numbers = [
@@ -80,26 +81,26 @@
     put("tick", Value::Duration(ms(1)));
     let flags = ["allowed.health_checks", "allowed.cancel", "allowed.hedging"];
     flags.into_iter().for_each(|flag| put(flag, Value::Bool(true)));
-    change.iter().for_each(|(name, value)| put(name, value.clone()));
+    overrides.iter().for_each(|(name, value)| put(name, value.clone()));
     ValueMap(values)
 }
 
 impl Simulation {
-    /// Nodes 1 to `nodes` in one replica set; node 1 is the primary, and the first list says so.
-    pub fn new(nodes: usize, seed: u64, change: &[(&str, Value)]) -> Self {
+    /// Nodes 1 to `nodes` in one replica set. Node 1 is the primary, and the first endpoint list says so.
+    pub fn new(nodes: usize, seed: u64, overrides: &[(&str, Value)]) -> Self {
         let checker = InvariantChecker::default();
         checker.0.borrow_mut().now = ms(100_000);
-        checker.0.borrow_mut().values = settings(change);
-        let router = Router::new(checker.clone(), seed, settings(change), ms(100_000));
+        checker.0.borrow_mut().values = settings(overrides);
+        let router = Router::new(checker.clone(), seed, settings(overrides), ms(100_000));
         let mut simulation = Self {
             checker,
             router,
             primary: node(1),
-            answer_times: AnswerTimes::all(ms(10)),
+            response_times: ResponseTimes::all(ms(10)),
             queued: None,
             in_flight: None,
             replica_set: ReplicaSetId(0),
-            next: 0,
+            next_id: 0,
         };
         let list: Vec<Endpoint> =
             (1..=nodes).map(|number| simulation.endpoint(number, EndpointStatus::InService)).collect();
@@ -107,7 +108,7 @@
         simulation
     }
 
-    /// What the router was told and did.
+    /// What the router was notified of and what it did.
     pub fn record(&self) -> Ref<'_, Record> {
         self.checker.0.borrow()
     }
@@ -132,15 +133,15 @@
         for entry in list {
             let mut record = self.record_mut();
             let only_listed_draining = record.values.is_true("rules.only_listed_draining");
-            let was = record.endpoints.insert(entry.node, entry.clone());
+            let previous = record.endpoints.insert(entry.node, entry.clone());
             let new = NodeRecord {
                 was_primary: is_primary(entry.node),
                 position: now - ms(1),
                 ..NodeRecord::default()
             };
             let node = record.nodes.entry(entry.node).or_insert(new);
-            if was.is_some_and(|was| entry.started > was.started) {
-                node.start_told_at = now;
+            if previous.is_some_and(|previous| entry.started > previous.started) {
+                node.start_known_at = now;
             }
             let is_draining = match entry.status {
                 EndpointStatus::InService => false,
@@ -152,7 +153,7 @@
         self.router.endpoints_changed(now, update, list);
     }
 
-    /// Lets time go by; the timers fire on the way.
+    /// Advances the time and fires the timers that are due on the way.
     pub fn advance(&mut self, span: Duration) {
         let end = self.now() + span;
         loop {
@@ -164,15 +165,15 @@
             self.router.timer_fired(now);
         }
         self.record_mut().now = end;
-        for request in self.record().requests.values().filter(|request| request.answer.is_none()) {
+        for request in self.record().requests.values().filter(|request| request.client_outcome.is_none()) {
             let deadline = request.arrived + request.rpc.remaining;
-            assert!(end <= deadline + ms(2), "rule 1: no final answer in time");
+            assert!(end <= deadline + ms(2), "rule 1: no final response before the deadline");
         }
     }
 
     pub fn arrive(&mut self, method: usize, remaining: Duration, since_write: Option<Duration>) -> RpcId {
-        self.next += 1;
-        let (id, now) = (RpcId(self.next), self.now());
+        self.next_id += 1;
+        let (id, now) = (RpcId(self.next_id), self.now());
         let session = (method == 2 || method == 4).then_some(SessionKey(7));
         let (method, replica_set) = (MethodId(method), self.replica_set);
         let rpc =
@@ -189,87 +190,89 @@
         self.record().requests[&id].attempts.iter().map(|attempt| attempt.node).collect()
     }
 
-    pub fn answer(&self, id: RpcId) -> Option<FinalAnswer> {
-        self.record().requests[&id].answer
+    pub fn client_outcome(&self, id: RpcId) -> Option<ClientOutcome> {
+        self.record().requests[&id].client_outcome
     }
 
     pub fn retry_after(&self, id: RpcId) -> Duration {
         self.record().requests[&id].retry_after
     }
 
-    /// Ends the newest attempt in flight of the RPC.
+    /// Ends the newest attempt of the RPC that is in flight.
     pub fn end_attempt(&mut self, id: RpcId, outcome: Outcome) {
         let now = self.now();
-        let answered = outcome == Outcome::Ok;
+        let succeeded = outcome == Outcome::Ok;
         let outcome = self.outcome_for_client(id, outcome);
         let mut record = self.record_mut();
         let has_stamps = record.has_stamps();
         let request = record.requests.get_mut(&id).unwrap();
-        let place = request.newest_in_flight();
-        let attempt = &mut request.attempts[place];
+        let number = request.newest_in_flight();
+        let attempt = &mut request.attempts[number];
         attempt.outcome = Some(outcome);
         let node = attempt.node;
-        if outcome == Outcome::Ok && request.answer.is_none() {
-            request.answer = Some(FinalAnswer::Ok);
+        if outcome == Outcome::Ok && request.client_outcome.is_none() {
+            request.client_outcome = Some(ClientOutcome::Ok);
         }
-        let rpc_finished = request.answer.is_some();
-        let is_answer =
-            answered || matches!(outcome, Outcome::Misrouted | Outcome::Rejected | Outcome::Error);
+        let rpc_finished = request.client_outcome.is_some();
+        let has_response =
+            succeeded || matches!(outcome, Outcome::Misrouted | Outcome::Rejected | Outcome::Error);
         let role = if node == self.primary { Role::Primary } else { Role::Replica };
         let in_even_zone = record.endpoints[&node].zone.0 == 0;
-        let took = if in_even_zone { self.answer_times.even_nodes } else { self.answer_times.odd_nodes };
-        let known = record.nodes.get_mut(&node).unwrap();
+        let took = if in_even_zone { self.response_times.even_nodes } else { self.response_times.odd_nodes };
+        let node_record = record.nodes.get_mut(&node).unwrap();
         if outcome == Outcome::Ok {
-            known.oks.push(now);
+            node_record.successes.push(now);
         }
-        // What a primary has written it keeps, whatever it becomes.
-        known.position = if role == Role::Primary { now } else { known.position };
-        if is_answer {
-            known.answered_as_replica = role == Role::Replica;
+        // A primary keeps what it has written, whatever role it has later.
+        node_record.position = if role == Role::Primary { now } else { node_record.position };
+        if has_response {
+            node_record.responded_as_replica = role == Role::Replica;
         }
-        let position = (is_answer && has_stamps).then_some(known.position);
-        known.told_position = known.told_position.max(position.unwrap_or_default());
-        // A write counts once its ok is here, also where its client has been answered or has disconnected.
+        let position = (has_response && has_stamps).then_some(node_record.position);
+        node_record.reported_position = node_record.reported_position.max(position.unwrap_or_default());
+        // A write counts when its success has arrived here, even if its client already has a response or has
+        // disconnected.
         if outcome == Outcome::Ok && record.requests[&id].rpc.method.0 == 4 {
             record.commit = record.commit.max(position);
         }
         drop(record);
-        let role = is_answer.then_some(role);
-        let attempt = AttemptNumber(place as u32);
+        let role = has_response.then_some(role);
+        let attempt = AttemptNumber(number as u32);
         let report = self.queued.map(|queued| LoadReport { queued: Some(queued), ..LoadReport::default() });
         let end = AttemptEnd { rpc: id, attempt, node, outcome, rpc_finished, took, role, position, report };
         self.router.attempt_ended(now, end);
     }
 
-    /// The client no longer waits; its attempts run on.
+    /// The client disconnects. Its attempts continue.
     pub fn disconnect(&mut self, id: RpcId) {
-        self.record_mut().requests.get_mut(&id).unwrap().answer = Some(FinalAnswer::Disconnected);
+        self.record_mut().requests.get_mut(&id).unwrap().client_outcome = Some(ClientOutcome::Disconnected);
         self.router.client_disconnected(id);
     }
 
-    /// What a host makes of an ok: the router may know that it is not proven to be fresh. What passes must be.
+    /// How a host treats a successful response: it is invalid if the router cannot prove that it is fresh.
+    /// One that passes must be fresh.
     fn outcome_for_client(&self, id: RpcId, outcome: Outcome) -> Outcome {
         let record = self.record();
         let request = &record.requests[&id];
-        let place = request.newest_in_flight();
-        let attempt = &request.attempts[place];
-        if outcome != Outcome::Ok || request.answer.is_some() {
+        let number = request.newest_in_flight();
+        let attempt = &request.attempts[number];
+        if outcome != Outcome::Ok || request.client_outcome.is_some() {
             return outcome;
         }
         let position =
             if attempt.node == self.primary { record.now } else { record.nodes[&attempt.node].position };
-        let told = record.has_stamps().then_some(position);
-        if !self.router.permits_response(record.now, id, AttemptNumber(place as u32), told) {
+        let reported = record.has_stamps().then_some(position);
+        if !self.router.permits_response(record.now, id, AttemptNumber(number as u32), reported) {
             return Outcome::Malformed;
         }
         assert!(
             attempt.required.is_none_or(|required| position >= required),
-            "rule 5: a stale answer passed"
+            "rule 5: a stale response passed"
         );
         outcome
     }
 
-    /// Another router has observed a node.
+    /// Reports another router's observation of a node to the router.
     pub fn peer_observes(&mut self, observation: PeerObservation) {
         let mut record = self.record_mut();
         let node = record.nodes.get_mut(&observation.node).unwrap();
@@ -278,7 +281,7 @@
         self.router.peer_observed(self.now(), observation);
     }
 
-    /// Another router's observation of a node's position, made now.
+    /// Another router's observation, made now, of a node's position.
     pub fn observation(&self, number: usize, position: Duration) -> PeerObservation {
         PeerObservation {
             node: node(number),
@@ -291,17 +294,17 @@
         }
     }
 
-    /// Ends all health checks that are in flight; a node is up if `is_up` says so.
+    /// Ends all health checks in flight. Nodes for which `is_up` is false do not respond.
     pub fn end_health_checks(&mut self, is_up: impl Fn(NodeId) -> bool) {
         let checks = std::mem::take(&mut self.record_mut().health_checks);
         for node in checks {
             let (now, primary) = (self.now(), node == self.primary);
             let report = is_up(node).then(|| {
                 let mut record = self.record_mut();
-                let known = record.nodes.get_mut(&node).unwrap();
-                let position = if primary { now } else { known.position };
-                known.position = position;
-                known.told_position = known.told_position.max(position);
+                let node_record = record.nodes.get_mut(&node).unwrap();
+                let position = if primary { now } else { node_record.position };
+                node_record.position = position;
+                node_record.reported_position = node_record.reported_position.max(position);
                 let (position, primary) = (Some(position), Some(primary));
                 LoadReport { position, primary, in_flight: self.in_flight, queued: self.queued }
             });
--- a/tests/decisions/simulation/random_run.rs
+++ b/tests/decisions/simulation/random_run.rs
@@ -9,8 +9,8 @@
 use super::{Simulation, ms, node};
 
 impl Simulation {
-    /// Any observation of another router, true or not.
-    fn observe_anything(&mut self, number: usize, rng: &mut ChaCha8Rng) {
+    /// Reports a random observation of another router, which may be wrong.
+    fn observe_at_random(&mut self, number: usize, rng: &mut ChaCha8Rng) {
         let now = self.now();
         let true_position = self.record().nodes[&node(number)].position;
         let position = if rng.random_bool(0.5) { true_position } else { now - ms(rng.random_range(0..600)) };
@@ -23,13 +23,13 @@
             3 => observation.started = Some(observation.at),
             _ => {}
         }
-        // A start that another router observed counts as one that the list told.
+        // A start that another router observed counts like one from the endpoint list.
         if let Some(started) = observation.started {
             let mut record = self.record_mut();
             let entry = record.endpoints.get_mut(&node(number)).unwrap();
             if Some(started) > entry.started {
                 entry.started = Some(started);
-                record.nodes.get_mut(&node(number)).unwrap().start_told_at = now;
+                record.nodes.get_mut(&node(number)).unwrap().start_known_at = now;
             }
         }
         self.peer_observes(observation);
@@ -45,7 +45,7 @@
         in_flight
     }
 
-    /// A random run of so many steps; the checker checks every step.
+    /// Runs this many random steps. The checker verifies the rules at each of them.
     pub fn run(&mut self, seed: u64, steps: usize) {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let count = self.record().nodes.len();
@@ -54,7 +54,7 @@
             let some = rng.random_range(1..=count);
             let in_flight = self.attempts_in_flight();
             if self.record().values.is_true("test.observations") && rng.random_bool(0.3) {
-                self.observe_anything(some, &mut rng);
+                self.observe_at_random(some, &mut rng);
             }
             if self.record().values.is_true("test.load_reports") {
                 self.in_flight = Some(f64::from(rng.random_range(0..12u8)));
@@ -67,14 +67,14 @@
                 85..87 => {
                     self.primary = node(some);
                     let mut record = self.record_mut();
-                    let known = record.nodes.get_mut(&node(some)).unwrap();
-                    (known.was_primary, known.position) = (true, now);
+                    let node_record = record.nodes.get_mut(&node(some)).unwrap();
+                    (node_record.was_primary, node_record.position) = (true, now);
                 }
                 87..89 => self.random_endpoint_change(some, &mut rng),
                 89 => self.router.endpoint_poll_failed(now),
                 90 if !in_flight.is_empty() => {
                     let (id, _) = in_flight[rng.random_range(0..in_flight.len())];
-                    if self.answer(id).is_none() {
+                    if self.client_outcome(id).is_none() {
                         self.disconnect(id);
                     }
                 }
--- a/tests/decisions/slow_start.rs
+++ b/tests/decisions/slow_start.rs
@@ -1,31 +1,32 @@
-//! What a node that has just started is sent.
+//! What a recently started node is sent.
 
 use quillpoint::host::*;
 
 use crate::simulation::{Simulation, ms, node};
-use crate::support::LONG;
+use crate::support::LONG_DEADLINE;
 
 #[test]
-fn many_routers_together_overload_no_warming_node() {
-    // Evenly loaded, each with an RPC every 200 ms.
-    routers_together(100, &[2], 300);
+fn evenly_loaded_routers_do_not_overload_a_warming_node() {
+    // Evenly loaded: each router gets an RPC every 200 ms.
+    check_fleet_load_on_restarted_node(100, &[2], 300);
 }
 
 #[test]
-fn unevenly_loaded_routers_together_overload_no_warming_node() {
-    // Some have an RPC every 100 ms, others every 400 ms, 1.6 s or 6.4 s.
+fn unevenly_loaded_routers_do_not_overload_a_warming_node() {
+    // Some routers get an RPC every 100 ms, others every 400 ms, 1.6 s or 6.4 s.
     for routers in [20, 30, 300] {
-        routers_together(routers, &[1, 4, 16, 64], 291);
+        check_fleet_load_on_restarted_node(routers, &[1, 4, 16, 64], 291);
     }
 }
 
-/// So many routers, each with an RPC every so many steps of 100 ms. After 20 s node 4 starts anew, and only it is
-/// fresh. Looked at are the seconds that begin before the step `until`.
-fn routers_together(routers: usize, every: &[usize], until: usize) {
+/// Simulates `routers` routers; a router gets an RPC every `every` steps of 100 ms. After 20 s node 4
+/// restarts, and from then on only node 4 is fresh. The load is checked for each second that begins before
+/// the step `until`.
+fn check_fleet_load_on_restarted_node(routers: usize, every: &[usize], until: usize) {
     let bounded = ("replication.consistency.1", Value::Text("bounded".into()));
-    let change = [("routers", Value::Number(routers as f64)), bounded];
+    let overrides = [("routers", Value::Number(routers as f64)), bounded];
     let mut simulations: Vec<Simulation> =
-        (0..routers as u64).map(|seed| Simulation::new(4, seed, &change)).collect();
+        (0..routers as u64).map(|seed| Simulation::new(4, seed, &overrides)).collect();
     let (mut sends, mut carried) = (Vec::new(), 0);
     for step in 0..400 {
         for (number, simulation) in simulations.iter_mut().enumerate() {
@@ -51,30 +52,34 @@
             simulation.advance(ms(100));
         }
     }
-    // Warm it carried so many a second; just started, a quarter of that and more with time, three times over at most,
-    // and what chance adds, for all of them together. After ten seconds it is warm, and all that no other node is fresh
-    // for may go there.
+    // The limit for all routers together. While warm, the node carried `carried` RPCs in 20 s. After the
+    // restart it has a quarter of that capacity, growing with time, and may be sent three times as much, plus
+    // a margin for chance. After ten seconds it is warm and may be sent every RPC that no other node is fresh
+    // enough for.
     for start in 200..until {
         let sent = sends.iter().filter(|at| (start..start + 10).contains(*at)).count() as f64;
         let progress = 0.25 + 0.75 * (start - 200) as f64 / 100.0;
         let budget = 3.0 * progress.min(1.0) * carried as f64 / 20.0;
-        let most = budget + f64::min(5.0, 2.0 * budget.sqrt() + 2.0);
-        assert!(sent <= most, "{sent} of {most} in the second from {start}, {routers} routers");
+        let limit = budget + f64::min(5.0, 2.0 * budget.sqrt() + 2.0);
+        assert!(
+            sent <= limit,
+            "{sent} sent in the second from step {start}, at most {limit} allowed, {routers} routers"
+        );
     }
-    assert!(sends.len() > routers, "nor is it left alone: {}", sends.len());
+    assert!(sends.len() > routers, "the warming node gets some requests: {}", sends.len());
 }
 
 #[test]
-fn assigned_health_checks_count_against_a_warming_nodes_budget() {
+fn assigned_health_checks_are_charged_to_a_warming_node() {
     let reads = |checks: usize| {
-        // Nothing has been heard but the list.
+        // Only the endpoint list is known.
         let mut simulation = Simulation::new(3, 1, &[]);
         let mut entry = simulation.endpoint(2, EndpointStatus::InService);
         entry.started = Some(simulation.now());
         simulation.update_endpoints(EndpointUpdate::Delta, &[entry]);
         for _ in 0..checks {
             assert!(simulation.router.begin_assigned_health_check(node(2)));
-            assert!(!simulation.router.begin_assigned_health_check(node(2)), "one at a time");
+            assert!(!simulation.router.begin_assigned_health_check(node(2)), "one health check at a time");
             let now = simulation.now();
             let report = LoadReport { position: Some(now), ..LoadReport::default() };
             simulation.router.health_check_ended(now, node(2), Outcome::Ok, Some(report));
@@ -85,8 +90,8 @@
         simulation.advance(ms(400));
         let observation = simulation.observation(2, simulation.now());
         simulation.peer_observes(observation);
-        let ids: Vec<RpcId> = (0..20).map(|_| simulation.arrive(1, LONG, None)).collect();
+        let ids: Vec<RpcId> = (0..20).map(|_| simulation.arrive(1, LONG_DEADLINE, None)).collect();
         ids.iter().filter(|id| simulation.sent_to(**id) == [node(2)]).count()
     };
-    assert!(reads(200) < reads(0), "{} {}", reads(200), reads(0));
+    assert!(reads(200) < reads(0), "reads sent after 200 checks: {}, after none: {}", reads(200), reads(0));
 }
