--- a/src/admission.rs
+++ b/src/admission.rs
@@ -21,8 +21,8 @@
         let method = self.methods.get_mut(rpc.method.0)?;
         let has_first_try_wait = method.first_try_wait.count_vote(rpc.remaining, method.deadline);
         let is_first_try = if self.config.clients_mark_retries { !rpc.is_retry } else { has_first_try_wait };
-        let left = if is_first_try { method.deadline } else { rpc.remaining };
-        let since_first_try = method.deadline.saturating_sub(left);
+        let time_left = if is_first_try { method.deadline } else { rpc.remaining };
+        let since_first_try = method.deadline.saturating_sub(time_left);
         Some((now + method.latency_objective).saturating_sub(since_first_try))
     }
 
--- a/src/attempt_evidence.rs
+++ b/src/attempt_evidence.rs
@@ -32,7 +32,8 @@
     ) -> Option<AttemptEvidence> {
         let queued_before = self.nodes.get(&end.node).and_then(|node| self.current_report(now, node)?.queued);
         let node = self.nodes.get_mut(&end.node)?;
-        let is_ended = |out: &mut InFlightAttempt| out.rpc == end.rpc && out.attempt == end.attempt;
+        let is_ended =
+            |attempt: &mut InFlightAttempt| attempt.rpc == end.rpc && attempt.attempt == end.attempt;
         let attempt = node.in_flight.extract_if(.., is_ended).next();
         Some(AttemptEvidence {
             lost: attempt.as_ref().is_none_or(|attempt| attempt.is_lost(now)),
--- a/src/endpoints.rs
+++ b/src/endpoints.rs
@@ -31,7 +31,7 @@
         Self { next_at: watches_endpoints.then_some(now), backoff: INITIAL_POLL_BACKOFF }
     }
 
-    /// A snapshot or a delta shows that the watch works. A cached snapshot does not.
+    /// A snapshot or a delta shows that the watch is active. A cached snapshot does not.
     fn succeeded(&mut self, update: EndpointUpdate) {
         self.backoff = INITIAL_POLL_BACKOFF;
         if update != EndpointUpdate::CachedSnapshot {
@@ -39,8 +39,8 @@
         }
     }
 
-    /// A poll failed. The watch may still work or not; polling again is always allowed, and this keeps the
-    /// polls within `poll_interval`.
+    /// A poll failed, which does not show whether a watch is active. Polling again is always allowed, and the
+    /// delay stays within `poll_interval`.
     pub fn failed(&mut self, now: Duration, poll_interval: Duration) {
         let longest = poll_interval / MAX_BACKOFF_DIVISOR;
         self.next_at = Some(now + self.backoff.min(longest));
@@ -109,11 +109,11 @@
     /// Periodic: drops the state of removed nodes that get no requests, once everything in flight to them has
     /// ended.
     pub(crate) fn forget_removed_nodes(&mut self, now: Duration) {
-        let is_over = |node: &NodeState| {
+        let can_be_forgotten = |node: &NodeState| {
             let is_dead = node.draining || node.health_check.failed_in_row == MAX_FAILURES;
             node.removed && is_dead && node.in_flight.is_empty() && !node.health_check.in_flight
         };
-        while let Some((node, state)) = self.nodes.iter().find(|(_, state)| is_over(state)) {
+        while let Some((node, state)) = self.nodes.iter().find(|(_, state)| can_be_forgotten(state)) {
             let (node, replica_set) = (*node, state.replica_set);
             self.nodes.remove(&node);
             self.clear_primary(now, replica_set, node);
--- a/src/load_reports.rs
+++ b/src/load_reports.rs
@@ -16,7 +16,7 @@
 const NO_CAPACITY: Option<f64> = Some(f64::INFINITY);
 /// A node that does not report its requests in flight has no free capacity if it reports at least this many
 /// queued requests.
-const QUEUED: f64 = 0.5;
+const QUEUED_THRESHOLD: f64 = 0.5;
 /// Upper bound of what one report contributes to the fleet's root utilization. Without it, the mean would
 /// never recover from an invalid report.
 const MAX_REPORTED_ROOT_UTILIZATION: f64 = 3.0;
@@ -100,7 +100,7 @@
     /// fleet's load.
     pub(crate) fn record_load(&mut self, now: Duration, node: NodeId, report: &LoadReport) {
         let Some(state) = self.nodes.get_mut(&node) else { return };
-        let is_queueing = report.queued.is_some_and(|queued| queued >= QUEUED);
+        let is_queueing = report.queued.is_some_and(|queued| queued >= QUEUED_THRESHOLD);
         let in_flight = report.in_flight.or(if is_queueing { NO_CAPACITY } else { None });
         state.load = Some(DatedLoadReport { received: now, report: LoadReport { in_flight, ..*report } });
         if self.config.reports_by_health_checks_only
--- a/src/router.rs
+++ b/src/router.rs
@@ -43,7 +43,7 @@
     pub(crate) session_tokens: SessionTokens,
     pub(crate) fleet_load: FleetLoad,
     pub(crate) zones: ZoneLatencies,
-    /// Until then, idle connections are closed instead of kept.
+    /// Until this time connections are short, and idle ones are closed instead of kept.
     pub(crate) connection_shortage_until: Duration,
     pub(crate) health_check_budget: HealthCheckBudget,
     pub(crate) poll_schedule: PollSchedule,
--- a/src/session_tokens.rs
+++ b/src/session_tokens.rs
@@ -9,10 +9,10 @@
 use crate::node_state::NodeState;
 use crate::router::Router;
 
-/// With more tokens than this all are dropped, and the newest stands for all of them, which bounds the
-/// memory.
+/// If there are more tokens than this, all are dropped to bound the memory. The newest one then applies to
+/// every session without a token.
 const MAX_TOKENS: usize = 10_000;
-/// A response that has not arrived this long after the node sent it is lost.
+/// A response that has not arrived within this time after the node sent it counts as lost.
 const MAX_RESPONSE_DELAY: Duration = Duration::from_millis(100);
 
 /// A session within a replica set.
@@ -56,7 +56,8 @@
     }
 
     /// Periodic: drops the tokens that all nodes of their replica set have reached. Such a token could only
-    /// exclude a node that comes back later, and for that the newest dropped token stands for all of them.
+    /// exclude a node that comes back later. The newest dropped token, which applies to every session without
+    /// a token, still excludes it.
     pub(crate) fn drop_replicated_tokens(&mut self) {
         let nodes = &self.nodes;
         let replica_sets = &mut self.replica_sets;
--- a/tests/decisions/rules.rs
+++ b/tests/decisions/rules.rs
@@ -45,13 +45,13 @@
     ]
 }
 
-fn run(seed: u64, few: bool, variant: u8) -> bool {
+fn run(seed: u64, few_nodes: bool, variant: u8) -> bool {
     let variants = variants();
     let mut simulation =
-        Simulation::new(if few { 2 } else { 6 }, seed, &variants[variant as usize % variants.len()]);
+        Simulation::new(if few_nodes { 2 } else { 6 }, seed, &variants[variant as usize % variants.len()]);
     simulation.run(seed, 1500);
     let sent: usize = simulation.record().nodes.values().map(|node| node.sends.len()).sum();
-    few || sent > 100
+    few_nodes || sent > 100
 }
 
 #[test]
