--- a/src/config.rs
+++ b/src/config.rs
@@ -24,8 +24,7 @@
     pub poll_interval: Duration,
     /// Whether this router must request the endpoint list itself from its start.
     pub watches_endpoints: bool,
-    /// Whether only nodes that are listed as draining must not be sent to: a node that left the list without
-    /// draining may still be used.
+    /// Whether requests may still be sent to a node that left the list without being listed as draining.
     pub only_listed_draining: bool,
     /// Whether load reports come only with health checks, and not with responses.
     pub reports_by_health_checks_only: bool,
--- a/src/dispatch.rs
+++ b/src/dispatch.rs
@@ -11,7 +11,7 @@
 use crate::router::Router;
 use crate::wait_queue::{AttemptStage, QueueHead};
 
-/// Lower bound, in seconds, of the work by which a method's value is divided.
+/// Lower bound, in seconds, of a method's work when its value per work is computed.
 const MIN_WORK_S: f64 = 1e-4;
 
 impl<H: Host> Router<H> {
--- a/src/method.rs
+++ b/src/method.rs
@@ -121,8 +121,8 @@
 }
 
 impl Method {
-    /// The method at an index of the settings; None past the last. A missing consistency is read as `Fresh`,
-    /// the strictest for reads, and an unknown idempotency as non-idempotent.
+    /// The method at an index of the settings; None if there is none. A missing consistency is read as
+    /// `Fresh`, the strictest for reads, and an unknown idempotency as non-idempotent.
     pub fn from_values(values: &ValueMap, index: usize, now: Duration) -> Option<Self> {
         let path = |name: &str| format!("methods.{index}.{name}");
         let latency_objective = values.duration(&path("latency_objective"))?;
--- a/src/outlier_detection.rs
+++ b/src/outlier_detection.rs
@@ -1,5 +1,5 @@
 //! Outlier detection: what an attempt that ended, or that does not end, shows about its node's health, and
-//! when a node is ejected. An ejected node is sent nothing until this router hears from it again.
+//! when a node is ejected. An ejected node gets no requests until this router hears from it again.
 
 use std::time::Duration;
 
@@ -18,7 +18,7 @@
     pub success_rate: f64,
     /// Responses that were expected since the last one arrived.
     pub overdue_responses: f64,
-    /// The node is sent nothing until this router hears from it again.
+    /// The node gets no requests until this router hears from it again.
     pub ejected: bool,
 }
 
