--- a/crates/router/src/control_instance.rs
+++ b/crates/router/src/control_instance.rs
@@ -10,7 +10,7 @@
 use async_io::Timer;
 use quillpoint::host::{NodeId, PeerObservation};
 use quillpoint_control_plane::{ControlHost, FleetMember, PublisherService};
-use quillpoint_membership::{DatedObservation, Observation};
+use quillpoint_membership::{Observation, TimestampedObservation};
 use quillpoint_observation_feed::FeedObservation;
 
 use crate::engine::{Engine, LocalObservation, ObservationExchange};
@@ -64,7 +64,7 @@
     /// engine fetches the latest ones. With thousands of databases, observations may arrive a
     /// hundred thousand times a second, and an instance may not serve any client. Failures are always passed
     /// on at once.
-    fn observation_received(&self, observation: DatedObservation) {
+    fn observation_received(&self, observation: TimestampedObservation) {
         self.publisher.observe(observation);
         if observation.failed || self.engine.pending_rpcs() > 0 {
             self.engine.observation_received(observation);
@@ -92,8 +92,8 @@
         // reports. The observation is dated to the sending of the request: the node may have read its state
         // as early as that.
         if !failed {
-            let at = local.asked;
-            let dated = DatedObservation { node, at, position, primary, waiting, started, failed };
+            let at = local.requested_at;
+            let dated = TimestampedObservation { node, at, position, primary, waiting, started, failed };
             self.publisher.observe(dated);
         }
         if let Some(member) = self.member.get() {
--- a/crates/router/src/deployment.rs
+++ b/crates/router/src/deployment.rs
@@ -72,7 +72,7 @@
             max_pending_rpcs: settings
                 .number("allowed.max_pending_rpcs")
                 .map_or(usize::MAX, |count| count as usize),
-            poll_interval: settings.span("rules.poll_interval").unwrap_or(DEFAULT_POLL_INTERVAL),
+            poll_interval: settings.duration("rules.poll_interval").unwrap_or(DEFAULT_POLL_INTERVAL),
             polls_from_start: settings.text("discovery") == "automatic",
             tightest_staleness_bound: tightest_staleness_bound(&settings),
             settings,
@@ -86,7 +86,7 @@
 }
 
 fn duration(settings: &ValueMap, name: &str) -> Result<Duration, ConfigError> {
-    settings.span(name).ok_or_else(|| ConfigError::invalid_setting(name, "milliseconds", "nothing"))
+    settings.duration(name).ok_or_else(|| ConfigError::invalid_setting(name, "milliseconds", "nothing"))
 }
 
 fn longest_deadline(settings: &ValueMap, method_count: usize) -> Result<Duration, ConfigError> {
@@ -108,7 +108,7 @@
 
 fn tightest_staleness_bound(settings: &ValueMap) -> Option<Duration> {
     let consistency = |index: usize| format!("replication.consistency.{index}");
-    let bound = |index: usize| settings.span(&format!("replication.staleness_bound.{index}"));
+    let bound = |index: usize| settings.duration(&format!("replication.staleness_bound.{index}"));
     (0..)
         .take_while(|index| settings.0.contains_key(&consistency(*index)))
         .filter(|index| settings.text(&consistency(*index)) == "bounded")
--- a/crates/router/src/deployment/validation.rs
+++ b/crates/router/src/deployment/validation.rs
@@ -91,7 +91,7 @@
 
 fn check_boolean(settings: &ValueMap, name: &str) -> Result<(), ConfigError> {
     match settings.0.get(name) {
-        None | Some(Value::Flag(_)) => Ok(()),
+        None | Some(Value::Bool(_)) => Ok(()),
         Some(other) => Err(ConfigError::invalid_setting(name, "true or false", display(other))),
     }
 }
@@ -99,7 +99,7 @@
 /// Rejects load reports that are taken from health checks if health checks are not allowed: no report would
 /// ever arrive.
 fn check_report_source(settings: &ValueMap) -> Result<(), ConfigError> {
-    if settings.text("reports.source") != "probe" || settings.flag("allowed.health_checks") {
+    if settings.text("reports.source") != "probe" || settings.is_true("allowed.health_checks") {
         return Ok(());
     }
     let expected = "answers or none, because allowed.health_checks is not true";
@@ -109,8 +109,8 @@
 fn display(value: &Value) -> String {
     match value {
         Value::Text(text) => text.clone(),
-        Value::Flag(flag) => flag.to_string(),
+        Value::Bool(flag) => flag.to_string(),
         Value::Number(number) => number.to_string(),
-        Value::Span(duration) => format!("{duration:?}"),
+        Value::Duration(duration) => format!("{duration:?}"),
     }
 }
--- a/crates/router/src/drain.rs
+++ b/crates/router/src/drain.rs
@@ -68,7 +68,7 @@
     fn close_up_to(&mut self, fraction: f64) {
         let due = (self.sessions.len() as f64 * fraction).ceil() as usize;
         for session in &self.sessions[self.closed..due] {
-            self.clients.close(*session);
+            self.clients.close_when_idle(*session);
         }
         self.closed = due;
         if fraction >= 1.0 {
@@ -90,7 +90,7 @@
         self.accept_task.cancel().await;
         clients.accept_remaining(&self.listener).await;
         drop(self.listener);
-        log::info!("listener closed, draining {} sessions", clients.open_sessions());
+        log::info!("listener closed, draining {} sessions", clients.open_session_count());
     }
 }
 
@@ -104,14 +104,15 @@
     listener: Rc<Async<TcpListener>>,
     accept_task: Task<T>,
 ) {
-    let schedule = Schedule::new(Instant::now(), engine.deadlines());
+    let schedule = Schedule::new(Instant::now(), engine.deadline_range());
     engine.set_shutdown_deadline(schedule.end);
     Timer::after(ACCEPT_AFTER_SIGTERM).await;
     let mut open_listener = Some(OpenListener { listener, accept_task });
-    let mut closer = SessionCloser { clients, sessions: clients.sessions(), closed: 0 };
+    let mut closer = SessionCloser { clients, sessions: clients.session_ids(), closed: 0 };
     let mut checks_past_end = 0;
     // After the end, the only open sessions are those that have no pending RPC or whose clients do not read.
-    while clients.open_sessions() > 0 && checks_past_end < MAX_CHECKS_PAST_END || open_listener.is_some() {
+    while clients.open_session_count() > 0 && checks_past_end < MAX_CHECKS_PAST_END || open_listener.is_some()
+    {
         let can_close = |open: &mut OpenListener<T>| {
             !has_pending_connection(open.listener.get_ref()) || schedule.is_over()
         };
--- a/crates/router/src/endpoint_list.rs
+++ b/crates/router/src/endpoint_list.rs
@@ -115,7 +115,7 @@
             node: NodeId(entry.address),
             replica_set: ReplicaSetId(entry.replica_set),
             zone: ZoneId(index(&self.zones, &entry.zone)),
-            kind: index(&self.machine_types, &entry.kind),
+            machine_type: index(&self.machine_types, &entry.kind),
             primary: entry.role == "primary",
             status: match entry.status {
                 Status::InService => EndpointStatus::InService,
--- a/crates/router/src/engine/methods.rs
+++ b/crates/router/src/engine/methods.rs
@@ -32,7 +32,7 @@
     fn new(index: usize, name: &str, deployment: &Deployment) -> Self {
         let values = &deployment.settings;
         let consistency = values.text(&format!("replication.consistency.{index}"));
-        let deadline = values.span(&format!("methods.{index}.deadline"));
+        let deadline = values.duration(&format!("methods.{index}.deadline"));
         let writes = consistency == "write";
         Self {
             name: name.to_string(),
@@ -65,17 +65,17 @@
         self.get(method).writes
     }
 
-    pub(super) fn scope(&self, method: MethodId, statement: &Statement) -> StatementScope {
+    pub(super) fn statement_scope(&self, method: MethodId, statement: &Statement) -> StatementScope {
         let method = self.get(method);
         StatementScope {
             replica_set: statement.replica_set,
-            key: statement.session,
+            session: statement.session,
             writes: method.writes,
             reads_fresh: method.reads_fresh,
         }
     }
 
-    pub(super) fn deadlines(&self) -> DeadlineRange {
+    pub(super) fn deadline_range(&self) -> DeadlineRange {
         let deadlines = || self.0.iter().map(|method| method.deadline);
         DeadlineRange {
             shortest: deadlines().min().unwrap_or_default(),
--- a/crates/router/src/observation_exchange.rs
+++ b/crates/router/src/observation_exchange.rs
@@ -10,9 +10,9 @@
     fn observed(&self, local: LocalObservation) {
         let observation = observations::to_fleet(&local);
         if local.by_health_check {
-            self.health_check_observed(local.asked, observation);
+            self.health_check_observed(local.requested_at, observation);
         } else {
-            self.attempt_observed(local.asked, observation);
+            self.attempt_observed(local.requested_at, observation);
         }
     }
 
--- a/crates/router/tests/control_instance.rs
+++ b/crates/router/tests/control_instance.rs
@@ -23,7 +23,7 @@
 use quillpoint_observation_feed::publisher;
 use quillpoint_router::control_instance::ControlInstanceRuntime;
 use quillpoint_router::deployment::Deployment;
-use quillpoint_router::engine::{Command, Engine, EngineOutputs, ObservationExchange, PendingResponse};
+use quillpoint_router::engine::{Engine, EngineOutputs, ObservationExchange, PendingResponse, RpcCommand};
 use quillpoint_router::statement::Statement;
 use serde_json::json;
 
@@ -67,7 +67,7 @@
             node: node(index),
             replica_set: ReplicaSetId(0),
             zone: ZoneId(0),
-            kind: 0,
+            machine_type: 0,
             primary: false,
             status: EndpointStatus::InService,
             started: None,
@@ -171,7 +171,7 @@
 
 fn attempted_node(pending: &PendingResponse) -> Option<NodeId> {
     match pending.try_next_command()? {
-        Command::Attempt(attempt) => Some(attempt.node),
+        RpcCommand::Attempt(attempt) => Some(attempt.node),
         _ => panic!("expected an attempt or no command"),
     }
 }
--- a/crates/router/tests/endpoint_polls.rs
+++ b/crates/router/tests/endpoint_polls.rs
@@ -230,9 +230,9 @@
     thread::sleep(PAST_POLL_TIMEOUT);
     let mut second = cluster.discovery.next();
     second.answer(3, &cluster.draining_list());
-    cluster.router.await_line("list 3: 3 entries");
+    cluster.router.await_log_line("list 3: 3 entries");
     first.answer(2, &TestCluster::list(&cluster.nodes, "in_service"));
-    cluster.router.await_line("a newer version has already been applied");
+    cluster.router.await_log_line("a newer version has already been applied");
     assert_eq!(cluster.reads_sent_to_draining(), 0);
 }
 
@@ -241,5 +241,5 @@
     let cluster = TestCluster::start();
     let max_open = cluster.discovery.ignore_all_for(Duration::from_secs(16));
     assert_eq!(max_open, 3, "the newest poll and two that have timed out");
-    cluster.router.await_line("poll abandoned without an answer");
+    cluster.router.await_log_line("poll abandoned without an answer");
 }
--- a/crates/router/tests/messages.rs
+++ b/crates/router/tests/messages.rs
@@ -93,7 +93,7 @@
         if matches!(told, BackendMessage::ParameterStatus { .. } | BackendMessage::Ignored) {
             continue;
         }
-        if let Some(said) = reading.take(told)? {
+        if let Some(said) = reading.push(told)? {
             return Ok(Some(said));
         }
     }
@@ -341,7 +341,7 @@
         let endpoints = parser.apply(&list);
         endpoints
             .iter()
-            .map(|endpoint| (endpoint.node.0.port(), endpoint.status, endpoint.zone.0, endpoint.kind))
+            .map(|endpoint| (endpoint.node.0.port(), endpoint.status, endpoint.zone.0, endpoint.machine_type))
             .collect::<Vec<_>>()
     };
     assert_eq!(
--- a/crates/router/tests/observation_exchange.rs
+++ b/crates/router/tests/observation_exchange.rs
@@ -17,7 +17,7 @@
 use quillpoint_observation_feed::FeedObservation;
 use quillpoint_router::deployment::Deployment;
 use quillpoint_router::engine::{
-    Clock, Command, Engine, EngineOutputs, LocalObservation, ObservationExchange, PendingResponse,
+    Clock, Engine, EngineOutputs, LocalObservation, ObservationExchange, PendingResponse, RpcCommand,
 };
 use quillpoint_router::statement::Statement;
 use serde_json::json;
@@ -70,7 +70,7 @@
         node: node(replica_set, index),
         replica_set: ReplicaSetId(replica_set),
         zone: ZoneId(0),
-        kind: 0,
+        machine_type: 0,
         primary: false,
         status: EndpointStatus::InService,
         started: None,
@@ -105,7 +105,7 @@
     exchange.has_observations.set(true);
     let pending = arrive(&engine, 1);
     assert_eq!(asked(&exchange), [node(1, 0), node(1, 1)]);
-    let Some(Command::Attempt(attempt)) = pending.try_next_command() else {
+    let Some(RpcCommand::Attempt(attempt)) = pending.try_next_command() else {
         panic!("expected an attempt at once, based on the observations of others")
     };
     assert!([node(1, 0), node(1, 1)].contains(&attempt.node));
@@ -127,7 +127,7 @@
     assert!(pending.try_next_command().is_none());
     exchange.has_observations.set(true);
     engine.digest_received();
-    assert!(matches!(pending.try_next_command(), Some(Command::Attempt(_))));
+    assert!(matches!(pending.try_next_command(), Some(RpcCommand::Attempt(_))));
     // An RPC that has ended is no longer pending.
     drop(arrive(&engine, 0));
     asked(&exchange);
@@ -161,7 +161,7 @@
     let (engine, _outputs, exchange) = engine();
     exchange.has_observations.set(true);
     let pending = arrive(&engine, 1);
-    let Some(Command::Attempt(attempt)) = pending.try_next_command() else {
+    let Some(RpcCommand::Attempt(attempt)) = pending.try_next_command() else {
         panic!("expected an attempt, based on the observations of others")
     };
     let other = if attempt.node == node(1, 0) { node(1, 1) } else { node(1, 0) };
@@ -169,22 +169,22 @@
     let stale = engine.clock.now() - Duration::from_secs(5);
     engine.attempt_ended(attempt, quillpoint::host::Outcome::Ok, node_response(Some(stale)));
     // The answer is stale: it does not reach the client, and another replica is tried.
-    let Some(Command::Attempt(attempt)) = pending.try_next_command() else {
+    let Some(RpcCommand::Attempt(attempt)) = pending.try_next_command() else {
         panic!("expected an attempt at the other replica")
     };
     assert_eq!(attempt.node, other);
     assert!(engine.permits_attempt(&attempt));
     // An answer without a position does not confirm anything either.
     engine.attempt_ended(attempt, quillpoint::host::Outcome::Ok, node_response(None));
-    assert!(!matches!(pending.try_next_command(), Some(Command::Answer { .. })));
+    assert!(!matches!(pending.try_next_command(), Some(RpcCommand::Answer { .. })));
     // An answer with a recent position reaches the client.
     let pending = arrive(&engine, 0);
-    let Some(Command::Attempt(attempt)) = pending.try_next_command() else {
+    let Some(RpcCommand::Attempt(attempt)) = pending.try_next_command() else {
         panic!("expected an attempt, based on the observations of others")
     };
     assert!(engine.permits_attempt(&attempt));
     engine.attempt_ended(attempt, quillpoint::host::Outcome::Ok, node_response(Some(engine.clock.now())));
-    assert!(matches!(pending.try_next_command(), Some(Command::Answer { .. })));
+    assert!(matches!(pending.try_next_command(), Some(RpcCommand::Answer { .. })));
 }
 
 fn node_response(position: Option<Duration>) -> quillpoint_router::engine::NodeResponse {
