--- a/crates/router/tests/race_conditions.rs
+++ b/crates/router/tests/race_conditions.rs
@@ -283,7 +283,7 @@
     let bytes = pg::query_message(statement("look", 900).as_bytes());
     client.send(&bytes[..20]);
     router.signal("-TERM");
-    router.await_log_line("no new sessions are taken");
+    router.await_log_line("listener closed, draining");
     // A second signal, and a configuration anew, between the halves.
     router.signal("-TERM");
     router.signal("-HUP");
