--- a/crates/router/src/descriptors.rs
+++ b/crates/router/src/descriptors.rs
@@ -30,8 +30,8 @@
 /// The order in which idle connections are closed when the limit is reached.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum EvictionPriority {
-    /// Connections whose loss harms nobody: the client has not sent anything yet, or the connection is being
-    /// closed.
+    /// Connections that can be closed without harm: the client has not sent anything yet, or the connection
+    /// is being closed anyway.
     First,
     /// Connections that have been used and are idle now.
     Idle,
@@ -83,8 +83,8 @@
     }
 
     /// Clients may use half of the limit, since each may need a connection to a node as well. Clients over
-    /// that are accepted and rejected with an error: in the accept queue nobody would read their RPCs, which
-    /// would be lost.
+    /// that quota are accepted and rejected with an error: if they were left in the accept queue, their RPCs
+    /// would be neither read nor answered.
     fn quota(&self, held_for: DescriptorUse) -> usize {
         match held_for {
             DescriptorUse::Client => self.limit / 2,
--- a/crates/router/src/discovery.rs
+++ b/crates/router/src/discovery.rs
@@ -3,7 +3,7 @@
 //!
 //! Each poll runs in its own task, which reports its progress here. A poll that has timed out, or that was
 //! made to a previous address of discovery, stays open for a while next to its replacement: discovery
-//! considers an answer delivered once it is written, so a late answer must still be processed.
+//! considers a response delivered once it is written, so a late response must still be processed.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -23,7 +23,7 @@
 use crate::deployment::Deployment;
 use crate::descriptors::{DescriptorLimiter, DescriptorPermit};
 use crate::endpoint_list::{EndpointList, EndpointParser};
-use crate::endpoint_poll::{Connection, EndpointPoll, PollAnswer, PollError};
+use crate::endpoint_poll::{Connection, EndpointPoll, PollError, PollResponse};
 use crate::engine::{Clock, Engine};
 
 /// Sockets for the newest poll and the late ones. The idle connection is counted as the newest poll's socket.
@@ -66,7 +66,7 @@
 
 enum Progress {
     PhaseReached(PollPhase),
-    Ended(Result<PollAnswer, PollError>),
+    Ended(Result<PollResponse, PollError>),
 }
 
 enum Event {
@@ -84,7 +84,7 @@
     parser: EndpointParser,
     versions: ListVersions,
     watch: DiscoveryWatch,
-    /// The connection of the last answered poll, to be reused by the next one.
+    /// The connection of the last successful poll, to be reused by the next one.
     idle_connection: Option<Connection>,
     newest: Option<PollInFlight>,
     /// Polls that have timed out or went to a previous address, the oldest first.
@@ -129,8 +129,8 @@
         (client, endpoints)
     }
 
-    /// Polls whenever the watch says so, until the router ends. `requests` receives the decision module's
-    /// requests for the list, `addresses` the new addresses of discovery.
+    /// Makes a poll whenever the watch schedules one, until the router ends. `requests` receives the decision
+    /// module's requests for the list, `addresses` the new addresses of discovery.
     pub async fn run(mut self, engine: Rc<Engine>, requests: Receiver<()>, addresses: Receiver<SocketAddr>) {
         loop {
             let now = self.clock.now();
@@ -178,12 +178,12 @@
         let sender = self.report_sender.clone();
         let task = async move {
             let report = |progress| report(&sender, number, progress);
-            let answer = poll.run(idle_connection, |phase| report(Progress::PhaseReached(phase)));
+            let response = poll.run(idle_connection, |phase| report(Progress::PhaseReached(phase)));
             let timeout = async {
                 Timer::after(hold + LATE_RESPONSE_WINDOW).await;
                 Err(PollError::TimedOut)
             };
-            report(Progress::Ended(answer.or(timeout).await));
+            report(Progress::Ended(response.or(timeout).await));
         };
         let task = self.executor.spawn(task);
         self.newest = Some(PollInFlight { number, basis, started: now, _task: task });
@@ -208,15 +208,20 @@
         }
     }
 
-    fn newest_ended(&mut self, poll: &PollInFlight, result: Result<PollAnswer, PollError>, engine: &Engine) {
-        match result.and_then(|answer| self.apply(poll, answer, engine)) {
+    fn newest_ended(
+        &mut self,
+        poll: &PollInFlight,
+        result: Result<PollResponse, PollError>,
+        engine: &Engine,
+    ) {
+        match result.and_then(|response| self.apply(poll, response, engine)) {
             Ok(has_changes) => self.watch.response_received(self.clock.now(), has_changes),
             Err(error) => self.poll_failed(poll, &error),
         }
     }
 
-    fn late_ended(&mut self, poll: &PollInFlight, result: Result<PollAnswer, PollError>, engine: &Engine) {
-        match result.and_then(|answer| self.apply(poll, answer, engine)) {
+    fn late_ended(&mut self, poll: &PollInFlight, result: Result<PollResponse, PollError>, engine: &Engine) {
+        match result.and_then(|response| self.apply(poll, response, engine)) {
             Ok(_) if self.versions.is_from_current_address(poll.basis) => {
                 self.watch.late_response_received(self.clock.now())
             }
@@ -225,9 +230,14 @@
         }
     }
 
-    /// Passes the endpoints of an answer to the decision module. Returns whether there were any.
-    fn apply(&mut self, poll: &PollInFlight, answer: PollAnswer, engine: &Engine) -> Result<bool, PollError> {
-        let PollAnswer { list, connection } = answer;
+    /// Passes the endpoints of a response to the decision module. Returns whether there were any.
+    fn apply(
+        &mut self,
+        poll: &PollInFlight,
+        response: PollResponse,
+        engine: &Engine,
+    ) -> Result<bool, PollError> {
+        let PollResponse { list, connection } = response;
         if self.versions.is_from_current_address(poll.basis) {
             self.idle_connection = connection;
         }
@@ -257,7 +267,7 @@
             return Err(PollError::NoReadableEntry { entries: list.entries.len() });
         }
         self.versions.record_applied(list.version);
-        // Answers to polls made to previous addresses of discovery are obsolete now.
+        // Responses to polls made to previous addresses of discovery are obsolete now.
         let versions = &self.versions;
         self.late.retain(|late| versions.is_from_current_address(late.basis));
         let update = if list.is_snapshot { EndpointUpdate::Snapshot } else { EndpointUpdate::Delta };
@@ -271,10 +281,10 @@
             .filter(|endpoint| endpoint.status != EndpointStatus::InService)
             .map(|endpoint| endpoint.node.0.to_string())
             .collect();
-        let stopped_names = stopped[..stopped.len().min(MAX_NODES_NAMED)].join(" ");
+        let stopped_addresses = stopped[..stopped.len().min(MAX_NODES_NAMED)].join(" ");
         log::info!(
             event = "endpoint_list", version = version, call = poll.number, waited_ms = waited_ms,
-            stops = stopped.len(), stopped = stopped_names.as_str();
+            stops = stopped.len(), stopped = stopped_addresses.as_str();
             "endpoint list {version}: {} entries", endpoints.len()
         );
     }
--- a/crates/router/src/drain.rs
+++ b/crates/router/src/drain.rs
@@ -30,8 +30,8 @@
 struct Schedule {
     /// The first session is asked to close.
     closing_starts: Instant,
-    /// All sessions have been asked to close: an RPC that arrives later would have less than its deadline
-    /// left.
+    /// All sessions have been asked to close: an RPC that arrives later would have less than the shortest
+    /// deadline left.
     all_closed: Instant,
     /// The router no longer waits for any RPC.
     end: Instant,
@@ -95,9 +95,9 @@
 }
 
 /// Serves the connected clients for as long as the platform allows, and closes their sessions gradually in
-/// the second half of that time. The routers that take the clients over then see their load rise slowly
-/// instead of all at once, the restart takes no longer than it must, and a router that is being restarted at
-/// the same time is up again by then. Returns when no session is left.
+/// the second half of that time. Closing them gradually lets the load of the routers that take the clients
+/// over rise slowly. Closing them late keeps that extra load as short as a restart allows, and a router that
+/// is being started at the same time is up by then. Returns when no session is left.
 pub async fn drain<T>(
     clients: &Rc<ClientSessions>,
     engine: &Engine,
--- a/crates/router/src/endpoint_poll.rs
+++ b/crates/router/src/endpoint_poll.rs
@@ -1,6 +1,6 @@
-//! One poll of the endpoint list: the connection, the request and the complete answer.
+//! One poll of the endpoint list: the connection, the request and the complete response.
 //!
-//! A poll has no timeout of its own. The caller decides how long to wait for the answer.
+//! A poll has no timeout of its own. The caller decides how long to wait for the response.
 
 use std::net::{SocketAddr, TcpStream};
 
@@ -18,16 +18,16 @@
 /// The reason why a poll has returned no list.
 #[derive(Debug, thiserror::Error)]
 pub enum PollError {
-    /// The answer was not complete in time.
-    #[error("timed out waiting for the answer")]
+    /// The response was not complete in time.
+    #[error("timed out waiting for the response")]
     TimedOut,
-    /// Discovery closed the connection before it sent an answer.
-    #[error("the connection was closed before an answer")]
+    /// Discovery closed the connection before it sent a response.
+    #[error("the connection was closed before a response")]
     ConnectionClosed,
     /// Connecting, reading or writing failed.
     #[error("the connection failed: {0}")]
     Io(#[from] std::io::Error),
-    /// The answer is not a usable HTTP response.
+    /// The response is not usable: it is not HTTP, incomplete, too long or has an error status.
     #[error("{0}")]
     Response(#[from] InvalidResponse),
     /// The body is not an endpoint list.
@@ -44,8 +44,8 @@
 /// A connection to discovery.
 pub type Connection = Async<TcpStream>;
 
-/// The answer to a poll.
-pub struct PollAnswer {
+/// The response to a poll.
+pub struct PollResponse {
     /// The list.
     pub list: EndpointList,
     /// The connection, if it can be reused for another request.
@@ -64,7 +64,7 @@
     /// Makes the poll, on the idle connection if there is one. `phase_reached` is called at the start of each
     /// phase.
     ///
-    /// Discovery may have closed the idle connection since its last answer. A poll that fails on it is
+    /// Discovery may have closed the idle connection since the last response. A poll that fails on it is
     /// retried at once on a new connection, so that the watch is not interrupted.
     ///
     /// # Errors
@@ -73,7 +73,7 @@
         self,
         idle_connection: Option<Connection>,
         phase_reached: impl Fn(PollPhase),
-    ) -> Result<PollAnswer, PollError> {
+    ) -> Result<PollResponse, PollError> {
         if let Some(connection) = idle_connection {
             match self.request(connection, &phase_reached).await {
                 Err(PollError::Io(_) | PollError::ConnectionClosed) => {
@@ -91,7 +91,7 @@
         &self,
         connection: Connection,
         phase_reached: &impl Fn(PollPhase),
-    ) -> Result<PollAnswer, PollError> {
+    ) -> Result<PollResponse, PollError> {
         let Self { address, path } = self;
         let request = format!("GET {path} HTTP/1.1\r\nHost: {address}\r\nAccept: application/json\r\n\r\n");
         phase_reached(PollPhase::Headers);
@@ -101,7 +101,7 @@
         phase_reached(PollPhase::Body);
         let body = read_body(&connection, &mut bytes).await?;
         let list = serde_json::from_slice(&body.bytes)?;
-        Ok(PollAnswer { list, connection: body.keeps_connection.then_some(connection) })
+        Ok(PollResponse { list, connection: body.keeps_connection.then_some(connection) })
     }
 }
 
