--- a/crates/observation-feed/src/digest_delay.rs
+++ b/crates/observation-feed/src/digest_delay.rs
@@ -1,20 +1,23 @@
-//! How late a digest is compared with the others of its publisher, from the send time on the publisher's clock and the
-//! arrival time on the router's. The two clocks need not agree: the quickest digest so far is the baseline.
+//! Estimates how much longer a digest was in transit than the fastest digest of the same publisher, from its
+//! send time on the publisher's clock and its arrival time on the router's clock. The two clocks need not be
+//! synchronized: the lowest difference between arrival and send time so far is the baseline.
 
 use std::time::Duration;
 
-/// How fast two clocks may drift apart. The baseline rises at this rate, so that it follows the drift.
+/// Maximum drift between two clocks, in seconds per second. The baseline rises at this rate to follow the
+/// drift.
 const MAX_CLOCK_DRIFT: f64 = 500e-6;
-/// The first digests only measure the baseline. Those that arrive within half a digest interval count as one, since they
-/// may have waited together for this router.
+/// The first digests only establish the baseline. Digests that arrive within half a digest interval of each
+/// other count as one, since they may have been queued together while this router was not reading.
 const BASELINE_DIGESTS: u32 = 2;
-/// A digest that lowers the baseline by more than this shows that the earlier ones had been queued. It may have been
-/// queued as well, so it only measures.
+/// A digest that lowers the baseline by more than this shows that the earlier digests had been queued. It may
+/// have been queued itself, so it only updates the baseline.
 const MAX_BASELINE_DROP: Duration = Duration::from_millis(50);
-/// A digest that is later than this is discarded.
+/// A digest with a longer delay than this is discarded.
 const MAX_DELAY: Duration = Duration::from_secs(2);
 
-/// The lowest difference so far between arrival time and send time, in nanoseconds, and when it was updated.
+/// The lowest difference so far between arrival time and send time, in nanoseconds, and the time of its last
+/// update.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct DelayBaseline(Option<(i128, Duration)>);
 
@@ -26,13 +29,13 @@
         })
     }
 
-    /// How far a digest sent at `sent` and read now would lower the baseline; zero if it would not.
+    /// How far a digest sent at `sent` and received at `now` would lower the baseline; zero if it would not.
     pub fn would_lower_by(&self, now: Duration, sent: Duration) -> Duration {
         let drop = self.at(now).map_or(0, |baseline| baseline - clock_difference(now, sent));
         Duration::from_nanos(u64::try_from(drop.max(0)).unwrap_or(u64::MAX))
     }
 
-    /// Takes a digest into the baseline. Returns how much longer it took than the quickest one.
+    /// Updates the baseline with a digest. Returns how much longer the digest took than the fastest one.
     pub fn record(&mut self, now: Duration, sent: Duration) -> Duration {
         let difference = clock_difference(now, sent);
         let lowest = self.at(now).map_or(difference, |baseline| baseline.min(difference));
@@ -41,23 +44,25 @@
     }
 }
 
-/// The arrival time less the send time in nanoseconds; the offset of the two clocks is part of it.
+/// Arrival time minus send time in nanoseconds. Includes the offset between the two clocks.
 fn clock_difference(now: Duration, sent: Duration) -> i128 {
     now.as_nanos() as i128 - sent.as_nanos() as i128
 }
 
-/// What a digest's delay lets the router do with it.
+/// How a router may use a digest, given its delay.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DigestTiming {
-    /// Too late to be of use.
+    /// Too late; the digest is ignored.
     Discarded,
-    /// The publisher is alive, but the baseline is not known well enough to date what the digest says.
+    /// The digest shows that the publisher is alive and updates the baseline, but the baseline is not yet
+    /// reliable enough to date the digest's observations.
     BaselineOnly,
-    /// What the digest says was true this long before it was read, and its own age more.
+    /// The digest was delayed by this much. Its observations are as old as this delay plus the age in the
+    /// digest.
     Delayed(Duration),
 }
 
-/// The delay measurement of one publisher, from the moment it was followed.
+/// Measures the delays of one publisher's digests. Starts over whenever the publisher is followed again.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct DelayMeasurement {
     baseline: DelayBaseline,
@@ -66,7 +71,7 @@
 }
 
 impl DelayMeasurement {
-    /// Takes a digest into the measurement.
+    /// Adds a digest to the measurement and decides how the digest may be used.
     pub fn record(&mut self, now: Duration, sent: Duration, digest_interval: Duration) -> DigestTiming {
         let baseline_drop = self.baseline.would_lower_by(now, sent);
         let delay = self.baseline.record(now, sent);
--- a/crates/observation-feed/src/health_check_quota.rs
+++ b/crates/observation-feed/src/health_check_quota.rs
@@ -1,5 +1,5 @@
-//! Which health checks a router may make by itself: its quota of what all routers may make together, so that thousands
-//! that lose their control instances at once do not overload the databases.
+//! Limits the health checks that a router makes itself to its share of a limit for all routers together, so
+//! that thousands of routers that lose their control instances at once do not overload the databases.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -10,41 +10,47 @@
 
 use crate::token_bucket::TokenBucket;
 
-/// All isolated routers together check this many times as often as the control instances do. A multiple of 1
-/// would leave a router that uses many databases with observations minutes old.
+/// All isolated routers together may check this many times as often as the control instances do. With a
+/// multiple of 1, a router that uses many databases would have observations that are minutes old.
 pub const ISOLATED_RATE_MULTIPLE: f64 = 4.0;
-/// The most routers that check one database in each period, whatever the number of routers.
+/// Maximum number of routers that check the same database in one health check period, however many routers
+/// there are.
 pub const MAX_ROUTERS_PER_NODE_AND_PERIOD: f64 = 100.0;
-/// The rate at which routers that have reason to check one database at the same moment do so.
+/// When all routers want to check the same database at the same moment, their first checks are spread out to
+/// this rate.
 const FIRST_CHECKS_PER_SECOND: f64 = 4000.0;
-/// The number of routers falls by a factor of e in this time at the fastest, however often digests arrive.
+/// Time constant of the decay of the router count: it falls at most by a factor of e in this time, however
+/// often digests arrive.
 const ROUTER_COUNT_DECAY_SECONDS: f64 = 10.0;
-/// The most that counts of the time between two digests: while none arrived, nobody knew better.
+/// Maximum time between two digests that counts towards the decay: without digests there is no evidence of
+/// fewer routers.
 const MAX_DECAY_STEP: Duration = Duration::from_secs(1);
-/// How much of its quota a router may save up, in seconds of it.
+/// Burst of the quota: the tokens that accumulate in this many seconds.
 const BURST_SECONDS: f64 = 0.05;
-/// A database is checked again after its minimum interval and up to this fraction of it more, so that routers that
-/// began together spread out.
+/// A database is checked again after its minimum interval plus a random part of up to this fraction of it, so
+/// that routers that started together spread out.
 const INTERVAL_JITTER: f64 = 0.5;
-/// First checks begin at random within this time after the last digest.
+/// An isolated router starts its own checks at a random time within this duration.
 const ISOLATION_JITTER: Duration = Duration::from_secs(1);
 
-/// What a router's quota is computed from.
+/// The values from which a router computes its quota.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct QuotaParams {
-    /// How often the control instances check each database.
+    /// Interval at which the control instances check each database.
     pub health_check_period: Duration,
-    /// About how many routers there are.
+    /// Approximate number of routers.
     pub router_count: u32,
 }
 
-/// A database that the router has wanted to check.
+/// State of a database for which the router has requested a health check.
 struct Claim {
+    /// The earliest time of the next check.
     due: Duration,
     last_granted: Option<Duration>,
 }
 
-/// The lowest number of routers that is believed by now.
+/// A lower bound for the router count: the announced count, but decaying slowly when the announced count
+/// drops.
 struct RouterCountFloor {
     routers: f64,
     updated_at: Duration,
@@ -55,14 +61,14 @@
     params: QuotaParams,
     router_count_floor: RouterCountFloor,
     nodes: BTreeSet<SocketAddr>,
-    /// When this router begins to check after the last digest.
+    /// No check is granted before this time, a random moment after the router became isolated.
     isolated_from: Duration,
     tokens: TokenBucket,
     claims: BTreeMap<SocketAddr, Claim>,
 }
 
 impl HealthCheckQuota {
-    /// A quota with an empty bucket and no databases.
+    /// Creates a quota with an empty token bucket and no databases.
     pub fn new(params: QuotaParams, now: Duration) -> Self {
         let mut quota = Self {
             params,
@@ -76,15 +82,16 @@
         quota
     }
 
-    /// The databases on the endpoint list; no other is checked.
+    /// Sets the databases on the endpoint list. Only these may be checked.
     pub fn nodes_changed(&mut self, now: Duration, nodes: &BTreeSet<SocketAddr>) {
         self.nodes.clone_from(nodes);
         self.claims.retain(|node, _| nodes.contains(node));
         self.update_rate(now);
     }
 
-    /// Takes the parameters of a digest. A control instance that has just started counts few routers: the number falls
-    /// slowly, so that no router that loses it then takes itself for one of few.
+    /// Applies the parameters of a digest. A control instance that has just started counts few routers, so a
+    /// lower count takes effect only slowly; otherwise every router that lost this instance soon afterwards
+    /// would compute too large a share for itself.
     pub fn params_changed(&mut self, now: Duration, params: QuotaParams) {
         let floor = &mut self.router_count_floor;
         let elapsed = now.saturating_sub(floor.updated_at).min(MAX_DECAY_STEP).as_secs_f64();
@@ -101,14 +108,14 @@
     fn update_rate(&mut self, now: Duration) {
         let all_per_second =
             self.nodes.len() as f64 / self.params.health_check_period.as_secs_f64().max(1e-3);
-        let own_part = ISOLATED_RATE_MULTIPLE / f64::from(self.params.router_count.max(1));
-        let rate = all_per_second * own_part.min(1.0);
+        let own_share = ISOLATED_RATE_MULTIPLE / f64::from(self.params.router_count.max(1));
+        let rate = all_per_second * own_share.min(1.0);
         self.tokens.set_rate(now, rate, (rate * BURST_SECONDS).max(1.0));
     }
 
-    /// The last control instance has fallen silent. All other routers are in the same situation: nothing is saved up, and
-    /// each begins at its own time. Checks that have long been due would be due at all routers at once, so each draws a
-    /// new time.
+    /// Called when the last control instance has stopped sending digests. All other routers are probably in
+    /// the same situation, so the bucket starts empty and each router starts at a random time. Checks that
+    /// have long been due would be due on all routers at once, so they are rescheduled to random times.
     pub fn begin_isolation(&mut self, now: Duration, rng: &mut ChaCha8Rng) {
         self.isolated_from = now + ISOLATION_JITTER.mul_f64(rng.random_range(0.0..1.0));
         for claim in self.claims.values_mut().filter(|claim| claim.due <= self.isolated_from) {
@@ -118,7 +125,7 @@
         self.update_rate(now);
     }
 
-    /// About the bytes that it holds on the heap.
+    /// Approximate heap memory in bytes.
     pub fn state_bytes(&self) -> usize {
         self.nodes.len() * size_of::<SocketAddr>() + self.claims.len() * size_of::<(SocketAddr, Claim)>()
     }
@@ -128,8 +135,8 @@
         self.nodes.contains(&node)
     }
 
-    /// Whether the router may check the database now; if so, the check counts as made. `last_seen`: when others have last
-    /// seen it, where that is a reason to check again.
+    /// Whether the router may check the database now. If so, the check is counted against the quota.
+    /// `last_seen` is when other processes last saw the database, if that is a reason to check it again.
     pub fn claim(
         &mut self,
         now: Duration,
@@ -146,7 +153,8 @@
             due: earliest + first_check_delay(router_count, rng),
             last_granted: None,
         });
-        // Others have reached it since: the long interval need not be waited for, but a period has to pass.
+        // Another process has reached the database since this router's last check: the remaining interval is
+        // skipped, but at least one period must have passed.
         if let (Some(last_seen), Some(last_granted)) = (last_seen, claim.last_granted)
             && last_seen > last_granted + health_check_period
             && claim.due > now + health_check_period
@@ -157,15 +165,16 @@
             return false;
         }
         self.tokens.spend(1.0);
-        let crowding = f64::from(router_count) / MAX_ROUTERS_PER_NODE_AND_PERIOD;
-        let min_interval = health_check_period.mul_f64(crowding.max(1.0));
+        let periods_per_check = f64::from(router_count) / MAX_ROUTERS_PER_NODE_AND_PERIOD;
+        let min_interval = health_check_period.mul_f64(periods_per_check.max(1.0));
         claim.due = now + min_interval.mul_f64(rng.random_range(1.0..1.0 + INTERVAL_JITTER));
         claim.last_granted = Some(now);
         true
     }
 }
 
-/// How long one of so many routers waits that have reason to check one database at the same moment.
+/// Random delay of a router's first check when `router_count` routers want to check the same database at the
+/// same moment.
 fn first_check_delay(router_count: u32, rng: &mut ChaCha8Rng) -> Duration {
     Duration::from_secs_f64(rng.random_range(0.0..1.0) * f64::from(router_count) / FIRST_CHECKS_PER_SECOND)
 }
--- a/crates/observation-feed/src/host.rs
+++ b/crates/observation-feed/src/host.rs
@@ -1,4 +1,4 @@
-//! What a publisher or a subscriber needs from its host, and the plain data that passes between them.
+//! The interface between a publisher or subscriber and its host, and the data types that it uses.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -7,56 +7,59 @@
 
 use crate::message::Message;
 
-/// The actions of either side. Each takes effect at once, in the order of the calls.
+/// The actions of a publisher or a subscriber. Each takes effect immediately, in the order of the calls.
 pub trait Host {
-    /// Sends a datagram that may be lost. `receiver` is the receiver's incarnation where it is known: a receiver
-    /// accepts nothing but `Subscribe` that does not name its own.
+    /// Sends a datagram, which may be lost. `receiver` is the receiver's incarnation if it is known: a
+    /// receiver rejects every message but `Subscribe` that does not name its own incarnation.
     fn send(&mut self, to: SocketAddr, receiver: Option<Incarnation>, message: Message);
-    /// Asks for one call of `timer_fired` after this span.
+    /// Requests one call of `timer_fired` after this delay.
     fn set_timer(&mut self, after: Duration);
-    /// Called for a router alone: a change of a database arrived by name, and should be used without waiting for the
-    /// next request.
+    /// Only called by a subscriber: a role, failure or start time of a single database has changed. The
+    /// router should apply it now instead of waiting for the next request.
     fn observation_changed(&mut self, observation: FeedObservation);
     /// Reports an event for the log.
     fn report_event(&mut self, event: Event);
 }
 
-/// What a router knows of a database from the feed, dated on the router's clock. Unverified until the database's own
-/// answer confirms it.
+/// What a router knows about a database from the feed, with times on the router's clock. Unverified until an
+/// answer of the database itself confirms it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FeedObservation {
     /// The database's address.
     pub node: SocketAddr,
-    /// When the database was last seen, at the earliest. The time on the network between control instances is not counted.
+    /// The earliest possible time at which the database was last seen. Network delay between control
+    /// instances is not taken into account.
     pub seen_at: Duration,
-    /// A log position on the deployment's clock that the database had applied by `seen_at`.
+    /// A log position, on the deployment's clock, that the database had applied by `seen_at`.
     pub position: Option<Duration>,
     /// Whether it is a primary, if known.
     pub primary: Option<bool>,
-    /// When it started, on the deployment's clock; `None` once it has long been warm.
+    /// When it started, on the deployment's clock; `None` if that was too long ago to matter for slow start.
     pub started: Option<Duration>,
     /// Several control instances have failed to reach it.
     pub failed: bool,
 }
 
-/// An event for the log. docs/on-call.md lists the names under which they are logged.
+/// An event for the log. docs/on-call.md lists the names under which events are logged.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// Router: the digests of this control instance are used from now on.
+    /// Router: it has received the first digest of this control instance and now uses its digests.
     Following(PeerName),
-    /// Router: this control instance has been silent too long, or has left.
+    /// Router: this control instance has been silent for too long, has rejected the subscription or is
+    /// shutting down.
     Lost(PeerName),
-    /// Router: no control instance sends digests; it makes its own health checks within its quota.
+    /// Router: no control instance sends digests; the router makes its own health checks within its quota.
     Isolated,
     /// Router: a control instance sends digests again.
     Reconnected,
-    /// Control instance: this router was rejected, since the highest number of subscribers is reached.
+    /// Control instance: this router's subscription was rejected because the maximum number of subscribers is
+    /// reached.
     SubscriberRejected(PeerName),
-    /// Control instance: counts, reported when they have changed.
+    /// Control instance: counts, reported when the number of subscribed routers has changed.
     SubscriberCounts {
-        /// Routers that are subscribed.
+        /// Subscribed routers.
         routers: usize,
-        /// Snapshots of partitions that wait to be sent.
+        /// Partition snapshots waiting to be sent.
         pending_snapshots: usize,
     },
 }
--- a/crates/observation-feed/src/lib.rs
+++ b/crates/observation-feed/src/lib.rs
@@ -1,14 +1,15 @@
-//! What control instances know of the databases, on its way to the routers.
+//! The observation feed, by which control instances publish the state of the databases to routers.
 //!
-//! A few control instances divide the health checks among themselves (`quillpoint-membership`). Each is a [`Publisher`]:
-//! ten times a second it sends every subscriber one digest, which says that all databases of a partition were seen at a
-//! log position no lower than a watermark, except those that a snapshot of the partition names. Only changes of the
-//! snapshot travel by name. A router is a [`Subscriber`] of two of them and no member of their fleet, so that what it
-//! receives grows with the faults and not with the size of the installation.
+//! A few control instances divide the health checks among themselves (`quillpoint-membership`). Each is a
+//! [`Publisher`]: ten times a second it sends every subscriber one digest, which states that all databases of
+//! a partition were seen recently, at a log position no lower than a watermark, except for those that the
+//! partition's snapshot marks as unseen or down. Only changes to the snapshot are sent for single databases.
+//! A router is a [`Subscriber`] of two control instances and not a member of their fleet, so the traffic that
+//! it receives grows with the number of faults and not with the number of databases.
 //!
-//! No I/O, no clock, no threads: both sides have one method for each thing that can happen and act by calling their
-//! [`Host`]. Time is handed in as the reading of a monotonic clock of the process; random numbers come from a seeded
-//! generator. docs/feed.md gives the reasons for the design.
+//! No I/O, clocks or threads: publisher and subscriber are state machines with one method per external event,
+//! and act by calling their [`Host`]. Time is passed in as the reading of the process's monotonic clock;
+//! random numbers come from a seeded generator. docs/feed.md explains the design.
 
 #![warn(missing_docs)]
 
--- a/crates/observation-feed/src/message.rs
+++ b/crates/observation-feed/src/message.rs
@@ -1,5 +1,5 @@
-//! The messages between a control instance and a router. `quillpoint-datagram` turns them into bytes: the order of
-//! fields and variants here is the wire format.
+//! The messages between a control instance and a router. `quillpoint-datagram` encodes them by position: the
+//! order of fields and variants here is the wire format.
 
 use std::net::{IpAddr, SocketAddr};
 use std::time::Duration;
@@ -8,23 +8,27 @@
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// How many partitions the databases are divided into. Snapshots are requested, sent and checked by partition.
+/// Number of partitions into which the databases are divided. Snapshots are requested, sent and validated per
+/// partition.
 pub const PARTITIONS: usize = 64;
-/// How many lag classes have a watermark. Each reaches twice as far behind as the one before.
+/// Number of lag classes, each with its own watermark. The lag limit of each class is twice that of the one
+/// before.
 pub const LAG_CLASSES: usize = 8;
-/// The most changes in one digest. How many fit a datagram is computed from their size ([`crate::encoded_size`]).
+/// Maximum number of changes in one digest. How many fit into a datagram also depends on their encoded size
+/// ([`crate::encoded_size`]).
 pub const MAX_CHANGES_PER_DIGEST: usize = 64;
-/// The most entries in one chunk of a snapshot.
+/// Maximum number of entries in one snapshot chunk.
 pub const MAX_ENTRIES_PER_CHUNK: usize = 128;
-/// A digest that has waited longer than this in the receiver's socket is discarded.
+/// A digest that has waited longer than this in the receiver's socket buffer is discarded.
 const MAX_SOCKET_DELAY: Duration = Duration::from_secs(2);
 
-/// A partition of the databases.
+/// Identifies a partition of the databases.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct PartitionId(pub u8);
 
 impl PartitionId {
-    /// The partition that a database belongs to: a hash of its address alone, so that all processes agree.
+    /// The partition that a database belongs to. Depends only on a hash of its address, so that all processes
+    /// agree.
     pub fn of(node: SocketAddr) -> Self {
         let mut bytes = [0; 18];
         bytes[..16].copy_from_slice(&match node.ip() {
@@ -35,143 +39,148 @@
         Self((xxh3_64(&bytes) % PARTITIONS as u64) as u8)
     }
 
-    /// The partition's place in a list of all of them.
+    /// The partition's index in a list of all partitions.
     pub fn index(self) -> usize {
         usize::from(self.0)
     }
 }
 
-/// The revision of a partition's snapshot in one incarnation of one publisher. Grows by one with each change; the
-/// default is that of no snapshot.
+/// The revision of a partition's snapshot within one incarnation of one publisher. Increases by one with each
+/// change; the default means that there is no snapshot.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Revision(pub u32);
 
-/// Sequence number of a digest in one incarnation of one publisher.
+/// Sequence number of a digest within one incarnation of one publisher.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct DigestNumber(pub u32);
 
-/// Index of a lag class, below [`LAG_CLASSES`].
+/// Index of a lag class, less than [`LAG_CLASSES`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct LagClass(pub u8);
 
 /// The status of a database. Digests cover those that are `Seen`; the others are exceptions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum NodeStatus {
-    /// It is seen as often as it should be, and was no further behind than its lag class says. A database in step is
-    /// of the first class.
+    /// Health checks reach it as often as they should, and its lag is within the limit of its lag class. A
+    /// database that is up to date is in the first class.
     Seen(LagClass),
     /// It answers without a log position, or was last seen too long ago.
     Unseen,
-    /// Several control instances have failed to reach it, each by itself.
+    /// Several control instances have failed to reach it, each with its own health check.
     Down,
 }
 
-/// What a snapshot or a change says of one database.
+/// What a snapshot or a change states about one database.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Entry {
     /// Whether it is a primary, if known.
     pub primary: Option<bool>,
-    /// When it started, on the deployment's clock; `None` once it has long been warm.
+    /// When it started, on the deployment's clock; `None` if that was too long ago to matter for slow start.
     pub started: Option<Duration>,
-    /// Its status.
+    /// Whether digests cover it, and if not, why.
     pub status: NodeStatus,
 }
 
-/// A delta of one database: its entry from that revision on, or its removal.
+/// A snapshot delta for one database: its new entry, or its removal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Change {
     /// The partition's revision after the change.
     pub revision: Revision,
-    /// The database.
+    /// The database's address.
     pub node: SocketAddr,
-    /// `None`: the database has left the endpoint list.
+    /// The new entry; `None` if the database has left the endpoint list.
     pub entry: Option<Entry>,
 }
 
-/// The summary of all databases that a publisher sends to every subscriber.
+/// The summary of all databases that a publisher regularly sends to every subscriber.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Digest {
-    /// Grows by one with each round.
+    /// Increases by one with each round.
     pub number: DigestNumber,
-    /// When it was sent, on the publisher's monotonic clock. The receiver finds out by it how late a digest is compared
-    /// with the others of that publisher, so that delay counts as age.
+    /// When it was sent, on the publisher's monotonic clock. The receiver compares it with the publisher's
+    /// other digests to estimate the transit delay, which it adds to the age of the observations.
     pub sent: Duration,
-    /// How long before the sending each database that is `Seen` had been seen last, at the most.
+    /// At the time of sending, every database that is `Seen` had last been seen no longer ago than this.
     pub age: Duration,
-    /// For each lag class a log position, on the deployment's clock, that each database of the class had applied by
-    /// then. `None` where no database is of the class.
+    /// For each lag class, a log position, on the deployment's clock, that each database of the class had
+    /// applied when it was last seen. `None` if no database is in the class.
     pub watermarks: [Option<Duration>; LAG_CLASSES],
-    /// The revision of each partition that the digest covers. It says nothing to a receiver that has another one. The
-    /// default where it does not cover the partition: a change there is still waiting.
+    /// The revision of each partition. The digest covers a partition only for receivers that have the same
+    /// revision. The default means that the digest does not cover the partition, because a change to it has
+    /// not been published yet.
     pub revisions: Vec<Revision>,
     /// The latest changes; each is repeated in several digests.
     pub changes: Vec<Change>,
-    /// How often each database is checked by all control instances together: with `router_count` the base of a router's
-    /// quota of health checks while it is isolated.
+    /// Interval at which each database is checked, by all control instances together. Together with
+    /// `router_count` it determines a router's quota of health checks while it is isolated.
     pub health_check_period: Duration,
-    /// About how many routers there are.
+    /// Approximate number of routers.
     pub router_count: u32,
 }
 
-/// A chunk of a partition's snapshot. A snapshot is taken over when all its chunks have arrived.
+/// A chunk of a partition's snapshot. The receiver installs the snapshot once all its chunks have arrived.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SnapshotChunk {
-    /// The partition.
+    /// The partition that the snapshot is of.
     pub partition: PartitionId,
     /// The snapshot's revision.
     pub revision: Revision,
-    /// Place among the chunks of this snapshot, from zero.
+    /// Index among the chunks of this snapshot, from zero.
     pub index: u16,
-    /// How many chunks the snapshot has.
+    /// Number of chunks in the snapshot.
     pub chunk_count: u16,
-    /// Each entry once, with all databases that it applies to: most entries are equal.
+    /// The databases grouped by entry, since most entries are equal.
     pub groups: Vec<(Entry, Vec<SocketAddr>)>,
 }
 
 impl Digest {
-    /// Whether it has a revision of each partition and no more changes than may be sent.
+    /// Whether it has one revision for each partition and no more changes than allowed.
     pub fn is_well_formed(&self) -> bool {
         self.revisions.len() == PARTITIONS && self.changes.len() <= MAX_CHANGES_PER_DIGEST
     }
 
-    /// The digest after it has waited for `socket_delay` in the receiver's socket: as if sent later by that, and older by
-    /// that. `None` if it waited too long to be of use.
+    /// The digest after it has waited for `socket_delay` in the receiver's socket buffer: both its send time
+    /// and its age are increased by the wait. `None` if it waited too long to be usable.
     pub fn aged_by(self, socket_delay: Duration) -> Option<Self> {
         if socket_delay > MAX_SOCKET_DELAY {
             return None;
         }
-        // The wait moves from the delay to the age: `sent` is later by it, so that `DelayMeasurement` does not count it again.
+        // The wait is part of the age now. Moving `sent` by it keeps `DelayMeasurement` from counting it
+        // again.
         let sent = self.sent.saturating_add(socket_delay);
         let age = self.age.saturating_add(socket_delay);
         Some(Self { sent, age, ..self })
     }
 }
 
-/// A message of the feed.
+/// A message of the observation feed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// From a router: send digests for a short while. Repeated until the first digest arrives. It is the only message
-    /// that is accepted without the receiver's incarnation, and does no more than this.
+    /// From a router: requests digests for a short time. Repeated until the first digest arrives. The only
+    /// message that is accepted without the receiver's incarnation; it has no other effect.
     Subscribe,
-    /// From a router: send no more digests.
+    /// From a router: ends the subscription.
     Unsubscribe,
-    /// From a router: send snapshots of these partitions.
+    /// From a router: requests snapshots of these partitions.
     Pull(Vec<PartitionId>),
-    /// From a control instance.
+    /// From a control instance: sent to each subscriber at a fixed interval.
     Digest(Digest),
-    /// From a control instance, in answer to `Pull`.
+    /// From a control instance: part of a snapshot requested by `Pull`.
     Chunk(SnapshotChunk),
-    /// From a control instance: the highest number of subscribers is reached.
+    /// From a control instance: the subscription is rejected because the maximum number of subscribers is
+    /// reached.
     SubscriptionRejected,
-    /// From a control instance: it shuts down.
+    /// From a control instance: it is shutting down.
     Leaving,
-    /// From a router that receives digests: go on. It names the receiver's incarnation, which only a router that
-    /// received a digest knows; so it validates the router's address, which a replayed `Subscribe` does not.
+    /// From a router that receives digests: renews the subscription. It names the receiver's incarnation,
+    /// which only a router that has received a digest knows. It therefore validates the router's address,
+    /// unlike a `Subscribe`, which may be a replay.
     Renew,
 }
 
 impl Message {
-    /// The message after it has waited for `socket_delay` in the receiver's socket. `None` if it is of no use any more.
+    /// The message after it has waited for `socket_delay` in the receiver's socket buffer. `None` if it is
+    /// too old to be usable.
     pub fn aged_by(self, socket_delay: Duration) -> Option<Self> {
         match self {
             Self::Digest(digest) => digest.aged_by(socket_delay).map(Self::Digest),
--- a/crates/observation-feed/src/observation_store.rs
+++ b/crates/observation-feed/src/observation_store.rs
@@ -1,10 +1,11 @@
-//! What a control instance knows of each database, and the snapshots of the partitions that it publishes.
+//! What a control instance knows about each database, and the partition snapshots that it publishes.
 //!
-//! The snapshots change only in [`ObservationStore::update_snapshots`], right before a digest, and by no more than that digest can
-//! carry. So a chunk and a digest of the same revision say the same, whichever arrives first, and a burst of changes is
-//! published in order instead of making every replica useless at once. What has to wait does no harm: a database that is
-//! better than its entry says is an exception a little longer; a partition with one that is silent although its entry says
-//! `Seen` is not covered until its turn comes.
+//! The snapshots change only in [`ObservationStore::update_snapshots`], right before a digest is built, and
+//! by no more than that digest can carry. A chunk and a digest of the same revision are therefore consistent,
+//! whichever arrives first, and a burst of changes is published step by step instead of invalidating every
+//! router's cache at once. Deferring a change is safe: a database in a better state than its entry says
+//! remains an exception a little longer, and a partition with a silent database whose entry still says `Seen`
+//! is not covered by digests until the change is published.
 
 mod change_log;
 mod node_record;
@@ -26,19 +27,21 @@
 };
 use crate::sorted_table::SortedTable;
 
-/// A database that has been silent for this many periods is `Unseen` in any case, so that it does not age the others. One
-/// whose health checker has died is seen by its successor within two and a half.
+/// A database that has been silent for this many health check periods is always `Unseen`, so that it does not
+/// increase the digest's age for all other databases. A database whose checking control instance has died is
+/// seen by the next owner within two and a half periods.
 const MAX_SILENT_PERIODS: u32 = 4;
-/// A database that is later than this many periods is `Unseen` sooner, while no more than `MAX_LATE_NODES` are.
+/// A database that has been silent for this many periods is already `Unseen` if no more than `MAX_LATE_NODES`
+/// databases are that late.
 const LATE_PERIODS: f64 = 1.5;
 const MAX_LATE_NODES: usize = 8;
 
-/// Whether any router receives the digests.
+/// Whether any router is subscribed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SubscriberPresence {
-    /// Changes have to reach subscribers.
+    /// Changes have to be sent to the subscribers, and are limited to what a digest can carry.
     Present,
-    /// Nobody has a replica: all changes are taken at once.
+    /// No router has a cache that has to follow, so all changes are applied at once.
     Absent,
 }
 
@@ -46,39 +49,42 @@
 struct Partition {
     revision: Revision,
     nodes: SortedTable<SocketAddr, NodeRecord>,
-    /// Not covered by digests: a database is published as seen but silent, and that change still waits.
+    /// Not covered by digests: a database is published as seen but has become silent, and that change is
+    /// still queued.
     is_withheld: bool,
 }
 
 impl Partition {
-    /// Nobody has a replica of it yet: its first revision takes all entries.
+    /// No router has a cache of it yet, so its first revision takes all entries.
     fn is_new(&self) -> bool {
         self.revision == Revision::default()
     }
 }
 
-/// A change that waits for its turn.
+/// A change that has not been applied to the snapshot yet.
 struct QueuedChange {
     urgency: Urgency,
-    /// The partition's place in this revision's order.
-    turn: usize,
+    /// The partition's position in the order of this update.
+    partition_order: usize,
     partition: usize,
     node: SocketAddr,
     entry: Option<Entry>,
 }
 
-/// A publisher's knowledge of all databases.
+/// A publisher's observations of all databases, and the snapshots made from them.
 pub struct ObservationStore {
     health_check_period: Duration,
     partitions: Vec<Partition>,
     change_log: ChangeLog,
-    /// The partition that goes first in the next revision; moves on with each, so that none waits for ever.
+    /// The partition that goes first in the next update; advances with each update, so that no partition
+    /// starves.
     first_partition: usize,
 }
 
 impl ObservationStore {
-    /// `health_check_period`: how often each database is checked by all control instances together. The first revision
-    /// begins with `first_partition`, of any size.
+    /// `health_check_period` is the interval at which each database is checked, by all control instances
+    /// together. The first update begins with partition `first_partition`, taken modulo the number of
+    /// partitions.
     pub fn new(health_check_period: Duration, first_partition: usize) -> Self {
         Self {
             health_check_period,
@@ -88,7 +94,8 @@
         }
     }
 
-    /// The databases on the endpoint list; nothing is kept of any other once its removal is published.
+    /// Sets the databases on the endpoint list. Other databases are dropped once their removal has been
+    /// published.
     pub fn nodes_changed(&mut self, now: Duration, nodes: &BTreeSet<SocketAddr>) {
         for partition in &mut self.partitions {
             for (node, record) in partition.nodes.iter_mut() {
@@ -105,7 +112,7 @@
         }
     }
 
-    /// Takes an observation. One that is older than what is known changes nothing.
+    /// Records an observation. One that is older than the database's last answer is ignored.
     pub fn observe(&mut self, now: Duration, observation: DatedObservation) {
         let partition = &mut self.partitions[PartitionId::of(observation.node).index()];
         if let Some(record) = partition.nodes.get_mut(&observation.node) {
@@ -113,8 +120,8 @@
         }
     }
 
-    /// Takes into the snapshots what has changed, as far as `max_bytes` of a digest can carry it. Returns whether any
-    /// change has to wait.
+    /// Applies pending changes to the snapshots, as far as they fit into `max_bytes` of a digest. Returns
+    /// whether any change had to be deferred.
     pub fn update_snapshots(
         &mut self,
         now: Duration,
@@ -122,7 +129,7 @@
         subscriber_presence: SubscriberPresence,
     ) -> bool {
         let mut changes = self.queued_changes(now);
-        changes.sort_by_key(|change| (change.urgency, change.turn));
+        changes.sort_by_key(|change| (change.urgency, change.partition_order));
         self.first_partition = (self.first_partition + 1) % PARTITIONS;
         let has_backlog = self.apply_changes(changes, max_bytes, subscriber_presence);
         let withheld_after = self.health_check_period * MAX_SILENT_PERIODS;
@@ -137,8 +144,8 @@
         has_backlog
     }
 
-    /// After which silence a database is unseen. The few that are later than all others are published by name; where many
-    /// are late, that is the normal delay here.
+    /// The time without an answer after which a database is unseen. A few late databases become exceptions
+    /// early; if many are late, the delay is taken for normal.
     fn max_silence(&self, now: Duration) -> Duration {
         let late = self.health_check_period.mul_f64(LATE_PERIODS);
         let records = self.partitions.iter().flat_map(|partition| partition.nodes.values());
@@ -149,12 +156,12 @@
     fn queued_changes(&mut self, now: Duration) -> Vec<QueuedChange> {
         let max_silence = self.max_silence(now);
         let mut changes = Vec::new();
-        for turn in 0..PARTITIONS {
-            let partition = (self.first_partition + turn) % PARTITIONS;
+        for partition_order in 0..PARTITIONS {
+            let partition = (self.first_partition + partition_order) % PARTITIONS;
             for (node, record) in self.partitions[partition].nodes.iter_mut() {
                 let desired = record.desired_change(now, max_silence, self.health_check_period);
                 if let Some(DesiredChange { urgency, entry }) = desired {
-                    changes.push(QueuedChange { urgency, turn, partition, node: *node, entry });
+                    changes.push(QueuedChange { urgency, partition_order, partition, node: *node, entry });
                 }
             }
         }
@@ -196,13 +203,13 @@
         has_backlog
     }
 
-    /// The changes for a digest that has room for `max_bytes` of them. They count as sent.
+    /// Returns the changes for a digest that has `max_bytes` left for them, and counts them as sent.
     pub fn take_changes(&mut self, max_bytes: usize) -> Vec<Change> {
         self.change_log.take(max_bytes)
     }
 
-    /// Sets what holds at this moment of all databases that are seen in the partitions that the digest covers: the send
-    /// time, the age of the oldest, and the lowest position of each lag class.
+    /// Sets the fields that depend on the time of sending: the send time, and over all seen databases of the
+    /// covered partitions the age of the oldest observation and the lowest log position of each lag class.
     pub fn fill_digest(&self, now: Duration, digest: &mut Digest) {
         let mut watermarks: [Option<Duration>; LAG_CLASSES] = [None; LAG_CLASSES];
         let mut oldest = now;
@@ -222,7 +229,7 @@
         digest.watermarks = watermarks;
     }
 
-    /// The revisions for a digest: the default where it does not cover the partition.
+    /// The revisions for a digest; the default for partitions that it does not cover.
     pub fn revisions(&self) -> Vec<Revision> {
         let revision = |partition: &Partition| match partition.is_withheld {
             true => Revision::default(),
@@ -231,13 +238,13 @@
         self.partitions.iter().map(revision).collect()
     }
 
-    /// The highest revisions that the partitions can have after the next `update_snapshots`.
+    /// The highest revisions that the partitions can have after the next [`Self::update_snapshots`].
     pub fn highest_revisions(&self) -> Vec<Revision> {
         let highest = |partition: &Partition| Revision(partition.revision.0 + MAX_CHANGES_PER_DIGEST as u32);
         self.partitions.iter().map(highest).collect()
     }
 
-    /// The snapshot of a partition in chunks that fit a datagram each. None before the first revision.
+    /// The snapshot of a partition, in chunks that each fit into a datagram. Empty before the first revision.
     pub fn snapshot(&self, id: PartitionId) -> Vec<SnapshotChunk> {
         let Some(partition) = self.partitions.get(id.index()).filter(|partition| !partition.is_new()) else {
             return Vec::new();
@@ -247,19 +254,19 @@
         snapshot::chunks(id, partition.revision, entries)
     }
 
-    /// About the bytes that it holds on the heap.
+    /// Approximate heap memory in bytes.
     pub fn state_bytes(&self) -> usize {
         self.partitions.len() * size_of::<Partition>()
             + self.len() * size_of::<(SocketAddr, NodeRecord)>()
             + self.change_log.len() * size_of::<LoggedChange>()
     }
 
-    /// How many databases are kept.
+    /// Number of databases in the store.
     pub fn len(&self) -> usize {
         self.partitions.iter().map(|partition| partition.nodes.len()).sum()
     }
 
-    /// Whether no database is kept.
+    /// Whether the store has no databases.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
--- a/crates/observation-feed/src/observation_store/change_log.rs
+++ b/crates/observation-feed/src/observation_store/change_log.rs
@@ -1,13 +1,14 @@
-//! The latest changes, each repeated in several digests, so that a lost digest costs no snapshot.
+//! The latest changes. Each is repeated in several digests, so that the loss of one digest does not require a
+//! snapshot.
 
 use std::collections::VecDeque;
 
 use crate::encoded_size;
 use crate::message::{Change, MAX_CHANGES_PER_DIGEST};
 
-/// In how many digests each change is sent, as far as they have room.
+/// Number of digests in which each change is sent, space permitting.
 const REPETITIONS: u8 = 3;
-/// The most changes that are kept for that.
+/// Maximum number of changes kept for repetition.
 const MAX_CHANGES: usize = 256;
 
 pub(super) struct LoggedChange {
@@ -25,15 +26,15 @@
         self.changes.push_back(LoggedChange { change, times_sent: 0 });
     }
 
-    /// Drops the oldest changes beyond the bound.
+    /// Drops the oldest changes beyond `MAX_CHANGES`.
     pub(super) fn trim(&mut self) {
         while self.changes.len() > MAX_CHANGES {
             self.changes.pop_front();
         }
     }
 
-    /// The changes for a digest with room for `max_bytes` of them: those that were sent least often, in the order in which
-    /// they were made.
+    /// Returns the changes for a digest that has `max_bytes` left for them: those that were sent least often,
+    /// in the order in which they were made. Drops changes that have been sent often enough.
     pub(super) fn take(&mut self, max_bytes: usize) -> Vec<Change> {
         let mut by_priority: Vec<usize> = (0..self.changes.len()).collect();
         by_priority.sort_by_key(|index| (self.changes[*index].times_sent, *index));
--- a/crates/observation-feed/src/observation_store/node_record.rs
+++ b/crates/observation-feed/src/observation_store/node_record.rs
@@ -1,4 +1,4 @@
-//! What a control instance knows of one database, and which entry the snapshot should have for it.
+//! What a control instance knows about one database, and the entry that the snapshot should have for it.
 
 use std::time::Duration;
 
@@ -6,34 +6,36 @@
 
 use crate::message::{Entry, LAG_CLASSES, LagClass, NodeStatus};
 
-/// For how many periods a lower lag class must hold before it is published. A database that is seen again is published at
-/// once: where a control instance has died, its successor sees its databases only every second period until it passes
-/// for dead.
+/// Number of periods for which a database must stay in a lower lag class before that is published. A database
+/// that is seen again after a silence is published at once: when a control instance has died, the next owner
+/// checks its databases only every second period until the instance is declared dead.
 const IMPROVEMENT_PERIODS: u32 = 10;
-/// A start is published for this long: routers' slow start ends sooner.
+/// A start time is published for this long; the slow start of routers ends earlier.
 pub const START_TIME_PUBLISHED_FOR: Duration = Duration::from_secs(120);
 /// A database that has not answered yet gets an entry after this many periods.
 const FIRST_ANSWER_PERIODS: u32 = 4;
 
-/// How urgent a change is; the first are published first.
+/// The order in which changes are published.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Urgency {
-    /// A role, a start, a failure, a database that was listed or removed.
+    /// A new role, a start, a failure or its end, or a database that was added to or removed from the
+    /// endpoint list.
     Notable,
-    /// A higher lag class, or silence.
+    /// A higher lag class, or a database that is no longer seen.
     Worse,
-    /// A lower lag class, or the end of a silence.
+    /// A lower lag class, or a database that is seen again.
     Better,
 }
 
-/// A change that the snapshot should take.
+/// A change that should be made to the snapshot.
 pub(super) struct DesiredChange {
     pub(super) urgency: Urgency,
-    /// `None`: the database is to be removed.
+    /// The new entry; `None` to remove the database.
     pub(super) entry: Option<Entry>,
 }
 
-/// Since when a database has been better than its entry says, and the worst lag class since then.
+/// Tracks how long a database has been in a better state than its published entry, and the worst lag class in
+/// that time.
 struct Improvement {
     since: Duration,
     worst_class: LagClass,
@@ -41,14 +43,14 @@
 
 pub(super) struct NodeRecord {
     listed_at: Duration,
-    /// It has left the endpoint list, and is to be removed from the snapshot.
+    /// It has left the endpoint list and has to be removed from the snapshot.
     pub(super) is_removed: bool,
     /// When it last answered.
     pub(super) answered_at: Option<Duration>,
-    /// The newest log position that it has shown.
+    /// The log position in the newest answer that contained one.
     pub(super) position: Option<Duration>,
-    /// Whether its last answer showed a position.
-    shows_position: bool,
+    /// Whether its last answer contained a log position.
+    reports_position: bool,
     primary: Option<bool>,
     started: Option<Duration>,
     /// Several control instances have failed to reach it since it last answered.
@@ -65,7 +67,7 @@
             is_removed: false,
             answered_at: None,
             position: None,
-            shows_position: false,
+            reports_position: false,
             primary: None,
             started: None,
             is_down: false,
@@ -74,7 +76,7 @@
         }
     }
 
-    /// Takes an observation unless it is older than what is known.
+    /// Records an observation unless it is older than the last answer.
     pub(super) fn observe(&mut self, now: Duration, observation: DatedObservation) {
         let observed_at = observation.at.min(now);
         if self.answered_at.is_some_and(|answered_at| observed_at < answered_at) {
@@ -86,13 +88,13 @@
         }
         self.answered_at = Some(observed_at);
         self.is_down = false;
-        self.shows_position = observation.position.is_some();
+        self.reports_position = observation.position.is_some();
         self.position = observation.position.or(self.position);
         self.primary = observation.primary.or(self.primary);
         self.started = observation.started.or(self.started);
     }
 
-    /// The lag class of a database that is published as seen.
+    /// The published lag class; `None` unless the database is published as seen.
     pub(super) fn published_class(&self) -> Option<LagClass> {
         match self.published?.status {
             NodeStatus::Seen(class) => Some(class),
@@ -100,28 +102,29 @@
         }
     }
 
-    /// Whether it is published as seen, but was last seen longer ago than this. One that has never answered is not late: this
-    /// counts how long answers take.
+    /// Whether it is published as seen but last answered longer ago than `max_silence`. A database that has
+    /// never answered is not overdue, because this measures how long answers take.
     pub(super) fn is_overdue(&self, now: Duration, max_silence: Duration) -> bool {
         self.published_class().is_some()
             && self.answered_at.is_some_and(|answered_at| answered_at + max_silence < now)
     }
 
-    /// Whether it is published as seen although it has never answered, or not for this long. Other than for
-    /// [`Self::is_overdue`], one that has never answered counts: nothing vouches for its entry.
+    /// Whether it is published as seen although it has never answered, or not for `max_silence`. Unlike
+    /// [`Self::is_overdue`], this includes a database that has never answered, because no observation
+    /// supports its entry.
     pub(super) fn is_wrongly_published(&self, now: Duration, max_silence: Duration) -> bool {
         self.published_class().is_some()
             && self.answered_at.is_none_or(|answered_at| answered_at + max_silence < now)
     }
 
-    /// Takes a published entry.
+    /// Sets the published entry and restarts the tracking of improvements.
     pub(super) fn publish(&mut self, entry: Entry) {
         self.published = Some(entry);
         self.improvement = None;
     }
 
-    /// The change that the snapshot needs now, if its entry is not right. A database that is silent for longer than
-    /// `max_silence` is unseen; `period` is that of the health checks.
+    /// The change that the snapshot needs now, if its entry is outdated. A database that has been silent for
+    /// longer than `max_silence` is unseen; `period` is the health check period.
     pub(super) fn desired_change(
         &mut self,
         now: Duration,
@@ -134,7 +137,7 @@
         let started = self.started.filter(|started| *started + START_TIME_PUBLISHED_FOR > now);
         let status = self.current_status(now, max_silence, period);
         let Some(published) = self.published else {
-            // Time to answer first, so that a start is no burst of changes.
+            // Wait for the first answer, so that the start of this process does not cause a burst of changes.
             let is_known = self.answered_at.is_some()
                 || self.is_down
                 || self.listed_at + period * FIRST_ANSWER_PERIODS <= now;
@@ -158,7 +161,7 @@
         }
         match (self.answered_at, self.position) {
             (Some(answered_at), Some(position))
-                if self.shows_position && answered_at + max_silence >= now =>
+                if self.reports_position && answered_at + max_silence >= now =>
             {
                 NodeStatus::Seen(lag_class(answered_at.saturating_sub(position), period))
             }
@@ -166,8 +169,8 @@
         }
     }
 
-    /// The status to publish. A worse one is published at once, a better one after a while, so that a database that goes to
-    /// and fro is published once.
+    /// The status to publish. A worse status is published at once, a lower lag class only after a while, so
+    /// that a database that alternates between two lag classes is published only once.
     fn next_status(
         &mut self,
         now: Duration,
@@ -194,7 +197,8 @@
         }
     }
 
-    /// The worst lag class since the improvement began, once that has held for long enough.
+    /// The worst lag class since the improvement began, once the improvement has lasted long enough; until
+    /// then the published status.
     fn improved_status(
         &mut self,
         now: Duration,
@@ -213,7 +217,7 @@
     }
 }
 
-/// The first class reaches as far behind as a period; the last has no end.
+/// The lag limit of the first class is one period and doubles with each class; the last class has no limit.
 fn lag_class(lag: Duration, period: Duration) -> LagClass {
     let reaches = |class: &u8| lag <= period * (1 << class);
     LagClass((0..LAG_CLASSES as u8).find(reaches).unwrap_or(LAG_CLASSES as u8 - 1))
--- a/crates/observation-feed/src/observation_store/snapshot.rs
+++ b/crates/observation-feed/src/observation_store/snapshot.rs
@@ -1,4 +1,4 @@
-//! A partition's snapshot, cut into chunks that fit a datagram each.
+//! Splits a partition's snapshot into chunks that each fit into a datagram.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -8,10 +8,10 @@
 
 type EntryGroup = (Entry, Vec<SocketAddr>);
 
-/// Bytes of a group's number of databases, at the most.
+/// Maximum encoded size of the number of databases in a group.
 const GROUP_LENGTH_BYTES: usize = 2;
 
-/// The chunks of a snapshot with these entries.
+/// Builds the chunks of a snapshot with these entries.
 pub(super) fn chunks(
     partition: PartitionId,
     revision: Revision,
@@ -33,7 +33,7 @@
 }
 
 struct ChunkBuilder {
-    /// Never empty; the last one is filled.
+    /// Never empty; entries are added to the last one.
     chunks: Vec<Vec<EntryGroup>>,
     free_bytes: usize,
     entry_count: usize,
@@ -44,7 +44,7 @@
         Self { chunks: vec![Vec::new()], free_bytes: encoded_size::MAX_PAYLOAD_BYTES, entry_count: 0 }
     }
 
-    /// Adds databases with the same entry, which is repeated in each chunk that they reach into.
+    /// Adds databases that share an entry. The entry is repeated in each chunk that contains some of them.
     fn add_group(&mut self, entry: Entry, nodes: Vec<SocketAddr>) {
         let header_bytes = encoded_size::entry(&entry) + GROUP_LENGTH_BYTES;
         let mut is_group_open = false;
--- a/crates/observation-feed/src/partition_cache.rs
+++ b/crates/observation-feed/src/partition_cache.rs
@@ -1,7 +1,9 @@
-//! One partition of a router's replica of one publisher: its entries at a revision, and how they are dated.
+//! A router's cache of one partition of a publisher's snapshot: the entries at one revision, and the times
+//! that apply to them.
 //!
-//! A digest covers a partition only if the replica has the revision that it names. What is covered is dated by the
-//! digest; the rest keeps its date. So whatever is missed makes observations older and never fresher.
+//! A digest covers a partition only if the cache has the revision that the digest names. The digest dates the
+//! entries that it covers; the others keep their dates. Lost messages therefore make observations older,
+//! never fresher.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -12,23 +14,23 @@
     Change, DigestNumber, Entry, LAG_CLASSES, LagClass, NodeStatus, PartitionId, Revision, SnapshotChunk,
 };
 
-/// The most databases that are kept of a partition, and of a snapshot that is arriving.
+/// Maximum number of databases kept for a partition, and for a partially received snapshot.
 const MAX_NODES_PER_PARTITION: usize = 2048;
 
-/// What a digest says of all databases that are `Seen`.
+/// What a digest states about all databases that are `Seen`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Coverage {
     /// The digest's number.
     pub number: DigestNumber,
-    /// When each had been seen last, at the earliest, on the router's clock.
+    /// The earliest time at which any of them was last seen, on the router's clock.
     pub seen_at: Duration,
     /// The digest's watermarks.
     pub watermarks: [Option<Duration>; LAG_CLASSES],
 }
 
-/// When a database was last seen at the earliest, and the position that it had applied by then.
+/// The earliest time at which a database was last seen, and the log position that it had applied by then.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-struct Dating {
+struct LastSeen {
     seen_at: Duration,
     position: Option<Duration>,
 }
@@ -36,35 +38,35 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct CachedNode {
     entry: Entry,
-    /// The last digest before the entry: only a later one covers it.
+    /// The last digest before the entry was set: only a later digest covers the entry.
     recorded_after: Option<DigestNumber>,
-    /// The date before the entry; of one that is down the date of its failure.
-    previous: Option<Dating>,
+    /// What applied before the entry was set; for a database that is down, the time of its failure.
+    previous: Option<LastSeen>,
 }
 
-/// A snapshot that is arriving: its chunks by their index.
+/// A partially received snapshot: its chunks by index.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct ArrivingSnapshot {
+struct PartialSnapshot {
     revision: Revision,
     chunk_count: u16,
     chunks: BTreeMap<u16, Vec<(SocketAddr, Entry)>>,
 }
 
-impl ArrivingSnapshot {
+impl PartialSnapshot {
     fn entry_count(&self) -> usize {
         self.chunks.values().map(Vec::len).sum()
     }
 }
 
-/// A router's replica of one partition.
+/// A router's cache of one partition.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct PartitionCache {
     revision: Revision,
     nodes: BTreeMap<SocketAddr, CachedNode>,
     coverage: Option<Coverage>,
-    /// A snapshot was taken over, and no digest has covered it since.
+    /// A snapshot was installed and no digest has covered it yet.
     awaits_coverage: bool,
-    arriving: Option<ArrivingSnapshot>,
+    partial_snapshot: Option<PartialSnapshot>,
 }
 
 impl PartitionCache {
@@ -78,53 +80,54 @@
         self.coverage.is_some()
     }
 
-    /// How many databases are kept.
+    /// Number of cached databases.
     pub(crate) fn node_count(&self) -> usize {
         self.nodes.len()
     }
 
-    /// How many entries wait for the rest of their snapshot.
+    /// Number of entries in a partially received snapshot.
     pub(crate) fn pending_entry_count(&self) -> usize {
-        self.arriving.as_ref().map_or(0, ArrivingSnapshot::entry_count)
+        self.partial_snapshot.as_ref().map_or(0, PartialSnapshot::entry_count)
     }
 
-    /// About the bytes that it holds on the heap, and itself.
+    /// Approximate memory in bytes, including this struct.
     pub(crate) fn state_bytes(&self) -> usize {
         size_of::<Self>()
             + self.node_count() * size_of::<(SocketAddr, CachedNode)>()
             + self.pending_entry_count() * size_of::<(SocketAddr, Entry)>()
     }
 
-    /// What is known of a database.
+    /// What the cache knows about a database; `None` if no digest has covered its entry.
     pub(crate) fn observation(&self, node: SocketAddr) -> Option<FeedObservation> {
         let cached = self.nodes.get(&node)?;
-        let Dating { seen_at, position } = self.dating(cached)?;
+        let LastSeen { seen_at, position } = self.last_seen(cached)?;
         let Entry { primary, started, status } = cached.entry;
         let failed = status == NodeStatus::Down;
         let position = position.filter(|_| !failed);
         Some(FeedObservation { node, seen_at, position, primary, started, failed })
     }
 
-    fn dating(&self, cached: &CachedNode) -> Option<Dating> {
+    fn last_seen(&self, cached: &CachedNode) -> Option<LastSeen> {
         match (cached.entry.status, self.coverage) {
             (NodeStatus::Seen(LagClass(class)), Some(coverage))
                 if cached.recorded_after < Some(coverage.number) =>
             {
                 let position = coverage.watermarks.get(usize::from(class)).copied().flatten();
-                Some(Dating { seen_at: coverage.seen_at, position })
+                Some(LastSeen { seen_at: coverage.seen_at, position })
             }
             _ => cached.previous,
         }
     }
 
-    /// Replaces a database's entry; its date stays until a later digest covers the new one.
+    /// Replaces a database's entry. It keeps its date until a later digest covers the new entry.
     fn set_entry(&mut self, node: SocketAddr, entry: Entry) {
-        let previous = self.nodes.get(&node).and_then(|cached| self.dating(cached));
+        let previous = self.nodes.get(&node).and_then(|cached| self.last_seen(cached));
         let recorded_after = self.coverage.map(|coverage| coverage.number);
         self.nodes.insert(node, CachedNode { entry, recorded_after, previous });
     }
 
-    /// Takes a change if it is the next one. Returns whether the database's role, failure or start has changed.
+    /// Applies a change if its revision is the next one. Returns whether the database's role, failure or
+    /// start has changed.
     pub(crate) fn apply_change(&mut self, change: Change, seen_at: Duration) -> bool {
         let Change { revision, node, entry } = change;
         let has_snapshot = self.revision != Revision::default();
@@ -144,13 +147,13 @@
         if entry.status == NodeStatus::Down
             && let Some(cached) = self.nodes.get_mut(&node)
         {
-            cached.previous = Some(Dating { seen_at, position: None });
+            cached.previous = Some(LastSeen { seen_at, position: None });
         }
-        former.is_none_or(|former| differs_by_name(former, entry))
+        former.is_none_or(|former| is_notable_change(former, entry))
     }
 
-    /// Dates the entries by a digest that names this revision. Returns the databases of a new snapshot whose role, failure
-    /// or start the router should learn at once.
+    /// Dates the entries by a digest that names this cache's revision. Returns the databases of a newly
+    /// installed snapshot whose role, failure or start the router should learn at once.
     pub(crate) fn cover(&mut self, revision: Revision, coverage: Coverage) -> Vec<SocketAddr> {
         if revision == Revision::default() || self.revision != revision {
             return Vec::new();
@@ -165,7 +168,7 @@
             let Entry { primary, started, status } = cached.entry;
             let is_down = status == NodeStatus::Down;
             if is_down && cached.previous.is_none() {
-                cached.previous = Some(Dating { seen_at: coverage.seen_at, position: None });
+                cached.previous = Some(LastSeen { seen_at: coverage.seen_at, position: None });
             }
             if is_down || primary == Some(true) || started.is_some() {
                 notable.push(*node);
@@ -174,32 +177,35 @@
         notable
     }
 
-    /// Keeps a chunk until all of its revision have arrived, and then takes the snapshot over. A chunk of an earlier
-    /// revision, with databases of other partitions or unlike the others changes nothing.
+    /// Stores a chunk until all chunks of its revision have arrived, then installs the snapshot. A chunk of
+    /// an earlier revision, or with an invalid index or databases of other partitions, is ignored.
     pub(crate) fn add_chunk(&mut self, chunk: SnapshotChunk) {
         if !self.is_acceptable(&chunk) {
             return;
         }
         let SnapshotChunk { revision, index, chunk_count, groups, .. } = chunk;
-        match &self.arriving {
-            Some(arriving) if arriving.revision == revision && arriving.chunk_count == chunk_count => {}
-            Some(arriving) if arriving.revision > revision => return,
-            _ => self.arriving = Some(ArrivingSnapshot { revision, chunk_count, chunks: BTreeMap::new() }),
+        match &self.partial_snapshot {
+            Some(partial) if partial.revision == revision && partial.chunk_count == chunk_count => {}
+            Some(partial) if partial.revision > revision => return,
+            _ => {
+                self.partial_snapshot =
+                    Some(PartialSnapshot { revision, chunk_count, chunks: BTreeMap::new() })
+            }
         }
-        let Some(arriving) = &mut self.arriving else { return };
+        let Some(partial) = &mut self.partial_snapshot else { return };
         let entries: Vec<(SocketAddr, Entry)> = groups
             .into_iter()
             .flat_map(|(entry, nodes)| nodes.into_iter().map(move |node| (node, entry)))
             .collect();
-        if arriving.entry_count() + entries.len() > MAX_NODES_PER_PARTITION {
-            self.arriving = None;
+        if partial.entry_count() + entries.len() > MAX_NODES_PER_PARTITION {
+            self.partial_snapshot = None;
             return;
         }
-        arriving.chunks.insert(index, entries);
-        if arriving.chunks.len() == usize::from(chunk_count) {
-            let entries = std::mem::take(&mut arriving.chunks).into_values().flatten().collect();
-            self.arriving = None;
-            self.take_over(revision, entries);
+        partial.chunks.insert(index, entries);
+        if partial.chunks.len() == usize::from(chunk_count) {
+            let entries = std::mem::take(&mut partial.chunks).into_values().flatten().collect();
+            self.partial_snapshot = None;
+            self.install_snapshot(revision, entries);
         }
     }
 
@@ -211,10 +217,10 @@
             && chunk.revision > self.revision
     }
 
-    fn take_over(&mut self, revision: Revision, entries: BTreeMap<SocketAddr, Entry>) {
+    fn install_snapshot(&mut self, revision: Revision, entries: BTreeMap<SocketAddr, Entry>) {
         self.nodes.retain(|node, _| entries.contains_key(node));
         for (node, entry) in entries {
-            // An entry that has not changed keeps its date.
+            // An unchanged entry keeps its date.
             if self.nodes.get(&node).is_some_and(|cached| cached.entry == entry) {
                 continue;
             }
@@ -222,7 +228,7 @@
             if entry.status == NodeStatus::Down
                 && let Some(cached) = self.nodes.get_mut(&node)
             {
-                // Dated by the first digest that covers it.
+                // Set by the first digest that covers the new snapshot.
                 cached.previous = None;
             }
         }
@@ -231,8 +237,9 @@
     }
 }
 
-/// Whether an entry says more than the former one apart from its lag: another role, failure or start.
-fn differs_by_name(former: Entry, entry: Entry) -> bool {
+/// Whether the role, failure or start differs between two entries, not just the lag or whether the database
+/// is seen.
+fn is_notable_change(former: Entry, entry: Entry) -> bool {
     let has_new_start = entry.started.is_some() && entry.started != former.started;
     let was_down = former.status == NodeStatus::Down;
     let is_down = entry.status == NodeStatus::Down;
--- a/crates/observation-feed/src/partition_caches.rs
+++ b/crates/observation-feed/src/partition_caches.rs
@@ -1,4 +1,4 @@
-//! A router's replica of all partitions of one publisher's incarnation.
+//! A router's cache of all partitions of one publisher incarnation.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,18 +8,18 @@
 pub use crate::partition_cache::Coverage;
 use crate::partition_cache::PartitionCache;
 
-/// The replicas of all partitions.
+/// The caches of all partitions.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct PartitionCaches {
     partitions: Vec<PartitionCache>,
 }
 
-/// How much a replica holds.
+/// The number of items in a cache.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct CacheSize {
     /// Databases with an entry.
     pub nodes: usize,
-    /// Entries that wait for the rest of their snapshot.
+    /// Entries in partially received snapshots.
     pub pending_entries: usize,
 }
 
@@ -30,8 +30,9 @@
 }
 
 impl PartitionCaches {
-    /// Takes the changes that follow on the replica's revisions, in their order and none left out. `seen_at`: the date of
-    /// the digest that they came with. Returns the databases whose role, failure or start has changed.
+    /// Applies changes in the order of their revisions. A change is ignored unless its revision directly
+    /// follows that of its partition. `seen_at` is the date of the digest that contained the changes. Returns
+    /// the databases whose role, failure or start has changed.
     pub fn apply_changes(&mut self, mut changes: Vec<Change>, seen_at: Duration) -> Vec<SocketAddr> {
         changes.sort_by_key(|change| change.revision);
         let mut notable = Vec::new();
@@ -44,14 +45,15 @@
         notable
     }
 
-    /// Dates the partitions that have the revisions that a digest names. Returns the databases of new snapshots whose role,
-    /// failure or start the router should learn at once.
+    /// Dates the partitions whose revisions match those in a digest. Returns the databases of newly installed
+    /// snapshots whose role, failure or start the router should learn at once.
     pub fn cover(&mut self, revisions: &[Revision], coverage: Coverage) -> Vec<SocketAddr> {
         let partitions = self.partitions.iter_mut().zip(revisions);
         partitions.flat_map(|(partition, revision)| partition.cover(*revision, coverage)).collect()
     }
 
-    /// Keeps a chunk until its snapshot is complete, and then takes that over. An unacceptable chunk changes nothing.
+    /// Stores a chunk until its snapshot is complete, then installs the snapshot. An invalid chunk is
+    /// ignored.
     pub fn add_chunk(&mut self, chunk: SnapshotChunk) {
         if let Some(partition) = self.partitions.get_mut(chunk.partition.index()) {
             partition.add_chunk(chunk);
@@ -68,22 +70,22 @@
         self.partitions.get(partition.index()).is_some_and(PartitionCache::is_covered)
     }
 
-    /// Whether each partition has been covered.
+    /// Whether each partition has been covered by a digest.
     pub fn is_complete(&self) -> bool {
         self.partitions.iter().all(PartitionCache::is_covered)
     }
 
-    /// What is known of a database.
+    /// What the caches know about a database.
     pub fn observation(&self, node: SocketAddr) -> Option<FeedObservation> {
         self.partitions[PartitionId::of(node).index()].observation(node)
     }
 
-    /// About the bytes that it takes.
+    /// Approximate memory in bytes.
     pub fn state_bytes(&self) -> usize {
         size_of::<Self>() + self.partitions.iter().map(PartitionCache::state_bytes).sum::<usize>()
     }
 
-    /// How much it holds.
+    /// The number of items in the caches.
     pub fn size(&self) -> CacheSize {
         CacheSize {
             nodes: self.partitions.iter().map(PartitionCache::node_count).sum(),
--- a/crates/observation-feed/src/preference.rs
+++ b/crates/observation-feed/src/preference.rs
@@ -1,26 +1,27 @@
-//! Which control instances a router prefers: those of its own region first, then by rendezvous hashing of its name and
-//! theirs, so that each has about as many subscribers as the others and one that comes or goes moves only its own.
+//! A router's order of preference of control instances: those of its own region first, then by rendezvous
+//! hashing of the router's and the instance's names. Subscribers are spread evenly, and adding or removing an
+//! instance moves only the instance's own subscribers.
 
 use std::net::SocketAddr;
 
 use quillpoint_membership::PeerName;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// The most control instances that a router takes from its configuration.
+/// Maximum number of control instances that a router uses from its configuration.
 pub const MAX_CONTROL_INSTANCES: usize = 64;
 
 /// A control instance from a router's configuration.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ControlInstance {
-    /// Its name in its fleet.
+    /// Its name as a member of its fleet.
     pub name: PeerName,
-    /// Where it publishes.
+    /// The address of its publisher.
     pub address: SocketAddr,
-    /// Its region, if one is configured.
+    /// Its region, if configured.
     pub region: Option<String>,
 }
 
-/// The control instances in the order in which this router prefers them, each name once.
+/// Returns the control instances in this router's order of preference, without duplicate names.
 pub fn rank_control_instances(
     router: &PeerName,
     region: Option<&str>,
--- a/crates/observation-feed/src/publisher.rs
+++ b/crates/observation-feed/src/publisher.rs
@@ -1,5 +1,5 @@
-//! A control instance's side of the feed: one digest for all subscribers, snapshots of partitions for those that request
-//! them, both paced.
+//! A control instance's side of the feed: sends digests to all subscribers, and partition snapshots to those
+//! that request them. Both are paced.
 
 mod rounds;
 mod snapshots;
@@ -15,29 +15,30 @@
 
 use self::rounds::Rounds;
 use self::snapshots::SnapshotQueue;
+use self::subscriptions::{AddressProof, Subscription};
 pub use self::subscriptions::{SUBSCRIPTION_LEASE, UNVALIDATED_LEASE};
-use self::subscriptions::{Subscription, SubscriptionProof};
 use crate::host::{Event, Host};
 use crate::message::Message;
 use crate::observation_store::ObservationStore;
 
-/// How often the counts are reported, where they have changed.
+/// Minimum interval between two reports of the subscriber counts, and between two reports of rejected
+/// routers.
 const REPORT_INTERVAL: Duration = Duration::from_secs(10);
 
-/// A publisher's settings.
+/// The settings of a publisher.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PublisherParams {
-    /// How often each database is checked, by all control instances together.
+    /// Interval at which each database is checked, by all control instances together.
     pub health_check_period: Duration,
-    /// The time between two digests.
+    /// Interval between two digests.
     pub digest_interval: Duration,
-    /// The budget of snapshots, for all subscribers together.
+    /// Bandwidth budget for snapshots, for all subscribers together.
     pub snapshot_bytes_per_second: f64,
-    /// More routers than this are rejected.
+    /// Maximum number of subscribed routers; others are rejected.
     pub max_subscribers: usize,
 }
 
-/// The publisher's state machine. Each method is one thing that can happen.
+/// The publisher's state machine, with one method per external event.
 pub struct Publisher<H: Host> {
     host: H,
     params: PublisherParams,
@@ -46,7 +47,7 @@
     instance_count: usize,
     subscriptions: BTreeMap<PeerName, Subscription>,
     snapshots: SnapshotQueue,
-    /// When the first databases were listed.
+    /// When the endpoint list first contained a database.
     first_listed_at: Option<Duration>,
     rounds: Rounds,
     reported_routers: usize,
@@ -56,7 +57,7 @@
 }
 
 impl<H: Host> Publisher<H> {
-    /// A publisher without databases and subscribers; it sets its first timer.
+    /// Creates a publisher without databases and subscribers, and sets its first timer.
     pub fn new(host: H, params: PublisherParams, seed: u64, now: Duration) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let first_partition = rng.next_u32() as usize;
@@ -79,7 +80,7 @@
         publisher
     }
 
-    /// The databases on the endpoint list; no other is published.
+    /// Sets the databases on the endpoint list. Only these are published.
     pub fn nodes_changed(&mut self, now: Duration, nodes: &BTreeSet<SocketAddr>) {
         self.store.nodes_changed(now, nodes);
         if !nodes.is_empty() {
@@ -87,17 +88,18 @@
         }
     }
 
-    /// This control instance, or another of its fleet, has made an observation.
+    /// Records an observation made by this control instance or by another member of its fleet.
     pub fn observe(&mut self, now: Duration, observation: DatedObservation) {
         self.store.observe(now, observation);
     }
 
-    /// How many control instances there are, this one included.
+    /// Sets the number of control instances, including this one.
     pub fn instance_count_changed(&mut self, instance_count: usize) {
         self.instance_count = instance_count.max(1);
     }
 
-    /// A message that is authentic and not a replay.
+    /// Handles a message that has been authenticated and is not a replay, except that a `Subscribe` may be
+    /// one.
     pub fn message_arrived(
         &mut self,
         now: Duration,
@@ -106,25 +108,25 @@
         incarnation: Incarnation,
         message: Message,
     ) {
-        let known = self.subscriptions.get(router);
-        if self.has_left || known.is_some_and(|known| known.incarnation > incarnation) {
+        let existing = self.subscriptions.get(router);
+        if self.has_left || existing.is_some_and(|existing| existing.incarnation > incarnation) {
             return;
         }
         match message {
             Message::Subscribe => {
-                self.subscribe(now, from, router, incarnation, SubscriptionProof::None);
+                self.subscribe(now, from, router, incarnation, AddressProof::None);
             }
             Message::Renew => {
-                self.subscribe(now, from, router, incarnation, SubscriptionProof::NamesIncarnation);
+                self.subscribe(now, from, router, incarnation, AddressProof::NamesIncarnation);
             }
             Message::Unsubscribe => self.unsubscribe(router),
             Message::Pull(partitions) => self.pull(now, from, router, incarnation, &partitions),
-            // Messages of other control instances are none of its concern.
+            // Only sent by control instances, to routers.
             Message::Digest(_) | Message::Chunk(_) | Message::SubscriptionRejected | Message::Leaving => {}
         }
     }
 
-    /// The timer that was set has fired. Sends what is due, and sets the next one.
+    /// Called when the timer fires: sends what is due and sets the next timer.
     pub fn timer_fired(&mut self, now: Duration) {
         if self.has_left {
             return;
@@ -145,7 +147,7 @@
         }
     }
 
-    /// Shuts down: tells all subscribers, and sends nothing from then on.
+    /// Shuts down: notifies all subscribers, and sends nothing afterwards.
     pub fn leave(&mut self, _now: Duration) {
         if self.has_left {
             return;
@@ -158,12 +160,12 @@
         self.snapshots.clear();
     }
 
-    /// How many routers are subscribed.
+    /// Number of subscribed routers.
     pub fn subscriber_count(&self) -> usize {
         self.subscriptions.len()
     }
 
-    /// About the bytes that the publisher takes, by number and size of what it holds.
+    /// Approximate memory of the publisher in bytes, computed from the number and size of its items.
     pub fn state_bytes(&self) -> usize {
         size_of::<Self>()
             + self.store.state_bytes()
@@ -171,7 +173,7 @@
             + self.snapshots.len() * size_of::<PeerName>()
     }
 
-    /// How many snapshots of partitions wait to be sent.
+    /// Number of partition snapshots waiting to be sent.
     pub fn pending_snapshots(&self) -> usize {
         self.subscriptions.values().map(Subscription::pending_snapshots).sum()
     }
--- a/crates/observation-feed/src/publisher/rounds.rs
+++ b/crates/observation-feed/src/publisher/rounds.rs
@@ -1,4 +1,4 @@
-//! Rounds of digests: each round makes one digest and sends it to the subscribers in batches, so that no burst leaves.
+//! Digest rounds: each round builds one digest and sends it to the subscribers in batches, to avoid a burst.
 
 use std::time::Duration;
 
@@ -8,15 +8,16 @@
 use crate::message::{Digest, DigestNumber, LAG_CLASSES, Message};
 use crate::observation_store::SubscriberPresence;
 
-/// In how many batches the subscribers are served over a digest interval.
+/// Number of batches into which a round divides the subscribers, spread over a digest interval.
 const BATCHES_PER_ROUND: u32 = 10;
-/// While changes wait, rounds are shorter by this factor, so that a burst is published within seconds.
+/// While changes are queued, rounds are shorter by this factor, so that a burst of changes is published
+/// within seconds.
 const BACKLOG_SPEEDUP: u32 = 5;
-/// No digest leaves before databases have been listed for this many periods: a publisher that has just started would
-/// publish each as unseen, and then as seen.
+/// No digest is sent until databases have been listed for this many health check periods: a publisher that
+/// has just started would publish each database as unseen first, and then as seen.
 const WARM_UP_PERIODS: u32 = 4;
 
-/// The round that is under way.
+/// The current round.
 pub(super) struct Rounds {
     /// `None` until the publisher has warmed up.
     digest: Option<Digest>,
@@ -48,9 +49,9 @@
     fn schedule_next_batch(&mut self, now: Duration, digest_interval: Duration) {
         self.next_batch = (self.next_batch + 1) % self.batch_count;
         let step = digest_interval / BATCHES_PER_ROUND;
-        // A process that stood still goes on from now, and does not make up for what it has missed.
-        let has_stood_still = now > self.next_batch_at + digest_interval;
-        self.next_batch_at = if has_stood_still { now + step } else { self.next_batch_at + step };
+        // After a pause of the process, batches continue from now. Missed batches are not sent.
+        let was_paused = now > self.next_batch_at + digest_interval;
+        self.next_batch_at = if was_paused { now + step } else { self.next_batch_at + step };
     }
 }
 
@@ -66,7 +67,7 @@
         self.rounds.schedule_next_batch(now, self.params.digest_interval);
     }
 
-    /// Decides what the digests of the round say, except for what holds at the moment of sending.
+    /// Builds the round's digest, except for the fields that are set when it is sent.
     fn begin_round(&mut self, now: Duration) {
         self.expire_subscriptions(now);
         self.report_counts(now);
@@ -76,7 +77,7 @@
             return;
         }
         self.rounds.number = DigestNumber(self.rounds.number.0 + 1);
-        let mut digest = self.longest_digest(now);
+        let mut digest = self.max_size_digest(now);
         let max_change_bytes = encoded_size::MAX_PAYLOAD_BYTES.saturating_sub(encoded_size::digest(&digest));
         let subscriber_presence = if self.subscriptions.is_empty() {
             SubscriberPresence::Absent
@@ -97,8 +98,9 @@
         self.first_listed_at.is_some_and(|listed_at| listed_at + warm_up <= now)
     }
 
-    /// A digest without changes that is as long as any of this round: the rest of the datagram is for changes.
-    fn longest_digest(&self, now: Duration) -> Digest {
+    /// A digest without changes, as large as this round's digest can get: the rest of the datagram is left
+    /// for changes.
+    fn max_size_digest(&self, now: Duration) -> Digest {
         Digest {
             number: self.rounds.number,
             sent: now,
@@ -114,8 +116,9 @@
     fn send_batch(&mut self, now: Duration) {
         let Rounds { digest: Some(digest), batch_count, next_batch, .. } = &mut self.rounds else { return };
         let subscriptions = self.subscriptions.values();
-        let mut batch =
-            subscriptions.filter(|known| known.batch_key % *batch_count == *next_batch).peekable();
+        let mut batch = subscriptions
+            .filter(|subscription| subscription.batch_key % *batch_count == *next_batch)
+            .peekable();
         if batch.peek().is_some() {
             self.store.fill_digest(now, digest);
         }
@@ -125,7 +128,7 @@
         }
     }
 
-    /// About how many routers there are: each follows two control instances, where there are two.
+    /// Approximate number of routers. Each follows two control instances if there are at least two.
     fn router_count(&self) -> u32 {
         let followed_by_each = self.instance_count.min(2);
         (self.subscriptions.len() * self.instance_count / followed_by_each) as u32
--- a/crates/observation-feed/src/publisher/snapshots.rs
+++ b/crates/observation-feed/src/publisher/snapshots.rs
@@ -1,4 +1,5 @@
-//! Snapshots for the routers that have requested them: one partition at a time, each router in its turn, within a budget.
+//! Sends snapshots to the routers that have requested them: one partition at a time, round-robin between the
+//! routers, within a bandwidth budget.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -11,16 +12,16 @@
 use crate::message::Message;
 use crate::token_bucket::TokenBucket;
 
-/// How much of the budget may be saved up, in seconds of it.
+/// Burst of the budget: the bytes that accumulate in this many seconds.
 const BURST_SECONDS: f64 = 0.05;
-/// The most bytes that leave at once, so that they fit the socket's buffer.
+/// Maximum number of bytes sent at once, so that they fit into the socket's send buffer.
 const MAX_BURST_BYTES: usize = 64 * 1024;
-/// When the rest leaves after such a burst.
+/// Time until sending continues after such a burst.
 const BURST_PAUSE: Duration = Duration::from_millis(2);
-/// About what a datagram costs besides its entries, in bytes.
+/// Approximate size of a snapshot datagram without its entries.
 const DATAGRAM_OVERHEAD_BYTES: usize = 90;
 
-/// The routers that wait for snapshots, each once, and the budget.
+/// The routers that wait for snapshots, each listed once, and the bandwidth budget.
 pub(super) struct SnapshotQueue {
     waiting: VecDeque<PeerName>,
     budget_bytes: TokenBucket,
@@ -58,8 +59,9 @@
 }
 
 impl<H: Host> Publisher<H> {
-    /// Sends snapshots as long as the budget lasts. Returns when to go on if a burst was cut short. None leaves before the
-    /// first digest: no revision is settled until then.
+    /// Sends snapshots as long as the budget lasts. Returns the delay after which to continue if
+    /// `MAX_BURST_BYTES` was reached. Nothing is sent before the first digest, because no revision is final
+    /// until then.
     pub(super) fn send_snapshots(&mut self, now: Duration) -> Option<Duration> {
         let mut sent_bytes = 0;
         while self.rounds.is_warmed_up() && self.snapshots.has_work(now) {
@@ -72,7 +74,7 @@
         None
     }
 
-    /// Sends a router one of the snapshots that it waits for. Returns the bytes.
+    /// Sends a router one of the snapshots that it waits for. Returns the number of bytes sent.
     fn send_next_snapshot(&mut self, router: PeerName) -> usize {
         let subscription = self.subscriptions.get_mut(&router);
         let Some(subscription) = subscription.filter(|subscription| subscription.is_waiting()) else {
--- a/crates/observation-feed/src/publisher/subscriptions.rs
+++ b/crates/observation-feed/src/publisher/subscriptions.rs
@@ -1,4 +1,4 @@
-//! Which routers are subscribed, where they are, and until when.
+//! The subscribed routers, with their addresses and leases.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,30 +10,33 @@
 use crate::host::{Event, Host};
 use crate::message::{Message, PARTITIONS, PartitionId};
 
-/// A subscription ends this long after its last renewal: a few losses of one a second.
+/// A subscription expires this long after its last renewal. Renewals are sent about once a second, so a few
+/// may be lost.
 pub const SUBSCRIPTION_LEASE: Duration = Duration::from_secs(4);
-/// The same as long as the router's address is not validated (as in RFC 9000, section 8): a `Subscribe` may have been
-/// recorded before this incarnation and be replayed from elsewhere. A router answers the first digest.
+/// The lease while the router's address is not validated (as in RFC 9000, section 8): a `Subscribe` may have
+/// been recorded before this incarnation started and replayed from another address. A router validates its
+/// address by answering the first digest.
 pub const UNVALIDATED_LEASE: Duration = Duration::from_millis(1200);
 
-/// What a request to subscribe proves of its sender's address.
+/// What a subscription request proves about its sender's address.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub(super) enum SubscriptionProof {
-    /// It may be a replay.
+pub(super) enum AddressProof {
+    /// Nothing: it may be a replay.
     None,
-    /// It names this publisher's incarnation, and so comes from where the router is.
+    /// It names this publisher's incarnation, so the router has received a digest at this address.
     NamesIncarnation,
 }
 
 pub(super) struct Subscription {
     pub(super) address: SocketAddr,
-    /// The router has named this publisher's incarnation from there, so that no replay redirects its digests.
+    /// The router has named this publisher's incarnation from this address, so a replay must not redirect its
+    /// digests.
     is_validated: bool,
     pub(super) incarnation: Incarnation,
     lease_until: Duration,
-    /// Decides in which batch of a round it is served.
+    /// Determines the batch of a round in which the router is served, and the order of its snapshots.
     pub(super) batch_key: u32,
-    /// The partitions that it has requested, a bit for each.
+    /// The partitions whose snapshots it has requested, one bit each.
     requested_partitions: u64,
 }
 
@@ -50,8 +53,8 @@
         self.requested_partitions |= 1 << partition.0;
     }
 
-    /// The next requested partition, which is no longer requested then. Each router begins elsewhere, so that after a
-    /// loss not all request the same again. Only while [`Self::is_waiting`].
+    /// Removes and returns the next requested partition. Each router starts with a different one, so that
+    /// after a loss not all routers request the same partition again. Call it only if [`Self::is_waiting`].
     pub(super) fn take_request(&mut self) -> PartitionId {
         let partition_count = PARTITIONS as u32;
         let first = self.batch_key % partition_count;
@@ -61,7 +64,7 @@
         PartitionId(partition as u8)
     }
 
-    /// The router's process has started anew, and requests what it needs.
+    /// The router's process has restarted. It will request again what it needs.
     fn restart(&mut self) {
         self.requested_partitions = 0;
         self.is_validated = false;
@@ -72,12 +75,12 @@
         from: SocketAddr,
         incarnation: Incarnation,
         lease_until: Duration,
-        proof: SubscriptionProof,
+        proof: AddressProof,
     ) {
         self.address = from;
         self.incarnation = incarnation;
         self.lease_until = lease_until;
-        self.is_validated |= proof == SubscriptionProof::NamesIncarnation;
+        self.is_validated |= proof == AddressProof::NamesIncarnation;
     }
 }
 
@@ -88,27 +91,27 @@
         from: SocketAddr,
         router: &PeerName,
         incarnation: Incarnation,
-        proof: SubscriptionProof,
+        proof: AddressProof,
     ) {
         let lease_until = match proof {
-            SubscriptionProof::None => now + UNVALIDATED_LEASE,
-            SubscriptionProof::NamesIncarnation => now + SUBSCRIPTION_LEASE,
+            AddressProof::None => now + UNVALIDATED_LEASE,
+            AddressProof::NamesIncarnation => now + SUBSCRIPTION_LEASE,
         };
-        let Some(known) = self.subscriptions.get_mut(router) else {
+        let Some(existing) = self.subscriptions.get_mut(router) else {
             self.add_subscription(now, from, router, incarnation, lease_until, proof);
             return;
         };
-        if known.incarnation != incarnation {
-            known.restart();
+        if existing.incarnation != incarnation {
+            existing.restart();
             self.snapshots.remove(router);
-        } else if known.is_validated && proof == SubscriptionProof::None {
-            // From elsewhere it is a replay; from there it is a router that has missed digests.
-            if known.address == from {
-                known.lease_until = known.lease_until.max(lease_until);
+        } else if existing.is_validated && proof == AddressProof::None {
+            // From another address it is a replay; from the same address, the router has missed digests.
+            if existing.address == from {
+                existing.lease_until = existing.lease_until.max(lease_until);
             }
             return;
         }
-        known.renew(from, incarnation, lease_until, proof);
+        existing.renew(from, incarnation, lease_until, proof);
     }
 
     fn add_subscription(
@@ -118,7 +121,7 @@
         router: &PeerName,
         incarnation: Incarnation,
         lease_until: Duration,
-        proof: SubscriptionProof,
+        proof: AddressProof,
     ) {
         if self.subscriptions.len() >= self.params.max_subscribers {
             self.reject(now, from, router, incarnation);
@@ -126,7 +129,7 @@
         }
         let subscription = Subscription {
             address: from,
-            is_validated: proof == SubscriptionProof::NamesIncarnation,
+            is_validated: proof == AddressProof::NamesIncarnation,
             incarnation,
             lease_until,
             batch_key: self.rng.next_u32(),
@@ -149,7 +152,8 @@
         }
     }
 
-    /// Notes the partitions of which a router requests snapshots. Only a subscriber that names this incarnation does.
+    /// Records the partitions whose snapshots a router requests. Ignored unless the router is subscribed. A
+    /// `Pull` names this publisher's incarnation and therefore also renews the subscription.
     pub(super) fn pull(
         &mut self,
         now: Duration,
@@ -158,14 +162,14 @@
         incarnation: Incarnation,
         partitions: &[PartitionId],
     ) {
-        let known = self.subscriptions.get_mut(router);
-        let Some(known) = known.filter(|known| known.incarnation == incarnation) else { return };
-        known.renew(from, incarnation, now + SUBSCRIPTION_LEASE, SubscriptionProof::NamesIncarnation);
-        let was_waiting = known.is_waiting();
+        let existing = self.subscriptions.get_mut(router);
+        let Some(existing) = existing.filter(|existing| existing.incarnation == incarnation) else { return };
+        existing.renew(from, incarnation, now + SUBSCRIPTION_LEASE, AddressProof::NamesIncarnation);
+        let was_waiting = existing.is_waiting();
         for partition in partitions.iter().filter(|partition| partition.index() < PARTITIONS) {
-            known.request(*partition);
+            existing.request(*partition);
         }
-        if !was_waiting && known.is_waiting() {
+        if !was_waiting && existing.is_waiting() {
             self.snapshots.push(router.clone());
         }
     }
--- a/crates/observation-feed/src/sorted_table.rs
+++ b/crates/observation-feed/src/sorted_table.rs
@@ -1,11 +1,11 @@
-//! A map for tables that are iterated and looked up thousands of times for each insertion: keys lie side by side in
-//! their order, and so do values; a hash map finds the index of each.
+//! A sorted map for tables with thousands of iterations and lookups per insertion: keys and values are stored
+//! in two contiguous arrays in key order, and a hash map holds the index of each key.
 
 use std::hash::Hash;
 
 use quillpoint_membership::fast_hash_map::FastHashMap;
 
-/// A map in the order of its keys. Insertion and removal cost as much as the table is long.
+/// A map sorted by key. The cost of an insertion or removal grows with the length of the table.
 pub struct SortedTable<K, V> {
     keys: Vec<K>,
     values: Vec<V>,
@@ -24,12 +24,12 @@
         self.indices.get(key).map(|index| &self.values[*index])
     }
 
-    /// The value of a key, to be changed.
+    /// The value of a key, mutable.
     pub fn get_mut(&mut self, key: &K) -> Option<&mut V> {
         self.indices.get(key).map(|index| &mut self.values[*index])
     }
 
-    /// Inserts the keys that are missing, each with a new value; values that are there stay.
+    /// Inserts the missing keys, each with a new value; existing values are kept.
     pub fn insert_missing(&mut self, keys: impl IntoIterator<Item = K>, new_value: impl Fn() -> V) {
         let length_before = self.keys.len();
         for key in keys {
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Removes all for which `keep` is false; it is called in the order of the keys.
+    /// Removes all pairs for which `keep` returns false. `keep` is called in key order.
     pub fn retain(&mut self, mut keep: impl FnMut(&K, &V) -> bool) {
         let kept: Vec<bool> = self.iter().map(|(key, value)| keep(key, value)).collect();
         if kept.iter().all(|is_kept| *is_kept) {
@@ -80,27 +80,27 @@
         self.indices.extend(self.keys.iter().copied().zip(0..));
     }
 
-    /// All pairs in the order of the keys.
+    /// All pairs in key order.
     pub fn iter(&self) -> impl Iterator<Item = (&K, &V)> {
         self.keys.iter().zip(&self.values)
     }
 
-    /// All pairs in the order of the keys, values to be changed.
+    /// All pairs in key order, with mutable values.
     pub fn iter_mut(&mut self) -> impl Iterator<Item = (&K, &mut V)> {
         self.keys.iter().zip(&mut self.values)
     }
 
-    /// All values in the order of the keys.
+    /// All values in key order.
     pub fn values(&self) -> std::slice::Iter<'_, V> {
         self.values.iter()
     }
 
-    /// How many keys there are.
+    /// Number of keys.
     pub fn len(&self) -> usize {
         self.keys.len()
     }
 
-    /// Whether there is no key.
+    /// Whether the table has no keys.
     pub fn is_empty(&self) -> bool {
         self.keys.is_empty()
     }
--- a/crates/observation-feed/src/subscriber.rs
+++ b/crates/observation-feed/src/subscriber.rs
@@ -1,5 +1,5 @@
-//! A router's side of the feed: which control instances it follows, what it knows from them, and which health checks it
-//! makes while none of them sends digests.
+//! A router's side of the feed: which control instances it follows, what it learns from them about the
+//! databases, and which health checks it makes itself while none of them sends digests.
 
 mod followed_instance;
 mod following;
@@ -26,42 +26,42 @@
 use crate::preference::{ControlInstance, rank_control_instances};
 use crate::publisher_cache::IncarnationOrder;
 
-/// The time between two timers.
-const TICK: Duration = Duration::from_millis(50);
-/// A timer that fires this long after the last one was held up with its process.
-const STALL_THRESHOLD: Duration = Duration::from_millis(200);
-/// A health check period outside these bounds in a digest is taken for the bound.
+/// Interval of the timer.
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
+/// If the timer fires this long after the previous time, the process has been paused.
+const PAUSE_THRESHOLD: Duration = Duration::from_millis(200);
+/// The health check period in a digest is clamped to these limits.
 const MIN_HEALTH_CHECK_PERIOD: Duration = Duration::from_millis(1);
 const MAX_HEALTH_CHECK_PERIOD: Duration = Duration::from_secs(3600);
 
-/// A subscriber's settings.
+/// The settings of a subscriber.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SubscriberParams {
-    /// Control instances of this region are preferred.
+    /// The router's region. Control instances of the same region are preferred.
     pub region: Option<String>,
-    /// The time between two digests.
+    /// Interval between two digests.
     pub digest_interval: Duration,
-    /// How often each database is checked, as long as no digest has said so.
+    /// Interval at which each database is checked, used until the first digest states it.
     pub health_check_period: Duration,
-    /// About how many routers there are, as long as no digest has said so.
+    /// Approximate number of routers, used until the first digest states it.
     pub router_count: u32,
 }
 
-/// The subscriber's state machine. Each method is one thing that can happen.
+/// The subscriber's state machine, with one method per external event.
 pub struct Subscriber<H: Host> {
     host: H,
     name: PeerName,
     params: SubscriberParams,
     rng: ChaCha8Rng,
-    /// All control instances, in the order of preference.
+    /// All control instances, in order of preference.
     ranked_instances: Vec<ControlInstance>,
     followed: Vec<FollowedInstance>,
-    /// Instances that are no longer followed; their replicas may be of use again.
+    /// Instances that are no longer followed, kept for their caches.
     retained: Vec<FollowedInstance>,
-    /// Of each instance that has been followed.
+    /// The last digest of each instance that was followed until recently.
     last_heard: BTreeMap<PeerName, LastHeard>,
     backoffs: BTreeMap<PeerName, InstanceBackoff>,
-    /// When a preferred instance is followed again.
+    /// When a preferred instance will be followed again; `None` if no failback is pending.
     failback_at: Option<Duration>,
     quota: HealthCheckQuota,
     isolation: Isolation,
@@ -70,7 +70,7 @@
 }
 
 impl<H: Host> Subscriber<H> {
-    /// A subscriber of the best two of these control instances; it sets its first timer.
+    /// Creates a subscriber of the two most preferred of these control instances, and sets its first timer.
     pub fn new(
         host: H,
         name: PeerName,
@@ -98,17 +98,17 @@
             last_tick: now,
         };
         subscriber.quota.begin_isolation(now, &mut subscriber.rng);
-        let first_timer = TICK.mul_f64(subscriber.rng.random_range(0.0..1.0));
+        let first_timer = TICK_INTERVAL.mul_f64(subscriber.rng.random_range(0.0..1.0));
         subscriber.host.set_timer(first_timer);
         subscriber
     }
 
-    /// The databases on the endpoint list; nothing is known of any other.
+    /// Sets the databases on the endpoint list. Observations of other databases are not returned.
     pub fn nodes_changed(&mut self, now: Duration, nodes: &BTreeSet<SocketAddr>) {
         self.quota.nodes_changed(now, nodes);
     }
 
-    /// A message that is authentic and not a replay.
+    /// Handles a message that has been authenticated and is not a replay.
     pub fn message_arrived(
         &mut self,
         now: Duration,
@@ -133,7 +133,7 @@
             Message::Chunk(chunk) => followed.cache.partitions_mut().add_chunk(chunk),
             Message::SubscriptionRejected => self.give_up(now, from, REJECTION_BACKOFF),
             Message::Leaving => self.give_up(now, from, LEAVE_BACKOFF),
-            // Messages of other routers are none of its concern.
+            // Only sent by routers, to control instances.
             Message::Subscribe | Message::Renew | Message::Unsubscribe | Message::Pull(_) => {}
         }
     }
@@ -148,7 +148,7 @@
         if timing == DigestTiming::Discarded {
             return;
         }
-        if followed.digest_heard(now) {
+        if followed.record_digest(now) {
             let name = followed.instance.name.clone();
             self.backoffs.remove(&name);
             self.host.report_event(Event::Following(name));
@@ -165,7 +165,7 @@
         }
     }
 
-    /// Takes over what a digest says, dated by its age and its delay.
+    /// Applies a digest's contents, dated by its age and its delay.
     fn apply_digest(&mut self, now: Duration, index: usize, digest: Digest, delay: Duration) {
         let Digest { number, age, watermarks, revisions, changes, .. } = digest;
         let seen_at = now.saturating_sub(delay).saturating_sub(age);
@@ -181,15 +181,16 @@
         }
     }
 
-    /// The timer that was set has fired. Does what is due, and sets the next one.
+    /// Called when the timer fires: does what is due and sets the next timer.
     pub fn timer_fired(&mut self, now: Duration) {
         if self.has_left {
             return;
         }
-        let has_stalled = now.saturating_sub(self.last_tick) >= STALL_THRESHOLD;
+        let was_paused = now.saturating_sub(self.last_tick) >= PAUSE_THRESHOLD;
         self.last_tick = now;
-        // After a stall it first reads what has arrived meanwhile, and would else take its own silence for that of others.
-        if !has_stalled {
+        // After a pause, the datagrams that arrived meanwhile have to be read first. Otherwise the router
+        // would mistake its own pause for silence of the control instances.
+        if !was_paused {
             self.drop_silent_instances(now);
             self.update_isolation(now);
             self.follow_enough(now);
@@ -197,10 +198,10 @@
             self.renew_subscriptions(now);
             self.pull_snapshots(now);
         }
-        self.host.set_timer(TICK);
+        self.host.set_timer(TICK_INTERVAL);
     }
 
-    /// What is known of a database now: the newest of the replicas of followed and cached instances.
+    /// The newest observation of a database in the caches of followed and retained instances.
     pub fn observation(&self, node: SocketAddr) -> Option<FeedObservation> {
         if !self.quota.is_listed(node) {
             return None;
@@ -215,7 +216,7 @@
         self.followed.iter().chain(&self.retained)
     }
 
-    /// Shuts down: unsubscribes, and sends nothing from then on.
+    /// Shuts down: unsubscribes, and sends nothing afterwards.
     pub fn leave(&mut self, _now: Duration) {
         if self.has_left {
             return;
@@ -228,7 +229,7 @@
         }
     }
 
-    /// About the bytes that the subscriber takes, by number and size of what it holds.
+    /// Approximate memory of the subscriber in bytes, computed from the number and size of its items.
     pub fn state_bytes(&self) -> usize {
         let cache_bytes = |followed: &FollowedInstance| {
             size_of::<FollowedInstance>()
@@ -242,7 +243,7 @@
             + self.quota.state_bytes()
     }
 
-    /// How much the replicas hold, those of cached instances too.
+    /// The number of items in all caches, including those of retained instances.
     pub fn cache_size(&self) -> CacheSize {
         let mut total = CacheSize::default();
         for followed in self.instances_with_cache() {
@@ -253,7 +254,7 @@
         total
     }
 
-    /// Whether each partition is covered by an instance that sends digests.
+    /// Whether each partition is covered by a followed instance that sends digests.
     pub fn is_complete(&self) -> bool {
         let is_covered = |partition: PartitionId| {
             self.active_instances().any(|active| active.cache.partitions().is_covered(partition))
@@ -265,7 +266,7 @@
         self.followed.iter().filter(|followed| followed.last_digest_at.is_some())
     }
 
-    /// The names of the followed instances that have sent digests.
+    /// The names of the followed instances that send digests.
     pub fn active_instance_names(&self) -> impl Iterator<Item = &PeerName> {
         self.active_instances().map(|followed| &followed.instance.name)
     }
--- a/crates/observation-feed/src/subscriber/followed_instance.rs
+++ b/crates/observation-feed/src/subscriber/followed_instance.rs
@@ -1,4 +1,4 @@
-//! A control instance that is followed, or has been: its replica and the state of the subscription.
+//! A control instance that is followed or retained: its cache and the state of the subscription.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -14,17 +14,18 @@
 pub(super) struct FollowedInstance {
     pub(super) instance: ControlInstance,
     pub(super) followed_since: Duration,
-    /// When the last digest arrived since it is followed.
+    /// When the last digest arrived; `None` if none has arrived since the instance was followed.
     pub(super) last_digest_at: Option<Duration>,
-    /// When the last digest arrived at any time, or since when it is known.
+    /// When the last digest arrived, including earlier periods of following; initially when it was first
+    /// followed.
     pub(super) last_heard_at: Duration,
     pub(super) next_renewal_at: Duration,
     pub(super) cache: PublisherCache,
-    /// Of its digests since it is followed.
+    /// The delays of its digests since it was followed.
     pub(super) delays: DelayMeasurement,
-    /// The partitions whose replica has another revision than its last digest names.
+    /// The partitions for which its last digest names a later revision than the cache has.
     pub(super) pulls: BTreeMap<PartitionId, PendingPull>,
-    /// From when on snapshots are pulled of partitions that another instance already covers.
+    /// When to start pulling snapshots of partitions that another instance already covers.
     pub(super) redundant_pulls_from: Option<Duration>,
 }
 
@@ -43,8 +44,8 @@
         }
     }
 
-    /// The same instance followed once more with its cached replica. Delays are measured anew: the network path may be
-    /// another by now.
+    /// The same instance, followed again with its retained cache. The delay measurement starts over, because
+    /// the network path may have changed.
     pub(super) fn followed_again(self, now: Duration) -> Self {
         Self {
             followed_since: now,
@@ -55,7 +56,7 @@
         }
     }
 
-    /// Another process of that name: nothing of the earlier one holds.
+    /// Resets the state after a restart of the instance: nothing received from its earlier process is valid.
     pub(super) fn restart(&mut self, now: Duration) {
         self.delays = DelayMeasurement::default();
         self.redundant_pulls_from = None;
@@ -63,9 +64,10 @@
         self.next_renewal_at = now;
     }
 
-    /// Notes a digest. Returns whether it is the first since the instance is followed, which is answered at once: until
-    /// then the subscription has the lease of an unvalidated address.
-    pub(super) fn digest_heard(&mut self, now: Duration) -> bool {
+    /// Records the arrival of a digest. Returns whether it is the first one since the instance was followed.
+    /// The first one is answered at once, because until then the subscription has only the lease of an
+    /// unvalidated address.
+    pub(super) fn record_digest(&mut self, now: Duration) -> bool {
         self.last_heard_at = now;
         let is_first = self.last_digest_at.replace(now).is_none();
         if is_first {
@@ -74,7 +76,7 @@
         is_first
     }
 
-    /// Whether a digest has arrived within `max_silence`.
+    /// Whether a digest has arrived within the last `max_silence`.
     pub(super) fn is_active(&self, now: Duration, max_silence: Duration) -> bool {
         self.last_digest_at.is_some_and(|last_digest_at| last_digest_at + max_silence >= now)
     }
--- a/crates/observation-feed/src/subscriber/following.rs
+++ b/crates/observation-feed/src/subscriber/following.rs
@@ -1,5 +1,5 @@
-//! Which control instances are followed: the two that rank highest, their successors while these are silent, and the way
-//! back.
+//! Which control instances are followed: the two that rank highest, the next in the ranking while these are
+//! silent, and the failback to the preferred ones.
 
 use std::time::Duration;
 
@@ -13,47 +13,51 @@
 use crate::preference::{ControlInstance, rank_control_instances};
 use crate::publisher_cache::{LastDigest, PublisherCache};
 
-/// How many control instances are followed; one more while it takes another's place.
+/// Number of control instances that are followed; during a failback, one more until it replaces another.
 const FOLLOWED_INSTANCES: usize = 2;
-/// Of how many others the replicas are cached.
+/// Maximum number of instances that are no longer followed and whose caches are retained.
 const MAX_RETAINED_INSTANCES: usize = 2;
-/// An instance that has sent no digest for this many intervals is lost.
+/// An instance that has sent no digest for this many digest intervals is considered lost.
 const MAX_SILENT_INTERVALS: u32 = 5;
-/// An instance that has sent no digest within this time of being followed is lost.
+/// An instance that has sent no digest within this time after it was followed is considered lost.
 const FIRST_DIGEST_TIMEOUT: Duration = Duration::from_millis(1500);
-/// How often a subscription is renewed, and how often it is requested before the first digest; about.
+/// Interval, before jitter, at which a subscription is renewed.
 const RENEWAL_INTERVAL: Duration = Duration::from_secs(1);
+/// Interval, before jitter, at which a subscription is requested until the first digest arrives.
 const SUBSCRIBE_INTERVAL: Duration = Duration::from_millis(400);
-/// The first backoff of an instance that is lost. It doubles each time up to a multiple, and stays the first while the
-/// router is isolated.
+/// The first backoff of a lost instance. It doubles with each loss up to `MAX_BACKOFF_MULTIPLE`, and does not
+/// grow while the router is isolated.
 const LOST_BACKOFF: Duration = Duration::from_millis(750);
 const MAX_BACKOFF_MULTIPLE: u32 = 16;
-/// The backoff of an instance that has rejected the subscription.
+/// The backoff after an instance has rejected the subscription.
 pub(super) const REJECTION_BACKOFF: Duration = Duration::from_secs(10);
-/// The backoff of an instance that shuts down.
+/// The backoff after an instance has shut down.
 pub(super) const LEAVE_BACKOFF: Duration = Duration::from_secs(3);
-/// After about how long a preferred instance is tried again.
+/// Time, before jitter, after which a preferred instance is tried again.
 const FAILBACK_DELAY: Duration = Duration::from_secs(10);
-/// No datagram is under way for this long: after it any incarnation of an instance is accepted.
+/// No datagram is in transit for longer than this. After such a silence, any incarnation of an instance is
+/// accepted.
 const MAX_DATAGRAM_LIFETIME: Duration = Duration::from_secs(10);
-/// How long a replica is cached: where nothing has changed meanwhile, no snapshot is needed.
+/// How long the cache of an instance that is not followed is retained. Where nothing has changed in the
+/// meantime, no snapshot is needed when the instance is followed again.
 const CACHE_RETENTION: Duration = Duration::from_secs(60);
 
-/// The last digest of an instance that has been followed.
+/// The last digest of an instance that is no longer followed, and when it arrived.
 pub(super) struct LastHeard {
     digest: LastDigest,
     at: Duration,
 }
 
-/// An instance that is not followed for a while.
+/// How long an instance must not be followed.
 #[derive(Clone, Copy)]
 pub(super) struct InstanceBackoff {
     until: Duration,
+    /// The multiple of `LOST_BACKOFF` that was used last.
     multiple: u32,
 }
 
 impl<H: Host> Subscriber<H> {
-    /// The configured control instances have changed.
+    /// Applies a change of the configured control instances.
     pub fn control_instances_changed(&mut self, now: Duration, instances: Vec<ControlInstance>) {
         self.ranked_instances = rank_control_instances(&self.name, self.params.region.as_deref(), instances);
         let ranked = &self.ranked_instances;
@@ -62,18 +66,19 @@
         self.backoffs.retain(|name, _| has_name(name));
         let unlisted = self.followed.iter().filter(|followed| !ranked.contains(&followed.instance));
         let unlisted: Vec<PeerName> = unlisted.map(|followed| followed.instance.name.clone()).collect();
-        // Before those that are followed no longer are cached, so that they push out none that is still listed.
+        // Unlisted instances are dropped first, so that the instances that `stop_following` retains do not
+        // evict listed ones.
         self.retained.retain(|retained| ranked.contains(&retained.instance));
         for name in &unlisted {
             self.stop_following(name);
         }
-        // And after it, since they are not listed themselves.
+        // The instances that were just retained are not listed either.
         self.retained.retain(|retained| self.ranked_instances.contains(&retained.instance));
         self.failback_at = None;
         self.update_isolation(now);
     }
 
-    /// After which silence an instance is lost.
+    /// The time without a digest after which an instance is lost.
     pub(super) fn max_silence(&self) -> Duration {
         self.params.digest_interval * MAX_SILENT_INTERVALS
     }
@@ -102,7 +107,7 @@
         self.backoffs.get(name).map_or(1, |backoff| (backoff.multiple * 2).min(MAX_BACKOFF_MULTIPLE))
     }
 
-    /// Stops following an instance for about as long as the backoff.
+    /// Stops following an instance and does not follow it again during the backoff, to which jitter is added.
     pub(super) fn give_up(&mut self, now: Duration, name: &PeerName, backoff: Duration) {
         let until = now + backoff.mul_f64(self.rng.random_range(0.75..1.5));
         let multiple = self.backoffs.get(name).map_or(1, |backoff| backoff.multiple);
@@ -113,7 +118,7 @@
         self.update_isolation(now);
     }
 
-    /// Stops following an instance and caches its replica. Returns whether it had sent digests.
+    /// Stops following an instance and retains its cache. Returns whether it had sent digests.
     fn stop_following(&mut self, name: &PeerName) -> bool {
         let Some(index) = self.followed.iter().position(|followed| followed.instance.name == *name) else {
             return false;
@@ -133,7 +138,7 @@
         was_active
     }
 
-    /// Follows the next instances in the ranking that are not backed off, up to the number that is followed.
+    /// Follows the next instances in the ranking that are not backed off, up to `FOLLOWED_INSTANCES`.
     pub(super) fn follow_enough(&mut self, now: Duration) {
         while self.followed.len() < FOLLOWED_INSTANCES {
             let mut candidates = self
@@ -145,7 +150,7 @@
         }
     }
 
-    /// Whether the digests of this instance are accepted.
+    /// Whether the instance is followed, that is, its digests are accepted.
     pub fn follows(&self, name: &PeerName) -> bool {
         self.followed.iter().any(|followed| followed.instance.name == *name)
     }
@@ -175,8 +180,8 @@
         self.followed.push(followed);
     }
 
-    /// Where an instance ranks higher than those that are followed, the first of them is followed as a third after a while,
-    /// and replaces the lowest once its replica is complete.
+    /// If an instance that is not followed ranks higher than a followed one, the highest such instance is
+    /// followed as a third one after a delay, and replaces the lowest-ranked one once its cache is complete.
     pub(super) fn fail_back(&mut self, now: Duration) {
         let rank = |name: &PeerName| self.ranked_instances.iter().position(|ranked| ranked.name == *name);
         let ranks = self.followed.iter().filter_map(|followed| rank(&followed.instance.name));
@@ -214,7 +219,8 @@
         }
     }
 
-    /// Sends the subscriptions that are due, with the publisher's incarnation as soon as it has sent a digest.
+    /// Sends the subscription requests that are due: a `Subscribe` until the instance has sent a digest, then
+    /// a `Renew` with the publisher's incarnation.
     pub(super) fn renew_subscriptions(&mut self, now: Duration) {
         for followed in self.followed.iter_mut().filter(|followed| followed.next_renewal_at <= now) {
             let receiver = followed.incarnation().filter(|_| followed.last_digest_at.is_some());
--- a/crates/observation-feed/src/subscriber/isolation.rs
+++ b/crates/observation-feed/src/subscriber/isolation.rs
@@ -1,4 +1,4 @@
-//! Whether any control instance sends digests, and which health checks the router makes by itself.
+//! Whether any control instance sends digests, and which health checks the router makes itself.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -6,10 +6,10 @@
 use super::Subscriber;
 use crate::host::{Event, Host};
 
-/// How long an observation counts as current.
+/// An observation that is no older than this is current.
 const OBSERVATION_CURRENT_FOR: Duration = Duration::from_secs(1);
-/// After how long without digests isolation is reported. Isolation begins after `max_silence`; it is reported only when it
-/// has lasted, so that a change of instance is no warning.
+/// Isolation is reported after this long without a digest. It begins earlier, after `max_silence`; the delay
+/// avoids a warning on a mere switch to another instance.
 const ISOLATION_REPORTED_AFTER: Duration = Duration::from_secs(1);
 
 /// Whether the router is isolated from all control instances.
@@ -31,7 +31,7 @@
         self.followed.iter().any(|followed| followed.is_active(now, max_silence))
     }
 
-    /// Notes whether any control instance sends digests.
+    /// Updates whether the router is isolated, and reports changes that have lasted.
     pub(super) fn update_isolation(&mut self, now: Duration) {
         let is_isolated = !self.has_active_instance(now);
         let was_isolated = self.isolation.is_isolated;
@@ -50,9 +50,9 @@
         }
     }
 
-    /// Whether this router may check a database now; if so, the check counts as made. While the feed has a current
-    /// observation: only with `needs_own_check`, where nobody else's check is of use. Without one, or isolated: within the
-    /// router's own quota.
+    /// Whether this router may check a database now. If so, the check is counted against the router's quota.
+    /// While the feed has a current observation of the database, this requires `needs_own_check`, which means
+    /// that the checks of other processes do not help this router.
     pub fn claim_health_check(&mut self, now: Duration, node: SocketAddr, needs_own_check: bool) -> bool {
         if self.has_left {
             return false;
--- a/crates/observation-feed/src/token_bucket.rs
+++ b/crates/observation-feed/src/token_bucket.rs
@@ -1,12 +1,13 @@
 //! A token bucket that may go into debt.
 //!
-//! Not that of `quillpoint-membership`, which starts full and refills when it is told to. This one starts empty, so that a
-//! control instance or a router that has just started, or been isolated, has saved up nothing; it refills whenever it is
-//! asked, and spends whatever its owner says.
+//! It differs from the token bucket of `quillpoint-membership`, which starts full and is refilled explicitly.
+//! This one starts empty, so that a control instance or a router has no burst right after its start or after
+//! it became isolated. It refills whenever it is queried, and does not limit how much its owner spends.
 
 use std::time::Duration;
 
-/// Tokens arrive at a rate and are saved up to a burst. What is spent beyond them is a debt that is paid first.
+/// Tokens arrive at a rate and accumulate up to a burst. Tokens spent beyond that are a debt, which new
+/// tokens pay off first.
 #[derive(Clone, Debug)]
 pub struct TokenBucket {
     tokens_per_second: f64,
@@ -16,12 +17,12 @@
 }
 
 impl TokenBucket {
-    /// A bucket that is empty at the start; `burst` is the most tokens that are saved.
+    /// Creates an empty bucket; `burst` is the maximum number of tokens that accumulate.
     pub fn new(tokens_per_second: f64, burst: f64, now: Duration) -> Self {
         Self { tokens_per_second, burst, tokens: 0.0, refilled_at: now }
     }
 
-    /// Changes the rate from now on; saved tokens stay within the new burst.
+    /// Changes the rate and the burst as of `now`. Accumulated tokens are limited to the new burst.
     pub fn set_rate(&mut self, now: Duration, tokens_per_second: f64, burst: f64) {
         self.refill(now);
         self.tokens_per_second = tokens_per_second;
@@ -29,13 +30,13 @@
         self.tokens = self.tokens.min(burst);
     }
 
-    /// Whether at least so many tokens are there now.
+    /// Whether the bucket has at least this many tokens.
     pub fn has_at_least(&mut self, now: Duration, tokens: f64) -> bool {
         self.refill(now);
         self.tokens >= tokens
     }
 
-    /// Takes tokens, into debt if need be.
+    /// Removes tokens, going into debt if necessary.
     pub fn spend(&mut self, tokens: f64) {
         self.tokens -= tokens;
     }
