--- a/crates/control-plane/src/control_host.rs
+++ b/crates/control-plane/src/control_host.rs
@@ -1,4 +1,4 @@
-//! What the control side needs of the process around it.
+//! The interface between the control side and the process that it runs in.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -7,23 +7,29 @@
 use quillpoint_membership::DatedObservation;
 use quillpoint_observation_feed::FeedObservation;
 
-/// The process around the control side: a router's engine or a hollow router.
+/// The process that the control side runs in: a router, or a process with many hollow routers (routers
+/// without clients and statements, used for measurements).
 pub trait ControlHost {
-    /// Unix time at the start, plus what a monotonic clock has counted since.
+    /// The current time: Unix time at the start of the process plus the time elapsed since on a monotonic
+    /// clock.
     fn now(&self) -> Duration;
     /// The databases on the endpoint list, with the indices of their zones.
     fn nodes(&self) -> BTreeMap<SocketAddr, u16>;
-    /// Takes what another member of the fleet has observed; unverified.
+    /// Handles an observation made by another member of the fleet. It is unverified.
     fn observation_received(&self, observation: DatedObservation);
-    /// Takes what a control instance has published by name; unverified.
+    /// Handles a role, failure or start time of a single database that a control instance has published. It
+    /// is unverified.
     fn feed_observation_received(&self, observation: FeedObservation);
-    /// Starts an assigned health check, whose end is reported after this call. False if one is under way already.
+    /// Starts an assigned health check. Its end must be reported after this call has returned. Returns false
+    /// if a health check of the node is already in progress.
     fn start_health_check(&self, node: SocketAddr) -> bool;
-    /// Whether the node is ejected here, so that only an own health check tells this router anything of it.
+    /// Whether this router has ejected the node. Only its own health checks tell it anything about an ejected
+    /// node.
     fn is_ejected(&self, node: SocketAddr) -> bool;
-    /// A digest has been received: what is known of all databases may be newer.
+    /// Called after each received digest, which may have made the observations of all databases newer.
     fn digest_received(&self) {}
-    /// Whether datagrams pass to and from this address. They always do, except where a measurement cuts routers off.
+    /// Whether datagrams can be exchanged with this address. Always true, except in measurements that cut
+    /// routers off.
     fn can_reach(&self, _other: SocketAddr) -> bool {
         true
     }
--- a/crates/control-plane/src/datagram_socket.rs
+++ b/crates/control-plane/src/datagram_socket.rs
@@ -1,4 +1,4 @@
-//! The control side's UDP socket: all datagrams are sent, read and counted here.
+//! The control side's UDP socket. All datagrams are sent, read and counted here.
 
 use std::cell::Cell;
 use std::io::{self, IoSliceMut};
@@ -16,21 +16,21 @@
 use crate::control_host::ControlHost;
 use crate::read_pacer::{READ_PAUSE, ReadPacer};
 
-/// Datagrams since the start, and their bytes without the headers of UDP and IP.
+/// Counts of datagrams since the start, and of their bytes without the UDP and IP headers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Traffic {
     /// Datagrams sent.
     pub sent: u64,
     /// Bytes sent.
     pub sent_bytes: u64,
-    /// Datagrams read, accepted or not.
+    /// Datagrams read, whether accepted or not.
     pub read: u64,
     /// Bytes read.
     pub read_bytes: u64,
 }
 
 impl Traffic {
-    /// The sum of both.
+    /// The sum of the two counts.
     pub fn plus(self, other: Self) -> Self {
         Self {
             sent: self.sent + other.sent,
@@ -43,36 +43,38 @@
 
 /// A datagram that has been read into the caller's buffer.
 pub struct ReceivedDatagram {
-    /// Its bytes.
+    /// Its length in bytes.
     pub length: usize,
-    /// Its sender.
+    /// The sender's address.
     pub from: SocketAddr,
-    /// How long it had waited in the socket.
+    /// How long it waited in the socket's receive buffer.
     pub socket_delay: Duration,
 }
 
-/// A UDP socket that knows how long each datagram has waited in it.
+/// A UDP socket that measures how long each datagram waited in its receive buffer.
 pub struct DatagramSocket {
     socket: Async<UdpSocket>,
     host: Rc<dyn ControlHost>,
-    /// When the socket was last seen empty: nothing in it has waited since before then.
+    /// When the receive buffer was last found empty. Every datagram in it has arrived since.
     last_empty: Cell<Instant>,
     pacer: ReadPacer,
     traffic: Cell<Traffic>,
 }
 
 impl DatagramSocket {
-    /// Binds the socket. More datagrams than `max_datagrams_per_second` wait in it.
+    /// Binds the socket. It reads up to `max_datagrams_per_second`; further datagrams wait in the receive
+    /// buffer.
     ///
     /// # Errors
-    /// The address cannot be bound.
+    /// Fails if the address cannot be bound.
     pub fn bind(
         listen: SocketAddr,
         host: Rc<dyn ControlHost>,
         max_datagrams_per_second: u64,
     ) -> io::Result<Self> {
         let socket = Async::<UdpSocket>::bind(listen)?;
-        // The system notes when each datagram arrives: a process that stood still could not tell.
+        // The kernel timestamps each datagram on arrival, because a process that was paused cannot do so
+        // itself.
         setsockopt(socket.get_ref(), ReceiveTimestamp, &true)?;
         Ok(Self {
             socket,
@@ -86,15 +88,15 @@
     /// The address that the socket is bound to.
     ///
     /// # Errors
-    /// The system does not tell.
+    /// Fails if the operating system cannot report the address.
     pub fn local_addr(&self) -> io::Result<SocketAddr> {
         self.socket.get_ref().local_addr()
     }
 
-    /// Sends a datagram. One that cannot be sent at once is lost.
+    /// Sends a datagram. It is dropped if it cannot be sent immediately.
     ///
     /// # Errors
-    /// Why it is lost, where the system tells.
+    /// Fails with the operating system's error if the datagram was dropped.
     pub fn send(&self, bytes: &[u8], to: SocketAddr) -> io::Result<()> {
         if !self.host.can_reach(to) {
             return Ok(());
@@ -104,19 +106,20 @@
         Ok(())
     }
 
-    /// Reads the next datagram, paced so that a flood gets no more than its share of the thread.
+    /// Reads the next datagram. Reads are paced, so that a flood of datagrams does not starve other tasks of
+    /// the thread.
     pub async fn read(&self, bytes: &mut [u8]) -> ReceivedDatagram {
         loop {
             self.pacer.wait().await;
             match self.socket.read_with(|socket| self.receive(socket, bytes)).await {
-                Ok(arrival) if !self.host.can_reach(arrival.from) => {}
-                Ok(arrival) => {
-                    let read_bytes = arrival.length as u64;
+                Ok(datagram) if !self.host.can_reach(datagram.from) => {}
+                Ok(datagram) => {
+                    let read_bytes = datagram.length as u64;
                     self.count(Traffic { read: 1, read_bytes, ..Traffic::default() });
-                    return arrival;
+                    return datagram;
                 }
                 Err(error) => {
-                    log::debug!("datagrams: {error}");
+                    log::debug!("failed to read a datagram: {error}");
                     Timer::after(READ_PAUSE).await;
                 }
             }
@@ -140,7 +143,8 @@
             received => received?,
         };
         let from = message.address.as_ref().and_then(socket_address).ok_or(io::ErrorKind::InvalidData)?;
-        // A clock that was set meanwhile tells nothing, and a delay since before the socket was empty is impossible.
+        // The clock may have been set since the datagram arrived. The delay cannot be longer than the time
+        // since the receive buffer was last empty.
         let max_delay = self.last_empty.get().elapsed();
         let delay = arrival_time(&message)?.and_then(|arrived| arrived.elapsed().ok());
         let socket_delay = delay.map_or(max_delay, |delay| delay.min(max_delay));
@@ -151,13 +155,13 @@
         self.traffic.set(self.traffic.get().plus(traffic));
     }
 
-    /// What has been sent and read since the start.
+    /// Datagrams sent and read since the start.
     pub fn traffic(&self) -> Traffic {
         self.traffic.get()
     }
 }
 
-/// When the system received a datagram, if it noted that.
+/// When the kernel received a datagram, if it provided a timestamp.
 fn arrival_time(message: &RecvMsg<'_, '_, SockaddrStorage>) -> io::Result<Option<SystemTime>> {
     let arrived = message.cmsgs()?.find_map(|control_message| match control_message {
         ControlMessageOwned::ScmTimestamp(arrived) => {
--- a/crates/control-plane/src/deadline_timer.rs
+++ b/crates/control-plane/src/deadline_timer.rs
@@ -1,4 +1,4 @@
-//! A timer with one deadline: an earlier one replaces a later one.
+//! A timer with a single deadline, which an earlier deadline replaces.
 
 use std::cell::Cell;
 use std::time::{Duration, Instant};
@@ -10,23 +10,23 @@
 #[derive(Default)]
 pub(crate) struct DeadlineTimer {
     deadline: Cell<Option<Instant>>,
-    moved_forward: Event,
+    rescheduled: Event,
 }
 
 impl DeadlineTimer {
-    /// Sets the deadline, unless an earlier one is set.
+    /// Sets the deadline, unless an earlier one is already set.
     pub(crate) fn schedule(&self, after: Duration) {
         let deadline = Instant::now() + after;
         if self.deadline.get().is_none_or(|current| deadline < current) {
             self.deadline.set(Some(deadline));
-            self.moved_forward.notify(1);
+            self.rescheduled.notify(1);
         }
     }
 
-    /// Waits for the deadline, and clears it.
+    /// Waits for the deadline and clears it.
     pub(crate) async fn expired(&self) {
         loop {
-            let moved_forward = self.moved_forward.listen();
+            let rescheduled = self.rescheduled.listen();
             match self.deadline.get() {
                 Some(deadline) if deadline <= Instant::now() => {
                     self.deadline.set(None);
@@ -34,9 +34,9 @@
                 }
                 Some(deadline) => {
                     let at_deadline = async { _ = Timer::at(deadline).await };
-                    at_deadline.or(moved_forward).await;
+                    at_deadline.or(rescheduled).await;
                 }
-                None => moved_forward.await,
+                None => rescheduled.await,
             }
         }
     }
--- a/crates/control-plane/src/feed_commands.rs
+++ b/crates/control-plane/src/feed_commands.rs
@@ -1,5 +1,5 @@
-//! The host of either end of the feed. It only queues commands, which are run when the call is over, so that nothing calls
-//! an end from inside one of its own calls.
+//! The host of a publisher or a subscriber. It only queues commands, which are run after the call into the
+//! state machine has returned, so that no command calls the state machine reentrantly.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -11,9 +11,9 @@
 
 use crate::deadline_timer::DeadlineTimer;
 
-/// What a publisher or a subscriber has asked for during a call.
+/// An action that a publisher or a subscriber has requested during a call.
 pub(crate) enum Command {
-    /// `receiver` is the incarnation of the receiver, where it is known.
+    /// `receiver` is the receiver's incarnation, if known.
     Send {
         to: SocketAddr,
         receiver: Option<Incarnation>,
@@ -23,7 +23,7 @@
     LogEvent(Event),
 }
 
-/// The commands of a call in their order, and the timer.
+/// The commands of a call, in order, and the timer.
 #[derive(Default)]
 pub(crate) struct CommandQueue {
     commands: RefCell<Vec<Command>>,
@@ -40,7 +40,7 @@
     }
 }
 
-/// The end's handle of the queue.
+/// The publisher's or subscriber's handle to the queue.
 pub(crate) struct QueueHandle(pub(crate) Rc<CommandQueue>);
 
 impl Host for QueueHandle {
--- a/crates/control-plane/src/feed_config.rs
+++ b/crates/control-plane/src/feed_config.rs
@@ -1,4 +1,4 @@
-//! The configuration of the feed's two ends.
+//! The configuration of a publisher and of a subscriber.
 
 use std::net::SocketAddr;
 
@@ -13,13 +13,13 @@
 pub struct PublisherConfig {
     /// The control instance's name.
     pub name: PeerName,
-    /// Where its socket is bound.
+    /// The address to bind the socket to.
     pub listen: SocketAddr,
     /// The keys that the feed's datagrams are sealed with.
     pub keys: Keyring,
     /// The publisher's settings.
     pub params: PublisherParams,
-    /// The most datagrams that are read a second; the others wait in the socket.
+    /// Maximum number of datagrams read per second; the others wait in the socket's receive buffer.
     pub max_datagrams_per_second: u64,
 }
 
@@ -28,7 +28,7 @@
 pub struct SubscriberConfig {
     /// The router's name.
     pub name: PeerName,
-    /// Where its socket is bound.
+    /// The address to bind the socket to.
     pub listen: SocketAddr,
     /// The keys that the feed's datagrams are sealed with.
     pub keys: Keyring,
@@ -36,6 +36,6 @@
     pub params: SubscriberParams,
     /// The control instances that it may follow.
     pub control_instances: Vec<ControlInstance>,
-    /// The most datagrams that are read a second; the others wait in the socket.
+    /// Maximum number of datagrams read per second; the others wait in the socket's receive buffer.
     pub max_datagrams_per_second: u64,
 }
--- a/crates/control-plane/src/feed_log.rs
+++ b/crates/control-plane/src/feed_log.rs
@@ -1,4 +1,4 @@
-//! How the feed's events are logged; docs/on-call.md lists them.
+//! Logs the events of the feed. docs/on-call.md lists them.
 
 use quillpoint_observation_feed::Event;
 
@@ -11,30 +11,30 @@
     keys_changed: "feed_keys",
 };
 
-/// Logs an event. `subscriber_event_limiter` is for those about subscribers, which could come with every
-/// router: whichever router they are about, all of them together are logged once a second at the most.
+/// Logs an event. `subscriber_event_limiter` limits the events about subscribers, since every router could
+/// cause one: all of them together, for all routers, are logged once a second at most.
 pub(crate) fn log_event(event: &Event, subscriber_event_limiter: &LogRateLimiter) {
     match event {
         Event::Following(control) => {
-            log::info!(event = "feed_following", control:% = control; "digests of {control} are used from now on");
+            log::info!(event = "feed_following", control:% = control; "following control instance {control}: its digests are now used");
         }
         Event::Lost(control) => {
-            log::warn!(event = "feed_lost", control:% = control; "{control} is silent or has left");
+            log::warn!(event = "feed_lost", control:% = control; "lost control instance {control}: it is silent, rejects this router or is shutting down");
         }
         Event::Isolated => {
-            log::warn!(event = "feed_isolated"; "no control instance sends digests: own health checks within the quota");
+            log::warn!(event = "feed_isolated"; "no control instance sends digests: this router makes its own health checks within its quota");
         }
         Event::Reconnected => {
-            log::info!(event = "feed_reconnected"; "a control instance sends digests again");
+            log::info!(event = "feed_reconnected"; "a control instance sends digests again: no longer isolated");
         }
         Event::SubscriberRejected(router) => {
             if subscriber_event_limiter.try_acquire() {
-                log::warn!(event = "feed_subscriber_rejected", peer:% = router; "too many subscribers: {router} is rejected");
+                log::warn!(event = "feed_subscriber_rejected", peer:% = router; "maximum number of subscribers reached: rejected router {router}");
             }
         }
         Event::SubscriberCounts { routers, pending_snapshots: waiting } => {
             if subscriber_event_limiter.try_acquire() {
-                log::info!(event = "feed_subscribers", routers, waiting; "{routers} routers are subscribed, {waiting} snapshots wait");
+                log::info!(event = "feed_subscribers", routers, waiting; "{routers} routers are subscribed, {waiting} partition snapshots are waiting to be sent");
             }
         }
     }
--- a/crates/control-plane/src/fleet_commands.rs
+++ b/crates/control-plane/src/fleet_commands.rs
@@ -1,5 +1,5 @@
-//! The host of the fleet. It only queues commands, which are run when the call is over, so that nothing calls the fleet
-//! from inside one of its own calls.
+//! The host of the fleet's state machine. It only queues commands, which are run after the call into the
+//! state machine has returned, so that no command calls the state machine reentrantly.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -9,9 +9,9 @@
 use quillpoint_membership::ids::TaskId;
 use quillpoint_membership::{DatedObservation, Event, GossipMessage, Host, Incarnation};
 
-/// What the fleet has asked for during a call.
+/// An action that the fleet has requested during a call.
 pub(crate) enum Command {
-    /// `receiver` is the incarnation of the receiver, where it is known.
+    /// `receiver` is the receiver's incarnation, if known.
     Send {
         to: SocketAddr,
         receiver: Option<Incarnation>,
@@ -22,7 +22,7 @@
     LogEvent(Event),
 }
 
-/// The commands of a call in their order, and the delay of the timer that was set last.
+/// The commands of a call, in order, and the delay of the timer that was set last.
 #[derive(Default)]
 pub(crate) struct CommandQueue {
     commands: RefCell<Vec<Command>>,
@@ -43,7 +43,7 @@
     }
 }
 
-/// The fleet's handle of the queue.
+/// The fleet's handle to the queue.
 pub(crate) struct QueueHandle(pub(crate) Rc<CommandQueue>);
 
 impl Host for QueueHandle {
--- a/crates/control-plane/src/fleet_log.rs
+++ b/crates/control-plane/src/fleet_log.rs
@@ -1,4 +1,4 @@
-//! How the fleet's events are logged; docs/on-call.md lists them.
+//! Logs the events of the fleet. docs/on-call.md lists them.
 
 use quillpoint_membership::ids::MemberVersion;
 use quillpoint_membership::{Event, MemberState, PeerName};
@@ -11,38 +11,39 @@
     keys_changed: "fleet_keys",
 };
 
-/// Logs an event.
 pub(crate) fn log_event(event: &Event) {
     match event {
         Event::Joined { alone } => log::info!(event = "fleet_joined", alone; "joined the fleet"),
         Event::ProcessPaused(pause) => {
             let ms = pause.as_millis() as u64;
-            log::warn!(event = "fleet_process_paused", ms; "this router stood still for {ms} ms and joins anew");
+            log::warn!(event = "fleet_process_paused", ms; "this process was paused for {ms} ms; rejoining the fleet");
         }
         Event::PeerChanged { peer, version, previous, state } => {
             log_peer(peer, *version, *previous, *state);
         }
         Event::SuspicionRefuted(state) => {
-            log::warn!(event = "fleet_suspicion_refuted", state:? = state; "others took this router for {state:?}");
+            log::warn!(event = "fleet_suspicion_refuted", state:? = state; "peers considered this router {state:?}; refuting it");
         }
         Event::Displaced(address) => {
             log::error!(
                 event = "fleet_displaced", address:% = address;
-                "a later router of the same name runs at {address}: this one takes no tasks"
+                "a router of the same name that started later runs at {address}: this router takes no tasks"
             );
         }
-        Event::Restored => log::info!(event = "fleet_restored"; "the other router of the same name is gone"),
+        Event::Restored => {
+            log::info!(event = "fleet_restored"; "the other router of the same name is gone: this router takes tasks again")
+        }
         Event::TooManyPeers(peer) => {
-            log::warn!(event = "fleet_too_many_peers", peer:% = peer; "no more peers are kept");
+            log::warn!(event = "fleet_too_many_peers", peer:% = peer; "maximum number of peers reached: ignored peer {peer}");
         }
         Event::PeerContradicted { peer, node } => {
             log::warn!(
                 event = "fleet_peer_contradicted", peer:% = peer, node:% = node;
-                "node {node} itself contradicts {peer}, whose observations are ignored for a minute"
+                "the answer of node {node} contradicts an observation of {peer}: ignoring the peer's observations for a minute"
             );
         }
         Event::TasksAssigned { owned, total: all, routers } => {
-            log::info!(event = "fleet_tasks", owned, all, routers; "owns {owned} of {all} tasks, among {routers}");
+            log::info!(event = "fleet_tasks", owned, all, routers; "this router owns {owned} of {all} tasks; {routers} routers share them");
         }
     }
 }
--- a/crates/control-plane/src/fleet_member.rs
+++ b/crates/control-plane/src/fleet_member.rs
@@ -1,5 +1,5 @@
-//! A router's membership of its fleet: the owner of the fleet's state machine, its socket and its timer. The decisions are
-//! those of `quillpoint-membership`.
+//! A router's membership in its fleet: owns the fleet's state machine, its socket and its timer. The
+//! decisions are made in `quillpoint-membership`.
 
 use std::cell::{Cell, Ref, RefCell};
 use std::io;
@@ -21,16 +21,17 @@
 use crate::fleet_commands::{Command, CommandQueue, QueueHandle};
 use crate::fleet_log::{EVENT_NAMES, log_event};
 use crate::member_config::MemberConfig;
-use crate::sealed_transport::{COUNTS_INTERVAL, SealedTransport, TransportCounts};
+use crate::sealed_transport::{COUNTS_LOG_INTERVAL, SealedTransport, TransportCounts};
 
 /// Counts since the start.
 #[derive(Clone, Debug, Default)]
 pub struct MemberCounts {
-    /// Datagrams.
+    /// Counts of datagrams.
     pub transport: TransportCounts,
-    /// Health checks that were made as a task or claimed.
+    /// Health checks that this router made as the owner of a task, or after a granted claim.
     pub health_checks: u64,
-    /// Health checks that another router's observation made needless.
+    /// Health checks that this router did not make because an observation of another router made them
+    /// unnecessary.
     pub health_checks_avoided: u64,
 }
 
@@ -45,15 +46,15 @@
 }
 
 impl FleetMember {
-    /// Opens the socket and makes the router a member.
+    /// Opens the socket and joins the fleet.
     ///
     /// # Errors
-    /// The address cannot be bound.
+    /// Fails if the address cannot be bound.
     pub fn new(config: MemberConfig, host: Rc<dyn ControlHost>, seed: u64) -> io::Result<Rc<Self>> {
         let max_datagrams_per_second = config.max_datagrams_per_second;
         let socket = DatagramSocket::bind(config.listen, Rc::clone(&host), max_datagrams_per_second)?;
         let now = host.now();
-        // A port that the system chooses is known only now.
+        // Port 0 lets the operating system choose the port, so the address is known only after binding.
         let address = match config.advertise.port() {
             0 => socket.local_addr()?,
             _ => config.advertise,
@@ -79,7 +80,8 @@
         }))
     }
 
-    /// The one way to the fleet. Its commands are run when the call is over, and those that come of them as well.
+    /// Calls the fleet, then runs the commands that it has queued, including those queued while running
+    /// commands.
     fn call<T>(&self, operation: impl FnOnce(&mut Fleet<QueueHandle>, Duration) -> T) -> T {
         let result = operation(&mut self.fleet.borrow_mut(), self.host.now());
         loop {
@@ -109,12 +111,12 @@
             Subject::Installation => false,
         };
         if !has_started {
-            // One is under way already, whose end serves as well.
+            // A health check is already in progress and does the task's work.
             self.fleet.borrow_mut().task_ended(self.host.now(), task);
         }
     }
 
-    /// Receives gossip as long as the process runs.
+    /// Receives gossip until the process exits.
     pub async fn receive(self: Rc<Self>) {
         let own_incarnation = || self.fleet.borrow().members().own_record().version.incarnation;
         let handle = |_: SocketAddr, socket_delay: Duration, message: GossipMessage| {
@@ -123,14 +125,14 @@
         self.transport.receive(own_incarnation, handle).await;
     }
 
-    /// Runs the fleet's timer as long as the process runs.
+    /// Runs the fleet's timer until the process exits.
     pub async fn run_timer(self: Rc<Self>) {
         let mut counts_logged = Instant::now();
         loop {
             let delay = self.queue.take_timer().unwrap_or(TICK_INTERVAL);
             Timer::after(delay).await;
             self.call(|fleet, now| fleet.timer_fired(now));
-            if counts_logged.elapsed() >= COUNTS_INTERVAL {
+            if counts_logged.elapsed() >= COUNTS_LOG_INTERVAL {
                 counts_logged = Instant::now();
                 self.log_counts();
             }
@@ -145,30 +147,31 @@
         let refused = transport.rejected_by_kind();
         log::info!(
             event = "fleet_counts", sent, sent_bytes, taken, read, read_bytes, probes, spared, state, refused;
-            "datagrams and health checks since the start"
+            "fleet: counts of datagrams and health checks since the start"
         );
     }
 
-    /// Applies what takes effect at once of a changed configuration.
+    /// Applies the parts of a changed configuration that do not need a restart.
     pub fn reload(&self, config: &MemberConfig) {
         self.transport.keys_changed(&config.keys);
         self.call(|fleet, now| fleet.seeds_changed(now, config.seeds.clone()));
         self.log_counts();
     }
 
-    /// Hands the tasks over and leaves the fleet.
+    /// Hands over this router's tasks and leaves the fleet.
     pub fn leave(&self) {
         self.call(|fleet, now| fleet.leave(now));
         self.log_counts();
-        log::info!(event = "fleet_left"; "tasks handed over");
+        log::info!(event = "fleet_left"; "left the fleet; its tasks are handed over");
     }
 
-    /// This router has observed a node by an attempt that it sent at `sent_at`.
+    /// Records what this router has observed of a node by an attempt sent at `sent_at`.
     pub fn attempt_observed(&self, sent_at: Duration, observation: Observation) {
         self.call(|fleet, now| fleet.record_own_observation(now, sent_at, observation));
     }
 
-    /// This router has observed a node by a health check that it sent at `sent_at`.
+    /// Records what this router has observed of a node by a health check sent at `sent_at`, and ends the
+    /// task.
     pub fn health_check_observed(&self, sent_at: Duration, observation: Observation) {
         self.call(|fleet, now| {
             let task = fleet.health_check_task(observation.node);
@@ -177,13 +180,14 @@
         });
     }
 
-    /// The endpoint list has changed.
+    /// Updates the nodes after a change of the endpoint list.
     pub fn nodes_changed(&self) {
         let nodes = self.host.nodes();
         self.call(|fleet, now| fleet.nodes_changed(now, &nodes));
     }
 
-    /// Whether a health check out of turn is to be made here, or left to another router. It counts as made.
+    /// Whether this router should make an unscheduled health check of the node itself; otherwise it is left
+    /// to another router. If so, the check is counted as made.
     pub fn claim_health_check(&self, node: SocketAddr) -> bool {
         let needs_own_check = self.host.is_ejected(node);
         let is_granted = self.call(|fleet, now| fleet.claim_health_check(now, node, needs_own_check));
@@ -192,12 +196,12 @@
         is_granted
     }
 
-    /// What peers have observed of a node last, if that is of use yet.
+    /// The latest observation of a node by a peer, unless it is too old to be used.
     pub fn latest_observation(&self, node: SocketAddr) -> Option<DatedObservation> {
         self.fleet.borrow().latest_observation(self.host.now(), node)
     }
 
-    /// What the socket has sent and read since the start.
+    /// Datagrams sent and read since the start.
     pub fn traffic(&self) -> Traffic {
         self.transport.traffic()
     }
--- a/crates/control-plane/src/lib.rs
+++ b/crates/control-plane/src/lib.rs
@@ -1,9 +1,9 @@
-//! The control side of a router: the owners of the fleet member and of the feed's two ends, each with its socket and its
-//! timer.
+//! The control side of a router: the fleet member, the publisher and the subscriber of the observation feed,
+//! each with its socket and its timer.
 //!
-//! All that it needs of the process around it is [`ControlHost`], which a router's engine provides as well as a hollow
-//! router: many of those run in one process without clients and statements, for measurements. The decisions are those of
-//! `quillpoint-membership` and `quillpoint-observation-feed`.
+//! Its interface to the surrounding process is [`ControlHost`], which is implemented by routers and by hollow
+//! routers. For measurements, many hollow routers run in one process, without clients and statements. The
+//! decisions are made in `quillpoint-membership` and `quillpoint-observation-feed`.
 
 #![warn(missing_docs)]
 
--- a/crates/control-plane/src/publisher_service.rs
+++ b/crates/control-plane/src/publisher_service.rs
@@ -1,5 +1,5 @@
-//! A control instance's end of the feed: the owner of the publisher's state machine, its socket and its timer. The
-//! decisions are those of [`Publisher`].
+//! A control instance's side of the feed: owns the publisher's state machine, its socket and its timer. The
+//! decisions are made in [`Publisher`].
 
 use std::cell::RefCell;
 use std::io;
@@ -17,10 +17,10 @@
 use crate::feed_config::PublisherConfig;
 use crate::feed_log::{EVENT_NAMES, log_event};
 use crate::log_rate_limiter::LogRateLimiter;
-use crate::sealed_transport::{COUNTS_INTERVAL, SealedTransport, TransportCounts};
+use crate::sealed_transport::{COUNTS_LOG_INTERVAL, SealedTransport, TransportCounts};
 
-/// Replay windows are kept of this many times as many routers as may subscribe: routers that have restarted, or follow
-/// another control instance now, leave theirs behind.
+/// Number of replay windows kept for each allowed subscriber. More than one is needed, because windows of
+/// routers that have restarted or now follow another control instance remain.
 const REPLAY_WINDOWS_PER_SUBSCRIBER: usize = 2;
 
 /// A publisher on its socket.
@@ -36,10 +36,10 @@
 }
 
 impl PublisherService {
-    /// Opens the socket. Routers may subscribe from then on.
+    /// Opens the socket. From then on, routers can subscribe.
     ///
     /// # Errors
-    /// The address cannot be bound.
+    /// Fails if the address cannot be bound.
     pub fn new(config: PublisherConfig, host: Rc<dyn ControlHost>, seed: u64) -> io::Result<Rc<Self>> {
         let PublisherConfig { name, listen, keys, params, max_datagrams_per_second } = config;
         let socket = DatagramSocket::bind(listen, Rc::clone(&host), max_datagrams_per_second)?;
@@ -58,7 +58,7 @@
         }))
     }
 
-    /// The one way to the publisher. Its commands are run when the call is over.
+    /// Calls the publisher, then runs the commands that it has queued.
     fn call<T>(&self, operation: impl FnOnce(&mut Publisher<QueueHandle>, Duration) -> T) -> T {
         let result = operation(&mut self.publisher.borrow_mut(), self.host.now());
         for command in self.queue.take() {
@@ -68,7 +68,7 @@
                     let envelope = Envelope { from, incarnation: self.incarnation, message };
                     self.transport.send(to, receiver, &envelope);
                 }
-                // Of a subscriber alone.
+                // Only queued by subscribers.
                 Command::ReceiveObservation(_) => {}
                 Command::LogEvent(event) => log_event(&event, &self.subscriber_event_limiter),
             }
@@ -76,7 +76,7 @@
         result
     }
 
-    /// Receives the messages of routers as long as the process runs.
+    /// Receives messages of routers until the process exits.
     pub async fn receive(self: Rc<Self>) {
         let handle = |address: SocketAddr, _: Duration, envelope: Envelope| {
             let Envelope { from, incarnation, message } = envelope;
@@ -85,13 +85,13 @@
         self.transport.receive(|| self.incarnation, handle).await;
     }
 
-    /// Runs the publisher's timer as long as the process runs.
+    /// Runs the publisher's timer until the process exits.
     pub async fn run_timer(self: Rc<Self>) {
         let mut counts_logged = Instant::now();
         loop {
             self.queue.timer.expired().await;
             self.call(|publisher, now| publisher.timer_fired(now));
-            if counts_logged.elapsed() >= COUNTS_INTERVAL {
+            if counts_logged.elapsed() >= COUNTS_LOG_INTERVAL {
                 counts_logged = Instant::now();
                 self.log_counts();
             }
@@ -107,48 +107,48 @@
         let refused = counts.rejected_by_kind();
         log::info!(
             event = "feed_counts", sent, sent_bytes, taken, read, read_bytes, subscribers, state, refused;
-            "datagrams to and from routers since the start"
+            "feed: counts of datagrams to and from routers since the start"
         );
     }
 
-    /// This control instance, or another of its fleet as far as that is believed, has made an observation.
+    /// Records an observation made by this control instance or by a trusted member of its fleet.
     pub fn observe(&self, observation: DatedObservation) {
         self.call(|publisher, now| publisher.observe(now, observation));
     }
 
-    /// The endpoint list has changed.
+    /// Updates the databases after a change of the endpoint list.
     pub fn nodes_changed(&self) {
         let nodes = self.host.nodes().into_keys().collect();
         self.call(|publisher, now| publisher.nodes_changed(now, &nodes));
     }
 
-    /// How many control instances divide the health checks now, this one included.
+    /// Sets the number of control instances that divide the health checks, including this one.
     pub fn instance_count_changed(&self, instance_count: usize) {
         self.call(|publisher, _| publisher.instance_count_changed(instance_count));
     }
 
-    /// Applies what takes effect at once of a changed configuration.
+    /// Applies the parts of a changed configuration that do not need a restart.
     pub fn reload(&self, config: &PublisherConfig) {
         self.transport.keys_changed(&config.keys);
         self.log_counts();
     }
 
-    /// Tells all subscribers that this control instance shuts down.
+    /// Notifies all subscribers that this control instance is shutting down.
     pub fn leave(&self) {
         self.call(|publisher, now| publisher.leave(now));
         self.log_counts();
-        log::info!(event = "feed_left"; "the subscribers are told that this control instance shuts down");
+        log::info!(event = "feed_left"; "notified the subscribers that this control instance is shutting down");
     }
 
-    /// Where routers reach it.
+    /// The address that the socket is bound to.
     ///
     /// # Errors
-    /// The system does not tell.
+    /// Fails if the operating system cannot report the address.
     pub fn address(&self) -> io::Result<SocketAddr> {
         self.transport.socket().local_addr()
     }
 
-    /// What the socket has sent and read since the start.
+    /// Datagrams sent and read since the start.
     pub fn traffic(&self) -> Traffic {
         self.transport.traffic()
     }
@@ -158,12 +158,12 @@
         self.transport.counts()
     }
 
-    /// How many routers are subscribed.
+    /// Number of subscribed routers.
     pub fn subscriber_count(&self) -> usize {
         self.publisher.borrow().subscriber_count()
     }
 
-    /// About the bytes that the publisher takes.
+    /// Approximate memory of the publisher in bytes.
     pub fn state_bytes(&self) -> usize {
         self.publisher.borrow().state_bytes()
     }
--- a/crates/control-plane/src/read_pacer.rs
+++ b/crates/control-plane/src/read_pacer.rs
@@ -1,4 +1,4 @@
-//! Paces the reads of a socket, so that a flood of datagrams gets no more than its share of the thread.
+//! Paces the reads of a socket, so that a flood of datagrams does not starve other tasks of the thread.
 
 use std::cell::RefCell;
 use std::time::{Duration, Instant};
@@ -6,30 +6,31 @@
 use async_io::Timer;
 use futures_lite::future;
 
-/// How many datagrams are read before other tasks have their turn.
+/// Number of datagrams that are read in a row before yielding to other tasks.
 const MAX_READS_IN_A_ROW: u32 = 32;
-/// The interval in which reads are counted, and the pause when they are too many.
+/// The interval over which reads are counted, and the pause after too many reads.
 pub(crate) const READ_PAUSE: Duration = Duration::from_millis(10);
 
 pub(crate) struct ReadPacer {
     max_datagrams_per_second: u64,
-    progress: RefCell<Progress>,
+    counts: RefCell<ReadCounts>,
 }
 
-struct Progress {
+/// Reads in the current interval and since the last yield.
+struct ReadCounts {
     interval_began: Instant,
     reads_in_interval: u32,
     reads_in_a_row: u32,
 }
 
-impl Progress {
+impl ReadCounts {
     fn begin_interval(&mut self) {
         self.interval_began = Instant::now();
         self.reads_in_interval = 1;
     }
 }
 
-/// What the next read has to wait for.
+/// What has to happen before the next read.
 struct NextRead {
     yields: bool,
     pauses: bool,
@@ -37,8 +38,8 @@
 
 impl ReadPacer {
     pub(crate) fn new(max_datagrams_per_second: u64) -> Self {
-        let progress = Progress { interval_began: Instant::now(), reads_in_interval: 0, reads_in_a_row: 0 };
-        Self { max_datagrams_per_second, progress: RefCell::new(progress) }
+        let counts = ReadCounts { interval_began: Instant::now(), reads_in_interval: 0, reads_in_a_row: 0 };
+        Self { max_datagrams_per_second, counts: RefCell::new(counts) }
     }
 
     /// Waits until the next read may begin.
@@ -49,23 +50,23 @@
         }
         if pauses {
             Timer::after(READ_PAUSE).await;
-            self.progress.borrow_mut().begin_interval();
+            self.counts.borrow_mut().begin_interval();
         }
     }
 
     fn next_read(&self) -> NextRead {
-        let progress = &mut *self.progress.borrow_mut();
-        progress.reads_in_interval += 1;
-        progress.reads_in_a_row += 1;
-        let yields = progress.reads_in_a_row > MAX_READS_IN_A_ROW;
+        let counts = &mut *self.counts.borrow_mut();
+        counts.reads_in_interval += 1;
+        counts.reads_in_a_row += 1;
+        let yields = counts.reads_in_a_row > MAX_READS_IN_A_ROW;
         if yields {
-            progress.reads_in_a_row = 1;
+            counts.reads_in_a_row = 1;
         }
-        if progress.interval_began.elapsed() >= READ_PAUSE {
-            progress.begin_interval();
+        if counts.interval_began.elapsed() >= READ_PAUSE {
+            counts.begin_interval();
             return NextRead { yields, pauses: false };
         }
         let max_reads = (self.max_datagrams_per_second as f64 * READ_PAUSE.as_secs_f64()).max(1.0);
-        NextRead { yields, pauses: f64::from(progress.reads_in_interval) > max_reads + 1.0 }
+        NextRead { yields, pauses: f64::from(counts.reads_in_interval) > max_reads + 1.0 }
     }
 }
--- a/crates/control-plane/src/sealed_transport.rs
+++ b/crates/control-plane/src/sealed_transport.rs
@@ -1,4 +1,5 @@
-//! Sealed datagrams on a socket: sealed when they are sent, opened when they arrive, counted and rejected by kind.
+//! Seals the datagrams that are sent on a socket, opens those that arrive, and counts accepted and rejected
+//! ones.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -12,13 +13,13 @@
 use crate::datagram_socket::{DatagramSocket, ReceivedDatagram, Traffic};
 use crate::log_rate_limiter::LogRateLimiter;
 
-/// How often the counts are logged.
-pub(crate) const COUNTS_INTERVAL: Duration = Duration::from_secs(60);
+/// Interval at which the counts are logged.
+pub(crate) const COUNTS_LOG_INTERVAL: Duration = Duration::from_secs(60);
 
 /// Counts since the start.
 #[derive(Clone, Debug, Default)]
 pub struct TransportCounts {
-    /// What the socket has sent and read.
+    /// Datagrams sent and read.
     pub traffic: Traffic,
     /// Datagrams that were accepted.
     pub accepted: u64,
@@ -27,7 +28,7 @@
 }
 
 impl TransportCounts {
-    /// The rejected datagrams as text for the log: `kind:count`, separated by commas.
+    /// The counts of rejected datagrams as text for the log: `kind:count`, separated by commas.
     pub fn rejected_by_kind(&self) -> String {
         let kinds: Vec<String> =
             self.rejected.iter().map(|(kind, count)| format!("{kind:?}:{count}")).collect();
@@ -45,7 +46,7 @@
     pub keys_changed: &'static str,
 }
 
-/// A socket whose datagrams are sealed payloads.
+/// Sends and receives payloads as sealed datagrams on a socket.
 pub struct SealedTransport<P> {
     socket: DatagramSocket,
     keys: RefCell<Keyring>,
@@ -58,7 +59,7 @@
 }
 
 impl<P: Payload> SealedTransport<P> {
-    /// A transport on this socket.
+    /// Creates a transport on this socket.
     pub fn new(
         socket: DatagramSocket,
         keys: Keyring,
@@ -77,12 +78,12 @@
         }
     }
 
-    /// The socket.
+    /// The underlying socket.
     pub fn socket(&self) -> &DatagramSocket {
         &self.socket
     }
 
-    /// What the socket has sent and read since the start.
+    /// Datagrams sent and read since the start.
     pub fn traffic(&self) -> Traffic {
         self.socket.traffic()
     }
@@ -92,8 +93,8 @@
         TransportCounts { traffic: self.socket.traffic(), ..self.counts.borrow().clone() }
     }
 
-    /// Sends a payload. `receiver` is the incarnation of the receiver, where it is known. One that cannot be
-    /// sent at once is lost: every message is repeated.
+    /// Sends a payload. `receiver` is the receiver's incarnation, if known. A payload that cannot be sent
+    /// immediately is dropped; this is safe because every message is repeated.
     pub fn send(&self, to: SocketAddr, receiver: Option<Incarnation>, payload: &P) {
         let sealed = self.sealer.borrow_mut().seal(&self.keys.borrow(), receiver, payload);
         let sent = match &sealed {
@@ -104,12 +105,13 @@
             && self.send_failed_limiter.try_acquire()
         {
             let event = self.event_names.send_failed;
-            log::warn!(event = event, to:% = to, error; "a datagram could not be sent");
+            log::warn!(event = event, to:% = to, error; "failed to send a datagram to {to}");
         }
     }
 
-    /// Receives payloads as long as the process runs, and hands each over with its sender's address and how long it has
-    /// waited in the socket. `own_incarnation` is asked for at each datagram.
+    /// Receives payloads until the process exits. Calls `handle` for each with the sender's address and how
+    /// long the datagram waited in the socket's receive buffer. `own_incarnation` is called for each
+    /// datagram.
     pub async fn receive(
         &self,
         own_incarnation: impl Fn() -> Incarnation,
@@ -137,20 +139,20 @@
                 if self.rejected_limiter.try_acquire() {
                     let kind = format!("{error:?}");
                     let event = self.event_names.rejected;
-                    log::warn!(event = event, kind; "a datagram was rejected: {error}");
+                    log::warn!(event = event, kind; "rejected a datagram: {error}");
                 }
                 None
             }
         }
     }
 
-    /// Seals and opens by these keys from now on.
+    /// Uses these keys from now on to seal and open datagrams.
     pub fn keys_changed(&self, keys: &Keyring) {
         if *self.keys.borrow() != *keys {
             *self.keys.borrow_mut() = keys.clone();
             let ids: Vec<String> = keys.ids().map(|id| id.to_string()).collect();
             let event = self.event_names.keys_changed;
-            log::info!(event = event, keys = ids.join(","); "other keys hold");
+            log::info!(event = event, keys = ids.join(","); "now using a changed set of keys");
         }
     }
 }
--- a/crates/control-plane/src/subscriber_service.rs
+++ b/crates/control-plane/src/subscriber_service.rs
@@ -1,8 +1,9 @@
-//! A router's end of the feed: the owner of the subscriber's state machine, its socket and its timer. The decisions are
-//! those of [`Subscriber`].
+//! A router's side of the feed: owns the subscriber's state machine, its socket and its timer. The decisions
+//! are made in [`Subscriber`].
 //!
-//! With each digest, ten times a second and more, what is known of all databases may be newer. The process around asks for
-//! it where it needs it: [`SubscriberService::newer_observation`] returns something once a digest and database at most.
+//! Each digest, ten times a second or more often, may make the observations of all databases newer. The
+//! router queries only the databases that it needs: [`SubscriberService::newer_observation`] returns an
+//! observation at most once per digest and database.
 
 use std::cell::{Cell, Ref, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -21,25 +22,26 @@
 use crate::feed_config::SubscriberConfig;
 use crate::feed_log::{EVENT_NAMES, log_event};
 use crate::log_rate_limiter::LogRateLimiter;
-use crate::sealed_transport::{COUNTS_INTERVAL, SealedTransport, TransportCounts};
+use crate::sealed_transport::{COUNTS_LOG_INTERVAL, SealedTransport, TransportCounts};
 
-/// Replay windows are kept of this many incarnations of control instances.
+/// Maximum number of control instance incarnations for which a replay window is kept.
 const REPLAY_WINDOWS: usize = 256;
 
 /// Counts since the start.
 #[derive(Clone, Debug, Default)]
 pub struct SubscriberCounts {
-    /// Datagrams.
+    /// Counts of datagrams.
     pub transport: TransportCounts,
-    /// Health checks that were claimed.
+    /// Health checks whose claim was granted.
     pub health_checks: u64,
-    /// Health checks that an observation of the feed made needless, or that had to wait.
+    /// Health checks that this router did not make because an observation of the feed made them unnecessary,
+    /// or because the quota deferred them.
     pub health_checks_avoided: u64,
 }
 
-/// The last answer of [`SubscriberService::newer_observation`] about a database.
+/// What [`SubscriberService::newer_observation`] last returned for a database.
 #[derive(Clone, Copy, Default)]
-struct LastAnswer {
+struct LastReturned {
     digest_count: u64,
     seen_at: Duration,
 }
@@ -52,19 +54,19 @@
     subscriber: RefCell<Subscriber<QueueHandle>>,
     queue: Rc<CommandQueue>,
     transport: SealedTransport<Envelope>,
-    /// For [`log_event`]; the events that it limits are a publisher's.
+    /// Required by [`log_event`], though it only limits events of publishers.
     subscriber_event_limiter: LogRateLimiter,
     digest_count: Cell<u64>,
-    last_answers: RefCell<BTreeMap<SocketAddr, LastAnswer>>,
+    last_returned: RefCell<BTreeMap<SocketAddr, LastReturned>>,
     health_checks: Cell<u64>,
     health_checks_avoided: Cell<u64>,
 }
 
 impl SubscriberService {
-    /// Opens the socket, and follows control instances from then on.
+    /// Opens the socket and starts to follow control instances.
     ///
     /// # Errors
-    /// The address cannot be bound.
+    /// Fails if the address cannot be bound.
     pub fn new(config: SubscriberConfig, host: Rc<dyn ControlHost>, seed: u64) -> io::Result<Rc<Self>> {
         let SubscriberConfig { name, listen, keys, params, control_instances, max_datagrams_per_second } =
             config;
@@ -83,13 +85,13 @@
             transport,
             subscriber_event_limiter: LogRateLimiter::default(),
             digest_count: Cell::new(0),
-            last_answers: RefCell::default(),
+            last_returned: RefCell::default(),
             health_checks: Cell::new(0),
             health_checks_avoided: Cell::new(0),
         }))
     }
 
-    /// The one way to the subscriber. Its commands are run when the call is over.
+    /// Calls the subscriber, then runs the commands that it has queued.
     fn call<T>(&self, operation: impl FnOnce(&mut Subscriber<QueueHandle>, Duration) -> T) -> T {
         let result = operation(&mut self.subscriber.borrow_mut(), self.host.now());
         for command in self.queue.take() {
@@ -108,7 +110,7 @@
         result
     }
 
-    /// Receives the messages of control instances as long as the process runs.
+    /// Receives messages of control instances until the process exits.
     pub async fn receive(self: Rc<Self>) {
         let handle = |_: SocketAddr, socket_delay: Duration, envelope: Envelope| {
             let Envelope { from, incarnation, message } = envelope;
@@ -123,13 +125,13 @@
         self.transport.receive(|| self.incarnation, handle).await;
     }
 
-    /// Runs the subscriber's timer as long as the process runs.
+    /// Runs the subscriber's timer until the process exits.
     pub async fn run_timer(self: Rc<Self>) {
         let mut counts_logged = Instant::now();
         loop {
             self.queue.timer.expired().await;
             self.call(|subscriber, now| subscriber.timer_fired(now));
-            if counts_logged.elapsed() >= COUNTS_INTERVAL {
+            if counts_logged.elapsed() >= COUNTS_LOG_INTERVAL {
                 counts_logged = Instant::now();
                 self.log_counts();
             }
@@ -147,31 +149,32 @@
         log::info!(
             event = "feed_counts", sent, sent_bytes, taken, read, read_bytes, probes, spared, following, state,
             refused;
-            "datagrams to and from control instances, and health checks, since the start"
+            "feed: counts of datagrams to and from control instances, and of health checks, since the start"
         );
     }
 
-    /// What is known of a database, if it is newer than all earlier answers.
+    /// The current observation of a database, if it is newer than all observations returned before.
     pub fn newer_observation(&self, node: SocketAddr) -> Option<FeedObservation> {
         let digest_count = self.digest_count.get();
-        let last = self.last_answers.borrow().get(&node).copied().unwrap_or_default();
+        let last = self.last_returned.borrow().get(&node).copied().unwrap_or_default();
         if last.digest_count == digest_count {
             return None;
         }
         let observation = self.observation(node)?;
         let seen_at = last.seen_at.max(observation.seen_at);
-        self.last_answers.borrow_mut().insert(node, LastAnswer { digest_count, seen_at });
+        self.last_returned.borrow_mut().insert(node, LastReturned { digest_count, seen_at });
         (observation.seen_at > last.seen_at).then_some(observation)
     }
 
-    /// The endpoint list has changed.
+    /// Updates the databases after a change of the endpoint list.
     pub fn nodes_changed(&self) {
         let nodes: BTreeSet<SocketAddr> = self.host.nodes().into_keys().collect();
-        self.last_answers.borrow_mut().retain(|node, _| nodes.contains(node));
+        self.last_returned.borrow_mut().retain(|node, _| nodes.contains(node));
         self.call(|subscriber, now| subscriber.nodes_changed(now, &nodes));
     }
 
-    /// Whether a health check that this router needs is to be made, or left to the control instances. It counts as made.
+    /// Whether this router should make a health check of the node itself; otherwise it is left to the control
+    /// instances. If so, the check is counted as made.
     pub fn claim_health_check(&self, node: SocketAddr) -> bool {
         let needs_own_check = self.host.is_ejected(node);
         let is_granted =
@@ -181,7 +184,7 @@
         is_granted
     }
 
-    /// Applies what takes effect at once of a changed configuration.
+    /// Applies the parts of a changed configuration that do not need a restart.
     pub fn reload(&self, config: &SubscriberConfig) {
         self.transport.keys_changed(&config.keys);
         let control_instances = config.control_instances.clone();
@@ -189,14 +192,14 @@
         self.log_counts();
     }
 
-    /// Unsubscribes.
+    /// Unsubscribes from all control instances.
     pub fn leave(&self) {
         self.call(|subscriber, now| subscriber.leave(now));
         self.log_counts();
-        log::info!(event = "feed_left"; "no control instance is followed any more");
+        log::info!(event = "feed_left"; "unsubscribed from all control instances");
     }
 
-    /// What the socket has sent and read since the start.
+    /// Datagrams sent and read since the start.
     pub fn traffic(&self) -> Traffic {
         self.transport.traffic()
     }
@@ -210,15 +213,15 @@
         }
     }
 
-    /// What is known of a database now, whether it has been returned before or not.
+    /// The current observation of a database, whether or not it has been returned before.
     pub fn observation(&self, node: SocketAddr) -> Option<FeedObservation> {
         self.call(|subscriber, _| subscriber.observation(node))
     }
 
-    /// About the bytes that the subscriber takes.
+    /// Approximate memory of the subscriber in bytes.
     pub fn state_bytes(&self) -> usize {
-        let answers = self.last_answers.borrow().len() * size_of::<(SocketAddr, LastAnswer)>();
-        self.subscriber.borrow().state_bytes() + answers
+        let last_returned_bytes = self.last_returned.borrow().len() * size_of::<(SocketAddr, LastReturned)>();
+        self.subscriber.borrow().state_bytes() + last_returned_bytes
     }
 
     /// The subscriber's state, read-only.
--- a/crates/control-plane/tests/socket_delay.rs
+++ b/crates/control-plane/tests/socket_delay.rs
@@ -1,4 +1,5 @@
-//! What waits in a socket while its process stands still is as much older when it is read.
+//! Datagrams that wait in the socket's receive buffer while the process is paused are aged by that time when
+//! they are read.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -24,28 +25,30 @@
 use quillpoint_observation_feed::subscriber::SubscriberParams;
 use quillpoint_observation_feed::{ControlInstance, Entry, Envelope, FeedObservation, Message, NodeStatus};
 
-const STALL: Duration = Duration::from_millis(400);
-/// Between the sending and the queue, and for clocks that are read one after the other.
-const SLACK: Duration = Duration::from_millis(100);
-const PAUSE: Duration = Duration::from_millis(20);
+/// How long the process is paused, or idle.
+const PROCESS_PAUSE: Duration = Duration::from_millis(400);
+/// Tolerance for the time between sending and arrival, and for clocks that are read one after the other.
+const TOLERANCE: Duration = Duration::from_millis(100);
+/// Time in which a running process reads its datagrams.
+const READ_TIME: Duration = Duration::from_millis(20);
 
-/// The process around: its clock, one database, and the observations that it receives.
+/// A process with a clock and one database, which records the observations that it receives.
 struct TestHost {
-    unix: Duration,
-    since: Instant,
+    unix_at_start: Duration,
+    started_at: Instant,
     received: RefCell<Vec<DatedObservation>>,
 }
 
 impl TestHost {
     fn new() -> Rc<Self> {
-        let unix = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap();
-        Rc::new(Self { unix, since: Instant::now(), received: RefCell::default() })
+        let unix_at_start = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap();
+        Rc::new(Self { unix_at_start, started_at: Instant::now(), received: RefCell::default() })
     }
 }
 
 impl ControlHost for TestHost {
     fn now(&self) -> Duration {
-        self.unix + self.since.elapsed()
+        self.unix_at_start + self.started_at.elapsed()
     }
     fn nodes(&self) -> BTreeMap<SocketAddr, u16> {
         BTreeMap::from([(node(), 0)])
@@ -97,7 +100,7 @@
     }
 }
 
-/// What another member has observed 10 ms before it sends this.
+/// Gossip of another member with an observation that is 10 ms old when it is sent.
 fn gossip(address: SocketAddr, position: u64) -> GossipMessage {
     let version = MemberVersion { incarnation: Incarnation(5), revision: 0 };
     let from =
@@ -114,7 +117,8 @@
     GossipMessage { from, body: GossipBody::Observations(vec![observation]), records: Vec::new() }
 }
 
-/// Covers the first revision of the node's partition; all was seen 10 ms before the sending.
+/// A digest that covers the first revision of the node's partition. All databases were seen 10 ms before it
+/// was sent.
 fn digest(number: u32, now: Duration) -> Message {
     let mut revisions = vec![Revision::default(); PARTITIONS];
     revisions[PartitionId::of(node()).index()] = Revision(1);
@@ -130,7 +134,7 @@
     })
 }
 
-/// The whole snapshot of the node's partition.
+/// The complete snapshot of the node's partition, in one chunk.
 fn chunk() -> Message {
     let entry = Entry { primary: Some(true), started: None, status: NodeStatus::Seen(LagClass(0)) };
     Message::Chunk(SnapshotChunk {
@@ -142,7 +146,7 @@
     })
 }
 
-/// A subscriber of the control instance at this address.
+/// The configuration of a subscriber of the control instance at this address.
 fn subscriber_config(control: SocketAddr) -> SubscriberConfig {
     SubscriberConfig {
         name: name("r1"),
@@ -160,7 +164,7 @@
 }
 
 #[test]
-fn gossip_that_waited_for_a_process_that_stood_still_is_as_much_older() {
+fn gossip_that_was_queued_while_the_process_was_paused_is_dated_by_its_send_time() {
     let host = TestHost::new();
     let port = UdpSocket::bind(local()).unwrap();
     let listen = port.local_addr().unwrap();
@@ -178,41 +182,41 @@
     };
     let member = FleetMember::new(config, Rc::<TestHost>::clone(&host), 1).unwrap();
     member.nodes_changed();
-    let start = member.fleet().members().own_record().version.incarnation;
+    let incarnation = member.fleet().members().own_record().version.incarnation;
     let other = UdpSocket::bind(local()).unwrap();
     let (mut sealer, keys) = (Sealer::default(), keys());
     let mut send = |position: u64| {
         let message = gossip(other.local_addr().unwrap(), position);
-        let bytes = sealer.seal(&keys, Some(start), &message).unwrap();
+        let bytes = sealer.seal(&keys, Some(incarnation), &message).unwrap();
         other.send_to(&bytes, listen).unwrap();
     };
     let mut sent = Vec::new();
     let script = async {
-        // What is read at once is as old as it says, however long nothing has come before it.
-        Timer::after(STALL).await;
+        // A datagram that is read at once is not aged, even if none has arrived for a while before it.
+        Timer::after(PROCESS_PAUSE).await;
         sent.push(host.now());
         send(100);
-        Timer::after(PAUSE).await;
-        // The process stands still.
+        Timer::after(READ_TIME).await;
+        // Sleeping blocks the thread, so the process does not read.
         for position in [101, 102] {
             sent.push(host.now());
             send(position);
-            std::thread::sleep(STALL / 2);
+            std::thread::sleep(PROCESS_PAUSE / 2);
         }
-        Timer::after(PAUSE).await;
+        Timer::after(READ_TIME).await;
     };
     future::block_on(future::or(async { Rc::clone(&member).receive().await }, script));
     let received = host.received.borrow();
     assert_eq!(received.len(), 3, "{received:?}");
     for (observation, sent) in received.iter().zip(&sent) {
         let seen = *sent - Duration::from_millis(10);
-        assert!(observation.at <= seen + SLACK, "dated {:?} after it was seen", observation.at - seen);
-        assert!(observation.at + SLACK >= seen, "dated {:?} before it was seen", seen - observation.at);
+        assert!(observation.at <= seen + TOLERANCE, "dated {:?} after it was seen", observation.at - seen);
+        assert!(observation.at + TOLERANCE >= seen, "dated {:?} before it was seen", seen - observation.at);
     }
 }
 
 #[test]
-fn digests_that_waited_for_a_router_that_stood_still_are_as_much_older() {
+fn digests_that_were_queued_while_the_process_was_paused_are_dated_by_their_send_time() {
     let host = TestHost::new();
     let control = UdpSocket::bind(local()).unwrap();
     control.set_read_timeout(Some(Duration::from_secs(10))).unwrap();
@@ -222,18 +226,18 @@
     let (mut sealer, mut opener, keys) = (Sealer::default(), Opener::<Envelope>::new(4), keys());
     let mut address = None;
     let mut send = |message: Message, address: Option<(SocketAddr, Incarnation)>| {
-        let (to, session) = address.unwrap();
+        let (to, receiver) = address.unwrap();
         let envelope = Envelope { from: name("c0"), incarnation: Incarnation(7), message };
-        control.send_to(&sealer.seal(&keys, Some(session), &envelope).unwrap(), to).unwrap();
+        control.send_to(&sealer.seal(&keys, Some(receiver), &envelope).unwrap(), to).unwrap();
     };
     let mut request = [0; 1500];
     let script = async {
-        // Its subscription tells where it is.
+        // The subscription request contains the router's address and incarnation.
         Timer::after(Duration::from_millis(200)).await;
         let (length, from) = control.recv_from(&mut request).unwrap();
         let opened = opener.open(&keys, Incarnation(7), &request[..length]);
         address = Some((from, opened.unwrap().incarnation));
-        // One, and then the process stands still whenever digests come, so that none is read as it comes.
+        // The process is paused whenever a digest arrives, so that none is read on arrival.
         for number in 1..=4 {
             if number == 2 {
                 send(chunk(), address);
@@ -241,26 +245,29 @@
             let sent = host.now();
             send(digest(number, sent), address);
             std::thread::sleep(Duration::from_millis(200));
-            Timer::after(PAUSE).await;
+            Timer::after(READ_TIME).await;
             if let Some(observation) = subscription.observation(node()) {
                 let seen = sent - Duration::from_millis(10);
                 assert!(
-                    observation.seen_at <= seen + SLACK,
+                    observation.seen_at <= seen + TOLERANCE,
                     "dated {:?} after it was seen",
                     observation.seen_at - seen
                 );
                 assert!(
-                    observation.seen_at + SLACK >= seen,
+                    observation.seen_at + TOLERANCE >= seen,
                     "dated {:?} before it was seen",
                     seen - observation.seen_at
                 );
             }
         }
-        assert!(subscription.observation(node()).is_some(), "the first measure only");
+        assert!(
+            subscription.observation(node()).is_some(),
+            "no observation: the first digests only establish the delay baseline"
+        );
     };
     let service = async {
-        let (one, other) = (Rc::clone(&subscription), Rc::clone(&subscription));
-        future::zip(one.receive(), other.run_timer()).await;
+        let (receiver, timer) = (Rc::clone(&subscription), Rc::clone(&subscription));
+        future::zip(receiver.receive(), timer.run_timer()).await;
     };
     future::block_on(future::or(service, script));
 }
