--- a/crates/observation-feed/tests/feed.rs
+++ b/crates/observation-feed/tests/feed.rs
@@ -1,6 +1,7 @@
-//! Control instances and routers in virtual time, under every fault that they are for. The world checks the rules after
-//! each message that a router takes: nothing is dated fresher than it was seen, no position is higher than was shown, a
-//! role and a start are of about that time, replicas stay within their bounds, each datagram fits.
+//! Control instances and routers in a simulated world with virtual time, under the faults that the feed has
+//! to tolerate. After each message that a router receives, the world checks the invariants: no observation is
+//! dated later than the database was seen, no log position is higher than reported, roles and start times
+//! match the observation's date, caches stay within their size limits, and each message fits into a datagram.
 
 mod world;
 
@@ -10,162 +11,174 @@
 use quillpoint_observation_feed::Event;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use world::faults::{happen, heal};
-use world::{START, Shape, World, most_a_second, ms, settled};
+use world::faults::{heal_all, inject_fault};
+use world::{START, World, WorldParams, converged_world, max_per_second, ms};
 
 #[test]
-fn whatever_happens_nothing_is_dated_fresher_than_it_was_seen_and_all_agree_after_healing() {
+fn observations_are_never_dated_too_fresh_under_random_faults_and_converge_after_healing() {
     for seed in 0..40 {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let shape = Shape {
+        let params = WorldParams {
             regions: 1 + (seed as usize % 2),
             loss: [0.0, 0.02, 0.2][seed as usize % 3],
-            doubled: 0.05,
-            slow: ([0.0, 0.1, 0.3][seed as usize % 3], ms([0, 300, 2500][(seed / 3) as usize % 3])),
-            unseen: [0.0, 0.02, 0.1][(seed / 2) as usize % 3],
-            skew: ms([0, 40][seed as usize % 2]),
-            ..Shape::calm(5, 4, 130, seed)
+            duplicated: 0.05,
+            delayed: ([0.0, 0.1, 0.3][seed as usize % 3], ms([0, 300, 2500][(seed / 3) as usize % 3])),
+            missed_observations: [0.0, 0.02, 0.1][(seed / 2) as usize % 3],
+            max_clock_offset: ms([0, 40][seed as usize % 2]),
+            ..WorldParams::without_faults(5, 4, 130, seed)
         };
-        let mut world = World::new(shape);
+        let mut world = World::new(params);
         let until = world.now + ms(20_000);
         while world.now < until {
             world.run(ms(rng.random_range(50..500)));
-            happen(&mut world, &mut rng);
+            inject_fault(&mut world, &mut rng);
             let (router, database) = (rng.random_range(0..5), rng.random_range(0..130));
-            world.claim(router, database, rng.random_bool(0.5));
+            world.claim_health_check(router, database, rng.random_bool(0.5));
         }
-        heal(&mut world);
+        heal_all(&mut world);
         world.run(ms(5000));
-        world.agrees().unwrap_or_else(|error| panic!("seed {seed}: {error}"));
+        world.check_convergence().unwrap_or_else(|error| panic!("seed {seed}: {error}"));
     }
 }
 
 #[test]
-fn calm_costs_little_and_what_is_known_is_fresh() {
+fn without_faults_observations_are_fresh_and_traffic_hardly_grows_with_the_number_of_databases() {
     let mut bytes = BTreeMap::new();
     for databases in [500, 1000, 2000] {
-        let mut world = World::new(Shape::calm(12, 4, databases, 1));
-        world.checked = false;
+        let mut world = World::new(WorldParams::without_faults(12, 4, databases, 1));
+        world.checks_invariants = false;
         world.run(ms(5000));
-        world.agrees().unwrap();
-        let before: u64 = (0..4).map(|place| world.publisher_costs(place).bytes).sum();
+        world.check_convergence().unwrap();
+        let before: u64 = (0..4).map(|index| world.publisher_costs(index).bytes).sum();
         let mut ages = Vec::new();
         for _ in 0..50 {
             world.run(ms(97));
-            ages.extend(world.ages());
+            ages.extend(world.observation_ages());
         }
-        let after: u64 = (0..4).map(|place| world.publisher_costs(place).bytes).sum();
+        let after: u64 = (0..4).map(|index| world.publisher_costs(index).bytes).sum();
         ages.sort_unstable();
         let p99 = ages[ages.len() * 99 / 100];
-        assert!(p99 <= ms(300), "{databases}: {p99:?}");
+        assert!(p99 <= ms(300), "{databases} databases: 99th percentile of observation ages is {p99:?}");
         bytes.insert(databases, (after - before) as f64 / 12.0 / 4.85);
     }
-    assert!(bytes[&2000] <= 13_000.0 && bytes[&2000] <= 1.3 * bytes[&1000], "{bytes:?}");
-    assert!(bytes[&1000] <= 1.3 * bytes[&500], "{bytes:?}");
+    assert!(
+        bytes[&2000] <= 13_000.0 && bytes[&2000] <= 1.3 * bytes[&1000],
+        "bytes per second and router by number of databases: {bytes:?}"
+    );
+    assert!(
+        bytes[&1000] <= 1.3 * bytes[&500],
+        "bytes per second and router by number of databases: {bytes:?}"
+    );
 }
 
 #[test]
-fn a_killed_control_instance_ages_nobody_past_a_second() {
-    let mut world = settled(Shape::calm(10, 4, 200, 3));
+fn killing_a_control_instance_ages_no_observation_beyond_one_second() {
+    let mut world = converged_world(WorldParams::without_faults(10, 4, 200, 3));
     world.kill_publisher(1);
     let mut oldest = Duration::ZERO;
     for _ in 0..40 {
         world.run(ms(50));
-        oldest = oldest.max(*world.ages().last().unwrap());
+        oldest = oldest.max(*world.observation_ages().last().unwrap());
     }
-    assert!(oldest <= ms(1000), "{oldest:?}");
-    // All have two again, and the one that was killed gets its own back in time.
+    assert!(oldest <= ms(1000), "the oldest observation was {oldest:?} old");
+    // Every router follows two control instances again. After its restart, the killed instance regains its
+    // subscribers.
     world.run(ms(4000));
-    let two = |world: &World| {
+    let all_follow_two = |world: &World| {
         (0..10).all(|router| world.subscriber(router).unwrap().active_instance_names().count() == 2)
     };
-    assert!(two(&world));
+    assert!(all_follow_two(&world));
     world.start_publisher(1);
     world.run(ms(30_000));
-    let followers = |place: usize| world.publisher(place).unwrap().subscriber_count();
-    assert!(two(&world) && followers(1) > 0, "{}", followers(1));
-    assert_eq!((0..4).map(followers).sum::<usize>(), 20);
+    let subscribers = |index: usize| world.publisher(index).unwrap().subscriber_count();
+    assert!(all_follow_two(&world) && subscribers(1) > 0, "subscribers: {}", subscribers(1));
+    assert_eq!((0..4).map(subscribers).sum::<usize>(), 20);
 }
 
 #[test]
-fn a_change_of_primary_is_known_within_a_second_of_the_first_check_that_saw_it() {
-    let mut world = settled(Shape { loss: 0.02, ..Shape::calm(10, 4, 200, 4) });
+fn a_primary_change_reaches_all_routers_within_a_second_of_the_health_check_that_sees_it() {
+    let mut world = converged_world(WorldParams { loss: 0.02, ..WorldParams::without_faults(10, 4, 200, 4) });
     for turn in 0..10 {
         let (old, new) = (3 * turn, 3 * turn + 1);
         (world.databases[old].primary, world.databases[new].primary) = (false, true);
         let from = world.now;
-        world.run(ms(1000) + world.shape.period);
+        world.run(ms(1000) + world.params.period);
         for router in 0..10 {
-            let observation = world.known(router, new).unwrap();
-            assert_eq!(observation.primary, Some(true), "{turn}, {router}");
+            let observation = world.observation(router, new).unwrap();
+            assert_eq!(observation.primary, Some(true), "change {turn}, router {router}");
             let node = world::address(new);
-            let reports =
+            let is_new_primary =
                 |(at, to, observation): &&(Duration, usize, quillpoint_observation_feed::FeedObservation)| {
                     *at >= from
                         && *to == router
                         && observation.node == node
                         && observation.primary == Some(true)
                 };
-            assert!(world.changed.iter().any(|change| reports(&change)), "reported at once, unasked");
+            assert!(
+                world.changed_observations.iter().any(|change| is_new_primary(&change)),
+                "change {turn} was not reported to the host of router {router}"
+            );
         }
     }
 }
 
 #[test]
-fn a_database_that_fails_is_published_and_does_not_age_the_others() {
-    let mut world = settled(Shape::calm(6, 4, 200, 5));
-    world.set_up(7, false);
+fn a_failed_or_silent_database_does_not_age_the_others() {
+    let mut world = converged_world(WorldParams::without_faults(6, 4, 200, 5));
+    world.set_running(7, false);
     world.run(ms(1000));
     for router in 0..6 {
-        assert!(world.known(router, 7).unwrap().failed);
+        assert!(world.observation(router, 7).unwrap().failed);
     }
-    // One that is silent, though nothing says that it has failed, is as old as it is, and no other.
-    (0..4).for_each(|publisher| _ = world.blind.insert((publisher, 9)));
+    // The observation of a database that is silent but not known to have failed grows older; all others stay
+    // fresh.
+    (0..4).for_each(|publisher| _ = world.hidden_databases.insert((publisher, 9)));
     let mut oldest = Duration::ZERO;
     for _ in 0..30 {
         world.run(ms(50));
         for router in 0..6 {
-            let known = (0..200)
-                .filter(|one| *one != 7 && *one != 9)
-                .map(|one| world.known(router, one).unwrap().seen_at);
-            oldest = oldest.max(world.now - known.min().unwrap());
+            let seen_at = (0..200)
+                .filter(|database| *database != 7 && *database != 9)
+                .map(|database| world.observation(router, database).unwrap().seen_at);
+            oldest = oldest.max(world.now - seen_at.min().unwrap());
         }
     }
-    assert!(oldest <= ms(600), "{oldest:?}");
-    assert!(world.now - world.known(0, 9).unwrap().seen_at > ms(1000));
-    world.set_up(7, true);
-    world.blind.clear();
+    assert!(oldest <= ms(600), "the oldest observation of the other databases was {oldest:?} old");
+    assert!(world.now - world.observation(0, 9).unwrap().seen_at > ms(1000));
+    world.set_running(7, true);
+    world.hidden_databases.clear();
     world.run(ms(1500));
-    world.agrees().unwrap();
+    world.check_convergence().unwrap();
     assert_eq!(
-        world.known(0, 7).unwrap().started,
+        world.observation(0, 7).unwrap().started,
         Some(world.databases[7].started),
-        "young, so it is published"
+        "a recent start time is published"
     );
 }
 
-/// A sixth of the routers at once, at the target's databases and with as much budget for snapshots as the target's settings have
-/// for each subscriber.
+/// A sixth of the routers restart at once and need all snapshots. The number of databases is that of the
+/// target size, and the snapshot budget per subscriber is that of the target's settings.
 #[test]
-fn a_sixth_restarted_follows_again_within_three_seconds_and_peaks_stay_low() {
-    let calm_rate = 12.0 * 10.0 * 175.0;
-    let shape = Shape {
-        snapshot_bytes_per_second: 3.2 * calm_rate,
+fn routers_that_restart_together_have_all_snapshots_within_three_seconds_without_traffic_peaks() {
+    let normal_rate = 12.0 * 10.0 * 175.0;
+    let params = WorldParams {
+        snapshot_bytes_per_second: 3.2 * normal_rate,
         period: ms(300),
-        ..Shape::calm(12, 2, 18_000, 6)
+        ..WorldParams::without_faults(12, 2, 18_000, 6)
     };
-    let mut world = World::new(shape);
-    world.checked = false;
-    // All have both replicas by then.
+    let mut world = World::new(params);
+    world.checks_invariants = false;
+    // By then, every router has a complete cache of both control instances.
     world.run(ms(36_000));
     let from = world.now;
     world.run(ms(3000));
-    let bytes = |world: &World, place: usize, from: Duration| {
+    let bytes = |world: &World, index: usize, from: Duration| {
         let first = from.as_millis() as u64 / 100;
-        let by_tenth = world.publisher_costs(place).by_tenth.range(first..).map(|(at, (all, _))| (*at, *all));
-        most_a_second(by_tenth)
+        let bytes_by_tenth =
+            world.publisher_costs(index).bytes_by_tenth.range(first..).map(|(at, (all, _))| (*at, *all));
+        max_per_second(bytes_by_tenth)
     };
-    let calm = [bytes(&world, 0, from), bytes(&world, 1, from)];
+    let normal = [bytes(&world, 0, from), bytes(&world, 1, from)];
     let from = world.now;
     for router in (0..12).step_by(6) {
         world.kill_router(router);
@@ -173,179 +186,211 @@
     }
     world.run(ms(3000));
     for router in 0..12 {
-        assert!(world.subscriber(router).unwrap().is_complete(), "{router}");
+        assert!(world.subscriber(router).unwrap().is_complete(), "router {router} lacks snapshots");
     }
     world.run(ms(6000));
-    for (place, calm) in calm.iter().enumerate() {
-        let peak = bytes(&world, place, from);
-        assert!(peak <= 5 * calm, "{peak} bytes a second, calm {calm}");
-        assert_eq!(world.publisher(place).unwrap().subscriber_count(), 12);
+    for (index, normal) in normal.iter().enumerate() {
+        let peak = bytes(&world, index, from);
+        assert!(peak <= 5 * normal, "control instance {index}: {peak} bytes per second, normally {normal}");
+        assert_eq!(world.publisher(index).unwrap().subscriber_count(), 12);
     }
 }
 
 #[test]
-fn snapshots_keep_to_their_budget_in_any_second() {
-    let mut world =
-        World::new(Shape { snapshot_bytes_per_second: 60_000.0, loss: 0.1, ..Shape::calm(20, 2, 3000, 7) });
-    world.checked = false;
+fn snapshot_traffic_stays_within_its_budget_in_every_second() {
+    let mut world = World::new(WorldParams {
+        snapshot_bytes_per_second: 60_000.0,
+        loss: 0.1,
+        ..WorldParams::without_faults(20, 2, 3000, 7)
+    });
+    world.checks_invariants = false;
     world.run(ms(20_000));
-    for place in 0..2 {
+    for index in 0..2 {
         let snapshots =
-            world.publisher_costs(place).by_tenth.iter().map(|(at, (_, snapshots))| (*at, *snapshots));
-        let most = most_a_second(snapshots);
-        // What is saved up and one partition that is sent as a whole.
-        assert!(most as f64 <= 60_000.0 * 1.05 + 6_000.0, "{most}");
-        assert!(most > 40_000, "the budget is used: {most}");
+            world.publisher_costs(index).bytes_by_tenth.iter().map(|(at, (_, snapshots))| (*at, *snapshots));
+        let most = max_per_second(snapshots);
+        // The budget, its burst, and one partition, whose snapshot is always sent as a whole.
+        assert!(most as f64 <= 60_000.0 * 1.05 + 6_000.0, "{most} bytes of snapshots in a second");
+        assert!(most > 40_000, "the budget is not used: only {most} bytes of snapshots in a second");
     }
     assert!((0..20).all(|router| world.subscriber(router).unwrap().is_complete()));
 }
 
 #[test]
-fn isolated_routers_check_no_more_together_than_a_few_times_what_control_did() {
+fn isolated_routers_together_make_a_bounded_multiple_of_the_control_instances_health_checks() {
     let (routers, databases) = (60, 200);
-    let mut world = World::new(Shape::calm(routers, 2, databases, 8));
-    world.checked = false;
+    let mut world = World::new(WorldParams::without_faults(routers, 2, databases, 8));
+    world.checks_invariants = false;
     world.run(ms(6000));
-    (0..2).for_each(|place| world.kill_publisher(place));
+    (0..2).for_each(|index| world.kill_publisher(index));
     let until = world.now + ms(12_000);
-    let mut by_one = vec![BTreeMap::<usize, u64>::new(); routers];
+    let mut checks_by_router = vec![BTreeMap::<usize, u64>::new(); routers];
     while world.now < until {
         world.run(ms(50));
-        for (router, checks) in by_one.iter_mut().enumerate() {
+        for (router, checks) in checks_by_router.iter_mut().enumerate() {
             for database in (0..databases).cycle().skip(router * 17).take(databases) {
-                if world.claim(router, database, false) {
+                if world.claim_health_check(router, database, false) {
                     *checks.entry(database).or_default() += 1;
                 }
             }
         }
     }
     assert!((0..routers).all(|router| world.subscriber(router).unwrap().is_isolated()));
-    let by_control = databases as f64 / 0.15;
-    let most = most_a_second(world.isolated_checks.iter().map(|(at, count)| (*at, *count)));
-    assert!(most as f64 <= 4.0 * by_control * 1.1, "{most} of {by_control}");
-    // Each uses its quota all the same, and begins it neither at once nor late.
-    let all: u64 = world.isolated_checks.values().sum();
-    assert!(all as f64 >= 4.0 * by_control * 12.0 * 0.6, "{all}");
-    let first = world.isolated_checks.iter().next().unwrap();
-    let quota = 4.0 * by_control / 10.0;
-    assert!((*first.1 as f64) < quota, "{first:?}: not all at once");
-    for checks in &by_one {
-        assert!(checks.values().all(|count| *count as f64 <= 12.0 / 0.15 + 1.0), "once a period at the most");
+    let control_checks_per_second = databases as f64 / 0.15;
+    let most = max_per_second(world.claimed_checks.iter().map(|(at, count)| (*at, *count)));
+    assert!(
+        most as f64 <= 4.0 * control_checks_per_second * 1.1,
+        "{most} checks in a second, the control instances made {control_checks_per_second}"
+    );
+    // Each router nevertheless uses its quota. They neither all start at once nor start late.
+    let all: u64 = world.claimed_checks.values().sum();
+    assert!(
+        all as f64 >= 4.0 * control_checks_per_second * 12.0 * 0.6,
+        "the quota is not used: only {all} checks"
+    );
+    let first = world.claimed_checks.iter().next().unwrap();
+    let quota = 4.0 * control_checks_per_second / 10.0;
+    assert!((*first.1 as f64) < quota, "the routers started their checks at once: {first:?}");
+    for checks in &checks_by_router {
+        assert!(
+            checks.values().all(|count| *count as f64 <= 12.0 / 0.15 + 1.0),
+            "a router checked a database more than once per period: {checks:?}"
+        );
     }
-    let has_emitted =
-        |router: usize, what: &Event| world.router_events(router).iter().any(|(_, event)| event == what);
-    assert!((0..routers).all(|router| has_emitted(router, &Event::Isolated)));
-    // And once they send digests again, nobody checks what they have seen.
-    (0..2).for_each(|place| world.start_publisher(place));
+    let has_reported = |router: usize, expected: &Event| {
+        world.router_events(router).iter().any(|(_, event)| event == expected)
+    };
+    assert!((0..routers).all(|router| has_reported(router, &Event::Isolated)));
+    // Once the control instances send digests again, no router checks a database that these cover.
+    (0..2).for_each(|index| world.start_publisher(index));
     world.run(ms(5000));
-    world.agrees().unwrap();
-    assert!(!(0..routers).any(|router| (0..databases).any(|database| world.claim(router, database, false))));
+    world.check_convergence().unwrap();
+    assert!(
+        !(0..routers)
+            .any(|router| (0..databases).any(|database| world.claim_health_check(router, database, false)))
+    );
 }
 
 #[test]
-fn many_with_reason_to_check_one_database_do_so_one_after_the_other() {
-    let mut world = World::new(Shape::calm(400, 2, 64, 9));
-    world.checked = false;
+fn routers_that_want_to_check_the_same_database_at_once_spread_their_checks() {
+    let mut world = World::new(WorldParams::without_faults(400, 2, 64, 9));
+    world.checks_invariants = false;
     world.run(ms(6000));
-    world.set_up(5, false);
+    world.set_running(5, false);
     world.run(ms(2000));
-    world.isolated_checks.clear();
+    world.claimed_checks.clear();
     let mut checks = vec![0; 400];
     for _ in 0..60 {
         world.run(ms(20));
         for (router, checks) in checks.iter_mut().enumerate() {
-            *checks += u32::from(world.claim(router, 5, true));
+            *checks += u32::from(world.claim_health_check(router, 5, true));
         }
     }
-    let most = world.isolated_checks.values().max().unwrap();
-    assert!(*most <= 440, "{most} in a tenth of a second");
-    assert!(checks.iter().all(|checks| (1..=3).contains(checks)), "{checks:?}");
+    let most = world.claimed_checks.values().max().unwrap();
+    assert!(*most <= 440, "{most} checks in a tenth of a second");
+    assert!(checks.iter().all(|checks| (1..=3).contains(checks)), "checks by router: {checks:?}");
 }
 
 #[test]
-fn subscribers_are_bounded_and_the_others_go_elsewhere() {
-    let mut world = World::new(Shape { max_subscribers: 8, ..Shape::calm(10, 3, 64, 10) });
+fn routers_rejected_by_a_full_control_instance_subscribe_to_another_one() {
+    let mut world =
+        World::new(WorldParams { max_subscribers: 8, ..WorldParams::without_faults(10, 3, 64, 10) });
     world.run(ms(20_000));
-    let all: Vec<usize> = (0..3).map(|place| world.publisher(place).unwrap().subscriber_count()).collect();
-    assert!(all.iter().all(|count| *count <= 8), "{all:?}");
-    assert_eq!(all.iter().sum::<usize>(), 20, "each still has two");
-    world.agrees().unwrap();
+    let all: Vec<usize> = (0..3).map(|index| world.publisher(index).unwrap().subscriber_count()).collect();
+    assert!(all.iter().all(|count| *count <= 8), "subscribers by control instance: {all:?}");
+    assert_eq!(all.iter().sum::<usize>(), 20, "not every router has two subscriptions");
+    world.check_convergence().unwrap();
 }
 
 #[test]
-fn a_router_that_is_gone_is_forgotten_and_none_subscribes_more_than_about_once_a_second() {
-    let mut world = settled(Shape::calm(4, 2, 64, 11));
+fn subscriptions_of_killed_routers_expire_and_subscribe_requests_are_rate_limited() {
+    let mut world = converged_world(WorldParams::without_faults(4, 2, 64, 11));
     for router in 0..4 {
-        let asked = world.router_costs(router).subscribes.iter().skip(2).map(|(_, count)| *count).max();
-        assert!(asked <= Some(4), "two of them, each about once: {asked:?}");
+        let most =
+            world.router_costs(router).subscribes_by_second.iter().skip(2).map(|(_, count)| *count).max();
+        assert!(
+            most <= Some(4),
+            "router {router} sent {most:?} `Subscribe` messages in a second to two instances"
+        );
     }
     (0..3).for_each(|router| world.kill_router(router));
     world.run(ms(6000));
-    assert_eq!([0, 1].map(|place| world.publisher(place).unwrap().subscriber_count()), [1, 1]);
-    // With nobody there, no router shouts.
-    (0..2).for_each(|place| world.kill_publisher(place));
+    assert_eq!([0, 1].map(|index| world.publisher(index).unwrap().subscriber_count()), [1, 1]);
+    // A router without any control instance does not flood them with requests.
+    (0..2).for_each(|index| world.kill_publisher(index));
     let from = world.now.as_secs() + 3;
     world.run(ms(20_000));
-    let asked = world.router_costs(3).subscribes.range(from..).map(|(_, count)| *count).max();
-    assert!(asked <= Some(6), "{asked:?}");
+    let most = world.router_costs(3).subscribes_by_second.range(from..).map(|(_, count)| *count).max();
+    assert!(most <= Some(6), "router 3 sent {most:?} `Subscribe` messages in a second");
 }
 
 #[test]
-fn a_region_that_is_cut_off_goes_on_and_agrees_soon_after() {
-    // Two regions: routers of one follow its own two control instances, which then see only half of the databases.
-    let mut world = settled(Shape { regions: 2, ..Shape::calm(8, 4, 400, 12) });
+fn a_region_that_is_cut_off_keeps_its_own_databases_fresh_and_converges_after_healing() {
+    // Two regions with two control instances each. Routers follow the instances of their own region, which
+    // then observe only half of the databases.
+    let mut world = converged_world(WorldParams { regions: 2, ..WorldParams::without_faults(8, 4, 400, 12) });
     for router in 0..8 {
         let own = format!("{}", router % 2);
         for name in world.subscriber(router).unwrap().active_instance_names() {
-            let place: usize = name.as_str().strip_prefix("control-").unwrap().parse().unwrap();
-            assert_eq!(format!("{}", place % 2), own);
+            let index: usize = name.as_str().strip_prefix("control-").unwrap().parse().unwrap();
+            assert_eq!(format!("{}", index % 2), own);
         }
     }
     for publisher in 0..4 {
         (0..8).filter(|router| router % 2 != publisher % 2).for_each(|router| {
-            world.cut.insert((publisher, router));
+            world.cut_links.insert((publisher, router));
         });
         (0..400).filter(|database| database % 2 != publisher % 2).for_each(|database| {
-            world.blind.insert((publisher, database));
+            world.hidden_databases.insert((publisher, database));
         });
     }
     world.run(ms(3000));
-    // What is seen on this side stays fresh.
+    // Observations of databases on the same side stay fresh.
     for _ in 0..540 {
         world.run(ms(50));
         for router in 0..8 {
             let own = (0..400).filter(|database| database % 2 == router % 2);
-            let oldest = own.map(|database| world.known(router, database).unwrap().seen_at).min().unwrap();
-            assert!(world.now - oldest <= ms(600), "{:?}", world.now - oldest);
+            let oldest =
+                own.map(|database| world.observation(router, database).unwrap().seen_at).min().unwrap();
+            assert!(
+                world.now - oldest <= ms(600),
+                "router {router} has an observation that is {:?} old",
+                world.now - oldest
+            );
         }
     }
-    world.cut.clear();
-    world.blind.clear();
+    world.cut_links.clear();
+    world.hidden_databases.clear();
     world.run(ms(5000));
-    world.agrees().unwrap();
+    world.check_convergence().unwrap();
 }
 
 #[test]
-fn a_digest_that_comes_much_later_than_the_others_is_as_much_older() {
-    // All of what one control instance sends takes half a second from now on: a queue has built up on the way.
-    let mut world = settled(Shape::calm(3, 2, 100, 13));
-    world.shape.slow = (1.0, ms(900));
+fn a_growing_transit_delay_makes_observations_older() {
+    // From now on, every datagram takes up to 900 ms, half a second on average, as if a queue had built up on
+    // the network.
+    let mut world = converged_world(WorldParams::without_faults(3, 2, 100, 13));
+    world.params.delayed = (1.0, ms(900));
     for _ in 0..60 {
         world.run(ms(50));
         (0..3).for_each(|router| world.check_router(router));
     }
-    world.shape.slow = (0.0, Duration::ZERO);
+    world.params.delayed = (0.0, Duration::ZERO);
     world.run(ms(5000));
-    world.agrees().unwrap();
+    world.check_convergence().unwrap();
 }
 
 #[test]
-fn a_seed_decides_all() {
+fn a_run_is_determined_by_its_seed() {
     let run = || {
-        let mut world = World::new(Shape { loss: 0.05, doubled: 0.05, ..Shape::calm(4, 3, 100, 14) });
+        let mut world = World::new(WorldParams {
+            loss: 0.05,
+            duplicated: 0.05,
+            ..WorldParams::without_faults(4, 3, 100, 14)
+        });
         world.run(ms(4000));
-        let bytes: Vec<u64> = (0..3).map(|place| world.publisher_costs(place).bytes).collect();
-        let observations: Vec<_> = (0..100).map(|database| world.known(2, database)).collect();
+        let bytes: Vec<u64> = (0..3).map(|index| world.publisher_costs(index).bytes).collect();
+        let observations: Vec<_> = (0..100).map(|database| world.observation(2, database)).collect();
         (bytes, observations)
     };
     assert_eq!(run(), run());
--- a/crates/observation-feed/tests/handover.rs
+++ b/crates/observation-feed/tests/handover.rs
@@ -1,7 +1,7 @@
-//! The hand-over of one partition's snapshots from a publisher to a router, and from one incarnation of the publisher to the next,
-//! model-checked: the router's side as it is ([`PublisherCache`]), in every order in which messages come, come again or are lost.
-//! Nothing that was ever sent leaves the network, so that each may come at any time, twice, late or never. Time goes in
-//! ticks.
+//! Model-checks the transfer of one partition's snapshots from a publisher to a router, including restarts of
+//! the publisher with a new incarnation. The router's side is the real [`PublisherCache`]; the publisher is
+//! modelled. Every order of messages is explored: the network keeps every message that was ever sent, so that
+//! each may arrive at any time, twice, late or never. Time advances in ticks.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -18,19 +18,20 @@
 
 const NODES: usize = 2;
 
-/// What the publisher does may take so many steps, among which are so many restarts.
-struct Bounds {
+/// Limits of the explored state space: the number of actions other than deliveries, and how many of them are
+/// restarts.
+struct ModelParams {
     steps: u8,
     restarts: u8,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-enum Sent {
+enum SentMessage {
     Digest {
         number: u32,
         sent: u8,
         age: u8,
-        mark: Option<u8>,
+        watermark: Option<u8>,
         revision: u32,
         change: Option<(u32, usize, bool)>,
     },
@@ -42,39 +43,42 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct World {
+struct ModelState {
     now: u8,
-    /// When each database was seen last; positions are those times.
+    /// When each database was last seen. Log positions are equal to these times.
     seen: [u8; NODES],
-    /// The publisher: its incarnation, the snapshot's revision, how each stands in it, and the last change.
-    start: u64,
+    /// The publisher's incarnation.
+    incarnation: u64,
     number: u32,
     revision: u32,
-    stands: [bool; NODES],
+    /// Whether each database is published as seen in the snapshot, rather than as unseen.
+    published_seen: [bool; NODES],
+    /// The publisher's last change: revision, database, and whether it is published as seen.
     change: Option<(u32, usize, bool)>,
     steps: u8,
-    sent: BTreeSet<(u64, Sent)>,
+    /// All messages that were sent, with the publisher's incarnation.
+    sent: BTreeSet<(u64, SentMessage)>,
     router: PublisherCache,
-    /// A message has made something that was known older, though it was of the same incarnation.
-    older: bool,
+    /// A message of the same incarnation has made an observation older.
+    went_back: bool,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-enum Step {
+enum Action {
     Tick,
-    See(usize),
-    Revise(usize),
-    Digest,
-    Snapshot,
+    HealthCheck(usize),
+    ToggleStatus(usize),
+    SendDigest,
+    SendSnapshot,
     Restart,
-    Arrive(u64, Sent),
+    Deliver(u64, SentMessage),
 }
 
 /// Two databases of one partition.
 fn nodes() -> [SocketAddr; NODES] {
     let all = (0..).map(|port| SocketAddr::from(([10, 0, 0, 1], port)));
-    let mut of = all.filter(|node| PartitionId::of(*node) == PartitionId(0));
-    [of.next().unwrap(), of.next().unwrap()]
+    let mut in_partition = all.filter(|node| PartitionId::of(*node) == PartitionId(0));
+    [in_partition.next().unwrap(), in_partition.next().unwrap()]
 }
 
 fn ticks(count: u8) -> Duration {
@@ -86,16 +90,16 @@
     Entry { primary: None, started: None, status }
 }
 
-fn observation(world: &World, node: usize) -> Option<FeedObservation> {
-    world.router.partitions().observation(nodes()[node])
+fn observation(state: &ModelState, node: usize) -> Option<FeedObservation> {
+    state.router.partitions().observation(nodes()[node])
 }
 
-fn take(router: &mut PublisherCache, start: u64, message: &Sent) {
-    if router.check_incarnation(Incarnation(start)) == IncarnationOrder::Earlier {
+fn deliver(router: &mut PublisherCache, incarnation: u64, message: &SentMessage) {
+    if router.check_incarnation(Incarnation(incarnation)) == IncarnationOrder::Earlier {
         return;
     }
     match message {
-        Sent::Digest { number, sent, age, mark, revision, change } => {
+        SentMessage::Digest { number, sent, age, watermark, revision, change } => {
             if !router.accept_digest(DigestNumber(*number)) {
                 return;
             }
@@ -107,14 +111,14 @@
             });
             router.partitions_mut().apply_changes(change.into_iter().collect(), seen_at);
             let mut watermarks = [None; LAG_CLASSES];
-            watermarks[0] = mark.map(ticks);
+            watermarks[0] = watermark.map(ticks);
             let mut revisions = vec![Revision::default(); PARTITIONS];
             revisions[0] = Revision(*revision);
             router
                 .partitions_mut()
                 .cover(&revisions, Coverage { number: DigestNumber(*number), seen_at, watermarks });
         }
-        Sent::Chunk { revision, index, seen } => router.partitions_mut().add_chunk(SnapshotChunk {
+        SentMessage::Chunk { revision, index, seen } => router.partitions_mut().add_chunk(SnapshotChunk {
             partition: PartitionId(0),
             revision: Revision(*revision),
             index: *index,
@@ -124,125 +128,144 @@
     }
 }
 
-impl Model for Bounds {
-    type State = World;
-    type Action = Step;
+impl Model for ModelParams {
+    type State = ModelState;
+    type Action = Action;
 
-    fn init_states(&self) -> Vec<World> {
-        vec![World {
+    fn init_states(&self) -> Vec<ModelState> {
+        vec![ModelState {
             now: 1,
             seen: [1; NODES],
-            start: 1,
+            incarnation: 1,
             number: 0,
             revision: 1,
-            stands: [true; NODES],
+            published_seen: [true; NODES],
             change: None,
             steps: 0,
             sent: BTreeSet::new(),
             router: PublisherCache::default(),
-            older: false,
+            went_back: false,
         }]
     }
 
-    fn actions(&self, world: &World, steps: &mut Vec<Step>) {
-        steps.extend(world.sent.iter().map(|(start, message)| Step::Arrive(*start, message.clone())));
-        if world.steps >= self.steps {
+    fn actions(&self, state: &ModelState, actions: &mut Vec<Action>) {
+        actions.extend(
+            state.sent.iter().map(|(incarnation, message)| Action::Deliver(*incarnation, message.clone())),
+        );
+        if state.steps >= self.steps {
             return;
         }
-        steps.extend([Step::Tick, Step::Digest, Step::Snapshot]);
-        steps.extend((0..NODES).filter(|node| world.seen[*node] < world.now).map(Step::See));
-        steps.extend((0..NODES).map(Step::Revise));
-        if world.start <= u64::from(self.restarts) {
-            steps.push(Step::Restart);
+        actions.extend([Action::Tick, Action::SendDigest, Action::SendSnapshot]);
+        actions.extend((0..NODES).filter(|node| state.seen[*node] < state.now).map(Action::HealthCheck));
+        actions.extend((0..NODES).map(Action::ToggleStatus));
+        if state.incarnation <= u64::from(self.restarts) {
+            actions.push(Action::Restart);
         }
     }
 
-    fn next_state(&self, before: &World, step: Step) -> Option<World> {
-        let mut world = before.clone();
-        world.steps += u8::from(!matches!(step, Step::Arrive(..)));
-        match step {
-            Step::Tick => world.now += 1,
-            Step::See(node) => world.seen[node] = world.now,
-            Step::Revise(node) => {
-                world.stands[node] = !world.stands[node];
-                world.revision += 1;
-                world.change = Some((world.revision, node, world.stands[node]));
+    fn next_state(&self, before: &ModelState, action: Action) -> Option<ModelState> {
+        let mut state = before.clone();
+        state.steps += u8::from(!matches!(action, Action::Deliver(..)));
+        match action {
+            Action::Tick => state.now += 1,
+            Action::HealthCheck(node) => state.seen[node] = state.now,
+            Action::ToggleStatus(node) => {
+                state.published_seen[node] = !state.published_seen[node];
+                state.revision += 1;
+                state.change = Some((state.revision, node, state.published_seen[node]));
             }
-            Step::Digest => {
-                world.number += 1;
-                let oldest = (0..NODES).filter(|node| world.stands[*node]).map(|node| world.seen[node]).min();
-                let digest = Sent::Digest {
-                    number: world.number,
-                    sent: world.now,
-                    age: world.now - oldest.unwrap_or(world.now),
-                    mark: oldest,
-                    revision: world.revision,
-                    change: world.change,
+            Action::SendDigest => {
+                state.number += 1;
+                let oldest =
+                    (0..NODES).filter(|node| state.published_seen[*node]).map(|node| state.seen[node]).min();
+                let digest = SentMessage::Digest {
+                    number: state.number,
+                    sent: state.now,
+                    age: state.now - oldest.unwrap_or(state.now),
+                    watermark: oldest,
+                    revision: state.revision,
+                    change: state.change,
                 };
-                world.sent.insert((world.start, digest));
+                state.sent.insert((state.incarnation, digest));
             }
-            Step::Snapshot => {
-                for (index, seen) in (0..).zip(world.stands) {
-                    world.sent.insert((world.start, Sent::Chunk { revision: world.revision, index, seen }));
+            Action::SendSnapshot => {
+                for (index, seen) in (0..).zip(state.published_seen) {
+                    state.sent.insert((
+                        state.incarnation,
+                        SentMessage::Chunk { revision: state.revision, index, seen },
+                    ));
                 }
             }
-            Step::Restart => {
-                (world.start, world.number, world.revision) = (world.start + 1, 0, 1);
-                world.change = None;
+            Action::Restart => {
+                (state.incarnation, state.number, state.revision) = (state.incarnation + 1, 0, 1);
+                state.change = None;
             }
-            Step::Arrive(start, message) => {
-                take(&mut world.router, start, &message);
-                if world.router == before.router {
+            Action::Deliver(incarnation, message) => {
+                deliver(&mut state.router, incarnation, &message);
+                if state.router == before.router {
                     return None;
                 }
-                let same = world.router.last_digest().map(|last| last.incarnation)
+                let is_same_incarnation = state.router.last_digest().map(|last| last.incarnation)
                     == before.router.last_digest().map(|last| last.incarnation);
                 let at = |cache: &PublisherCache, node| {
                     cache.partitions().observation(node).map(|observation| observation.seen_at)
                 };
-                let older = nodes().iter().any(|node| at(&world.router, *node) < at(&before.router, *node));
-                world.older |= same && older;
+                let went_back =
+                    nodes().iter().any(|node| at(&state.router, *node) < at(&before.router, *node));
+                state.went_back |= is_same_incarnation && went_back;
             }
         }
-        Some(world)
+        Some(state)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("nothing is dated later than it was seen", |_, world: &World| {
-                (0..NODES).all(|node| {
-                    observation(world, node)
-                        .is_none_or(|observation| observation.seen_at <= ticks(world.seen[node]))
-                })
-            }),
-            Property::always("no position is higher than was shown", |_, world: &World| {
-                (0..NODES).all(|node| {
-                    observation(world, node)
-                        .is_none_or(|observation| observation.position <= Some(ticks(world.seen[node])))
-                })
-            }),
-            Property::always("no message makes older what is known", |_, world: &World| !world.older),
-            Property::sometimes("a change of a snapshot is covered", |_, world: &World| {
-                world.router.partitions().revision(PartitionId(0)) == Revision(2)
-                    && (0..NODES).all(|node| observation(world, node).is_some())
+            Property::always(
+                "no observation is dated later than the database was seen",
+                |_, state: &ModelState| {
+                    (0..NODES).all(|node| {
+                        observation(state, node)
+                            .is_none_or(|observation| observation.seen_at <= ticks(state.seen[node]))
+                    })
+                },
+            ),
+            Property::always(
+                "no log position is higher than the database's position",
+                |_, state: &ModelState| {
+                    (0..NODES).all(|node| {
+                        observation(state, node)
+                            .is_none_or(|observation| observation.position <= Some(ticks(state.seen[node])))
+                    })
+                },
+            ),
+            Property::always("no message makes an observation older", |_, state: &ModelState| {
+                !state.went_back
             }),
+            Property::sometimes(
+                "a change of the snapshot is covered by a digest",
+                |_, state: &ModelState| {
+                    state.router.partitions().revision(PartitionId(0)) == Revision(2)
+                        && (0..NODES).all(|node| observation(state, node).is_some())
+                },
+            ),
         ]
     }
 }
 
-fn check(bounds: Bounds) {
-    let checker = bounds.checker().threads(2).spawn_bfs().join();
+fn check(params: ModelParams) {
+    let checker = params.checker().threads(2).spawn_bfs().join();
     checker.assert_properties();
-    println!("{} states", checker.unique_state_count());
+    println!("{} unique states", checker.unique_state_count());
 }
 
 #[test]
-fn a_snapshot_is_handed_over_complete_and_in_order_whatever_is_lost_doubled_or_late() {
-    check(Bounds { steps: 6, restarts: 0 });
+fn snapshots_stay_consistent_when_messages_are_lost_duplicated_or_reordered() {
+    check(ModelParams { steps: 6, restarts: 0 });
 }
 
 #[test]
-fn of_an_earlier_incarnation_nothing_holds() {
-    // The next incarnation counts its revisions and digests from one again, and its snapshot may be another.
-    check(Bounds { steps: 6, restarts: 1 });
+fn messages_of_an_earlier_incarnation_have_no_effect() {
+    // The new incarnation numbers its revisions and digests from one again, and its snapshot may be a
+    // different one.
+    check(ModelParams { steps: 6, restarts: 1 });
 }
--- a/crates/observation-feed/tests/snapshot_pulls.rs
+++ b/crates/observation-feed/tests/snapshot_pulls.rs
@@ -1,5 +1,5 @@
-//! When a router requests a snapshot again that does not arrive: soon enough that the partition is not long without one,
-//! never at once, and not all routers at the same moments.
+//! Repeated requests for a snapshot that does not arrive: soon enough that the partition does not lack it for
+//! long, but not immediately, and not by all routers at the same time.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -43,8 +43,9 @@
     }
 }
 
-/// When a router requested the one partition there is, in vain each time, in steps of 10 ms.
-fn requested(seed: u64) -> Vec<u64> {
+/// The times at which a router requests the only partition that has a snapshot, when no request is answered.
+/// The router's timer fires every 10 ms.
+fn request_times(seed: u64) -> Vec<u64> {
     let host = RecordingHost::default();
     let name = |name| PeerName::new(name).unwrap();
     let address = SocketAddr::from(([127, 0, 0, 1], 7500));
@@ -75,29 +76,30 @@
 }
 
 #[test]
-fn a_partition_that_was_requested_in_vain_is_requested_again_within_1_6_s_and_never_at_once() {
+fn an_unanswered_snapshot_request_is_repeated_within_1_6_s_but_not_immediately() {
     for seed in 0..20 {
-        let requested = requested(seed);
+        let requested = request_times(seed);
         let waits: Vec<u64> = requested.windows(2).map(|two| two[1] - two[0]).collect();
-        // It is looked at every 10 ms here.
+        // 1600 ms plus 10 ms, the timer interval of this test.
         assert!(waits.iter().all(|wait| (400..=1610).contains(wait)), "seed {seed}: {waits:?}");
         let last = requested.last().unwrap();
-        assert!(*last >= 41_000 - 1610, "seed {seed}: given up at {last}");
-        // Each further attempt waits longer, up to the bound: nobody requests every half second for ever.
+        assert!(*last >= 41_000 - 1610, "seed {seed}: the last request was at {last}");
+        // Further attempts wait longer, up to the maximum backoff: no router keeps requesting every half
+        // second.
         assert!(waits[2..].iter().all(|wait| *wait >= 1060), "seed {seed}: {waits:?}");
     }
 }
 
 #[test]
-fn routers_that_began_together_do_not_request_together() {
-    let mut together = BTreeMap::<u64, u32>::new();
+fn routers_that_started_together_spread_their_repeated_requests() {
+    let mut requests_by_time = BTreeMap::<u64, u32>::new();
     for seed in 0..200 {
-        requested(seed)
+        request_times(seed)
             .into_iter()
             .filter(|at| *at >= 10_000)
-            .for_each(|at| *together.entry(at).or_default() += 1);
+            .for_each(|at| *requests_by_time.entry(at).or_default() += 1);
     }
-    // 200 routers, each about every 1.33 s, looked at every 10 ms: 1.5 in the mean.
-    let most = together.values().max();
-    assert!(most.is_some_and(|most| *most <= 10), "{most:?}");
+    // 200 routers request about every 1.33 s, in steps of 10 ms: 1.5 requests per step on average.
+    let most = requests_by_time.values().max();
+    assert!(most.is_some_and(|most| *most <= 10), "{most:?} requests at the same time");
 }
--- a/crates/observation-feed/tests/units/encoded_size.rs
+++ b/crates/observation-feed/tests/units/encoded_size.rs
@@ -1,4 +1,4 @@
-//! The longest messages.
+//! The largest possible messages fit into a datagram.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,7 +12,7 @@
 
 const NODES: u32 = 20_000;
 
-/// Of the longest addresses there are.
+/// A database whose address has the maximum encoded size.
 fn node(number: u32) -> SocketAddr {
     let address = std::net::Ipv6Addr::from(u128::MAX - u128::from(number) * 977);
     SocketAddr::from((address, 60_000 + (number % 5000) as u16))
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn the_longest_message_fits_a_datagram() {
+fn the_largest_messages_fit_into_a_datagram() {
     let now = Duration::new(u64::MAX / 2, 999_999_999);
     let mut store = ObservationStore::new(ms(150), 0);
     store.nodes_changed(now, &(0..NODES).map(node).collect());
@@ -51,7 +51,7 @@
             assert!(datagram_bytes(Message::Chunk(chunk)) <= 1200);
         }
     }
-    let mut most = 0;
+    let mut max_bytes = 0;
     for step in 1..40 {
         let now = now + ms(step * 100);
         observe_all(&mut store, now, step % 2 == 0);
@@ -68,13 +68,13 @@
         let max_change_bytes = encoded_size::MAX_PAYLOAD_BYTES - encoded_size::digest(&digest);
         assert!(
             store.update_snapshots(now, max_change_bytes, SubscriberPresence::Present),
-            "more has changed than a digest can carry"
+            "expected more changes than a digest can carry"
         );
         (digest.revisions, digest.changes) = (store.revisions(), store.take_changes(max_change_bytes));
         assert!(!digest.changes.is_empty());
-        most = most.max(datagram_bytes(Message::Digest(digest)));
+        max_bytes = max_bytes.max(datagram_bytes(Message::Digest(digest)));
     }
-    assert!((1000..=1200).contains(&most), "{most}");
+    assert!((1000..=1200).contains(&max_bytes), "the largest digest takes {max_bytes} bytes");
     let partitions = (0..PARTITIONS as u8).map(PartitionId).collect();
     assert!(datagram_bytes(Message::Pull(partitions)) <= 1200);
 }
--- a/crates/observation-feed/tests/units/fixtures.rs
+++ b/crates/observation-feed/tests/units/fixtures.rs
@@ -1,4 +1,4 @@
-//! What the unit tests have in common: databases, observations, a host that records its calls.
+//! Shared by the unit tests: databases, observations, and a host that records its calls.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -46,7 +46,7 @@
     (0..count).map(instance).collect()
 }
 
-/// Three databases of one partition.
+/// Three databases of partition 5.
 pub fn nodes_of_one_partition() -> [SocketAddr; 3] {
     let mut all = (0..u16::MAX).map(node).filter(|node| PartitionId::of(*node) == PartitionId(5));
     [all.next().unwrap(), all.next().unwrap(), all.next().unwrap()]
--- a/crates/observation-feed/tests/units/main.rs
+++ b/crates/observation-feed/tests/units/main.rs
@@ -1,4 +1,4 @@
-//! The state machines of the feed one by one.
+//! Unit tests of the feed's state machines and data structures.
 
 mod digest_delay;
 mod encoded_size;
--- a/crates/observation-feed/tests/units/observation_store.rs
+++ b/crates/observation-feed/tests/units/observation_store.rs
@@ -1,4 +1,4 @@
-//! What a control instance knows, and the entries that it publishes.
+//! The observations of a control instance, and the entries that it publishes.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -12,8 +12,8 @@
 
 use crate::fixtures::{PERIOD, ms, node, observation};
 
-/// A store of so many databases, all seen at that time, whose first revision has been made.
-fn settled_store(nodes: u16, now: Duration) -> ObservationStore {
+/// A store of databases that have all been seen at `now` and are published in the first revision.
+fn published_store(nodes: u16, now: Duration) -> ObservationStore {
     let mut store = ObservationStore::new(PERIOD, 0);
     store.nodes_changed(now, &(0..nodes).map(node).collect());
     (0..nodes).for_each(|number| store.observe(now, observation(number, now, ms(0))));
@@ -42,32 +42,32 @@
 }
 
 #[test]
-fn a_lag_that_goes_to_and_fro_is_published_once() {
-    let mut store = settled_store(10, ms(10_000));
+fn an_alternating_lag_is_published_once() {
+    let mut store = published_store(10, ms(10_000));
     let mut changes = 0;
     for step in 1..100 {
         let now = ms(10_000) + PERIOD * step;
-        // Now within a period, now nearly three behind.
+        // The lag alternates between zero and three periods.
         (0..10).for_each(|number| store.observe(now, observation(number, now, PERIOD * (step % 2) * 3)));
         assert!(!store.update_snapshots(now, 1000, SubscriberPresence::Present));
         changes +=
             store.take_changes(1000).iter().map(|change| change.revision).collect::<BTreeSet<_>>().len();
         let digest = digest(&store, now);
-        // What the watermarks say is true whatever the class.
-        let shown = now - PERIOD * (step % 2) * 3;
+        // The watermarks are correct whatever class is published.
+        let position = now - PERIOD * (step % 2) * 3;
         assert!(
             digest
                 .watermarks
                 .iter()
                 .flatten()
-                .all(|watermark| *watermark <= shown && *watermark + PERIOD * 4 >= shown)
+                .all(|watermark| *watermark <= position && *watermark + PERIOD * 4 >= position)
         );
         if step > 1 {
             assert_eq!(status(&store, 4), NodeStatus::Seen(LagClass(2)));
         }
     }
-    assert!(changes <= 30, "each published once, three times over: {changes}");
-    // It is published as better when it has been so for a while.
+    assert!(changes <= 30, "expected one change for each of ten databases, in three digests each: {changes}");
+    // The lower lag class is published after it has lasted for a while.
     for step in 100..115 {
         let now = ms(10_000) + PERIOD * step;
         (0..10).for_each(|number| store.observe(now, observation(number, now, ms(0))));
@@ -77,9 +77,10 @@
 }
 
 #[test]
-fn one_that_is_late_is_unseen_and_seen_again_at_once() {
-    // Seen only every fourth period, as where its health checker has died and its successor is busy.
-    let mut store = settled_store(10, ms(10_000));
+fn a_late_database_becomes_unseen_and_is_published_as_seen_again_at_once() {
+    // The database is seen only every fourth period, as when the control instance that checks it has died and
+    // the next owner is busy.
+    let mut store = published_store(10, ms(10_000));
     let (mut now, mut is_seen) = (ms(10_000), Vec::new());
     for step in 1..=16 {
         now += PERIOD;
@@ -94,8 +95,8 @@
 }
 
 #[test]
-fn a_digest_is_as_old_as_the_oldest_that_it_covers_and_no_older() {
-    let mut store = settled_store(100, ms(10_000));
+fn the_age_of_a_digest_is_that_of_the_oldest_observation_that_it_covers() {
+    let mut store = published_store(100, ms(10_000));
     for step in 1..=10 {
         let now = ms(10_000) + PERIOD * step;
         (1..100).for_each(|number| store.observe(now, observation(number, now, ms(0))));
@@ -103,7 +104,11 @@
         let digest = digest(&store, now + ms(30));
         let silent = PERIOD * step;
         if silent <= PERIOD {
-            assert_eq!(digest.age, silent + ms(30), "not late yet: it ages all");
+            assert_eq!(
+                digest.age,
+                silent + ms(30),
+                "a silent database that is not late yet determines the age"
+            );
         } else {
             assert_eq!((digest.age, status(&store, 0)), (ms(30), NodeStatus::Unseen), "{step}");
         }
@@ -111,9 +116,9 @@
 }
 
 #[test]
-fn a_partition_whose_changes_wait_is_not_covered() {
-    // All but one are silent at once, and a digest has room for a few of them.
-    let mut store = settled_store(1000, ms(10_000));
+fn a_partition_with_deferred_changes_is_not_covered() {
+    // All databases but one become silent at once, and a digest has space for only a few changes.
+    let mut store = published_store(1000, ms(10_000));
     let mut now = ms(10_000);
     let mut rounds = 0;
     loop {
@@ -129,20 +134,24 @@
             break;
         }
     }
-    assert!((40..120).contains(&rounds), "{rounds}");
+    assert!((40..120).contains(&rounds), "all changes were published after {rounds} rounds");
     assert!((0..1000).all(|number| (status(&store, number) == NodeStatus::Unseen) == (number != 7)));
     assert!(digest(&store, now).revisions.iter().all(|revision| *revision != Revision::default()));
 }
 
 #[test]
-fn an_older_observation_changes_nothing_and_a_failure_holds_until_an_answer() {
-    let mut store = settled_store(10, ms(10_000));
+fn an_outdated_observation_is_ignored_and_a_failure_lasts_until_the_next_answer() {
+    let mut store = published_store(10, ms(10_000));
     store.observe(
         ms(10_050),
         DatedObservation { failed: true, position: None, ..observation(1, ms(9000), ms(0)) },
     );
     store.update_snapshots(ms(10_050), 1000, SubscriberPresence::Present);
-    assert_eq!(status(&store, 1), NodeStatus::Seen(LagClass(0)), "it has been seen since");
+    assert_eq!(
+        status(&store, 1),
+        NodeStatus::Seen(LagClass(0)),
+        "a failure older than the last answer was applied"
+    );
     store.observe(
         ms(10_080),
         DatedObservation { failed: true, position: None, ..observation(1, ms(10_080), ms(0)) },
@@ -151,11 +160,12 @@
     assert_eq!(status(&store, 1), NodeStatus::Down);
     store.observe(ms(10_090), observation(1, ms(10_070), ms(0)));
     store.update_snapshots(ms(10_090), 1000, SubscriberPresence::Present);
-    // Answered before the failure, heard after it: it had been seen later than was known, and that is all.
+    // That answer was given before the failure but arrived after it. A newer answer ends the failure in any
+    // case.
     store.observe(ms(10_095), observation(1, ms(10_095), ms(0)));
     store.update_snapshots(ms(10_095), 1000, SubscriberPresence::Present);
     assert_eq!(status(&store, 1), NodeStatus::Seen(LagClass(0)));
-    // One that is not listed is nobody's.
+    // An observation of a database that is not listed is ignored.
     store.observe(ms(10_100), observation(77, ms(10_100), ms(0)));
     assert_eq!(store.len(), 10);
 }
--- a/crates/observation-feed/tests/units/subscriber.rs
+++ b/crates/observation-feed/tests/units/subscriber.rs
@@ -1,4 +1,4 @@
-//! A subscriber: what it accepts, what it requests, and whom it follows.
+//! The subscriber: which messages it accepts, what it requests, and which instances it follows.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn what_is_out_of_turn_or_of_no_sense_changes_nothing() {
+fn outdated_duplicate_and_invalid_messages_are_ignored() {
     let host = RecordingHost::default();
     let mut router = subscriber(&host);
     let [one, two, three] = nodes_of_one_partition();
@@ -63,41 +63,42 @@
     receive(1310, 7, Message::Chunk(chunk(1, 0, 1, &[one, two])));
     let fresh = receive(1400, 7, Message::Digest(digest(4, 5400, 1)));
     assert_eq!(fresh, Some(ms(1350)));
-    // A digest that came before, an earlier one, one of an earlier incarnation, one that is much too late, one that is cut.
+    // A duplicate digest, an earlier one, one of an earlier incarnation, one that is much too late, and one
+    // with too few revisions.
     assert_eq!(receive(1450, 7, Message::Digest(digest(4, 5450, 1))), fresh);
     assert_eq!(receive(1450, 7, Message::Digest(digest(3, 5450, 1))), fresh);
     assert_eq!(receive(1450, 6, Message::Digest(digest(9, 5450, 1))), fresh);
     assert_eq!(receive(4500, 7, Message::Digest(digest(9, 5600, 1))), fresh);
-    let cut = Digest { revisions: vec![Revision(1); 6], ..digest(10, 8400, 1) };
-    assert_eq!(receive(4600, 7, Message::Digest(cut)), fresh);
-    // What a router says, a stranger, and numbers that make no sense.
+    let truncated = Digest { revisions: vec![Revision(1); 6], ..digest(10, 8400, 1) };
+    assert_eq!(receive(4600, 7, Message::Digest(truncated)), fresh);
+    // Messages that only routers send, extreme values, and a control instance that is not followed.
     receive(4600, 7, Message::Subscribe);
     receive(4600, 7, Message::Pull(vec![PartitionId(255)]));
-    let wild = Entry { status: NodeStatus::Seen(LagClass(255)), ..seen_entry(0) };
-    let wild = Change { revision: Revision(2), node: two, entry: Some(wild) };
-    let hostile = Digest {
+    let invalid = Entry { status: NodeStatus::Seen(LagClass(255)), ..seen_entry(0) };
+    let invalid = Change { revision: Revision(2), node: two, entry: Some(invalid) };
+    let extreme = Digest {
         health_check_period: Duration::MAX,
         router_count: u32::MAX,
         age: Duration::MAX,
-        changes: vec![wild],
+        changes: vec![invalid],
         ..digest(11, 8400, 2)
     };
-    let known = receive(4400, 7, Message::Digest(hostile));
-    assert_eq!(known, Some(ms(0)), "as old as it says");
+    let seen_at = receive(4400, 7, Message::Digest(extreme));
+    assert_eq!(seen_at, Some(ms(0)), "dated by the age in the digest, which is limited to zero");
     receive(4500, 7, Message::Chunk(chunk(u32::MAX, 0, 1, &[one])));
-    let wild = Change { revision: Revision(0), node: two, entry: None };
-    receive(4600, 7, Message::Digest(Digest { changes: vec![wild], ..digest(12, 8600, 2) }));
+    let invalid = Change { revision: Revision(0), node: two, entry: None };
+    receive(4600, 7, Message::Digest(Digest { changes: vec![invalid], ..digest(12, 8600, 2) }));
     router.message_arrived(ms(4700), &name("c7"), Incarnation(1), Message::Digest(digest(99, 9000, 1)));
     router.timer_fired(ms(4700));
     assert_eq!(router.observation(three), None);
-    assert!(!router.claim_health_check(ms(4700), node(9), true), "not on the list");
-    // Of a later incarnation nothing earlier holds.
+    assert!(!router.claim_health_check(ms(4700), node(9), true), "granted for a database that is not listed");
+    // A later incarnation invalidates everything received before.
     router.message_arrived(ms(4750), &control, Incarnation(8), Message::Digest(digest(1, 100, 1)));
     assert_eq!(router.observation(one), None);
 }
 
 #[test]
-fn partitions_are_requested_a_few_at_a_time_and_again_ever_later() {
+fn snapshot_requests_are_limited_in_number_and_repeated_with_backoff() {
     let host = RecordingHost::default();
     let mut router = subscriber(&host);
     let mut requested = Vec::new();
@@ -114,19 +115,19 @@
             }
         }
     }
-    // Nobody answers: no more than sixteen are out there within the time that an answer may take.
+    // No request is answered: at most sixteen are outstanding within the time that an answer may take.
     for (from, _) in &requested {
-        let out = requested.iter().filter(|(at, _)| (*from..*from + 400).contains(at)).count();
-        assert!(out <= 16, "{out} from {from}");
+        let in_flight = requested.iter().filter(|(at, _)| (*from..*from + 400).contains(at)).count();
+        assert!(in_flight <= 16, "{in_flight} requests within 400 ms from {from}");
     }
     let early = requested.iter().filter(|(at, _)| *at < 5000).count();
-    assert!((32..100).contains(&early), "{early}");
-    let of: BTreeSet<PartitionId> = requested.iter().map(|(_, partition)| *partition).collect();
-    assert_eq!(of.len(), PARTITIONS, "each in its turn: {of:?}");
+    assert!((32..100).contains(&early), "{early} requests in the first four seconds");
+    let partitions: BTreeSet<PartitionId> = requested.iter().map(|(_, partition)| *partition).collect();
+    assert_eq!(partitions.len(), PARTITIONS, "not every partition was requested: {partitions:?}");
 }
 
 #[test]
-fn a_clock_that_was_set_back_shuts_a_control_instance_out_for_seconds_and_not_for_ever() {
+fn a_control_instance_whose_clock_was_set_back_is_accepted_again_after_seconds() {
     let host = RecordingHost::default();
     let mut router = subscriber(&host);
     let [one, ..] = nodes_of_one_partition();
@@ -143,8 +144,9 @@
     router.message_arrived(ms(1310), &control, Incarnation(7), Message::Chunk(chunk(1, 0, 1, &[one])));
     router.message_arrived(ms(1400), &control, Incarnation(7), Message::Digest(digest(4, 5400, 1)));
     assert!(router.observation(one).is_some() && !router.is_isolated());
-    // It starts again with an earlier clock, and sends ten digests a second.
-    let mut follows = None;
+    // The instance restarts with an earlier clock, and therefore an earlier incarnation, and sends ten
+    // digests a second.
+    let mut accepted_at = None;
     for at in (1500..20_000).step_by(50) {
         router.timer_fired(ms(at));
         if at % 100 == 0 {
@@ -152,20 +154,21 @@
             router.message_arrived(ms(at), &control, Incarnation(3), digest);
         }
         if at > 2000 && !router.is_isolated() {
-            follows.get_or_insert(at);
+            accepted_at.get_or_insert(at);
         }
     }
-    assert!(follows.is_some_and(|at| (10_000..16_000).contains(&at)), "{follows:?}");
-    assert_eq!(router.observation(one), None, "nothing of the other incarnation holds");
+    assert!(accepted_at.is_some_and(|at| (10_000..16_000).contains(&at)), "accepted at {accepted_at:?} ms");
+    assert_eq!(router.observation(one), None, "an observation of the previous incarnation is still returned");
 }
 
 #[test]
-fn digests_that_waited_together_for_a_router_are_no_fresher_than_they_were_sent() {
+fn digests_that_were_queued_while_the_router_was_paused_are_not_dated_too_fresh() {
     let host = RecordingHost::default();
     let mut router = subscriber(&host);
     let [one, ..] = nodes_of_one_partition();
     let control = name("c0");
-    // The publisher's clock is 4 s ahead, nothing is under way for any time, and databases were seen 50 ms before.
+    // The publisher's clock is 4 s ahead, there is no transit delay, and databases were seen 50 ms before the
+    // digest.
     let receive = |router: &mut Subscriber<RecordingHost>, at: u64, sent: u64| {
         let digest = Message::Digest(digest(sent as u32 / 100, sent + 4000, 1));
         router.message_arrived(ms(at), &control, Incarnation(7), digest);
@@ -176,7 +179,7 @@
     }
     router.message_arrived(ms(1310), &control, Incarnation(7), Message::Chunk(chunk(1, 0, 1, &[one])));
     assert_eq!(receive(&mut router, 1400, 1400), Some(ms(1350)));
-    // It is lost, and followed again with the replica that was cached.
+    // The instance is lost, and followed again with its retained cache.
     let lost = (1450..5000).step_by(50).find(|at| {
         router.timer_fired(ms(*at));
         !router.follows(&control)
@@ -185,24 +188,24 @@
         router.timer_fired(ms(*at));
         router.follows(&control)
     });
-    // The router then stands still, and reads all that has come meanwhile at one moment, in haste or not.
+    // The router is then paused, and afterwards reads all digests that arrived meanwhile at the same moment.
     let from = again.unwrap().next_multiple_of(100);
     let now = from + 1300;
     for sent in (from..now).step_by(100) {
         let at = receive(&mut router, now, sent).unwrap();
         assert!(at <= ms(sent - 50), "sent at {sent}, read at {now}, dated {at:?}");
     }
-    // One more stall, in which less comes together.
+    // A second, shorter pause.
     for sent in (now..=now + 300).step_by(100) {
         let at = receive(&mut router, now + 300, sent).unwrap();
         assert!(at <= ms(sent - 50), "sent at {sent}, read at {}, dated {at:?}", now + 300);
     }
     let at = receive(&mut router, now + 400, now + 400).unwrap();
-    assert_eq!(at, ms(now + 350), "three that came one by one: it counts");
+    assert_eq!(at, ms(now + 350), "the baseline must be established after digests at three different times");
 }
 
 #[test]
-fn a_router_that_was_held_up_reads_what_has_come_before_it_takes_anyone_for_silent() {
+fn a_paused_router_reads_queued_digests_before_it_declares_an_instance_lost() {
     let host = RecordingHost::default();
     let mut router = subscriber(&host);
     let control = name("c0");
@@ -221,13 +224,17 @@
         router.timer_fired(ms(at));
     }
     assert!(router.follows(&control));
-    // Held up for longer than a silence may last: its timer comes first, and then what waits in its socket.
+    // The router is paused for longer than the maximum silence. Its timer fires first; then it reads the
+    // queued digests.
     router.timer_fired(ms(2750));
-    assert!(router.follows(&control) && !router.is_isolated(), "its digests lie in the socket");
+    assert!(
+        router.follows(&control) && !router.is_isolated(),
+        "the instance was lost although its digests wait in the socket"
+    );
     (2000..2750).step_by(100).for_each(|at| receive(&mut router, at));
     router.timer_fired(ms(2800));
     assert!(router.follows(&control));
-    // One that has said nothing by the next look is lost as ever.
+    // After a pause without queued digests, the instance is lost when the timer fires the next time.
     router.timer_fired(ms(4000));
     assert!(router.follows(&control));
     router.timer_fired(ms(4050));
--- a/crates/observation-feed/tests/world/checks.rs
+++ b/crates/observation-feed/tests/world/checks.rs
@@ -1,4 +1,4 @@
-//! The rules, checked by records that share no code with what decides.
+//! Checks the invariants against records of the world that share no code with the feed.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,58 +7,65 @@
 use quillpoint_observation_feed::FeedObservation;
 use quillpoint_observation_feed::partition_caches::CacheSize;
 
-use super::shape::ms;
-use super::{Sighting, World};
+use super::params::ms;
+use super::{HealthCheckResult, World};
 
-/// How much the rules of dating allow clocks to drift, a second.
+/// Maximum clock drift that the feed's dating allows for, in seconds per second.
 const MAX_CLOCK_DRIFT: f64 = 500e-6;
 
-/// How fresh digests of a publisher may have made what a router knows: the shortest of their delays as they were drawn,
-/// by the rule. How long they then wait until the router reads them makes nothing fresher.
+/// How much too fresh a publisher's digests may have dated a router's observations: the shortest transit
+/// delay of these digests, which the router cannot distinguish from a clock offset. Time in the router's
+/// socket buffer does not count.
 #[derive(Clone, Copy)]
 pub(super) struct DelayBound {
-    pub(super) start: Incarnation,
-    pub(super) least: f64,
-    pub(super) at: Duration,
-    pub(super) digests: u32,
-    /// The longest that it was since observations were dated by it: some may date from then.
-    pub(super) most: f64,
+    pub(super) incarnation: Incarnation,
+    pub(super) min_delay: f64,
+    pub(super) updated_at: Duration,
+    pub(super) digest_count: u32,
+    /// The maximum of `min_delay` since digests began to date observations, because some may still have their
+    /// date from then.
+    pub(super) max_min_delay: f64,
 }
 
 impl World {
-    /// How much too fresh what a router knows may be dated: the shortest bound that its digests had.
+    /// How much too fresh a router's observations may be dated.
     fn allowance(&self, router: usize) -> Duration {
         let delay_bounds = self.delay_bounds.range((router, 0)..(router + 1, 0));
-        let most = delay_bounds.map(|(_, bound)| bound.most).fold(self.past_delay_bounds[router], f64::max);
-        Duration::from_secs_f64(most) + Duration::from_micros(10)
+        let max_min_delay =
+            delay_bounds.map(|(_, bound)| bound.max_min_delay).fold(self.past_delay_bounds[router], f64::max);
+        Duration::from_secs_f64(max_min_delay) + Duration::from_micros(10)
     }
 
-    /// The rules, for one router.
+    /// Checks the invariants for one router.
     pub fn check_router(&self, router: usize) {
         let Some(process) = &self.routers[router].process else { return };
-        let CacheSize { nodes, pending_entries } = process.side.cache_size();
-        // Two that are followed, one on its bound in, two that rest; each may still name what has just left the list.
+        let CacheSize { nodes, pending_entries } = process.state_machine.cache_size();
+        // Up to two followed instances, one that is taking another's place, and two retained ones. Each cache
+        // may still have databases that have just left the endpoint list.
         assert!(
             nodes <= 5 * self.databases.len() && pending_entries <= 3 * self.databases.len(),
-            "{nodes} {pending_entries}"
+            "router {router}: the caches are too large: {nodes} nodes, {pending_entries} pending entries"
         );
-        if !self.checked {
+        if !self.checks_invariants {
             return;
         }
         let allowance = self.allowance(router);
         for index in 0..self.databases.len() {
-            let Some(observation) = self.known(router, index) else { continue };
+            let Some(observation) = self.observation(router, index) else { continue };
             let database = &self.databases[index];
-            assert!(database.listed, "knows one that is not listed");
-            assert!(observation.seen_at <= self.now, "of the future");
+            assert!(database.listed, "router {router} returns database {index}, which is not listed");
+            assert!(
+                observation.seen_at <= self.now,
+                "database {index} at router {router}: dated in the future"
+            );
             if observation.failed {
                 continue;
             }
-            let seen: Vec<&Sighting> = database.sightings.iter().collect();
-            let last = seen.last().expect("knows one that nobody has seen");
+            let seen: Vec<&HealthCheckResult> = database.health_check_results.iter().collect();
+            let last = seen.last().expect("the router returns a database that no health check has reached");
             assert!(
                 observation.seen_at <= last.at + allowance,
-                "database {index} at router {router}: dated at {:?}, seen last at {:?}, bound {allowance:?}, now {:?}",
+                "database {index} at router {router}: dated at {:?}, last seen at {:?}, allowance {allowance:?}, now {:?}",
                 observation.seen_at,
                 last.at,
                 self.now
@@ -66,34 +73,45 @@
             if let Some(position) = observation.position {
                 assert!(
                     position <= last.position,
-                    "database {index} at router {router}: position {position:?}, showed {:?}",
+                    "database {index} at router {router}: position {position:?}, but the last reported one is {:?}",
                     last.position
                 );
             }
-            self.check_names(router, index, &observation, &seen);
+            self.check_role_and_start(router, index, &observation, &seen);
         }
     }
 
-    /// A role and a start are those that were seen about when the observation is dated, or since.
-    fn check_names(&self, router: usize, index: usize, observation: &FeedObservation, seen: &[&Sighting]) {
+    /// The role and the start time must be those of a health check around the observation's date, or later.
+    fn check_role_and_start(
+        &self,
+        router: usize,
+        index: usize,
+        observation: &FeedObservation,
+        seen: &[&HealthCheckResult],
+    ) {
         let since = observation.seen_at.saturating_sub(ms(1500));
-        let first = seen.iter().rposition(|sighting| sighting.at <= since).unwrap_or(0);
-        let may = &seen[first..];
-        let role = observation.primary.is_none_or(|role| may.iter().any(|sighting| sighting.primary == role));
-        assert!(role, "database {index} at router {router}: {observation:?}, seen {may:?}");
+        let first = seen.iter().rposition(|result| result.at <= since).unwrap_or(0);
+        let candidates = &seen[first..];
+        let role =
+            observation.primary.is_none_or(|role| candidates.iter().any(|result| result.primary == role));
+        assert!(
+            role,
+            "database {index} at router {router}: wrong role: {observation:?}, seen {candidates:?}"
+        );
         let Some(started) = observation.started else { return };
         assert!(
-            may.iter().any(|sighting| sighting.started == started),
-            "database {index} at router {router}: {observation:?}, seen {may:?}"
+            candidates.iter().any(|result| result.started == started),
+            "database {index} at router {router}: wrong start time: {observation:?}, seen {candidates:?}"
         );
     }
 
-    /// Whether all routers that run know all that is true by now: who is up, who is primary, seen within a second.
-    pub fn agrees(&self) -> Result<(), String> {
-        for router in (0..self.shape.routers).filter(|router| self.runs_router(*router)) {
+    /// Checks that every running router knows the current state of all listed databases: whether each is up,
+    /// which are primary, and that each was seen within the last second.
+    pub fn check_convergence(&self) -> Result<(), String> {
+        for router in (0..self.params.routers).filter(|router| self.is_router_running(*router)) {
             for (index, database) in self.databases.iter().enumerate().filter(|(_, one)| one.listed) {
-                let observation = self.known(router, index);
-                let good = observation.is_some_and(|observation| match database.up {
+                let observation = self.observation(router, index);
+                let is_current = observation.is_some_and(|observation| match database.up {
                     false => observation.failed,
                     true => {
                         !observation.failed
@@ -102,9 +120,9 @@
                             && observation.position.is_some()
                     }
                 });
-                if !good {
+                if !is_current {
                     return Err(format!(
-                        "router {router}, database {index}: {observation:?} at {:?}",
+                        "router {router} has an outdated observation of database {index}: {observation:?} at {:?}",
                         self.now
                     ));
                 }
@@ -113,12 +131,13 @@
         Ok(())
     }
 
-    /// Ages of what routers that run know of databases that are up, in order.
-    pub fn ages(&self) -> Vec<Duration> {
+    /// The ages of all running routers' observations of databases that are up, sorted.
+    pub fn observation_ages(&self) -> Vec<Duration> {
         let mut ages = Vec::new();
-        for router in (0..self.shape.routers).filter(|router| self.runs_router(*router)) {
+        for router in (0..self.params.routers).filter(|router| self.is_router_running(*router)) {
             for index in (0..self.databases.len()).filter(|index| self.databases[*index].up) {
-                let at = self.known(router, index).map_or(Duration::ZERO, |observation| observation.seen_at);
+                let at =
+                    self.observation(router, index).map_or(Duration::ZERO, |observation| observation.seen_at);
                 ages.push(self.now.saturating_sub(at));
             }
         }
@@ -127,25 +146,33 @@
     }
 }
 
-pub(super) fn note_delay(
+/// Updates a delay bound with a digest that arrived after a transit delay of `took`.
+pub(super) fn record_delay(
     delay_bounds: &mut BTreeMap<(usize, usize), DelayBound>,
     key: (usize, usize),
-    start: Incarnation,
+    incarnation: Incarnation,
     now: Duration,
     took: Duration,
 ) {
     let took = took.as_secs_f64();
-    let bound =
-        delay_bounds.entry(key).or_insert(DelayBound { start, least: took, at: now, digests: 0, most: 0.0 });
-    if start < bound.start {
+    let bound = delay_bounds.entry(key).or_insert(DelayBound {
+        incarnation,
+        min_delay: took,
+        updated_at: now,
+        digest_count: 0,
+        max_min_delay: 0.0,
+    });
+    if incarnation < bound.incarnation {
         return;
     }
-    if bound.start != start {
-        *bound = DelayBound { start, least: took, at: now, digests: 0, most: 0.0 };
+    if bound.incarnation != incarnation {
+        *bound =
+            DelayBound { incarnation, min_delay: took, updated_at: now, digest_count: 0, max_min_delay: 0.0 };
     }
-    bound.least = (bound.least + MAX_CLOCK_DRIFT * now.saturating_sub(bound.at).as_secs_f64()).min(took);
-    (bound.at, bound.digests) = (now, bound.digests + 1);
-    if bound.digests > 2 {
-        bound.most = bound.most.max(bound.least);
+    bound.min_delay =
+        (bound.min_delay + MAX_CLOCK_DRIFT * now.saturating_sub(bound.updated_at).as_secs_f64()).min(took);
+    (bound.updated_at, bound.digest_count) = (now, bound.digest_count + 1);
+    if bound.digest_count > 2 {
+        bound.max_min_delay = bound.max_min_delay.max(bound.min_delay);
     }
 }
--- a/crates/observation-feed/tests/world/costs.rs
+++ b/crates/observation-feed/tests/world/costs.rs
@@ -1,4 +1,4 @@
-//! What the messages of a process cost.
+//! Counts the messages and bytes that a process sends.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,43 +7,43 @@
 
 use super::network::InFlightMessage;
 
-/// Head, receiver's incarnation, number and hash of a datagram, in bytes.
+/// Size of a datagram's header, receiver incarnation, sequence number and hash.
 const DATAGRAM_OVERHEAD_BYTES: usize = 55;
-/// No datagram is longer.
 const MAX_DATAGRAM_BYTES: usize = 1200;
 
 #[derive(Default, Clone)]
 pub struct Costs {
     pub messages: u64,
     pub bytes: u64,
-    /// Bytes sent in each tenth of a second, all and those of snapshots.
-    pub by_tenth: BTreeMap<u64, (u64, u64)>,
-    pub subscribes: BTreeMap<u64, u64>,
+    /// Bytes sent in each tenth of a second: in total, and for snapshots.
+    pub bytes_by_tenth: BTreeMap<u64, (u64, u64)>,
+    /// `Subscribe` messages sent in each second.
+    pub subscribes_by_second: BTreeMap<u64, u64>,
 }
 
-pub(super) fn tenth(now: Duration) -> u64 {
+pub(super) fn tenth_of_second(now: Duration) -> u64 {
     now.as_millis() as u64 / 100
 }
 
-pub(super) fn count(costs: &mut Costs, now: Duration, message_in_flight: &InFlightMessage) {
-    let InFlightMessage { from, start, message, .. } = message_in_flight;
-    let envelope = Envelope { from: from.clone(), incarnation: *start, message: message.clone() };
+pub(super) fn record_message(costs: &mut Costs, now: Duration, message_in_flight: &InFlightMessage) {
+    let InFlightMessage { from, incarnation, message, .. } = message_in_flight;
+    let envelope = Envelope { from: from.clone(), incarnation: *incarnation, message: message.clone() };
     let bytes = postcard::to_stdvec(&envelope).unwrap().len() + DATAGRAM_OVERHEAD_BYTES;
-    assert!(bytes <= MAX_DATAGRAM_BYTES, "{bytes} bytes: {message:?}");
+    assert!(bytes <= MAX_DATAGRAM_BYTES, "a datagram of {bytes} bytes is too large: {message:?}");
     costs.messages += 1;
     costs.bytes += bytes as u64;
-    let tenth = costs.by_tenth.entry(tenth(now)).or_default();
+    let tenth = costs.bytes_by_tenth.entry(tenth_of_second(now)).or_default();
     tenth.0 += bytes as u64;
     if matches!(message, Message::Chunk(_)) {
         tenth.1 += bytes as u64;
     }
 }
 
-/// The most in any second.
-pub fn most_a_second(by_tenth: impl Iterator<Item = (u64, u64)>) -> u64 {
-    let by_tenth: Vec<(u64, u64)> = by_tenth.collect();
+/// The maximum sum over any ten consecutive tenths of a second.
+pub fn max_per_second(bytes_by_tenth: impl Iterator<Item = (u64, u64)>) -> u64 {
+    let bytes_by_tenth: Vec<(u64, u64)> = bytes_by_tenth.collect();
     let window = |first: u64| {
-        by_tenth.iter().filter(|(at, _)| (first..first + 10).contains(at)).map(|(_, of)| of).sum()
+        bytes_by_tenth.iter().filter(|(at, _)| (first..first + 10).contains(at)).map(|(_, of)| of).sum()
     };
-    by_tenth.iter().map(|(at, _)| window(*at)).max().unwrap_or(0)
+    bytes_by_tenth.iter().map(|(at, _)| window(*at)).max().unwrap_or(0)
 }
--- a/crates/observation-feed/tests/world/mod.rs
+++ b/crates/observation-feed/tests/world/mod.rs
@@ -1,13 +1,14 @@
-//! Publishers and subscribers in virtual time, among databases whose true state the world keeps. It hands observations to
-//! the publishers, carries messages over a network with faults, and checks the rules after each step.
+//! A simulated world of publishers, subscribers and databases in virtual time. It keeps the true state of the
+//! databases, passes observations to the publishers, delivers messages over an unreliable network, and checks
+//! the invariants after each message that a router receives.
 
 mod checks;
 mod costs;
 pub mod faults;
 mod network;
+mod params;
 mod processes;
 mod recording_host;
-mod shape;
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
@@ -19,16 +20,16 @@
 use rand_chacha::ChaCha8Rng;
 
 use self::checks::DelayBound;
-pub use self::costs::most_a_second;
-use self::costs::{Costs, tenth};
+pub use self::costs::max_per_second;
+use self::costs::{Costs, tenth_of_second};
 use self::network::InFlightMessage;
+pub use self::params::{START, WorldParams, address, ms};
 use self::processes::ProcessSlot;
 use self::recording_host::RecordingHost;
-pub use self::shape::{START, Shape, address, ms};
 
-/// What a health check found.
+/// What a successful health check has found.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Sighting {
+pub struct HealthCheckResult {
     pub at: Duration,
     pub position: Duration,
     pub primary: bool,
@@ -41,7 +42,7 @@
     pub lag: Duration,
     pub primary: bool,
     pub started: Duration,
-    pub sightings: VecDeque<Sighting>,
+    pub health_check_results: VecDeque<HealthCheckResult>,
 }
 
 enum Scheduled {
@@ -55,7 +56,7 @@
 
 pub struct World {
     pub now: Duration,
-    pub shape: Shape,
+    pub params: WorldParams,
     rng: ChaCha8Rng,
     queue: BTreeMap<(Duration, u64), Scheduled>,
     scheduled_count: u64,
@@ -63,32 +64,34 @@
     publishers: Vec<ProcessSlot<Publisher<RecordingHost>>>,
     routers: Vec<ProcessSlot<Subscriber<RecordingHost>>>,
     delay_bounds: BTreeMap<(usize, usize), DelayBound>,
-    /// The least favourable of the delay bounds of earlier times, by router.
+    /// For each router, the maximum of the delay bounds of instances that it no longer follows, in seconds.
     past_delay_bounds: Vec<f64>,
-    /// Cut paths between publishers and routers, and what publishers do not see of databases.
-    pub cut: BTreeSet<(usize, usize)>,
-    pub blind: BTreeSet<(usize, usize)>,
-    /// Health checks that routers claimed, by tenth of a second.
-    pub isolated_checks: BTreeMap<u64, u64>,
-    /// What routers have received by name.
-    pub changed: Vec<(Duration, usize, FeedObservation)>,
-    /// Whether each step is followed by the full check.
-    pub checked: bool,
+    /// Pairs of publisher and router that cannot exchange messages.
+    pub cut_links: BTreeSet<(usize, usize)>,
+    /// Pairs of publisher and database that the publisher cannot observe.
+    pub hidden_databases: BTreeSet<(usize, usize)>,
+    /// Number of health checks that routers were granted, by tenth of a second.
+    pub claimed_checks: BTreeMap<u64, u64>,
+    /// The changes that were reported to the hosts of routers, with time and router.
+    pub changed_observations: Vec<(Duration, usize, FeedObservation)>,
+    /// Whether all invariants are checked after each message, rather than only the cache sizes.
+    pub checks_invariants: bool,
 }
 
 impl World {
-    pub fn new(shape: Shape) -> Self {
-        let mut rng = ChaCha8Rng::seed_from_u64(shape.seed);
-        let skew = |rng: &mut ChaCha8Rng| shape.skew.mul_f64(rng.random_range(0.0..1.0));
+    pub fn new(params: WorldParams) -> Self {
+        let mut rng = ChaCha8Rng::seed_from_u64(params.seed);
+        let random_offset =
+            |rng: &mut ChaCha8Rng| params.max_clock_offset.mul_f64(rng.random_range(0.0..1.0));
         let database = |index: usize| Database {
             up: true,
             listed: true,
             lag: ms(if index.is_multiple_of(3) { 0 } else { 20 }),
             primary: index.is_multiple_of(3),
             started: START - Duration::from_secs(10_000),
-            sightings: VecDeque::new(),
+            health_check_results: VecDeque::new(),
         };
-        let databases = (0..shape.databases).map(database).collect();
+        let databases = (0..params.databases).map(database).collect();
         fn slot<T>(clock_offset: Duration) -> ProcessSlot<T> {
             ProcessSlot {
                 process: None,
@@ -98,9 +101,9 @@
                 events: Vec::new(),
             }
         }
-        let publishers = (0..shape.publishers).map(|_| slot(skew(&mut rng))).collect();
-        let routers = (0..shape.routers).map(|_| slot(skew(&mut rng))).collect();
-        let (past_delay_bounds, checked) = (vec![0.0; shape.routers], true);
+        let publishers = (0..params.publishers).map(|_| slot(random_offset(&mut rng))).collect();
+        let routers = (0..params.routers).map(|_| slot(random_offset(&mut rng))).collect();
+        let (past_delay_bounds, checks_invariants) = (vec![0.0; params.routers], true);
         let mut world = Self {
             now: START,
             rng,
@@ -111,20 +114,20 @@
             routers,
             delay_bounds: BTreeMap::new(),
             past_delay_bounds,
-            cut: BTreeSet::new(),
-            blind: BTreeSet::new(),
-            isolated_checks: BTreeMap::new(),
-            changed: Vec::new(),
-            checked,
-            shape,
+            cut_links: BTreeSet::new(),
+            hidden_databases: BTreeSet::new(),
+            claimed_checks: BTreeMap::new(),
+            changed_observations: Vec::new(),
+            checks_invariants,
+            params,
         };
-        for database in 0..world.shape.databases {
+        for database in 0..world.params.databases {
             let by = world.owner(database);
-            let phase = world.shape.period.mul_f64(world.rng.random_range(0.0..1.0));
+            let phase = world.params.period.mul_f64(world.rng.random_range(0.0..1.0));
             world.schedule(world.now + phase, Scheduled::HealthCheck { database, by });
         }
-        (0..world.shape.publishers).for_each(|index| world.start_publisher(index));
-        (0..world.shape.routers).for_each(|index| world.start_router(index));
+        (0..world.params.publishers).for_each(|index| world.start_publisher(index));
+        (0..world.params.routers).for_each(|index| world.start_router(index));
         world
     }
 
@@ -133,12 +136,13 @@
         self.queue.insert((at, self.scheduled_count), due);
     }
 
-    /// Which publisher checks a database: the first in its ranking that runs and sees it.
+    /// The publisher that checks a database: the first one, from the database's index on, that runs and can
+    /// observe it.
     fn owner(&self, database: usize) -> usize {
-        let all = self.shape.publishers;
+        let all = self.params.publishers;
         let runs = |index: &usize| {
-            self.publishers[*index].process.as_ref().is_some_and(|process| !process.stopped)
-                && !self.blind.contains(&(*index, database))
+            self.publishers[*index].process.as_ref().is_some_and(|process| !process.paused)
+                && !self.hidden_databases.contains(&(*index, database))
         };
         (0..all).map(|step| (database + step) % all).find(runs).unwrap_or(database % all)
     }
@@ -147,21 +151,21 @@
         (0..self.databases.len()).filter(|index| self.databases[*index].listed).map(address).collect()
     }
 
-    pub fn list(&mut self, database: usize, listed: bool) {
+    pub fn set_listed(&mut self, database: usize, listed: bool) {
         self.databases[database].listed = listed;
         let nodes = self.nodes();
         for slot in &mut self.publishers {
             let now = self.now + slot.clock_offset;
-            slot.process.iter_mut().for_each(|process| process.side.nodes_changed(now, &nodes));
+            slot.process.iter_mut().for_each(|process| process.state_machine.nodes_changed(now, &nodes));
         }
         for slot in &mut self.routers {
             let now = self.now + slot.clock_offset;
-            slot.process.iter_mut().for_each(|process| process.side.nodes_changed(now, &nodes));
+            slot.process.iter_mut().for_each(|process| process.state_machine.nodes_changed(now, &nodes));
         }
     }
 
-    /// A database that fails, or is back as one that has just started.
-    pub fn set_up(&mut self, database: usize, up: bool) {
+    /// Makes a database fail, or run again with a new start time.
+    pub fn set_running(&mut self, database: usize, up: bool) {
         let now = self.now;
         let database = &mut self.databases[database];
         if up && !database.up {
@@ -170,27 +174,27 @@
         database.up = up;
     }
 
-    pub fn known(&self, router: usize, database: usize) -> Option<FeedObservation> {
+    pub fn observation(&self, router: usize, database: usize) -> Option<FeedObservation> {
         let slot = &self.routers[router];
         let process = slot.process.as_ref()?;
-        let observation = process.side.observation(address(database))?;
-        // On the world's clock, which positions are on.
+        let observation = process.state_machine.observation(address(database))?;
+        // Converted to the world's clock, which log positions are based on.
         Some(FeedObservation {
             seen_at: observation.seen_at.saturating_sub(slot.clock_offset),
             ..observation
         })
     }
 
-    /// A router wants to look at a database by itself.
-    pub fn claim(&mut self, router: usize, database: usize, needs_own_check: bool) -> bool {
+    /// Lets a router request a health check of its own.
+    pub fn claim_health_check(&mut self, router: usize, database: usize, needs_own_check: bool) -> bool {
         let now = self.now + self.routers[router].clock_offset;
         let Some(process) = &mut self.routers[router].process else { return false };
-        let may = process.side.claim_health_check(now, address(database), needs_own_check);
-        if may {
-            *self.isolated_checks.entry(tenth(self.now)).or_default() += 1;
+        let is_granted = process.state_machine.claim_health_check(now, address(database), needs_own_check);
+        if is_granted {
+            *self.claimed_checks.entry(tenth_of_second(self.now)).or_default() += 1;
         }
         self.run_router_calls(router);
-        may
+        is_granted
     }
 
     pub fn run_until(&mut self, until: Duration) {
@@ -215,8 +219,8 @@
                 let now = self.now + self.publishers[to].clock_offset;
                 let at = observation.at + self.publishers[to].clock_offset;
                 if let Some(process) = &mut self.publishers[to].process {
-                    match process.stopped {
-                        false => process.side.observe(now, DatedObservation { at, ..observation }),
+                    match process.paused {
+                        false => process.state_machine.observe(now, DatedObservation { at, ..observation }),
                         true => process.pending_observations.push(DatedObservation { at, ..observation }),
                     }
                 }
@@ -236,22 +240,22 @@
             {
                 let now = self.now + self.publishers[index].clock_offset;
                 if let Some(process) = &mut self.publishers[index].process {
-                    if process.stopped {
+                    if process.paused {
                         process.timer_due = true;
                         return;
                     }
-                    process.side.timer_fired(now);
+                    process.state_machine.timer_fired(now);
                     self.run_publisher_calls(index);
                 }
             }
             Scheduled::RouterTimer { index, generation } if self.routers[index].generation == generation => {
                 let now = self.now + self.routers[index].clock_offset;
                 if let Some(process) = &mut self.routers[index].process {
-                    if process.stopped {
+                    if process.paused {
                         process.timer_due = true;
                         return;
                     }
-                    process.side.timer_fired(now);
+                    process.state_machine.timer_fired(now);
                     self.run_router_calls(index);
                 }
             }
@@ -263,16 +267,17 @@
         let next = self.owner(index);
         let jitter = self.rng.random_range(0.95..1.05);
         self.schedule(
-            self.now + self.shape.period.mul_f64(jitter),
+            self.now + self.params.period.mul_f64(jitter),
             Scheduled::HealthCheck { database: index, by: next },
         );
-        let (now, runs) = (self.now, self.runs_publisher(by) && !self.blind.contains(&(by, index)));
+        let (now, runs) =
+            (self.now, self.is_publisher_running(by) && !self.hidden_databases.contains(&(by, index)));
         let database = &mut self.databases[index];
         if !runs || !database.listed {
             return;
         }
         let position = now.saturating_sub(database.lag);
-        let before = database.sightings.back().map(|sighting| sighting.position);
+        let before = database.health_check_results.back().map(|result| result.position);
         let position = before.map_or(position, |before| before.max(position));
         let observation = DatedObservation {
             node: address(index),
@@ -285,9 +290,14 @@
         };
         if database.up {
             let (primary, started) = (database.primary, database.started);
-            database.sightings.push_back(Sighting { at: now, position, primary, started });
-            if database.sightings.len() > 600 {
-                database.sightings.pop_front();
+            database.health_check_results.push_back(HealthCheckResult {
+                at: now,
+                position,
+                primary,
+                started,
+            });
+            if database.health_check_results.len() > 600 {
+                database.health_check_results.pop_front();
             }
         }
         let observation = if database.up {
@@ -295,21 +305,23 @@
         } else {
             DatedObservation { position: None, primary: None, started: None, ..observation }
         };
-        for to in 0..self.shape.publishers {
+        for to in 0..self.params.publishers {
             if to == by {
                 self.step(Scheduled::DatedObservation { to, observation });
-            } else if !self.rng.random_bool(self.shape.unseen) && !self.blind.contains(&(to, index)) {
-                let after = self.shape.observation_delay.mul_f64(self.rng.random_range(0.0..1.0));
+            } else if !self.rng.random_bool(self.params.missed_observations)
+                && !self.hidden_databases.contains(&(to, index))
+            {
+                let after = self.params.observation_delay.mul_f64(self.rng.random_range(0.0..1.0));
                 self.schedule(now + after, Scheduled::DatedObservation { to, observation });
             }
         }
     }
 }
 
-/// A world in which all routers know all databases.
-pub fn settled(shape: Shape) -> World {
-    let mut world = World::new(shape);
+/// Creates a world and runs it until all routers have current observations of all databases.
+pub fn converged_world(params: WorldParams) -> World {
+    let mut world = World::new(params);
     world.run(ms(5000));
-    world.agrees().unwrap();
+    world.check_convergence().unwrap();
     world
 }
--- a/crates/observation-feed/tests/world/shape.rs
+++ b/crates/observation-feed/tests/world/params.rs
@@ -1,4 +1,4 @@
-//! What a world is made of, and the names and addresses in it.
+//! The parameters of a world, and the names and addresses in it.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,7 +13,7 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct Shape {
+pub struct WorldParams {
     pub routers: usize,
     pub publishers: usize,
     pub databases: usize,
@@ -21,21 +21,24 @@
     pub period: Duration,
     pub snapshot_bytes_per_second: f64,
     pub max_subscribers: usize,
-    /// Which fraction of the datagrams is lost, and which arrives twice.
+    /// The fraction of datagrams that are lost.
     pub loss: f64,
-    pub doubled: f64,
-    /// Which fraction is under way for up to so long, instead of one to three milliseconds.
-    pub slow: (f64, Duration),
-    /// Which fraction of the observations does not reach a publisher, and how late they may be.
-    pub unseen: f64,
+    /// The fraction of datagrams that arrive twice.
+    pub duplicated: f64,
+    /// The fraction of datagrams that take longer than the usual one to three milliseconds, and their maximum
+    /// delay.
+    pub delayed: (f64, Duration),
+    /// The fraction of observations that do not reach another publisher.
+    pub missed_observations: f64,
+    /// Maximum delay of an observation on its way to another publisher.
     pub observation_delay: Duration,
-    /// How far clocks are apart.
-    pub skew: Duration,
+    /// Maximum offset of a process's clock from the world's clock.
+    pub max_clock_offset: Duration,
     pub seed: u64,
 }
 
-impl Shape {
-    pub fn calm(routers: usize, publishers: usize, databases: usize, seed: u64) -> Self {
+impl WorldParams {
+    pub fn without_faults(routers: usize, publishers: usize, databases: usize, seed: u64) -> Self {
         Self {
             routers,
             publishers,
@@ -45,11 +48,11 @@
             snapshot_bytes_per_second: 400_000.0,
             max_subscribers: 10_000,
             loss: 0.0,
-            doubled: 0.0,
-            slow: (0.0, Duration::ZERO),
-            unseen: 0.0,
+            duplicated: 0.0,
+            delayed: (0.0, Duration::ZERO),
+            missed_observations: 0.0,
             observation_delay: ms(30),
-            skew: Duration::ZERO,
+            max_clock_offset: Duration::ZERO,
             seed,
         }
     }
@@ -79,11 +82,11 @@
     Some(format!("region-{}", index % regions))
 }
 
-pub fn control(shape: &Shape) -> Vec<ControlInstance> {
-    let one = |index| ControlInstance {
+pub fn control_instances(params: &WorldParams) -> Vec<ControlInstance> {
+    let instance = |index| ControlInstance {
         name: publisher_name(index),
         address: publisher_address(index),
-        region: region(index, shape.regions),
+        region: region(index, params.regions),
     };
-    (0..shape.publishers).map(one).collect()
+    (0..params.publishers).map(instance).collect()
 }
--- a/crates/observation-feed/tests/world/recording_host.rs
+++ b/crates/observation-feed/tests/world/recording_host.rs
@@ -1,4 +1,4 @@
-//! A host that records what a publisher or a subscriber does during a call.
+//! A host that records the actions of a publisher or a subscriber during a call.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -12,7 +12,7 @@
 pub(super) struct RecordedCalls {
     pub(super) sent: Vec<(SocketAddr, Option<Incarnation>, Message)>,
     pub(super) timer: Option<Duration>,
-    pub(super) changed: Vec<FeedObservation>,
+    pub(super) changed_observations: Vec<FeedObservation>,
     pub(super) events: Vec<Event>,
 }
 
@@ -25,10 +25,10 @@
     }
     fn set_timer(&mut self, after: Duration) {
         let before = self.0.borrow_mut().timer.replace(after);
-        assert_eq!(before, None, "one timer each");
+        assert_eq!(before, None, "the state machine sets more than one timer in a call");
     }
     fn observation_changed(&mut self, observation: FeedObservation) {
-        self.0.borrow_mut().changed.push(observation);
+        self.0.borrow_mut().changed_observations.push(observation);
     }
     fn report_event(&mut self, event: Event) {
         self.0.borrow_mut().events.push(event);
