--- a/crates/control-plane/src/control_host.rs
+++ b/crates/control-plane/src/control_host.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use quillpoint_membership::DatedObservation;
+use quillpoint_membership::TimestampedObservation;
 use quillpoint_observation_feed::FeedObservation;
 
 /// The process that the control side runs in: a router, or a process with many hollow routers (routers
@@ -16,7 +16,7 @@
     /// The databases on the endpoint list, with the indices of their zones.
     fn nodes(&self) -> BTreeMap<SocketAddr, u16>;
     /// Handles an observation made by another member of the fleet. It is unverified.
-    fn observation_received(&self, observation: DatedObservation);
+    fn observation_received(&self, observation: TimestampedObservation);
     /// Handles a role, failure or start time of a single database that a control instance has published. It
     /// is unverified.
     fn feed_observation_received(&self, observation: FeedObservation);
--- a/crates/control-plane/src/fleet_member.rs
+++ b/crates/control-plane/src/fleet_member.rs
@@ -10,10 +10,10 @@
 use async_io::Timer;
 use quillpoint_datagram::Opener;
 use quillpoint_membership::fleet::TICK_INTERVAL;
-use quillpoint_membership::ids::{Subject, TaskId};
+use quillpoint_membership::ids::{TaskId, TaskTarget};
 use quillpoint_membership::{
-    DatedObservation, Fleet, GossipMessage, Host, Incarnation, MemberRecord, MemberState, MemberVersion,
-    Observation,
+    Fleet, GossipMessage, Host, Incarnation, MemberRecord, MemberState, MemberVersion, Observation,
+    TimestampedObservation,
 };
 
 use crate::control_host::ControlHost;
@@ -106,9 +106,9 @@
 
     fn run_task(&self, task: TaskId) {
         self.health_checks.set(self.health_checks.get() + 1);
-        let has_started = match task.subject {
-            Subject::Node(node) => self.host.start_health_check(node),
-            Subject::Installation => false,
+        let has_started = match task.target {
+            TaskTarget::Node(node) => self.host.start_health_check(node),
+            TaskTarget::Deployment => false,
         };
         if !has_started {
             // A health check is already in progress and does the task's work.
@@ -197,7 +197,7 @@
     }
 
     /// The latest observation of a node by a peer, unless it is too old to be used.
-    pub fn latest_observation(&self, node: SocketAddr) -> Option<DatedObservation> {
+    pub fn latest_observation(&self, node: SocketAddr) -> Option<TimestampedObservation> {
         self.fleet.borrow().latest_observation(self.host.now(), node)
     }
 
--- a/crates/control-plane/src/publisher_service.rs
+++ b/crates/control-plane/src/publisher_service.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use quillpoint_datagram::Opener;
-use quillpoint_membership::{DatedObservation, Incarnation, PeerName};
+use quillpoint_membership::{Incarnation, PeerName, TimestampedObservation};
 use quillpoint_observation_feed::{Envelope, Publisher};
 
 use crate::control_host::ControlHost;
@@ -112,7 +112,7 @@
     }
 
     /// Records an observation made by this control instance or by a trusted member of its fleet.
-    pub fn observe(&self, observation: DatedObservation) {
+    pub fn observe(&self, observation: TimestampedObservation) {
         self.call(|publisher, now| publisher.observe(now, observation));
     }
 
--- a/crates/control-plane/tests/socket_delay.rs
+++ b/crates/control-plane/tests/socket_delay.rs
@@ -16,8 +16,8 @@
 use quillpoint_membership::scheduler::Priority;
 use quillpoint_membership::sharded_tasks::TaskParams;
 use quillpoint_membership::{
-    DatedObservation, FleetParams, GossipBody, GossipMessage, Incarnation, MemberRecord, MemberState,
-    MemberVersion, Observation, PeerName,
+    FleetParams, GossipBody, GossipMessage, Incarnation, MemberRecord, MemberState, MemberVersion,
+    Observation, PeerName, TimestampedObservation,
 };
 use quillpoint_observation_feed::message::{
     Digest, DigestNumber, LAG_CLASSES, LagClass, PARTITIONS, PartitionId, Revision, SnapshotChunk,
@@ -36,7 +36,7 @@
 struct TestHost {
     unix_at_start: Duration,
     started_at: Instant,
-    received: RefCell<Vec<DatedObservation>>,
+    received: RefCell<Vec<TimestampedObservation>>,
 }
 
 impl TestHost {
@@ -53,7 +53,7 @@
     fn nodes(&self) -> BTreeMap<SocketAddr, u16> {
         BTreeMap::from([(node(), 0)])
     }
-    fn observation_received(&self, observation: DatedObservation) {
+    fn observation_received(&self, observation: TimestampedObservation) {
         self.received.borrow_mut().push(observation);
     }
     fn feed_observation_received(&self, _: FeedObservation) {}
--- a/crates/observation-feed/src/observation_store.rs
+++ b/crates/observation-feed/src/observation_store.rs
@@ -15,7 +15,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use quillpoint_membership::DatedObservation;
+use quillpoint_membership::TimestampedObservation;
 
 use self::change_log::{ChangeLog, LoggedChange};
 pub use self::node_record::START_TIME_PUBLISHED_FOR;
@@ -113,7 +113,7 @@
     }
 
     /// Records an observation. One that is older than the database's last answer is ignored.
-    pub fn observe(&mut self, now: Duration, observation: DatedObservation) {
+    pub fn observe(&mut self, now: Duration, observation: TimestampedObservation) {
         let partition = &mut self.partitions[PartitionId::of(observation.node).index()];
         if let Some(record) = partition.nodes.get_mut(&observation.node) {
             record.observe(now, observation);
--- a/crates/observation-feed/src/publisher.rs
+++ b/crates/observation-feed/src/publisher.rs
@@ -9,7 +9,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use quillpoint_membership::{DatedObservation, Incarnation, PeerName};
+use quillpoint_membership::{Incarnation, PeerName, TimestampedObservation};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -89,7 +89,7 @@
     }
 
     /// Records an observation made by this control instance or by another member of its fleet.
-    pub fn observe(&mut self, now: Duration, observation: DatedObservation) {
+    pub fn observe(&mut self, now: Duration, observation: TimestampedObservation) {
         self.store.observe(now, observation);
     }
 
--- a/crates/observation-feed/tests/units/observation_store.rs
+++ b/crates/observation-feed/tests/units/observation_store.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use quillpoint_membership::DatedObservation;
+use quillpoint_membership::TimestampedObservation;
 use quillpoint_observation_feed::message::{
     Digest, DigestNumber, LAG_CLASSES, LagClass, PartitionId, Revision,
 };
@@ -144,7 +144,7 @@
     let mut store = published_store(10, ms(10_000));
     store.observe(
         ms(10_050),
-        DatedObservation { failed: true, position: None, ..observation(1, ms(9000), ms(0)) },
+        TimestampedObservation { failed: true, position: None, ..observation(1, ms(9000), ms(0)) },
     );
     store.update_snapshots(ms(10_050), 1000, SubscriberPresence::Present);
     assert_eq!(
@@ -154,7 +154,7 @@
     );
     store.observe(
         ms(10_080),
-        DatedObservation { failed: true, position: None, ..observation(1, ms(10_080), ms(0)) },
+        TimestampedObservation { failed: true, position: None, ..observation(1, ms(10_080), ms(0)) },
     );
     store.update_snapshots(ms(10_080), 1000, SubscriberPresence::Present);
     assert_eq!(status(&store, 1), NodeStatus::Down);
