--- a/crates/control-plane/src/fleet_log.rs
+++ b/crates/control-plane/src/fleet_log.rs
@@ -30,9 +30,7 @@
                 "a router of the same name that started later runs at {address}: this router takes no tasks"
             );
         }
-        Event::Restored => {
-            log::info!(event = "fleet_restored"; "the other router of the same name is gone: this router takes tasks again")
-        }
+        Event::Restored => log::info!(event = "fleet_restored"; "the other router of the same name is gone"),
         Event::TooManyPeers(peer) => {
             log::warn!(event = "fleet_too_many_peers", peer:% = peer; "maximum number of peers reached: ignored peer {peer}");
         }
--- a/crates/observation-feed/src/subscriber.rs
+++ b/crates/observation-feed/src/subscriber.rs
@@ -193,7 +193,7 @@
         if !was_paused {
             self.drop_silent_instances(now);
             self.update_isolation(now);
-            self.follow_enough(now);
+            self.follow_next_instances(now);
             self.fail_back(now);
             self.renew_subscriptions(now);
             self.pull_snapshots(now);
--- a/crates/observation-feed/src/subscriber/following.rs
+++ b/crates/observation-feed/src/subscriber/following.rs
@@ -139,7 +139,7 @@
     }
 
     /// Follows the next instances in the ranking that are not backed off, up to `FOLLOWED_INSTANCES`.
-    pub(super) fn follow_enough(&mut self, now: Duration) {
+    pub(super) fn follow_next_instances(&mut self, now: Duration) {
         while self.followed.len() < FOLLOWED_INSTANCES {
             let mut candidates = self
                 .ranked_instances
--- a/crates/observation-feed/src/subscriber/snapshot_pulls.rs
+++ b/crates/observation-feed/src/subscriber/snapshot_pulls.rs
@@ -49,11 +49,12 @@
         let repetition_time = self.params.digest_interval * 2;
         let followed = &mut self.followed[index];
         for (partition, revision) in (0..).map(PartitionId).zip(revisions) {
-            let own = followed.revision(partition);
-            if own >= *revision {
+            let cached_revision = followed.revision(partition);
+            if cached_revision >= *revision {
                 followed.pulls.remove(&partition);
             } else {
-                let delay = if own == Revision::default() { Duration::ZERO } else { repetition_time };
+                let delay =
+                    if cached_revision == Revision::default() { Duration::ZERO } else { repetition_time };
                 let due = now + delay.mul_f64(self.rng.random_range(1.0..2.0));
                 followed.pulls.entry(partition).or_insert(PendingPull { due, attempts: 0 });
             }
@@ -70,8 +71,8 @@
             let partitions = self.due_pulls(now, &active, position);
             let redundant_pull_delay = REDUNDANT_PULL_DELAY.mul_f64(self.rng.random_range(1.0..2.0));
             if is_complete {
-                let from = &mut self.followed[*index].redundant_pulls_from;
-                from.get_or_insert(now + redundant_pull_delay);
+                let redundant_pulls_from = &mut self.followed[*index].redundant_pulls_from;
+                redundant_pulls_from.get_or_insert(now + redundant_pull_delay);
             }
             self.request_snapshots(now, *index, partitions);
         }
--- a/crates/observation-feed/tests/world/checks.rs
+++ b/crates/observation-feed/tests/world/checks.rs
@@ -15,7 +15,7 @@
 
 /// How much too fresh a publisher's digests may have dated a router's observations: the shortest transit
 /// delay of these digests, which the router cannot distinguish from a clock offset. Time in the router's
-/// socket buffer does not count.
+/// socket buffer does not count. Delays are in seconds.
 #[derive(Clone, Copy)]
 pub(super) struct DelayBound {
     pub(super) incarnation: Incarnation,
@@ -146,18 +146,18 @@
     }
 }
 
-/// Updates a delay bound with a digest that arrived after a transit delay of `took`.
+/// Updates a delay bound with a digest that arrived after a transit delay of `transit_delay`.
 pub(super) fn record_delay(
     delay_bounds: &mut BTreeMap<(usize, usize), DelayBound>,
     key: (usize, usize),
     incarnation: Incarnation,
     now: Duration,
-    took: Duration,
+    transit_delay: Duration,
 ) {
-    let took = took.as_secs_f64();
+    let transit_delay = transit_delay.as_secs_f64();
     let bound = delay_bounds.entry(key).or_insert(DelayBound {
         incarnation,
-        min_delay: took,
+        min_delay: transit_delay,
         updated_at: now,
         digest_count: 0,
         max_min_delay: 0.0,
@@ -166,11 +166,17 @@
         return;
     }
     if bound.incarnation != incarnation {
-        *bound =
-            DelayBound { incarnation, min_delay: took, updated_at: now, digest_count: 0, max_min_delay: 0.0 };
+        *bound = DelayBound {
+            incarnation,
+            min_delay: transit_delay,
+            updated_at: now,
+            digest_count: 0,
+            max_min_delay: 0.0,
+        };
     }
-    bound.min_delay =
-        (bound.min_delay + MAX_CLOCK_DRIFT * now.saturating_sub(bound.updated_at).as_secs_f64()).min(took);
+    bound.min_delay = (bound.min_delay
+        + MAX_CLOCK_DRIFT * now.saturating_sub(bound.updated_at).as_secs_f64())
+    .min(transit_delay);
     (bound.updated_at, bound.digest_count) = (now, bound.digest_count + 1);
     if bound.digest_count > 2 {
         bound.max_min_delay = bound.max_min_delay.max(bound.min_delay);
--- a/crates/observation-feed/tests/world/mod.rs
+++ b/crates/observation-feed/tests/world/mod.rs
@@ -47,7 +47,7 @@
 
 enum Scheduled {
     HealthCheck { database: usize, by: usize },
-    TimestampedObservation { to: usize, observation: TimestampedObservation },
+    Observation { to: usize, observation: TimestampedObservation },
     ToPublisher { index: usize, generation: u64, message_in_flight: InFlightMessage },
     ToRouter { index: usize, generation: u64, message_in_flight: InFlightMessage },
     PublisherTimer { index: usize, generation: u64 },
@@ -215,7 +215,7 @@
     fn step(&mut self, due: Scheduled) {
         match due {
             Scheduled::HealthCheck { database, by } => self.check_database(database, by),
-            Scheduled::TimestampedObservation { to, observation } => {
+            Scheduled::Observation { to, observation } => {
                 let now = self.now + self.publishers[to].clock_offset;
                 let at = observation.at + self.publishers[to].clock_offset;
                 if let Some(process) = &mut self.publishers[to].process {
@@ -311,12 +311,12 @@
         };
         for to in 0..self.params.publishers {
             if to == by {
-                self.step(Scheduled::TimestampedObservation { to, observation });
+                self.step(Scheduled::Observation { to, observation });
             } else if !self.rng.random_bool(self.params.missed_observations)
                 && !self.hidden_databases.contains(&(to, index))
             {
                 let after = self.params.observation_delay.mul_f64(self.rng.random_range(0.0..1.0));
-                self.schedule(now + after, Scheduled::TimestampedObservation { to, observation });
+                self.schedule(now + after, Scheduled::Observation { to, observation });
             }
         }
     }
--- a/crates/observation-feed/tests/world/params.rs
+++ b/crates/observation-feed/tests/world/params.rs
@@ -6,6 +6,7 @@
 use quillpoint_membership::PeerName;
 use quillpoint_observation_feed::ControlInstance;
 
+/// The world's time at the start, well above zero so that it can be reduced by ages and delays.
 pub const START: Duration = Duration::from_secs(1_000_000);
 
 pub fn ms(ms: u64) -> Duration {
