--- a/crates/observation-feed/tests/units/subscriber.rs
+++ b/crates/observation-feed/tests/units/subscriber.rs
@@ -84,7 +84,11 @@
         ..digest(11, 8400, 2)
     };
     let seen_at = receive(4400, 7, Message::Digest(extreme));
-    assert_eq!(seen_at, Some(ms(0)), "dated by the age in the digest, which is limited to zero");
+    assert_eq!(
+        seen_at,
+        Some(ms(0)),
+        "an age beyond the start of the clock must date the observation at zero"
+    );
     receive(4500, 7, Message::Chunk(chunk(u32::MAX, 0, 1, &[one])));
     let invalid = Change { revision: Revision(0), node: two, entry: None };
     receive(4600, 7, Message::Digest(Digest { changes: vec![invalid], ..digest(12, 8600, 2) }));
