--- a/crates/testbed/src/bin/duties.rs
+++ b/crates/testbed/src/bin/duties.rs
@@ -11,8 +11,8 @@
 
 use lexopt::prelude::{Long, ValueExt};
 use quillpoint_testbed::duties::ROUTERS;
-use quillpoint_testbed::duties::bench::{Bench, used};
-use quillpoint_testbed::duties::figures::{Figures, Found};
+use quillpoint_testbed::duties::bench::{Bench, cpu_used};
+use quillpoint_testbed::duties::figures::{Figures, Findings};
 use quillpoint_testbed::duties::gap_plot::plot;
 use quillpoint_testbed::duties::rpc_costs::{contrast, first_reads};
 use quillpoint_testbed::listing::{Entry, Listing, targets};
@@ -25,7 +25,7 @@
 use serde_json::Value as Json;
 
 /// A fleet has settled by then.
-const SETTLED: Duration = Duration::from_millis(1500);
+const SETTLE_TIME: Duration = Duration::from_millis(1500);
 
 const HELP: &str = "\
 Usage: measure/duties [--long] [--seed N] [--record FILE]
@@ -36,7 +36,7 @@
   --plot FILE     the longest gap of each second through the kills, as SVG
 ";
 
-struct Wanted {
+struct Options {
     long: bool,
     seed: u64,
     program: PathBuf,
@@ -45,8 +45,8 @@
     plot: Option<PathBuf>,
 }
 
-fn wanted() -> Result<Option<Wanted>, lexopt::Error> {
-    let mut wanted = Wanted {
+fn options() -> Result<Option<Options>, lexopt::Error> {
+    let mut options = Options {
         long: false,
         seed: 1,
         program: PathBuf::from("target/release/quillpoint"),
@@ -54,46 +54,46 @@
         record: None,
         plot: None,
     };
-    let mut words = lexopt::Parser::from_env();
-    while let Some(word) = words.next()? {
-        match word {
-            Long("long") => wanted.long = true,
-            Long("seed") => wanted.seed = words.value()?.parse()?,
-            Long("program") => wanted.program = words.value()?.into(),
-            Long("folder") => wanted.folder = words.value()?.into(),
-            Long("record") => wanted.record = Some(words.value()?.into()),
-            Long("plot") => wanted.plot = Some(words.value()?.into()),
+    let mut parser = lexopt::Parser::from_env();
+    while let Some(option) = parser.next()? {
+        match option {
+            Long("long") => options.long = true,
+            Long("seed") => options.seed = parser.value()?.parse()?,
+            Long("program") => options.program = parser.value()?.into(),
+            Long("folder") => options.folder = parser.value()?.into(),
+            Long("record") => options.record = Some(parser.value()?.into()),
+            Long("plot") => options.plot = Some(parser.value()?.into()),
             Long("help") => return Ok(None),
             other => return Err(other.unexpected()),
         }
     }
-    wanted.program = std::fs::canonicalize(&wanted.program).unwrap_or(wanted.program);
-    wanted.folder = std::path::absolute(&wanted.folder).unwrap_or(wanted.folder);
-    Ok(Some(wanted))
+    options.program = std::fs::canonicalize(&options.program).unwrap_or(options.program);
+    options.folder = std::path::absolute(&options.folder).unwrap_or(options.folder);
+    Ok(Some(options))
 }
 
 fn entries<'a>(busy: &'a Store, quiet: &'a Store, cold: Option<Duration>) -> Vec<Entry<'a>> {
-    let entry = |(group, place, node): (u64, usize, &'a Node)| Entry {
+    let entry = |(group, index, node): (u64, usize, &'a Node)| Entry {
         node,
         group,
-        started: cold.filter(|_| (group, place) == (0, 1)).unwrap_or_default(),
+        started: cold.filter(|_| (group, index) == (0, 1)).unwrap_or_default(),
     };
-    let busy = busy.nodes.iter().enumerate().map(|(place, node)| (0, place, node));
-    let quiet = quiet.nodes.iter().enumerate().map(|(place, node)| (1, place, node));
+    let busy = busy.nodes.iter().enumerate().map(|(index, node)| (0, index, node));
+    let quiet = quiet.nodes.iter().enumerate().map(|(index, node)| (1, index, node));
     busy.chain(quiet).map(entry).collect()
 }
 
 fn kill_and_restart(
     routers: &mut Routers,
     outages: &Outages,
-    place: usize,
+    index: usize,
     down: Duration,
 ) -> std::io::Result<()> {
-    outages.begin(place);
-    routers.kill(place);
+    outages.begin(index);
+    routers.kill(index);
     sleep(down);
-    routers.start(place)?;
-    outages.end(place);
+    routers.start(index)?;
+    outages.end(index);
     Ok(())
 }
 
@@ -103,12 +103,12 @@
 
 /// A run: its nodes, the list of them, and what was found so far.
 struct Trial<'a> {
-    wanted: &'a Wanted,
-    chance: ChaCha8Rng,
+    options: &'a Options,
+    rng: ChaCha8Rng,
     bench: Bench,
     listing: Listing,
     targets: Json,
-    found: Found,
+    findings: Findings,
 }
 
 /// Routers that share probing, under load.
@@ -120,25 +120,25 @@
 }
 
 impl<'a> Trial<'a> {
-    fn start(wanted: &'a Wanted) -> std::io::Result<Self> {
+    fn start(options: &'a Options) -> std::io::Result<Self> {
         let busy = Store::start(&[ms(20), ms(20), ms(5000)])?;
         let quiet = Store::start(&[ms(20), ms(20)])?;
         let targets = targets(&entries(&busy, &quiet, None));
         let listing = Listing::start(targets.clone())?;
-        let chance = ChaCha8Rng::seed_from_u64(wanted.seed);
+        let rng = ChaCha8Rng::seed_from_u64(options.seed);
         let bench = Bench { busy, quiet, phases: Vec::new() };
-        Ok(Self { wanted, chance, bench, listing, targets, found: Found::default() })
+        Ok(Self { options, rng, bench, listing, targets, findings: Findings::default() })
     }
 
     /// Starts routers and their load, and lets them settle.
     fn fleet(&self, bond: Bond) -> std::io::Result<Fleet> {
         let setting = Setting {
-            program: &self.wanted.program,
-            folder: &self.wanted.folder,
+            program: &self.options.program,
+            folder: &self.options.folder,
             listing: &self.listing,
             targets: &self.targets,
             bond,
-            seed: self.wanted.seed,
+            seed: self.options.seed,
             conf: "",
         };
         let mut routers = Routers::new(ROUTERS, &setting)?;
@@ -146,48 +146,48 @@
         let addresses: Vec<_> = routers.all.iter().map(|router| router.address).collect();
         let load = Load::start(&addresses, 8, ms(100));
         let outages = Arc::clone(&load.outages);
-        sleep(SETTLED);
+        sleep(SETTLE_TIME);
         Ok(Fleet { routers, addresses, load, outages })
     }
 
     /// How long a span lasts, in milliseconds: in a short run, and in a long one.
     fn span(&self, short: u64, long: u64) -> Duration {
-        ms(if self.wanted.long { long } else { short })
+        ms(if self.options.long { long } else { short })
     }
 
     fn calm(&mut self, name: &'static str, routers: &Routers) {
-        let (from, before) = (now(), used(routers));
+        let (from, before) = (now(), cpu_used(routers));
         sleep(self.span(3000, 30_000));
         self.bench.phase(name, from, routers, &before);
     }
 
     /// Routers die and return, one at a time.
     fn kills(&mut self, fleet: &mut Fleet) -> std::io::Result<()> {
-        self.found.kills = if self.wanted.long { 50 } else { 8 };
-        let (from, before) = (now(), used(&fleet.routers));
+        self.findings.kills = if self.options.long { 50 } else { 8 };
+        let (from, before) = (now(), cpu_used(&fleet.routers));
         let mut killed: Vec<Duration> = Vec::new();
-        for _ in 0..self.found.kills {
-            let (place, at) = (self.chance.random_range(0..ROUTERS), now());
+        for _ in 0..self.findings.kills {
+            let (index, at) = (self.rng.random_range(0..ROUTERS), now());
             killed.push(at);
-            let down = ms(self.chance.random_range(50..600));
-            kill_and_restart(&mut fleet.routers, &fleet.outages, place, down)?;
-            sleep(ms(self.chance.random_range(300..900)));
+            let down = ms(self.rng.random_range(50..600));
+            kill_and_restart(&mut fleet.routers, &fleet.outages, index, down)?;
+            sleep(ms(self.rng.random_range(300..900)));
             // What the killed one owned must have been probed again by others: no gap that begins around the kill.
             let gaps = self.bench.quiet.nodes.iter().map(|node| node.longest_gap(at, now()));
             let longest = gaps.max().unwrap_or_default().as_secs_f64();
-            self.found.take_over_max_s = self.found.take_over_max_s.max(longest);
+            self.findings.take_over_max_s = self.findings.take_over_max_s.max(longest);
         }
         self.bench.phase("kills", from, &fleet.routers, &before);
-        if let Some(path) = &self.wanted.plot {
+        if let Some(path) = &self.options.plot {
             plot(path, &self.bench, from, &killed).map_err(std::io::Error::other)?;
         }
-        sleep(SETTLED);
+        sleep(SETTLE_TIME);
         Ok(())
     }
 
     /// A router stands still for longer than its peers wait for it.
     fn stop_and_continue(&mut self, fleet: &Fleet) {
-        let (from, before) = (now(), used(&fleet.routers));
+        let (from, before) = (now(), cpu_used(&fleet.routers));
         fleet.outages.begin(1);
         fleet.routers.signal(1, "-STOP");
         sleep(ms(3000));
@@ -197,18 +197,18 @@
         sleep(ms(500));
         self.bench.phase("stop and continue", from, &fleet.routers, &before);
         let lines = fleet.routers.lines(1);
-        self.found.noticed_pause = lines.iter().any(|line| line.contains("\"fleet_process_paused\""));
-        sleep(SETTLED);
+        self.findings.logged_pause = lines.iter().any(|line| line.contains("\"fleet_process_paused\""));
+        sleep(SETTLE_TIME);
     }
 
     /// All datagrams from one router to another are lost.
     fn lose_one_way(&mut self, fleet: &Fleet) {
         let from = now();
-        let before = used(&fleet.routers);
+        let before = cpu_used(&fleet.routers);
         let dead = deaths(&fleet.routers);
         fleet.routers.lose(0, 2, 1.0);
         sleep(self.span(3000, 20_000));
-        self.found.false_deaths = deaths(&fleet.routers) - dead;
+        self.findings.false_deaths = deaths(&fleet.routers) - dead;
         self.bench.phase("one way lost", from, &fleet.routers, &before);
         fleet.routers.heal();
     }
@@ -219,15 +219,15 @@
         self.listing.change(targets(&entries(&self.bench.busy, &self.bench.quiet, Some(from))));
         sleep(ms(1500));
         let (cold, warm) = (&self.bench.busy.nodes[1], &self.bench.busy.nodes[2]);
-        self.found.cold_part = cold.rpcs(from, now()) as f64 / warm.rpcs(from, now()).max(1) as f64;
+        self.findings.cold_part = cold.rpcs(from, now()) as f64 / warm.rpcs(from, now()).max(1) as f64;
     }
 
     /// A router is told to stop, and started again.
     fn planned_leave(&mut self, fleet: &mut Fleet) -> std::io::Result<()> {
-        let (from, before) = (now(), used(&fleet.routers));
+        let (from, before) = (now(), cpu_used(&fleet.routers));
         fleet.outages.begin(0);
         fleet.routers.signal(0, "-TERM");
-        self.found.drained = fleet.routers.ended(0);
+        self.findings.drained = fleet.routers.ended(0);
         fleet.routers.start(0)?;
         fleet.outages.end(0);
         self.bench.phase("planned leave", from, &fleet.routers, &before);
@@ -235,12 +235,12 @@
     }
 
     fn restart_all(&mut self, fleet: &mut Fleet) -> std::io::Result<()> {
-        (0..ROUTERS).for_each(|place| fleet.outages.begin(place));
-        (0..ROUTERS).for_each(|place| fleet.routers.kill(place));
+        (0..ROUTERS).for_each(|index| fleet.outages.begin(index));
+        (0..ROUTERS).for_each(|index| fleet.routers.kill(index));
         let from = now();
         fleet.routers.start_all()?;
-        (0..ROUTERS).for_each(|place| fleet.outages.end(place));
-        sleep(SETTLED);
+        (0..ROUTERS).for_each(|index| fleet.outages.end(index));
+        sleep(SETTLE_TIME);
         self.bench.phase("all restarted", from, &fleet.routers, &[Duration::ZERO; ROUTERS]);
         Ok(())
     }
@@ -252,8 +252,8 @@
         routers: &mut Routers,
         addresses: &[SocketAddr],
     ) -> std::io::Result<()> {
-        self.found.contrasts.push(contrast(name, &self.bench.busy, addresses, 40));
-        self.found.firsts.push(first_reads(name, &self.bench.busy, routers, 20)?);
+        self.findings.contrasts.push(contrast(name, &self.bench.busy, addresses, 40));
+        self.findings.first_reads.push(first_reads(name, &self.bench.busy, routers, 20)?);
         Ok(())
     }
 
@@ -267,10 +267,10 @@
         self.lose_one_way(&fleet);
         self.cold_node();
         self.planned_leave(&mut fleet)?;
-        self.found.gap_max_s = self.bench.gap(begun, now());
+        self.findings.gap_max_s = self.bench.gap(begun, now());
         self.restart_all(&mut fleet)?;
         let tally = fleet.load.end();
-        if self.wanted.long {
+        if self.options.long {
             self.rpc_costs("shared", &mut fleet.routers, &fleet.addresses)?;
         }
         Ok(tally)
@@ -281,7 +281,7 @@
         let mut fleet = self.fleet(bond)?;
         self.calm(name, &fleet.routers);
         fleet.load.end();
-        if self.wanted.long && bond == Bond::Off {
+        if self.options.long && bond == Bond::Off {
             self.rpc_costs(name, &mut fleet.routers, &fleet.addresses)?;
         }
         Ok(())
@@ -291,10 +291,10 @@
         for phase in &self.bench.phases {
             writeln!(file, "{}", serde_json::to_string(phase)?)?;
         }
-        for first in &self.found.firsts {
+        for first in &self.findings.first_reads {
             writeln!(file, "{}", serde_json::to_string(first)?)?;
         }
-        for contrast in &self.found.contrasts {
+        for contrast in &self.findings.contrasts {
             writeln!(file, "{}", serde_json::to_string(contrast)?)?;
         }
         writeln!(file, "{}", serde_json::to_string(figures)?)
@@ -303,31 +303,31 @@
 
 fn deaths(routers: &Routers) -> usize {
     let dead = |line: &&String| line.contains("\"fleet_peer\"") && line.contains("\"state\":\"Dead\"");
-    (0..ROUTERS).map(|place| routers.lines(place).iter().filter(dead).count()).sum::<usize>()
+    (0..ROUTERS).map(|index| routers.lines(index).iter().filter(dead).count()).sum::<usize>()
 }
 
-fn measure(wanted: &Wanted) -> std::io::Result<Figures> {
-    let mut trial = Trial::start(wanted)?;
+fn measure(options: &Options) -> std::io::Result<Figures> {
+    let mut trial = Trial::start(options)?;
     let tally = trial.shared()?;
     trial.unshared(Bond::Alone, "alone")?;
     trial.unshared(Bond::Off, "off")?;
-    let mut figures = Figures::new(&trial.bench, &trial.found, &tally, wanted.seed);
-    for first in &trial.found.firsts {
+    let mut figures = Figures::new(&trial.bench, &trial.findings, &tally, options.seed);
+    for first in &trial.findings.first_reads {
         println!("{}", serde_json::to_string(first)?);
     }
-    for contrast in &trial.found.contrasts {
+    for contrast in &trial.findings.contrasts {
         println!("{}", serde_json::to_string(contrast)?);
     }
-    figures.broken = figures.broken(&trial.bench, &trial.found);
-    if let Some(path) = &wanted.record {
+    figures.broken = figures.broken(&trial.bench, &trial.findings);
+    if let Some(path) = &options.record {
         trial.write(std::fs::File::create(path)?, &figures)?;
     }
     Ok(figures)
 }
 
 fn main() -> ExitCode {
-    let wanted = match wanted() {
-        Ok(Some(wanted)) => wanted,
+    let options = match options() {
+        Ok(Some(options)) => options,
         Ok(None) => {
             print!("{HELP}");
             return ExitCode::SUCCESS;
@@ -337,7 +337,7 @@
             return ExitCode::from(2);
         }
     };
-    match measure(&wanted) {
+    match measure(&options) {
         Ok(figures) => {
             figures.broken.iter().for_each(|bound| eprintln!("broken: {bound}"));
             println!("{}", serde_json::to_string(&figures).expect("plain figures"));
--- a/crates/testbed/src/duties.rs
+++ b/crates/testbed/src/duties.rs
@@ -8,4 +8,4 @@
 /// Router processes of a run.
 pub const ROUTERS: usize = 3;
 /// The longest time in which nothing may tell any router of a node, in seconds.
-pub const LONGEST_GAP: f64 = 2.0;
+pub const MAX_GAP_S: f64 = 2.0;
--- a/crates/testbed/src/duties/bench.rs
+++ b/crates/testbed/src/duties/bench.rs
@@ -46,18 +46,18 @@
     }
 
     /// Enters what has been seen since then.
-    pub fn phase(&mut self, name: &'static str, from: Duration, routers: &Routers, used: &[Duration]) {
+    pub fn phase(&mut self, name: &'static str, from: Duration, routers: &Routers, cpu_used: &[Duration]) {
         let (to, seconds) = (now(), (now() - from).as_secs_f64());
         let mut times = Histogram::<u64>::new(3).expect("three digits");
         for gap in self.nodes().flat_map(|node| node.gaps(from, to)) {
-            note(&mut times, gap.as_micros() as u64);
+            record_micros(&mut times, gap.as_micros() as u64);
         }
         let rate = |node: &Node| node.probes(from) as f64 / seconds;
         let quiet = self.quiet.nodes.iter().map(rate).sum::<f64>() / self.quiet.nodes.len() as f64;
         let usage: Vec<_> =
-            (0..ROUTERS).filter_map(|place| routers.usage(place).map(|usage| (place, usage))).collect();
+            (0..ROUTERS).filter_map(|index| routers.usage(index).map(|usage| (index, usage))).collect();
         let cpu: f64 =
-            usage.iter().map(|(place, (_, time))| time.saturating_sub(used[*place]).as_secs_f64()).sum();
+            usage.iter().map(|(index, (_, time))| time.saturating_sub(cpu_used[*index]).as_secs_f64()).sum();
         let resident: f64 = usage.iter().map(|(_, (bytes, _))| *bytes as f64).sum();
         let count = usage.len().max(1) as f64;
         let phase = Phase {
@@ -91,11 +91,11 @@
 }
 
 /// The processor time of each router so far.
-pub fn used(routers: &Routers) -> Vec<Duration> {
-    (0..ROUTERS).map(|place| routers.usage(place).map_or(Duration::ZERO, |(_, time)| time)).collect()
+pub fn cpu_used(routers: &Routers) -> Vec<Duration> {
+    (0..ROUTERS).map(|index| routers.usage(index).map_or(Duration::ZERO, |(_, time)| time)).collect()
 }
 
 /// Records a time in a histogram that grows as it must, so that no value is cut.
-pub fn note(times: &mut Histogram<u64>, micros: u64) {
+pub fn record_micros(times: &mut Histogram<u64>, micros: u64) {
     times.record(micros).expect("a histogram that grows takes all");
 }
--- a/crates/testbed/src/duties/gap_plot.rs
+++ b/crates/testbed/src/duties/gap_plot.rs
@@ -6,7 +6,7 @@
 use plotters::drawing::DrawingAreaErrorKind;
 use plotters::prelude::*;
 
-use super::LONGEST_GAP;
+use super::MAX_GAP_S;
 use super::bench::Bench;
 use crate::now;
 
@@ -50,7 +50,7 @@
         .margin(12)
         .x_label_area_size(36)
         .y_label_area_size(56)
-        .build_cartesian_2d(0.0..seconds as f64 + 1.0, 0.0..LONGEST_GAP * 1.1)?;
+        .build_cartesian_2d(0.0..seconds as f64 + 1.0, 0.0..MAX_GAP_S * 1.1)?;
     chart
         .configure_mesh()
         .x_desc("seconds")
@@ -64,7 +64,7 @@
         .legend(|(x, y)| PathElement::new(vec![(x, y), (x + 20, y)], BLACK.stroke_width(2)));
     let marks = kills.iter().map(|at| Cross::new(((*at - from).as_secs_f64(), 0.02), 4, BLACK.mix(0.6)));
     chart.draw_series(marks)?.label("a kill").legend(|(x, y)| Cross::new((x + 10, y), 4, BLACK.mix(0.6)));
-    let bound = [(0.0, LONGEST_GAP), (seconds as f64 + 1.0, LONGEST_GAP)];
+    let bound = [(0.0, MAX_GAP_S), (seconds as f64 + 1.0, MAX_GAP_S)];
     chart
         .draw_series(DashedLineSeries::new(bound, 6, 4, BLACK.stroke_width(1)))?
         .label("the bound")
--- a/crates/testbed/src/duties/rpc_costs.rs
+++ b/crates/testbed/src/duties/rpc_costs.rs
@@ -6,14 +6,14 @@
 use hdrhistogram::Histogram;
 use serde::Serialize;
 
-use super::bench::note;
+use super::bench::record_micros;
 use crate::load::Load;
 use crate::now;
 use crate::routers::Routers;
 use crate::store::Store;
 
 /// A fleet has settled by then.
-const SETTLED: Duration = Duration::from_millis(1500);
+const SETTLE_TIME: Duration = Duration::from_millis(1500);
 
 /// What sharing changes for RPCs: routers that are hardly asked anything, and a primary that goes.
 #[derive(Serialize)]
@@ -43,9 +43,13 @@
     let tally = load.end();
     let probes: usize = busy.nodes.iter().map(|node| node.probes(from)).sum();
     let mut times = Histogram::<u64>::new(3).expect("three digits");
-    tally.times.lock().map(|all| all.iter().for_each(|time| note(&mut times, *time))).unwrap_or_default();
+    tally
+        .times
+        .lock()
+        .map(|all| all.iter().for_each(|time| record_micros(&mut times, *time)))
+        .unwrap_or_default();
     let load = Load::start(addresses, 8, Duration::from_millis(100));
-    sleep(SETTLED);
+    sleep(SETTLE_TIME);
     let (primary, from) = (&busy.nodes[0], now());
     primary.set_up(false);
     sleep(Duration::from_secs(1));
