--- a/crates/testbed/src/bin/databases.rs
+++ b/crates/testbed/src/bin/databases.rs
@@ -1,5 +1,5 @@
-//! A process of stand-in databases: the plan as the first line of the standard input, then orders; reports on the
-//! output.
+//! `scale-databases`: a process of stand-in databases. Reads its plan as the first line of standard input and
+//! commands from the following lines; writes reports to standard output.
 
 use std::process::ExitCode;
 use std::rc::Rc;
--- a/crates/testbed/src/bin/duties.rs
+++ b/crates/testbed/src/bin/duties.rs
@@ -1,5 +1,6 @@
-//! `measure/duties`: three router processes share probing among stand-ins while they are killed, stopped, cut off one
-//! way, restarted all at once and told to stop. Prints one JSON line last, and fails where a bound is broken.
+//! `measure/duties`: three router processes share health checks among stand-ins while they are killed,
+//! paused, cut off in one direction, all restarted at once, and terminated. Prints one JSON line at the end,
+//! and fails if a bound is broken.
 
 use std::io::Write;
 use std::net::SocketAddr;
@@ -24,16 +25,16 @@
 use rand_chacha::ChaCha8Rng;
 use serde_json::Value as Json;
 
-/// A fleet has settled by then.
+/// How long a fleet takes to settle.
 const SETTLE_TIME: Duration = Duration::from_millis(1500);
 
 const HELP: &str = "\
 Usage: measure/duties [--long] [--seed N] [--record FILE]
 
-  --long          fifty kills, and longer spans between faults
-  --seed N        what is drawn by chance: whom to kill, and when (1)
-  --record FILE   one JSON line for each phase
-  --plot FILE     the longest gap of each second through the kills, as SVG
+  --long          fifty kills and longer phases
+  --seed N        seed of random choices: which router to kill, and when (1)
+  --record FILE   write one JSON line per phase to this file
+  --plot FILE     plot the longest gap of each second during the kills, as SVG
 ";
 
 struct Options {
@@ -101,7 +102,7 @@
     Duration::from_millis(count)
 }
 
-/// A run: its nodes, the list of them, and what was found so far.
+/// A run: its nodes, its endpoint list, and its results so far.
 struct Trial<'a> {
     options: &'a Options,
     rng: ChaCha8Rng,
@@ -111,7 +112,7 @@
     findings: Findings,
 }
 
-/// Routers that share probing, under load.
+/// Running routers, under load.
 struct Fleet {
     routers: Routers,
     addresses: Vec<SocketAddr>,
@@ -130,7 +131,7 @@
         Ok(Self { options, rng, bench, listing, targets, findings: Findings::default() })
     }
 
-    /// Starts routers and their load, and lets them settle.
+    /// Starts routers and their load, and waits until they have settled.
     fn fleet(&self, bond: Bond) -> std::io::Result<Fleet> {
         let setting = Setting {
             program: &self.options.program,
@@ -150,7 +151,7 @@
         Ok(Fleet { routers, addresses, load, outages })
     }
 
-    /// How long a span lasts, in milliseconds: in a short run, and in a long one.
+    /// The duration of a phase, from milliseconds in a short and in a long run.
     fn span(&self, short: u64, long: u64) -> Duration {
         ms(if self.options.long { long } else { short })
     }
@@ -161,7 +162,7 @@
         self.bench.phase(name, from, routers, &before);
     }
 
-    /// Routers die and return, one at a time.
+    /// Kills and restarts routers, one at a time.
     fn kills(&mut self, fleet: &mut Fleet) -> std::io::Result<()> {
         self.findings.kills = if self.options.long { 50 } else { 8 };
         let (from, before) = (now(), cpu_used(&fleet.routers));
@@ -172,7 +173,8 @@
             let down = ms(self.rng.random_range(50..600));
             kill_and_restart(&mut fleet.routers, &fleet.outages, index, down)?;
             sleep(ms(self.rng.random_range(300..900)));
-            // What the killed one owned must have been probed again by others: no gap that begins around the kill.
+            // Other routers must have taken over the health checks of the killed one: no long gap around the
+            // kill.
             let gaps = self.bench.quiet.nodes.iter().map(|node| node.longest_gap(at, now()));
             let longest = gaps.max().unwrap_or_default().as_secs_f64();
             self.findings.take_over_max_s = self.findings.take_over_max_s.max(longest);
@@ -185,7 +187,7 @@
         Ok(())
     }
 
-    /// A router stands still for longer than its peers wait for it.
+    /// Pauses a router for longer than its peers wait for its heartbeats.
     fn stop_and_continue(&mut self, fleet: &Fleet) {
         let (from, before) = (now(), cpu_used(&fleet.routers));
         fleet.outages.begin(1);
@@ -201,7 +203,7 @@
         sleep(SETTLE_TIME);
     }
 
-    /// All datagrams from one router to another are lost.
+    /// Loses all datagrams from one router to another, in one direction only.
     fn lose_one_way(&mut self, fleet: &Fleet) {
         let from = now();
         let before = cpu_used(&fleet.routers);
@@ -213,7 +215,8 @@
         fleet.routers.heal();
     }
 
-    /// A node is listed as just started: what reaches it in its first second or so, against its warm sister.
+    /// Lists a node as just started, and compares the RPCs that reach it in its first second or so with those
+    /// of a warm node of its group.
     fn cold_node(&mut self) {
         let from = now();
         self.listing.change(targets(&entries(&self.bench.busy, &self.bench.quiet, Some(from))));
@@ -222,7 +225,7 @@
         self.findings.cold_part = cold.rpcs(from, now()) as f64 / warm.rpcs(from, now()).max(1) as f64;
     }
 
-    /// A router is told to stop, and started again.
+    /// Terminates a router by SIGTERM and restarts it.
     fn planned_leave(&mut self, fleet: &mut Fleet) -> std::io::Result<()> {
         let (from, before) = (now(), cpu_used(&fleet.routers));
         fleet.outages.begin(0);
@@ -245,7 +248,7 @@
         Ok(())
     }
 
-    /// What sharing changes for RPCs, which takes long.
+    /// Measures what sharing health checks changes for RPCs, which takes long.
     fn rpc_costs(
         &mut self,
         name: &'static str,
@@ -257,7 +260,7 @@
         Ok(())
     }
 
-    /// All phases of routers that share probing. Returns what became of the RPCs.
+    /// Runs all phases with routers that share health checks. Returns the results of the RPCs.
     fn shared(&mut self) -> std::io::Result<Arc<Tally>> {
         let mut fleet = self.fleet(Bond::Fleet)?;
         let begun = now();
@@ -276,7 +279,7 @@
         Ok(tally)
     }
 
-    /// Routers that each probe for themselves, or not at all but for their RPCs.
+    /// Runs a phase with routers that make health checks each by itself, or none but for their RPCs.
     fn unshared(&mut self, bond: Bond, name: &'static str) -> std::io::Result<()> {
         let mut fleet = self.fleet(bond)?;
         self.calm(name, &fleet.routers);
@@ -340,7 +343,10 @@
     match measure(&options) {
         Ok(figures) => {
             figures.broken.iter().for_each(|bound| eprintln!("broken: {bound}"));
-            println!("{}", serde_json::to_string(&figures).expect("plain figures"));
+            println!(
+                "{}",
+                serde_json::to_string(&figures).expect("figures without maps or errors serialize")
+            );
             if figures.broken.is_empty() { ExitCode::SUCCESS } else { ExitCode::FAILURE }
         }
         Err(error) => {
--- a/crates/testbed/src/bin/hollow.rs
+++ b/crates/testbed/src/bin/hollow.rs
@@ -1,4 +1,5 @@
-//! A process of hollow routers: the plan as the first line of the standard input, then orders; reports on the output.
+//! `scale-hollow`: a process of hollow routers. Reads its plan as the first line of standard input and
+//! commands from the following lines; writes reports to standard output.
 
 use std::process::ExitCode;
 use std::rc::Rc;
--- a/crates/testbed/src/bin/scale.rs
+++ b/crates/testbed/src/bin/scale.rs
@@ -1,5 +1,6 @@
-//! `measure/scale`: fleets of many routers on one machine. Without options a short form of a few sizes; one size with
-//! its options; all axes with `--long`. Prints one JSON object last, and fails where a bound does not hold.
+//! `measure/scale`: measures fleets of many routers on one machine. Runs a short suite without options, one
+//! size with the options of a size, and all axes with `--long`. Prints one JSON object at the end, and fails
+//! if a bound does not hold.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -12,32 +13,32 @@
 const HELP: &str = "\
 Usage: measure/scale [options]
 
-Without options: a short form of a few small sizes, in under three minutes.
+Without options, runs a short suite of a few small sizes in under three minutes.
 
-One size, as soon as any of these is given:
+Any of these options selects a single run of one size:
   --routers N            all routers, hollow and real (200)
   --databases N          (or --nodes N) databases (250)
   --real N               real router processes among the routers (16, or all if fewer)
   --control N            control instances, in mode feed (4)
   --mode MODE            off, shared or feed (shared)
-  --seconds S            how long is counted (8)
-  --period S             how often each database is probed by all together (0.15; longer ones take fewer of the cores)
+  --seconds S            measured time in seconds (8)
+  --period S             seconds between two probes of a database by the fleet (0.15; longer ones use less of the cores)
   --connections N        client connections at each real router (0)
-  --statements R         statements a second at each real router (0)
-  --changes R            changes of primary a second, over all (0)
-  --hollow-processes N   processes into which the hollow routers go
-  --fault NAME           restart, stop, cut, control or primary, after the calm seconds
-  --without-cpu          processor time is not held between hollow and real routers (on a busy machine)
+  --statements R         statements per second at each real router (0)
+  --changes R            promotions per second in the whole fleet (0)
+  --hollow-processes N   processes that run the hollow routers
+  --fault NAME           restart, stop, cut, control or primary, injected after the measured time
+  --without-cpu          do not compare the processor time of hollow and real routers (for a busy machine)
 
-  --seed N               what is drawn by chance (1)
-  --long                 all axes, at least four sizes each, and the faults at the largest size
-  --bound FIGURE=VALUE   another bound on a figure, which must not be above it; may be given often
-  --record FILE          appends one JSON line for each size
-  --json                 prints the last line alone
+  --seed N               seed of random choices (1)
+  --long                 long suite: all axes with at least four sizes each, and every fault
+  --bound FIGURE=VALUE   upper bound on a figure; may be repeated
+  --record FILE          append one JSON line per run to this file
+  --json                 print only the JSON object at the end
 ";
 
 struct Options {
-    /// One size, if one is wanted.
+    /// The run of one size, if an option asks for one.
     single: Option<RunSpec>,
     long: bool,
     seed: u64,
@@ -47,7 +48,7 @@
     programs: Programs,
 }
 
-/// What is wrong with the command line.
+/// An invalid command line.
 #[derive(Debug, thiserror::Error)]
 enum UsageError {
     #[error(transparent)]
@@ -77,7 +78,7 @@
     let mut programs = Programs::in_folder(&folder);
     let mut parser = lexopt::Parser::from_env();
     while let Some(option) = parser.next()? {
-        // Whatever shapes a size asks for one.
+        // All other options describe a size, and so ask for a single run.
         single |= !matches!(
             option,
             Long("seed" | "long" | "bound" | "record" | "json" | "program" | "folder" | "help")
--- a/crates/testbed/src/duties.rs
+++ b/crates/testbed/src/duties.rs
@@ -1,4 +1,4 @@
-//! What `measure/duties` measures of routers that share probing, and how it is drawn.
+//! What `measure/duties` measures of routers that share health checks, and the plot it draws.
 
 pub mod bench;
 pub mod figures;
@@ -7,5 +7,5 @@
 
 /// Router processes of a run.
 pub const ROUTERS: usize = 3;
-/// The longest time in which nothing may tell any router of a node, in seconds.
+/// The longest accepted gap: a time, in seconds, in which no router receives any news of some node.
 pub const MAX_GAP_S: f64 = 2.0;
--- a/crates/testbed/src/duties/bench.rs
+++ b/crates/testbed/src/duties/bench.rs
@@ -1,4 +1,4 @@
-//! Nodes under health checks, and what each phase of a run has shown of them.
+//! The stand-in nodes of a run, and what each phase of it has shown.
 
 use std::time::Duration;
 
@@ -10,27 +10,36 @@
 use crate::routers::Routers;
 use crate::store::{Node, Store};
 
-/// What a phase has shown.
+/// The figures of a phase.
 #[derive(Default, Serialize)]
 pub struct Phase {
+    /// The name of the phase.
     pub phase: &'static str,
+    /// How long it lasted.
     pub seconds: f64,
-    /// The longest time in which nothing told any router of a node, over all nodes, and quantiles of such times.
+    /// The longest gap over all nodes: the longest time in which no router received any news of a node.
     pub gap_max_s: f64,
+    /// The 99th percentile of the gaps of all nodes.
     pub gap_p99_s: f64,
+    /// The median of the gaps of all nodes.
     pub gap_p50_s: f64,
-    /// Probes a second of a node that gets no RPCs, in the mean and at the most.
+    /// Health checks per second of a node without RPCs, the mean over such nodes.
     pub probes_per_quiet_node_s: f64,
+    /// The most health checks per second of any node.
     pub probes_per_node_s_max: f64,
-    /// Processor time a second, and resident memory, of the mean router.
+    /// Processor time as a part of a core, the mean over the routers.
     pub cpu_part: f64,
+    /// Resident memory in MB, the mean over the routers.
     pub resident_mb: f64,
 }
 
-/// The stand-in nodes of a run, those with load and those without, and the phases so far.
+/// The stand-in nodes of a run and its phases so far.
 pub struct Bench {
+    /// Nodes with load.
     pub busy: Store,
+    /// Nodes without load.
     pub quiet: Store,
+    /// The phases so far.
     pub phases: Vec<Phase>,
 }
 
@@ -40,15 +49,16 @@
         self.busy.nodes.iter().chain(&self.quiet.nodes)
     }
 
-    /// The longest time between these in which nothing told any router of some node, in seconds.
+    /// The longest gap of any node between these two times, in seconds.
     pub fn gap(&self, from: Duration, to: Duration) -> f64 {
         self.nodes().map(|node| node.longest_gap(from, to)).max().unwrap_or_default().as_secs_f64()
     }
 
-    /// Enters what has been seen since then.
+    /// Adds a phase that lasted from `from` until now. `cpu_used` is the processor time of each router at its
+    /// beginning.
     pub fn phase(&mut self, name: &'static str, from: Duration, routers: &Routers, cpu_used: &[Duration]) {
         let (to, seconds) = (now(), (now() - from).as_secs_f64());
-        let mut times = Histogram::<u64>::new(3).expect("three digits");
+        let mut times = Histogram::<u64>::new(3).expect("3 significant digits are a valid precision");
         for gap in self.nodes().flat_map(|node| node.gaps(from, to)) {
             record_micros(&mut times, gap.as_micros() as u64);
         }
@@ -72,7 +82,7 @@
             resident_mb: resident / count / 1e6,
         };
         println!(
-            "{name:>20}: {seconds:5.1} s, longest gap {:.3} s, {:.2} probes a second of a quiet node, {:.1}% of a core, {:.1} MB",
+            "{name:>20}: {seconds:5.1} s, longest gap {:.3} s, {:.2} probes per second of a quiet node, {:.1}% of a core, {:.1} MB",
             phase.gap_max_s,
             phase.probes_per_quiet_node_s,
             phase.cpu_part * 100.0,
@@ -84,9 +94,9 @@
     /// The last phase of that name.
     ///
     /// # Panics
-    /// None was played.
+    /// There is no phase of that name.
     pub fn last(&self, name: &str) -> &Phase {
-        self.phases.iter().rfind(|phase| phase.phase == name).expect("each phase is played")
+        self.phases.iter().rfind(|phase| phase.phase == name).expect("a phase of this name has been run")
     }
 }
 
@@ -95,7 +105,7 @@
     (0..ROUTERS).map(|index| routers.usage(index).map_or(Duration::ZERO, |(_, time)| time)).collect()
 }
 
-/// Records a time in a histogram that grows as it must, so that no value is cut.
+/// Records a time in a histogram that resizes itself, so that no value is clipped.
 pub fn record_micros(times: &mut Histogram<u64>, micros: u64) {
-    times.record(micros).expect("a histogram that grows takes all");
+    times.record(micros).expect("an auto-resizing histogram accepts every value");
 }
--- a/crates/testbed/src/duties/figures.rs
+++ b/crates/testbed/src/duties/figures.rs
@@ -1,4 +1,4 @@
-//! The figures of a whole run, and the bounds that they are held against.
+//! The figures of a whole run, and the bounds they must meet.
 
 use hdrhistogram::Histogram;
 use serde::Serialize;
@@ -9,59 +9,88 @@
 use crate::load::Tally;
 use crate::store::Node;
 
-/// Shared probing costs at most this part of what three routers alone cost together.
+/// Shared health checks may be at most this part of those that three routers make when each checks all nodes
+/// alone.
 const MAX_SHARED_PROBES_PART: f64 = 0.5;
 
-/// What a run has shown beside its phases.
+/// Results of a run besides its phases.
 #[derive(Default)]
 pub struct Findings {
+    /// The longest gap of any node through all phases before the restart of all routers, in seconds.
     pub gap_max_s: f64,
+    /// Routers killed.
     pub kills: usize,
+    /// The longest gap after a kill, until others check the nodes of the killed router, in seconds.
     pub take_over_max_s: f64,
-    /// Whether the router that stood still said so.
+    /// Whether the paused router logged the pause.
     pub logged_pause: bool,
+    /// Peers declared dead while one direction between two routers lost all datagrams.
     pub false_deaths: usize,
-    /// RPCs at a node that warms up, as a part of those at a warm one.
+    /// RPCs at a node that is warming up, as a part of those at a warm one.
     pub cold_part: f64,
-    /// Whether the router that was told to stop ended well.
+    /// Whether the router that received SIGTERM exited successfully.
     pub drained: bool,
+    /// What sharing health checks changes for RPCs; long runs only.
     pub contrasts: Vec<Contrast>,
+    /// First reads of routers that have just started; long runs only.
     pub first_reads: Vec<FirstReads>,
 }
 
-/// The last line.
+/// The last line of the output. The counts of RPCs are those of the load in the shared phases; see [`Tally`].
 #[derive(Serialize)]
 pub struct Figures {
+    /// See [`Findings::gap_max_s`].
     pub probe_gap_max_s: f64,
+    /// Health checks per second of a quiet node while routers share them.
     pub probes_per_node_s_shared: f64,
+    /// The same while each router checks all nodes by itself.
     pub probes_per_node_s_alone: f64,
+    /// The most of any node while routers make none but for their RPCs.
     pub probes_per_node_s_off: f64,
+    /// See [`Findings::take_over_max_s`].
     pub take_over_max_s: f64,
+    /// Routers killed.
     pub kills: usize,
+    /// RPCs sent.
     pub rpcs: u64,
+    /// RPCs that succeeded.
     pub ok: u64,
+    /// RPCs that were rejected with nothing run.
     pub pushed_back: u64,
+    /// RPCs that ended without a known outcome.
     pub aborted: u64,
+    /// RPCs whose connection broke while their router was down.
     pub cut: u64,
+    /// RPCs without an answer in time, or whose connection broke while their router was up.
     pub lost: u64,
+    /// Writes that ran twice.
     pub doubled: u64,
+    /// Reads of values older than allowed.
     pub stale: u64,
+    /// Writes that were answered ok but did not run.
     pub entered_missing: usize,
+    /// Writes that were rejected but ran.
     pub refused_but_ran: usize,
+    /// See [`Findings::cold_part`].
     pub cold_part: f64,
+    /// See [`Findings::false_deaths`].
     pub false_deaths: usize,
+    /// Median time of successful RPCs.
     pub p50_ms: f64,
+    /// The 99th percentile of these times.
     pub p99_ms: f64,
+    /// Seed of the run.
     pub seed: u64,
+    /// The bounds that do not hold.
     pub broken: Vec<String>,
 }
 
 impl Figures {
-    /// The figures of a run, without the bounds that it broke.
+    /// Computes the figures of a run; `broken` stays empty.
     pub fn new(bench: &Bench, findings: &Findings, tally: &Tally, seed: u64) -> Self {
         let count = |count: &std::sync::atomic::AtomicU64| count.load(std::sync::atomic::Ordering::SeqCst);
         let ids = |ids: &std::sync::Mutex<Vec<String>>| ids.lock().map(|ids| ids.clone()).unwrap_or_default();
-        let mut times = Histogram::<u64>::new(3).expect("three digits");
+        let mut times = Histogram::<u64>::new(3).expect("3 significant digits are a valid precision");
         tally
             .times
             .lock()
@@ -94,10 +123,10 @@
         }
     }
 
-    /// The bounds that do not hold, in words.
+    /// The bounds that do not hold.
     pub fn broken(&self, bench: &Bench, findings: &Findings) -> Vec<String> {
         let alone = self.probes_per_node_s_alone;
-        // What one router alone may do, from its floor, for each of them.
+        // Each router alone may check a node once in 150 ms, plus 5% tolerance.
         let ceiling = ROUTERS as f64 / 0.150 * 1.05;
         let highest = bench.phases.iter().map(|phase| phase.probes_per_node_s_max).fold(0.0, f64::max);
         let bounds = [
--- a/crates/testbed/src/duties/gap_plot.rs
+++ b/crates/testbed/src/duties/gap_plot.rs
@@ -1,4 +1,4 @@
-//! The drawing of `measure/duties --plot`.
+//! The plot of `measure/duties --plot`.
 
 use std::path::{Path, PathBuf};
 use std::time::Duration;
@@ -10,7 +10,7 @@
 use super::bench::Bench;
 use crate::now;
 
-/// A plot that cannot be drawn.
+/// A plot that could not be written.
 #[derive(Debug, thiserror::Error)]
 #[error("{}: expected to write a plot, {error}", path.display())]
 pub struct PlotError {
@@ -18,10 +18,10 @@
     error: DrawingAreaErrorKind<std::io::Error>,
 }
 
-/// The longest time that ended in each second in which nothing told any router of some node, and when kills were.
+/// Plots, for each second, the longest gap of any node that ended in it, and marks the kills.
 ///
 /// # Errors
-/// The file cannot be drawn.
+/// The file cannot be written.
 pub fn plot(path: &Path, bench: &Bench, from: Duration, kills: &[Duration]) -> Result<(), PlotError> {
     draw(path, bench, from, kills).map_err(|error| PlotError { path: path.to_path_buf(), error })
 }
--- a/crates/testbed/src/duties/rpc_costs.rs
+++ b/crates/testbed/src/duties/rpc_costs.rs
@@ -1,4 +1,4 @@
-//! What sharing changes for RPCs.
+//! Measures what sharing health checks changes for RPCs.
 
 use std::thread::sleep;
 use std::time::Duration;
@@ -12,25 +12,31 @@
 use crate::routers::Routers;
 use crate::store::Store;
 
-/// A fleet has settled by then.
+/// How long a fleet takes to settle.
 const SETTLE_TIME: Duration = Duration::from_millis(1500);
 
-/// What sharing changes for RPCs: routers that are hardly asked anything, and a primary that goes.
+/// What sharing health checks changes for RPCs: at routers with few requests, and when a primary fails.
 #[derive(Serialize)]
 pub struct Contrast {
+    /// Whether and how the routers share health checks.
     pub contrast: &'static str,
-    /// Bounded reads, one in 0.7 s at each router: their times, and the probes they cause.
+    /// Median time of sparse bounded reads, one in 0.7 s at each router.
     pub sparse_p50_ms: f64,
+    /// The 99th percentile of these times.
     pub sparse_p99_ms: f64,
+    /// The longest of these times.
     pub sparse_max_ms: f64,
+    /// Sparse reads that succeeded.
     pub sparse_ok: u64,
+    /// Sparse reads that were rejected with nothing run.
     pub sparse_pushed_back: u64,
+    /// Health checks made per sparse read.
     pub sparse_probes_per_rpc: f64,
-    /// Probes of its group in the second after the primary broke, under the usual load.
+    /// Health checks of the group in the second after its primary failed, under the usual load.
     pub failover_probes: usize,
 }
 
-/// Measures sparse reads at each router for so many seconds, and then a primary that goes.
+/// Measures sparse reads at each router for this many seconds, then a failing primary.
 pub fn contrast(
     name: &'static str,
     busy: &Store,
@@ -42,7 +48,7 @@
     sleep(Duration::from_secs(seconds));
     let tally = load.end();
     let probes: usize = busy.nodes.iter().map(|node| node.probes(from)).sum();
-    let mut times = Histogram::<u64>::new(3).expect("three digits");
+    let mut times = Histogram::<u64>::new(3).expect("3 significant digits are a valid precision");
     tally
         .times
         .lock()
@@ -69,19 +75,25 @@
     }
 }
 
-/// The first bounded read of a router that has just started, where a probe takes 30 ms: its times over many starts.
+/// The first bounded read of a router that has just started, where a health check takes 30 ms.
 #[derive(Serialize)]
 pub struct FirstReads {
+    /// Whether and how the routers share health checks.
     pub first_reads: &'static str,
+    /// Starts that were measured.
     pub starts: usize,
+    /// Median time of the first reads.
     pub p50_ms: f64,
+    /// The longest of these times.
     pub max_ms: f64,
+    /// First reads that succeeded.
     pub ok: u64,
 }
 
+/// How long the stand-in nodes delay their answers to health checks.
 const SLOW_PROBE: Duration = Duration::from_millis(30);
 
-/// Measures the first read after each of so many starts of the first router.
+/// Measures the first read after each of this many starts of the first router.
 ///
 /// # Errors
 /// The router cannot be started.
@@ -97,7 +109,8 @@
     for _ in 0..starts {
         routers.kill(0);
         routers.start(0)?;
-        // A front sends clients once a router answers, and some time later: it has heard from its peers by then.
+        // A load balancer in front would send clients only some time after a router responds; the router has
+        // received observations from its peers by then.
         sleep(Duration::from_millis(300));
         let load = Load::of(&address, 1, Duration::from_millis(400), &["recent"]);
         sleep(Duration::from_millis(200));
--- a/crates/testbed/src/scale/bounds.rs
+++ b/crates/testbed/src/scale/bounds.rs
@@ -1,43 +1,47 @@
-//! What must hold in a run: of the feed, the bounds that it was built to.
+//! The bounds that the figures of a run must meet: the targets that the observation feed was designed for.
 
 use std::collections::BTreeMap;
 
 use crate::record::{Bound, Mode, Sizes};
 use crate::scale::faults::Fault;
 
-/// A router's control side, a second and in all (docs/CAPACITY.md).
+/// The most that a router's control side may cost: bytes in and out, and a part of a core (docs/CAPACITY.md).
 pub const ROUTER_BYTES_PER_SECOND: f64 = 13_000.0;
+/// The most processor time of a router's control side, as a part of one core.
 pub const ROUTER_CPU_PART: f64 = 0.047;
+/// The most memory of a router's control side.
 pub const ROUTER_MEMORY_BYTES: f64 = 64e6;
-/// A control instance's share, with nothing else on its core.
+/// The most processor time of a control instance: one core, with nothing else running on it.
 const CONTROL_CPU_PART: f64 = 1.0;
+/// The most resident memory of a control instance.
 pub const CONTROL_MEMORY_BYTES: f64 = 1e9;
-/// What is known is no older, where databases are probed as often as by default.
+/// The 99th percentile of the age of observations, for databases probed at least as often as by default.
 const MAX_AGE_P99_S: f64 = 0.3;
 const DEFAULT_PERIOD_S: f64 = 0.15;
-/// A changed primary is known to all, after the first probe that saw it.
+/// A new primary is known to all routers within this time of the first probe that saw it.
 const MAX_CHANGE_KNOWN_S: f64 = 1.0;
-/// All follow again after a restart, hollow and real; and all agree after two halves were cut from each other.
+/// After a restart all routers, hollow and real, have caught up; after a healed partition all routers and
+/// control instances agree again.
 const MAX_CATCH_UP_S: f64 = 3.0;
 const MAX_AGREE_S: f64 = 5.0;
-/// Each half of a cut goes on: what is known there is no older than after the death of a control instance, as its half
-/// has lost the other's.
+/// During a partition the observations on each side may be as old as after the death of a control instance,
+/// because each side has lost the control instances of the other.
 const MAX_PARTITION_AGE_S: f64 = MAX_CONTROL_LOSS_AGE_S;
-/// A control instance's peak beside its calm.
+/// The peak traffic of a control instance, as a multiple of its traffic before the fault.
 const MAX_PEAK_TIMES: f64 = 5.0;
-/// Nobody's age when a control instance is killed.
+/// The age of any router's observations when a control instance is killed.
 const MAX_CONTROL_LOSS_AGE_S: f64 = 1.0;
-/// Bytes at twice the databases.
+/// A router's bytes at twice the databases, as a multiple of its bytes at the single number.
 pub const MAX_TWICE_THE_DATABASES_TIMES: f64 = 1.3;
 
 fn bound(figure: &str, is: f64, most: f64) -> Bound {
     Bound { figure: figure.to_string(), is, most, held: is <= most }
 }
 
-/// The bounds of a run of this mode. What it has no figure for has none, but for those that every run has.
+/// The bounds of a run. A bound whose figure the run does not have is left out.
 pub fn bounds_of_run(sizes: &Sizes, fault: Option<Fault>, figures: &BTreeMap<String, f64>) -> Vec<Bound> {
     if sizes.mode != Mode::Feed {
-        // Today's sharing is the baseline, and is held to nothing but its calibration.
+        // Mode shared is the baseline for comparison; only its calibration is checked.
         return Vec::new();
     }
     let mut most = vec![
@@ -46,7 +50,7 @@
         ("router_memory_bytes", ROUTER_MEMORY_BYTES),
         ("control_cpu_part", CONTROL_CPU_PART),
         ("control_memory_bytes", CONTROL_MEMORY_BYTES),
-        // Nothing is told of a change before a probe has seen it.
+        // The next probe may be up to one period away.
         ("change_known_max_s", MAX_CHANGE_KNOWN_S + sizes.period_s),
         ("change_unknown", 0.0),
     ];
@@ -67,7 +71,8 @@
                 most.push(("cut_age_max_s", MAX_PARTITION_AGE_S));
             }
         }
-        // A period may pass at its own probing, and one until another's takes over.
+        // The killed instance may have been about to probe (one period), and its successor probes one period
+        // later.
         Some(Fault::Control) if sizes.period_s <= DEFAULT_PERIOD_S => {
             most.push(("fault_age_max_s", MAX_CONTROL_LOSS_AGE_S));
         }
@@ -77,7 +82,8 @@
     most.into_iter().filter_map(|(figure, most)| Some(bound(figure, sum(figure)?, most))).collect()
 }
 
-/// Bytes of a router at twice the databases beside those at once, all else held; of runs that differ so.
+/// Compares a router's bytes in two runs of which the second has twice the databases and the same other
+/// sizes. `None` if the runs differ in any other way or are not of mode feed.
 pub fn twice_the_databases(
     once: (&Sizes, &BTreeMap<String, f64>),
     double: (&Sizes, &BTreeMap<String, f64>),
--- a/crates/testbed/src/scale/calibration.rs
+++ b/crates/testbed/src/scale/calibration.rs
@@ -1,10 +1,10 @@
-//! Whether hollow routers may stand for real ones: both in the same fleet, the same figures side by side.
+//! Checks that hollow routers represent real ones: compares the figures of both kinds in the same fleet.
 
 use std::collections::BTreeMap;
 
 use crate::record::Bound;
 
-/// How far a hollow router's figure may lie from a real one's, as a part of it.
+/// The most by which a hollow router's figure may deviate from a real router's, as a part of the real one's.
 pub const MAX_DEVIATIONS: [(&str, f64); 6] = [
     ("messages_in_s", 0.05),
     ("messages_out_s", 0.05),
@@ -14,12 +14,13 @@
     ("cpu_part", 0.25),
 ];
 
-/// The standard error of a real router's processor time, as a part of it: at two of them a deviation that is allowed
-/// and none at all look alike, and the run says nothing.
+/// The largest accepted standard error of a real router's processor time, as a part of it. Two such errors
+/// make up the allowed deviation of 0.25, so with a larger error the comparison could not tell an allowed
+/// deviation from none at all.
 pub const MAX_CPU_ERROR_PART: f64 = 0.125;
 
-/// A bound for each of these figures that the run has under `real_` and `hollow_`: the deviation's part, and the most
-/// that is allowed. Processor time is held only where `with_cpu`.
+/// A bound on the deviation of each of these figures that the run has under both `real_` and `hollow_`.
+/// Processor time is compared only if `with_cpu` is set.
 pub fn bounds(figures: &BTreeMap<String, f64>, with_cpu: bool) -> Vec<Bound> {
     let bound_of = |(name, most): &(&str, f64)| {
         let real = figures.get(&format!("real_{name}"))?;
@@ -27,14 +28,14 @@
         if *name == "cpu_part" && !with_cpu {
             return None;
         }
-        // Of a real one that does nothing, a hollow one that does nothing is no deviation.
+        // If both are zero there is no deviation.
         let is = if real == hollow { 0.0 } else { (hollow - real).abs() / real.abs().max(f64::MIN_POSITIVE) };
         Some(Bound { figure: format!("calibration_{name}"), is, most: *most, held: is <= *most })
     };
     let mut bounds: Vec<Bound> = MAX_DEVIATIONS.iter().filter_map(bound_of).collect();
     let cpu = figures.get("real_cpu_part").zip(figures.get("real_cpu_error_part"));
     if let Some((cpu, error)) = cpu.filter(|_| with_cpu) {
-        // Where the difference is nothing or less, all of it is error.
+        // A measured cost of zero or less is nothing but error.
         let is = if *cpu > 0.0 { error / cpu } else { (error / cpu.abs()).max(1.0) };
         let figure = "calibration_cpu_part_error".to_string();
         bounds.push(Bound { figure, is, most: MAX_CPU_ERROR_PART, held: is <= MAX_CPU_ERROR_PART });
--- a/crates/testbed/src/scale/clients.rs
+++ b/crates/testbed/src/scale/clients.rs
@@ -1,4 +1,4 @@
-//! Clients of the real routers: some that ask at a pace, and some that only stay.
+//! Clients of the real routers: active ones that send statements at a fixed rate, and idle connections.
 
 use std::io::Write;
 use std::net::{SocketAddr, TcpStream};
@@ -9,21 +9,22 @@
 use crate::load::Load;
 use crate::store::next;
 
-/// So many clients a router ask in turn.
+/// Active clients of each router; they share its statement rate.
 const ACTIVE_CLIENTS: usize = 10;
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(10);
 
+/// The clients of a set of real routers.
 pub struct Clients {
     load: Option<Load>,
     _idle: Vec<TcpStream>,
 }
 
 impl Clients {
-    /// At each router, so many statements a second by a few clients, to all of so many groups in turn, and so many
-    /// connections that only stay.
+    /// Connects to each router: a few active clients send it `statements` per second, spread over `groups`
+    /// database groups in turn, and `connections` more clients stay idle.
     ///
     /// # Errors
-    /// A connection cannot be had.
+    /// A connection cannot be established.
     pub fn start(
         routers: &[SocketAddr],
         connections: usize,
@@ -42,13 +43,13 @@
         Ok(Self { load, _idle: idle })
     }
 
-    /// How many statements have been answered by now, and how many of them well.
+    /// The number of statements answered so far, and how many of them succeeded.
     pub fn answered(&self) -> (u64, u64) {
         let Some(load) = &self.load else { return (0, 0) };
         (load.tally.rpcs(), load.tally.ok.load(std::sync::atomic::Ordering::SeqCst))
     }
 
-    /// All have had their last answer when this returns.
+    /// Stops the active clients and waits for their last answers.
     pub fn end(self) {
         if let Some(load) = self.load {
             load.end();
@@ -69,7 +70,7 @@
                 return Err(std::io::Error::other(message));
             }
             Some(_) => {}
-            None => return Err(std::io::Error::other(format!("{router} does not greet a client"))),
+            None => return Err(std::io::Error::other(format!("{router} closed before ReadyForQuery"))),
         }
     }
 }
--- a/crates/testbed/src/scale/commands.rs
+++ b/crates/testbed/src/scale/commands.rs
@@ -1,4 +1,5 @@
-//! What the command says to its stand-in processes, and what these report: JSON, one object a line.
+//! The protocol between the measuring process and its stand-in processes: a plan and commands one way,
+//! reports the other way, each a JSON object on a line of its own.
 
 use std::io::{self, BufRead, Write};
 use std::net::SocketAddr;
@@ -9,77 +10,92 @@
 use async_channel::Receiver;
 use serde::{Deserialize, Serialize};
 
-/// The first line to a process of stand-in databases.
+/// The plan of a process of stand-in databases; the first line it reads.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct DatabasesPlan {
+    /// Where the databases listen.
     pub addresses: Vec<SocketAddr>,
-    /// Those that begin as primaries.
+    /// The databases that are primaries at first.
     pub primaries: Vec<SocketAddr>,
-    /// How far behind replicas are, in milliseconds.
+    /// Replication lag in milliseconds.
     pub lag_ms: u64,
 }
 
-/// One hollow router.
+/// Name and address of a hollow router.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct HollowRouterPlan {
+    /// Its name in the fleet.
     pub name: String,
+    /// Where it listens for datagrams.
     pub listen: SocketAddr,
 }
 
-/// The first line to a process of hollow routers.
+/// The plan of a process of hollow routers; the first line it reads.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct HollowPlan {
-    /// The files of a real router of this run, of which these differ by name and address alone.
+    /// The platform file of a real router of this run; hollow routers replace only the name and the
+    /// addresses.
     pub platform: PathBuf,
+    /// Its quillpoint.conf, likewise.
     pub conf: PathBuf,
+    /// The routers of this process.
     pub routers: Vec<HollowRouterPlan>,
-    /// So many hollow routers are in the processes before this one.
+    /// The number of hollow routers in the processes before this one.
     #[serde(rename = "before")]
     pub first_index: usize,
+    /// All databases.
     pub databases: Vec<SocketAddr>,
-    /// Databases that may become primaries, and about which it is noted when each router heard.
+    /// Databases that may be promoted; each router records when it learned of it.
     #[serde(rename = "movers")]
     pub promotable: Vec<SocketAddr>,
-    /// So many databases a router are looked at for the age of what it knows.
+    /// Databases of each router whose observation age is sampled.
     pub sampled: usize,
-    /// A router follows while nothing that it is looked at for is known to be older.
+    /// A router is caught up while none of its sampled observations is older than this.
     #[serde(rename = "follows_ms")]
     pub caught_up_within_ms: u64,
-    /// Each router's sessions use one in so many databases: those are what it probes when nobody tells of them.
+    /// The sessions of each router use one in this many databases; it probes those itself while it is
+    /// isolated.
     pub uses_one_in: usize,
-    /// Statements a second of each router, to all groups of so many databases in turn: what is told of a group is handed
-    /// on where a statement comes for it.
+    /// Statements per second of each router, spread over all groups in turn. A statement reads the
+    /// observations of its group from the subscriber.
     pub statements: f64,
+    /// Databases in a group.
     pub group: usize,
-    /// Nothing but control sides runs, as its processor time is counted: the routers are looked at with orders alone, and
-    /// not four times a second, and ask for nothing while alone. Among hundreds neither shows, of one alone it does.
+    /// Runs nothing but the control side, for a process whose processor time is measured: routers are sampled
+    /// only on commands instead of four times a second, and do not probe while isolated. That work does not
+    /// show among hundreds of routers, but does in a process of one.
     #[serde(rename = "bare")]
     pub control_only: bool,
+    /// Seed of the routers' random choices.
     pub seed: u64,
 }
 
+/// A command to a stand-in process.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(tag = "order", rename_all = "lowercase")]
 pub enum StandInCommand {
-    /// Counting begins anew.
+    /// Reset the counters that are reported since the mark.
     Mark,
-    /// Report what was counted since the mark, and all sums since the start.
+    /// Report what was counted since the mark, and the sums since the start.
     Count,
-    /// To databases: this one is a primary from now on, and that one is not.
+    /// To databases: swap the roles of these two.
     Promote {
+        /// The database that becomes a primary.
         #[serde(rename = "rises")]
         new_primary: SocketAddr,
+        /// The database that becomes a replica.
         #[serde(rename = "falls")]
         old_primary: SocketAddr,
     },
-    /// To hollow routers: this database became a primary then, in microseconds of Unix time. It is not reported on.
+    /// To hollow routers: a database became a primary at this time, in microseconds of Unix time. There is no
+    /// report on this command.
     Promoted { node: SocketAddr, at_us: u64 },
-    /// Each router whose place among all hollow ones leaves no rest goes down at once, and starts anew after this
-    /// time.
+    /// To hollow routers: kill those whose index among all hollow routers is a multiple of `one_in`, and
+    /// restart them after `down_ms`.
     Restart { one_in: usize, down_ms: u64 },
-    /// Each such router stands still for this time.
+    /// To hollow routers: pause those routers for this time.
     Stop { one_in: usize, ms: u64 },
-    /// Routers of even and odd last octets do not reach each other for this time.
+    /// To hollow routers: partition those with even from those with odd last octets for this time.
     #[serde(rename = "cut")]
     Partition { ms: u64 },
 }
@@ -87,22 +103,29 @@
 /// What a process of databases reports.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct DatabasesReport {
+    /// Health checks answered.
     pub probes: u64,
+    /// Other statements answered.
     pub statements: u64,
+    /// Connections accepted.
     pub connections: u64,
-    /// When the last promotion was made, in microseconds of Unix time.
+    /// The time of the last promotion, in microseconds of Unix time.
     pub promoted_us: u64,
 }
 
-/// When a promotion was known.
+/// When the routers of a process learned of a promotion.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct PromotionReport {
+    /// The promoted database.
     pub node: SocketAddr,
-    /// The routers that know, and those that do not.
+    /// Routers that learned of it.
     #[serde(rename = "by")]
     pub informed: usize,
+    /// Routers that did not.
     pub unknown: usize,
+    /// When the last router learned of it, in microseconds of Unix time.
     pub last_us: u64,
+    /// The name of that router.
     #[serde(rename = "last_who")]
     pub last_router: String,
 }
@@ -110,40 +133,50 @@
 /// What a process of hollow routers reports.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct HollowReport {
+    /// When the report was made, in microseconds of Unix time.
     pub at_us: u64,
+    /// Routers of the process.
     pub routers: usize,
-    /// Sums over all routers, those before a restart included.
+    /// Datagrams sent. This and the sums below are over all routers, with those from before a restart.
     pub sent: u64,
+    /// Bytes sent.
     pub sent_bytes: u64,
+    /// Datagrams received.
     pub read: u64,
+    /// Bytes received.
     pub read_bytes: u64,
+    /// Health checks made.
     pub probes: u64,
-    /// The mean of the routers.
+    /// State of the control side, the mean over the routers.
     pub state_bytes: f64,
-    /// Resident memory of the process before there were routers, and now.
+    /// Resident memory of the process before it had routers.
     pub base_bytes: u64,
+    /// Resident memory of the process now.
     pub resident_bytes: u64,
-    /// Routers that know of all their sampled databases, nothing older than the plan says.
+    /// Routers whose sampled observations are all recent enough, by `caught_up_within_ms` of the plan.
     #[serde(rename = "following")]
     pub caught_up: usize,
-    /// When some router that runs was last seen not to follow.
+    /// When some running router was last seen not to be caught up, in microseconds of Unix time.
     #[serde(rename = "unfollowed_us")]
     pub last_behind_us: u64,
-    /// Of what the routers know: age in microseconds, and how often it was seen. Since the mark, as all below.
+    /// Ages of sampled observations: pairs of microseconds and count. This and all fields below are since the
+    /// mark.
     pub ages: Vec<(u64, u64)>,
-    /// Of these, those of the routers on each side of a cut.
+    /// The same ages, by the routers' side of a partition.
     pub ages_by_side: [Vec<(u64, u64)>; 2],
-    /// Bytes in and out, the most of a router in a quarter of a second.
+    /// The most bytes in and out of one router in a quarter of a second.
     pub peak_quarter: u64,
-    /// Each quarter of a second: when it ended, and the bytes in and out of all routers.
+    /// For each quarter of a second, its end in microseconds of Unix time and the bytes in and out of all
+    /// routers.
     pub quarters: Vec<(u64, u64)>,
+    /// What the routers know of each promotion.
     pub known: Vec<PromotionReport>,
-    /// Times until promotions were known, over routers and promotions: microseconds, and how often.
+    /// Times from promotions until each router learned of them: pairs of microseconds and count.
     pub known_times: Vec<(u64, u64)>,
 }
 
-/// Reads the plan, then has orders come in on a channel until the input ends, on a thread of its own, as reading
-/// waits. A process that nobody orders any more ends.
+/// The main function of a stand-in process: reads the plan, then runs with a channel of commands. A thread
+/// reads the commands, since reading the input blocks; the channel closes at the end of the input.
 pub fn run_stand_in<P: for<'a> Deserialize<'a>>(
     name: &str,
     run: impl FnOnce(P, Receiver<StandInCommand>) -> io::Result<()>,
@@ -155,7 +188,7 @@
         for line in io::stdin().lock().lines().map_while(Result::ok) {
             match serde_json::from_str(&line) {
                 Ok(command) => _ = sender.try_send(command),
-                Err(error) => eprintln!("no order: {error}: {line}"),
+                Err(error) => eprintln!("ignoring an invalid command: {error}: {line}"),
             }
         }
     });
@@ -171,7 +204,7 @@
 /// Writes a report.
 pub fn write_report(report: &impl Serialize) {
     let mut out = io::stdout().lock();
-    // Nobody reads any more: the orders end as well.
+    // A write fails only if the measuring process has ended; the command channel then closes as well.
     _ = serde_json::to_writer(&mut out, report).map_err(io::Error::from).and_then(|()| out.write_all(b"\n"));
     _ = out.flush();
 }
--- a/crates/testbed/src/scale/counters.rs
+++ b/crates/testbed/src/scale/counters.rs
@@ -1,26 +1,33 @@
-//! Counts before and after, and what lies between them a second.
+//! Counters read at two times, and the rates between them.
 
 use hdrhistogram::Histogram;
 use serde_json::Value as Json;
 
-/// Sums since the start, as a router's log tells them.
+/// Counters since the start of a process, as its log reports them.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Counters {
+    /// When the counters were read, in microseconds of Unix time.
     pub at_us: u64,
+    /// Datagrams sent.
     pub sent: u64,
+    /// Bytes sent.
     pub sent_bytes: u64,
+    /// Datagrams received.
     pub read: u64,
+    /// Bytes received.
     pub read_bytes: u64,
+    /// Health checks made.
     pub probes: u64,
-    /// Not a sum, but what is kept now; and how many control instances a router follows.
+    /// Bytes of state currently kept; a gauge rather than a sum.
     pub state: u64,
+    /// Control instances that a router currently follows; a gauge rather than a sum.
     pub following: u64,
 }
 
 impl Counters {
-    /// Of a log line with this event.
+    /// Parses a log line; `None` if it is not a counter report of this event.
     pub fn from_log_line(line: &str, event: &str) -> Option<Self> {
-        // Most lines are others, and not worth being parsed.
+        // Most lines are of other events; skip the JSON parser for those.
         if !line.contains(event) {
             return None;
         }
@@ -41,6 +48,7 @@
         })
     }
 
+    /// Adds the counters of another socket or process; the time is the later of the two.
     pub fn plus(self, other: Self) -> Self {
         Self {
             at_us: self.at_us.max(other.at_us),
@@ -55,18 +63,25 @@
     }
 }
 
-/// What passed a second, of one router in the mean.
+/// Mean rates per second of one router, and its mean state.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Rates {
+    /// Datagrams received.
     pub messages_in: f64,
+    /// Datagrams sent.
     pub messages_out: f64,
+    /// Bytes received.
     pub bytes_in: f64,
+    /// Bytes sent.
     pub bytes_out: f64,
+    /// Health checks made.
     pub probes: f64,
+    /// Bytes of state at the later reading.
     pub state: f64,
 }
 
-/// From pairs of counts, each of so many routers together.
+/// Mean rates between two readings. Each entry is the counters before and after, summed over that many
+/// routers.
 pub fn rates(pairs: &[(Counters, Counters, usize)]) -> Rates {
     let routers: usize = pairs.iter().map(|(_, _, routers)| routers).sum();
     let mut rates = Rates::default();
@@ -83,7 +98,7 @@
     rates
 }
 
-/// The mean, and the standard error of it where there are two at least.
+/// The mean, and its standard error if there are at least two values.
 pub fn mean(values: &[f64]) -> (f64, Option<f64>) {
     let count = values.len() as f64;
     let mean = values.iter().sum::<f64>() / count.max(1.0);
@@ -91,11 +106,11 @@
     (mean, (values.len() > 1).then(|| (squares / (count - 1.0) / count).sqrt()))
 }
 
-/// Times in microseconds out of many processes' pairs of value and count.
+/// Merges the (microseconds, count) pairs of several processes into one histogram.
 pub fn merge_histograms<'a>(values: impl Iterator<Item = &'a Vec<(u64, u64)>>) -> Histogram<u64> {
-    let mut merged = Histogram::new(3).expect("three digits");
+    let mut merged = Histogram::new(3).expect("3 significant digits are a valid precision");
     for (value, count) in values.flatten() {
-        merged.record_n(*value, *count).expect("a histogram that grows takes all");
+        merged.record_n(*value, *count).expect("an auto-resizing histogram accepts every value");
     }
     merged
 }
--- a/crates/testbed/src/scale/databases.rs
+++ b/crates/testbed/src/scale/databases.rs
@@ -1,5 +1,6 @@
-//! Stand-in databases by the thousand on one thread: each listens on an address of its own, answers a router's
-//! startup, its probes and its statements, and counts them. Roles change by order.
+//! Thousands of stand-in databases on one thread. Each listens on an address of its own, answers the startup,
+//! the health checks and the statements of routers, and counts them. Commands change which ones are
+//! primaries.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
@@ -26,10 +27,10 @@
     promoted_us: Cell<u64>,
 }
 
-/// Serves until the orders end. `said` is called with each report.
+/// Serves until the command channel closes. Calls `on_report` with each report.
 ///
 /// # Errors
-/// An address cannot be had.
+/// An address cannot be bound.
 pub async fn serve(
     plan: DatabasesPlan,
     commands: async_channel::Receiver<StandInCommand>,
@@ -53,7 +54,7 @@
                     Ok((stream, _)) => {
                         spawner.spawn(Rc::clone(&databases).session(address, stream)).detach();
                     }
-                    // Out of descriptors, say: others may give some back.
+                    // Typically out of file descriptors: wait for other sessions to close some.
                     Err(_) => _ = Timer::after(Duration::from_millis(10)).await,
                 }
             }
@@ -135,7 +136,7 @@
     }
 }
 
-/// The next whole message; `None` at the end, and for what is none.
+/// Reads the next complete message; `None` at the end of the stream or if the message is invalid.
 pub async fn next_message<T>(
     stream: &mut Async<TcpStream>,
     unread: &mut Vec<u8>,
--- a/crates/testbed/src/scale/faults.rs
+++ b/crates/testbed/src/scale/faults.rs
@@ -1,4 +1,4 @@
-//! Faults of a scale run, by name.
+//! The faults that a scale run can inject, and the rules that decide whether a fleet has recovered.
 
 use std::str::FromStr;
 use std::time::Duration;
@@ -6,64 +6,73 @@
 use crate::record::Mode;
 use crate::scale::counters::Counters;
 
-/// A sixth of the routers.
+/// One router in this many is restarted or stopped.
 pub const AFFECTED_ONE_IN: usize = 6;
-/// How long routers are down that restart.
+/// How long restarted routers are down.
 pub const RESTART_DOWNTIME: Duration = Duration::from_millis(500);
+/// How long stopped routers are paused.
 pub const STOP_DURATION: Duration = Duration::from_secs(3);
+/// How long a partition lasts.
 pub const PARTITION_DURATION: Duration = Duration::from_secs(30);
 
-/// A real router that follows as many control instances as before, and holds this part of what it held before, has its
-/// first copies: the second halves come seconds later, and are in no hurry.
+/// Mode feed: a restarted real router has caught up once it follows as many control instances as before and
+/// its state has this part of its former size. It pulls every snapshot from one control instance first, which
+/// is about half of the state; the redundant snapshots follow seconds later because they are not urgent.
 const FIRST_COPIES_PART: f64 = 0.45;
-/// The same where all are members, which hold all at once.
+/// Mode shared: members receive their whole state at once.
 const MEMBER_STATE_PART: f64 = 0.9;
 
+/// A fault that is injected into a running fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// A sixth of the routers restarted at once.
+    /// A sixth of the routers is killed at once and restarted.
     Restart,
-    /// A sixth of the routers stopped for three seconds, and continued.
+    /// A sixth of the routers is paused for three seconds (SIGSTOP) and then continued.
     Stop,
-    /// Two halves cut from each other for half a minute, and healed: routers and control instances, hollow and real.
+    /// The two sides of the fleet, with their hollow and real routers and control instances, are partitioned
+    /// for 30 seconds, then healed.
     Partition,
-    /// A control instance killed.
+    /// A control instance is killed and not restarted.
     Control,
-    /// A primary changed in the middle of the restart of a sixth.
+    /// A primary changes while a sixth of the routers is being restarted.
     Primary,
 }
 
+/// All faults, in the order in which the long suite runs them.
 pub const ALL: [Fault; 5] = [Fault::Restart, Fault::Stop, Fault::Partition, Fault::Control, Fault::Primary];
 
-/// Whether the router of this place, among the real ones or among all hollow ones, is one of those that are restarted
-/// or stopped.
+/// Whether the router at this index, among the real or among all hollow routers, is restarted or stopped.
 pub fn is_affected(index: usize, one_in: usize) -> bool {
     index.is_multiple_of(one_in.max(1))
 }
 
-/// Whether a real router that tells these counts knows again what it knew before the fault.
+/// Whether a real router with these counters has recovered what it knew before the fault.
 pub fn has_caught_up(mode: Mode, now: &Counters, before: &Counters) -> bool {
     let held = if mode == Mode::Feed { FIRST_COPIES_PART } else { MEMBER_STATE_PART };
     now.following >= before.following && now.state as f64 >= before.state as f64 * held
 }
 
-/// Whether a control instance that has said these counts of its fleet came to be alone with its half in the time
-/// between.
+/// Whether a control instance shared its tasks with its own side alone at some time within `between`.
+/// `shares` are the times in microseconds and the numbers of instances that it logged; `half` is the number
+/// of instances on its side.
 pub fn was_partitioned(shares: &[(u64, u64)], between: (u64, u64), half: u64) -> bool {
     shares.iter().any(|(at, routers)| (between.0..between.1).contains(at) && *routers == half)
 }
 
-/// When it said for the last time how it shares duties, in seconds after `from_us`, if that was with all.
+/// How many seconds after `from_us` a control instance last logged a change in task sharing, if that was with
+/// all `all` instances; `None` if it does not share with all of them.
 pub fn rejoined_after_s(shares: &[(u64, u64)], from_us: u64, all: u64) -> Option<f64> {
     let (at, routers) = shares.last()?;
     (*routers == all).then(|| at.saturating_sub(from_us) as f64 / 1e6)
 }
 
+/// A fault name that is not known.
 #[derive(Debug, thiserror::Error)]
 #[error("fault: expected restart, stop, cut, control or primary, found {0}")]
 pub struct UnknownFault(String);
 
 impl Fault {
+    /// The name in options and records.
     pub fn name(self) -> &'static str {
         match self {
             Self::Restart => "restart",
@@ -74,7 +83,7 @@
         }
     }
 
-    /// From its beginning until all is as it was before, but for what the routers make of it.
+    /// How long the fault itself lasts; the recovery of the routers comes after it.
     pub fn duration(self) -> Duration {
         match self {
             Self::Restart | Self::Primary => RESTART_DOWNTIME,
@@ -92,8 +101,9 @@
     }
 }
 
-/// From when on all is calm: the last quarter of a second in which more than this many times the calm bytes passed
-/// within a second around it. In microseconds after `from_us`; `None` where it was not calm at the end.
+/// When the traffic returned to its normal level, in seconds after `from_us`: the end of the last one-second
+/// window, in steps of a quarter of a second, with more than `times` times the normal bytes. Zero if there
+/// was no such window; `None` if the last window was one.
 pub fn calm_after_s(quarters: &[(u64, u64)], from_us: u64, calm_bytes_s: f64, times: f64) -> Option<f64> {
     let is_busy = |window: &&[(u64, u64)]| {
         let bytes: u64 = window.iter().map(|(_, bytes)| bytes).sum();
--- a/crates/testbed/src/scale/hollow.rs
+++ b/crates/testbed/src/scale/hollow.rs
@@ -1,4 +1,4 @@
-//! One hollow router: its control side, its observations, and the tasks that run both.
+//! A hollow router: its control side, its observations, and the tasks that run both.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -21,36 +21,47 @@
 use crate::scale::observations::{Observations, StatementReads};
 use crate::scale::prober::Prober;
 
-/// How often statements ask for databases that nobody tells of.
+/// How often an isolated subscriber probes the databases it uses, as a real one does while statements arrive.
 const ISOLATED_PROBE_INTERVAL: Duration = Duration::from_millis(250);
 
-/// What routers are to each other.
+/// The configuration of a hollow router's control side.
 pub enum ControlRole {
+    /// A member of a fleet in which all routers share tasks (mode shared).
     Member(MemberConfig),
+    /// A subscriber to the observation feed of control instances (mode feed).
     Subscriber(SubscriberConfig),
 }
 
-/// What all hollow routers of a process have in common.
+/// What all hollow routers of a process share.
 pub struct ProcessContext {
+    /// Runs the tasks of all routers.
     pub executor: Rc<LocalExecutor<'static>>,
+    /// Makes the health checks of all routers.
     pub prober: Rc<Prober>,
-    /// What a real router of this run is told, of which these differ by name and address alone.
+    /// The configuration of a real router of this run; hollow routers replace only the name and the
+    /// addresses.
     pub role: ControlRole,
-    /// Each router's sessions use one in so many databases.
+    /// The sessions of each router use one in this many databases.
     pub uses_one_in: usize,
-    /// Nothing but control sides runs.
+    /// Runs nothing but the control side; an isolated router does not probe the databases it uses.
     pub control_only: bool,
-    /// Statements a second of each router, to these groups in turn.
+    /// Statements per second of each router, spread over these groups in turn.
     pub statements: f64,
+    /// Groups of databases: a primary and its replicas each.
     pub groups: Rc<Vec<Vec<SocketAddr>>>,
+    /// All databases, each with its zone.
     pub nodes: Rc<BTreeMap<SocketAddr, u16>>,
+    /// Databases that may be promoted during the run.
     pub promotable: Rc<BTreeSet<SocketAddr>>,
+    /// Whether routers are currently cut off from the other side.
     pub partitioned: Rc<Cell<bool>>,
+    /// Databases of each router whose observation age is sampled.
     pub sampled: usize,
+    /// Seed of the run; each router adds its index.
     pub seed: u64,
 }
 
-/// Whether a router stands still, as a stopped process does: its datagrams wait at its socket.
+/// Pauses all tasks of a router, as SIGSTOP does to a process: datagrams wait in its socket buffer.
 #[derive(Default)]
 struct PauseGate {
     paused: Cell<bool>,
@@ -65,7 +76,7 @@
         }
     }
 
-    /// Runs it while the router does not stand still.
+    /// Polls the future only while the router is not paused.
     async fn run_unless_paused(self: Rc<Self>, future: impl Future<Output = ()>) {
         let mut future = pin!(future);
         poll_fn(|context| {
@@ -79,7 +90,7 @@
     }
 }
 
-/// A router's control side.
+/// The control side of a router.
 #[derive(Clone)]
 enum Control {
     Member(Rc<FleetMember>),
@@ -116,17 +127,19 @@
     _tasks: Vec<Task<()>>,
 }
 
+/// A hollow router, which can be started, killed and paused.
 pub struct HollowRouter {
+    /// The router's name in its fleet.
     pub name: String,
     listen: SocketAddr,
     index: usize,
     running: Option<Running>,
-    /// Of earlier starts.
+    /// Traffic and health checks of earlier starts.
     earlier_starts: (Traffic, u64),
 }
 
 impl HollowRouter {
-    /// Not yet started.
+    /// Creates a router without starting it.
     pub fn new(index: usize, plan: HollowRouterPlan) -> Self {
         Self {
             name: plan.name,
@@ -137,13 +150,15 @@
         }
     }
 
+    /// Starts the router's tasks.
+    ///
     /// # Errors
-    /// Its address cannot be had, or its name is none.
+    /// The address cannot be bound, or the name is invalid.
     pub fn start(&mut self, context: &ProcessContext) -> std::io::Result<()> {
         let (probes, requests) = async_channel::unbounded();
         let seed = context.seed.wrapping_add(self.index as u64);
         let all = context.nodes.len();
-        // Spread evenly, from another place at each router.
+        // Spread evenly over all databases, starting elsewhere at each router.
         let stride = (all / context.sampled.max(1)).max(1);
         let sampled = (0..context.sampled.min(all))
             .map(|index| (seed.wrapping_mul(7919) as usize + index * stride) % all);
@@ -200,7 +215,7 @@
         let runtime = (Rc::clone(&context.executor), Rc::clone(&context.prober));
         let fleet = match &control {
             Control::Member(member) => Rc::downgrade(member),
-            // What it finds is nobody else's matter.
+            // A subscriber keeps its health check results to itself.
             Control::Subscriber(_) => Weak::new(),
         };
         let probing = probe(requests, Rc::clone(&observations), fleet, runtime, Rc::clone(&pause));
@@ -209,43 +224,46 @@
         Ok(())
     }
 
-    /// Ends at once, as by SIGKILL.
+    /// Stops the router at once, as SIGKILL does; a later start begins without state.
     pub fn kill(&mut self) {
         self.earlier_starts = (self.traffic(), self.probes());
         self.running = None;
     }
 
+    /// Pauses or continues the router; no effect while it is down.
     pub fn set_paused(&self, paused: bool) {
         if let Some(running) = &self.running {
             running.pause.set(paused);
         }
     }
 
-    /// Whether it runs and does not stand still.
+    /// Whether it is started and not paused.
     pub fn is_running(&self) -> bool {
         self.running.as_ref().is_some_and(|running| !running.pause.paused.get())
     }
 
-    /// Sums over all its starts.
+    /// Traffic over all starts.
     pub fn traffic(&self) -> Traffic {
         let now = self.running.as_ref().map(|running| running.control.traffic()).unwrap_or_default();
         self.earlier_starts.0.plus(now)
     }
 
+    /// Health checks over all starts.
     pub fn probes(&self) -> u64 {
         self.earlier_starts.1 + self.running.as_ref().map_or(0, |running| running.control.probes())
     }
 
+    /// Bytes of state of the control side; 0 while it is down.
     pub fn state_bytes(&self) -> usize {
         self.running.as_ref().map_or(0, |running| running.control.state_bytes())
     }
 
-    /// On which side of a cut it is.
+    /// The side of a partition that it belongs to, 0 or 1.
     pub fn side(&self) -> usize {
         usize::from(side(self.listen))
     }
 
-    /// How long it runs, and how old what it knows of its sampled databases is.
+    /// The time since the start, and the age of the latest observation of each sampled database.
     pub fn ages(&self) -> (Duration, Vec<Option<Duration>>) {
         let Some(Running { control, observations, .. }) = &self.running else { return Default::default() };
         if let Control::Subscriber(subscriber) = control {
@@ -258,13 +276,14 @@
         (observations.uptime(), observations.ages())
     }
 
+    /// When it first learned that the database is a primary, as a time since the Unix epoch.
     pub fn promotion_seen_at(&self, node: SocketAddr) -> Option<Duration> {
         self.running.as_ref()?.observations.promotion_seen_at(node)
     }
 }
 
-/// A subscriber that no control instance tells probes by itself what its sessions use, as far as its share lets it: as
-/// a real one does while statements come.
+/// Lets an isolated subscriber, one that no control instance serves, probe the databases its sessions use,
+/// within its health check quota. A real subscriber does so whenever statements arrive.
 async fn probe_while_isolated(
     subscriber: Rc<SubscriberService>,
     observations: Rc<Observations>,
@@ -283,7 +302,8 @@
     }
 }
 
-/// On which side of a cut an address is; the sides are two regions.
+/// The side of a partition that an address belongs to, by the parity of its last octet. The two sides are two
+/// regions.
 pub fn side(address: SocketAddr) -> u8 {
     match address {
         SocketAddr::V4(address) => address.ip().octets()[3] & 1,
@@ -291,14 +311,16 @@
     }
 }
 
-/// By side.
+/// Region names, by side.
 pub const REGIONS: [&str; 2] = ["even", "odd"];
 
+/// The region of an address.
 pub fn region(address: SocketAddr) -> &'static str {
     REGIONS[usize::from(side(address))]
 }
 
-/// Makes the probes that fall to the router, each as a task of its own, which does not keep a killed one's socket.
+/// Makes the health checks that the control side requests, each in a detached task. Those tasks hold no
+/// reference to the router's socket, so a killed router's socket closes at once.
 async fn probe(
     requests: Receiver<SocketAddr>,
     observations: Rc<Observations>,
--- a/crates/testbed/src/scale/hollow_process.rs
+++ b/crates/testbed/src/scale/hollow_process.rs
@@ -1,4 +1,5 @@
-//! A process of hollow routers: starts them, looks at them four times a second, and does as it is ordered.
+//! A process of hollow routers: starts them, samples them four times a second, and executes the commands it
+//! receives.
 
 use std::cell::Cell;
 use std::collections::BTreeMap;
@@ -22,48 +23,55 @@
 use crate::scale::hollow::{ControlRole, HollowRouter, ProcessContext};
 use crate::scale::prober::Prober;
 
-/// How often the routers are looked at.
+/// How often traffic, observation ages and caught-up routers are sampled.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(250);
-/// Or they are not looked at but with orders.
+/// The sampling interval of a process that samples only on commands.
 const NO_SAMPLING: Duration = Duration::from_secs(24 * 3600);
-/// Routers are started so far apart, as processes would be: duties that fall due together while a process is busy stay
-/// together from then on, and their news goes in fewer letters.
+/// Delay between the starts of two routers, as between those of separate processes. Tasks that fall due
+/// together while the process is busy would stay together from then on, and their observations would be sent
+/// in fewer datagrams than those of real routers.
 const START_INTERVAL: Duration = Duration::from_millis(5);
-/// Connections to databases that are kept for later probes.
+/// Databases to which connections are kept open for later health checks.
 pub const MAX_IDLE_CONNECTIONS: usize = 4000;
 
-/// What is to be done at a time to come.
+/// An action that is scheduled for later.
 enum DueAction {
     Start(usize),
     Continue(usize),
     Heal,
 }
 
-/// The hollow routers of this process, and what was counted of them.
+/// The hollow routers of this process, and the counters of its reports.
 struct HollowProcess {
     context: ProcessContext,
     routers: Vec<HollowRouter>,
-    /// So many hollow routers are in the processes before this one.
+    /// The number of hollow routers in the processes before this one.
     first_index: usize,
-    /// In no order: there are few kinds, and each is looked at once a quarter.
+    /// Unordered: there are few entries, all of them checked at each sampling interval.
     scheduled: Vec<(Instant, DueAction)>,
     base_bytes: u64,
-    /// By the routers' sides of a cut.
+    /// Ages of sampled observations, by the router's side of a partition.
     ages: [Histogram<u64>; 2],
+    /// Bytes in and out of each router at the last sample.
     traffic: Vec<u64>,
+    /// The most bytes in and out of one router in one sampling interval.
     peak_quarter: u64,
+    /// For each sampling interval, its end and the bytes in and out of all routers.
     quarters: Vec<(u64, u64)>,
+    /// When some running router was last seen not to be caught up.
     last_behind_us: u64,
+    /// Routers that were caught up at the last sample.
     caught_up: usize,
+    /// Promoted databases and the times of their promotions.
     promotions: Vec<(SocketAddr, u64)>,
-    /// A router follows while nothing that it is looked at for is known to be older.
+    /// A router is caught up while none of its sampled observations is older than this.
     caught_up_within: Duration,
 }
 
-/// Runs until the orders end. `said` is called with each report.
+/// Runs until the command channel closes. Calls `on_report` with each report.
 ///
 /// # Errors
-/// A file is at fault, or an address cannot be had.
+/// A configuration file is invalid, or an address cannot be bound.
 pub async fn run(
     plan: HollowPlan,
     commands: Receiver<StandInCommand>,
@@ -87,10 +95,11 @@
             None
         };
         match command.or(passed).await {
-            // The command has ended, or wants no more.
+            // The measuring process has ended or needs this one no longer.
             Some(Err(_)) => return Ok(()),
             Some(Ok(command)) => {
-                // Nobody waits for a report on this one, and one takes what many digests do.
+                // The sender does not wait for a report on a promotion, and making one takes as long as
+                // processing many digests.
                 let reports = !matches!(command, StandInCommand::Promoted { .. });
                 process.execute(command);
                 if reports && control_only {
@@ -110,16 +119,16 @@
 }
 
 fn histogram() -> Histogram<u64> {
-    Histogram::new(3).expect("three digits")
+    Histogram::new(3).expect("3 significant digits are a valid precision")
 }
 
 fn value_counts(histogram: &Histogram<u64>) -> Vec<(u64, u64)> {
     histogram.iter_recorded().map(|step| (step.value_iterated_to(), step.count_at_value())).collect()
 }
 
-/// It grows as it must, so that no value is cut.
+/// The histogram resizes itself, so no value is clipped.
 fn record_duration(histogram: &mut Histogram<u64>, duration: Duration) {
-    histogram.record(duration.as_micros() as u64).expect("a histogram that grows takes all");
+    histogram.record(duration.as_micros() as u64).expect("an auto-resizing histogram accepts every value");
 }
 
 impl HollowProcess {
@@ -128,7 +137,8 @@
         let config = RuntimeConfig::read(&files, |_| None).map_err(io::Error::other)?;
         let Roles { fleet_member: fleet, subscriber: subscribe, .. } = config.roles;
         let role = subscribe.map(ControlRole::Subscriber).or(fleet.map(ControlRole::Member));
-        let role = role.ok_or_else(|| io::Error::other("the files tell of no fleet and no feed"))?;
+        let role =
+            role.ok_or_else(|| io::Error::other("expected a fleet or subscribe section, found none"))?;
         let groups = plan.databases.chunks(plan.group.max(1)).map(<[SocketAddr]>::to_vec).collect();
         let context = ProcessContext {
             executor,
@@ -232,7 +242,7 @@
             let (uptime, ages) = router.ages();
             caught_up +=
                 usize::from(ages.iter().all(|age| age.is_some_and(|age| age <= self.caught_up_within)));
-            // Of what it has never heard of it knows nothing for as long as it runs.
+            // A database it has never heard of has been unknown for as long as the router runs.
             let all = &mut self.ages[router.side()];
             ages.into_iter().for_each(|age| record_duration(all, age.unwrap_or(uptime)));
         }
@@ -273,7 +283,8 @@
         report
     }
 
-    /// When the promotion of a database was known to each router.
+    /// Adds to `times` how long each router took to learn of the promotion of a database, and summarizes
+    /// them.
     fn known(&self, (node, at_us): (SocketAddr, u64), times: &mut Histogram<u64>) -> PromotionReport {
         let (mut seen_by, mut unknown) = (BTreeMap::new(), 0);
         for router in &self.routers {
--- a/crates/testbed/src/scale/member.rs
+++ b/crates/testbed/src/scale/member.rs
@@ -1,4 +1,5 @@
-//! Real processes of a run, the program as it ships: routers and control instances, each with its files.
+//! The real processes of a run, which run the program as it ships: routers and control instances, each with
+//! its configuration files.
 
 use std::fs;
 use std::net::SocketAddr;
@@ -16,46 +17,59 @@
 use crate::scale::hollow::region;
 use crate::scale::partition::PartitionRelays;
 
-/// What is awaited for so long never comes.
+/// How long to wait for a log line before giving up.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
-/// Addresses of so many routers stand in each router's file: who has any of them finds all.
+/// Peers listed in each router's file: one that answers is enough to discover the others.
 const SEED_PEERS: usize = 5;
 
-/// Whether a process is a router, one without a control side, or a control instance.
+/// The kind of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
+    /// A router with a control side.
     Router,
-    /// It is told nothing of quillpoint.conf: what the same load costs without control.
+    /// A router without quillpoint.conf and so without a control side: the baseline cost of the same load.
     Baseline,
+    /// A control instance.
     Control,
 }
 
-/// Where a process is: for clients, for its fleet's datagrams, and for the feed's.
+/// The addresses of a process.
 #[derive(Clone, Copy, Debug)]
 pub struct Address {
+    /// Where it accepts clients.
     pub clients: SocketAddr,
+    /// Where it listens for the datagrams of its fleet, or as a subscriber.
     pub datagrams: SocketAddr,
+    /// Where a control instance serves its feed.
     pub feed: SocketAddr,
 }
 
-/// The files of a run and what all of them say.
+/// What the configuration files of a run are written from.
 pub struct Files<'a> {
+    /// Where the files are written.
     pub folder: &'a Path,
+    /// The sizes of the run.
     pub sizes: &'a Sizes,
+    /// Where discovery listens.
     pub discovery: SocketAddr,
-    /// All routers' addresses, the real ones' first, and all control instances'.
+    /// The datagram addresses of all routers.
     pub routers: &'a [SocketAddr],
+    /// The addresses of all control instances.
     pub control: &'a [Address],
-    /// Between the halves of a fleet that are to be cut from each other.
+    /// The relays of a run with a partition.
     pub partition: Option<&'a PartitionRelays>,
 }
 
+/// A real process of a run.
 pub struct Member {
+    /// Its kind.
     pub kind: Kind,
+    /// Its name in the fleet, and that of its files.
     pub name: String,
+    /// Its addresses.
     pub address: Address,
     files: [PathBuf; 2],
-    /// Whether it is told of quillpoint.conf.
+    /// Whether it is started with its quillpoint.conf.
     with_conf: bool,
     program: PathBuf,
     process: Option<Process>,
@@ -63,7 +77,7 @@
 }
 
 impl Files<'_> {
-    /// The keys of the fleet and of the feed.
+    /// Writes the keys of the fleet and of the feed.
     ///
     /// # Errors
     /// A file cannot be written.
@@ -71,13 +85,13 @@
         fs::create_dir_all(self.folder)?;
         for (name, byte) in [("fleet.keys", "5c"), ("feed.keys", "a3")] {
             let path = self.folder.join(name);
-            fs::write(&path, format!("# of this run alone\n{}\n", byte.repeat(32)))?;
+            fs::write(&path, format!("# generated for this run\n{}\n", byte.repeat(32)))?;
             fs::set_permissions(&path, fs::Permissions::from_mode(0o600))?;
         }
         Ok(())
     }
 
-    /// A process's platform and quillpoint.conf, in that order.
+    /// Writes the platform file and quillpoint.conf of a process, and returns their paths in that order.
     ///
     /// # Errors
     /// A file cannot be written.
@@ -97,7 +111,8 @@
             seed: sizes.seed.wrapping_mul(1000).wrapping_add(index as u64),
             sockets: 256 + sizes.databases + of_clients,
             memory_mb: 192 + of_clients / 10,
-            // Without control it would probe by itself what control spares it: that is no part of the same load.
+            // Without a control side it would make the health checks that others make for a router with one,
+            // which is not part of the same load.
             probes: kind != Kind::Baseline,
             known: Json::Null,
         });
@@ -107,7 +122,7 @@
         Ok(files)
     }
 
-    /// Where a member's fleet reaches it.
+    /// The address at which the fleet reaches the member that listens at `address`.
     fn fleet_address(&self, address: SocketAddr) -> SocketAddr {
         self.partition.map_or(address, |partition| partition.fleet_address(address))
     }
@@ -118,8 +133,9 @@
         if fleet {
             let (listen, every) = (address.datagrams, (self.sizes.period_s * 1000.0).round());
             let advertise = self.fleet_address(listen);
-            // All of them twice over, should the others be gone, as a control instance reckons by itself: a budget
-            // that is short would be measured instead.
+            // Twice the probe rate of all databases, in case all other members are gone, as a control
+            // instance computes it by default. A smaller budget would limit the probes, and the run would
+            // measure the budget.
             let work = (2.0 * self.sizes.databases as f64 / self.sizes.period_s).ceil().clamp(2000.0, 1e6);
             let budget = match kind {
                 Kind::Control => String::new(),
@@ -155,7 +171,7 @@
 }
 
 impl Member {
-    /// Not yet started.
+    /// Writes the files of a process without starting it.
     ///
     /// # Errors
     /// A file cannot be written.
@@ -176,7 +192,7 @@
         Ok(Self { kind, name, address, files: paths, with_conf, program, process: None, paused: false })
     }
 
-    /// Starts it, which takes a while.
+    /// Starts the process without waiting until it serves.
     ///
     /// # Errors
     /// The program cannot be started.
@@ -191,61 +207,71 @@
         Ok(())
     }
 
+    /// Waits until the process serves clients.
+    ///
     /// # Errors
     /// It does not serve in time.
     pub fn await_serving(&self) -> std::io::Result<()> {
         let serves =
             self.process.as_ref().is_some_and(|process| process.await_line("serves at", WAIT_TIMEOUT));
         let lines = || self.process.as_ref().map(Process::lines).unwrap_or_default();
-        if serves { Ok(()) } else { Err(self.error(&format!("does not serve: {:?}", lines()))) }
+        if serves {
+            Ok(())
+        } else {
+            Err(self.error(&format!("did not start serving in time; its log: {:?}", lines())))
+        }
     }
 
     fn error(&self, what: &str) -> std::io::Error {
         std::io::Error::other(format!("{} {what}", self.name))
     }
 
+    /// Kills the process.
     pub fn kill(&mut self) {
         self.process = None;
     }
 
+    /// Sends a signal, named as for `kill`, such as `-HUP`.
     pub fn signal(&self, name: &str) {
         if let Some(process) = &self.process {
             process.signal(name);
         }
     }
 
-    /// Stopped as it is, or continued.
+    /// Pauses the process by SIGSTOP, or continues it.
     pub fn set_paused(&mut self, paused: bool) {
         self.signal(if paused { "-STOP" } else { "-CONT" });
         self.paused = paused;
     }
 
+    /// Whether the process has been started and not killed; it may be paused.
     pub fn is_running(&self) -> bool {
         self.process.is_some()
     }
 
-    /// Whether it tells its counts when it is asked: one that starts does not take the signal yet.
+    /// Whether it can report its counters: a process that is starting does not handle the signal yet.
     pub fn is_answering(&self) -> bool {
         let serves = |process: &Process| process.await_line("serves at", Duration::ZERO);
         !self.paused && self.process.as_ref().is_some_and(serves)
     }
 
-    /// The resident memory in bytes, and the processor time so far.
+    /// Resident memory in bytes, and processor time since the start.
     pub fn usage(&self) -> Option<(u64, Duration)> {
         self.process.as_ref()?.usage()
     }
 
-    /// Asks for the counts, of which each event is one; where they will stand in its log.
+    /// Requests a report of the counters in the log. Returns the index of the log line from which to look for
+    /// it.
     pub fn request_counters(&self) -> usize {
         let index = self.process.as_ref().map_or(0, Process::count);
         self.signal("-HUP");
         index
     }
 
-    /// What was asked for: the sums of all its sockets.
+    /// Waits for the requested counters, from the log line at `index` on, and sums them over all sockets.
     ///
     /// # Errors
-    /// Nothing is told in time.
+    /// The process does not report them in time.
     pub fn counters(&self, index: usize, mode: Mode) -> std::io::Result<Counters> {
         let events: &[&str] = match (self.kind, mode) {
             (Kind::Control, _) => &["fleet_counts", "feed_counts"],
@@ -258,12 +284,13 @@
             let find = |line: &str| Counters::from_log_line(line, event);
             let found =
                 self.process.as_ref().and_then(|process| process.await_from(index, WAIT_TIMEOUT, find));
-            all = all.plus(found.ok_or_else(|| self.error(&format!("tells no {event}")))?);
+            all = all.plus(found.ok_or_else(|| self.error(&format!("logged no {event} event in time")))?);
         }
         Ok(all)
     }
 
-    /// Among how many it has said that it shares duties, and when: microseconds of Unix time, and their number.
+    /// The times, in microseconds of Unix time, at which the process logged how its fleet shares tasks, and
+    /// the number of routers that share them.
     pub fn task_shares(&self) -> Vec<(u64, u64)> {
         let lines = self.process.as_ref().map(Process::lines).unwrap_or_default();
         let share = |line: &String| {
--- a/crates/testbed/src/scale/mod.rs
+++ b/crates/testbed/src/scale/mod.rs
@@ -1,9 +1,11 @@
-//! Fleets of thousands on one machine: real router processes beside hollow routers, before stand-in databases.
+//! Scale measurements: fleets of thousands of routers on one machine, with real router processes and hollow
+//! routers in front of stand-in databases.
 //!
-//! A hollow router is the control side of a real one, the same code (`quillpoint-control-plane`), with no clients and no
-//! statements; some hundreds share a process. [`play::play`] plays one size and counts; [`calibration`] holds hollow
-//! against real in the same fleet, so that what is counted at the hollow ones may be taken for the real. What the
-//! figures mean stands in `docs/measurements/README.md`.
+//! A hollow router runs the same control side as a real one (`quillpoint-control-plane`), but serves no
+//! clients and no statements; hundreds of them share a process. [`run::run`] runs a fleet of one size and
+//! counts its traffic and cost. [`calibration`] compares hollow with real routers in the same fleet, so that
+//! figures counted at hollow routers can be taken for those of real ones. `docs/measurements/README.md`
+//! explains the figures.
 
 pub mod bounds;
 pub mod calibration;
--- a/crates/testbed/src/scale/observations.rs
+++ b/crates/testbed/src/scale/observations.rs
@@ -1,4 +1,5 @@
-//! What a hollow router has heard of databases: the part of an engine that its control side needs, and no more.
+//! The observations of a hollow router: the part of a router's engine that its control side needs, and no
+//! more.
 
 use std::cell::{Cell, OnceCell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -14,14 +15,15 @@
 use crate::now;
 use crate::scale::hollow::side;
 
-/// When a database was first heard to be a primary, and whether it was so by the last word.
+/// When a database was first seen as a primary, and whether the latest observation still says so.
 #[derive(Clone, Copy)]
 struct SeenRole {
     at: Duration,
     is_primary: bool,
 }
 
-/// What statements ask of a subscription: of each group that one comes for, what is told of its databases.
+/// Simulates statements that read from a subscriber: each one reads the new observations of a group of
+/// databases.
 pub struct StatementReads {
     subscription: Weak<SubscriberService>,
     groups: Rc<Vec<Vec<SocketAddr>>>,
@@ -30,6 +32,7 @@
 }
 
 impl StatementReads {
+    /// Simulates `per_second` statements a second.
     pub fn new(
         subscription: &Rc<SubscriberService>,
         groups: Rc<Vec<Vec<SocketAddr>>>,
@@ -39,25 +42,28 @@
     }
 }
 
-/// What one hollow router has heard, and the host of its control side.
+/// The observations of one hollow router, and the host of its control side.
 pub struct Observations {
     unix: Duration,
     start: Instant,
     nodes: Rc<BTreeMap<SocketAddr, u16>>,
-    /// Databases of which it is noted when they were last heard of, with that time.
+    /// Sampled databases, with the time of the latest observation of each.
     sampled: RefCell<BTreeMap<SocketAddr, Option<Duration>>>,
     promotable: Rc<BTreeSet<SocketAddr>>,
     roles: RefCell<BTreeMap<SocketAddr, SeenRole>>,
-    /// Probes that are out there.
+    /// Databases with a health check in flight.
     in_flight: RefCell<BTreeSet<SocketAddr>>,
     probes: Sender<SocketAddr>,
-    /// Its subscription's, where it has one.
+    /// Set once for a router that is a subscriber.
     statement_reads: OnceCell<RefCell<StatementReads>>,
+    /// Whether the two sides are currently cut off from each other.
     pub partitioned: Rc<Cell<bool>>,
     side: u8,
 }
 
 impl Observations {
+    /// Creates the observations of a router that listens at `listen`; requested health checks are sent to
+    /// `probes`.
     pub fn new(
         listen: SocketAddr,
         nodes: Rc<BTreeMap<SocketAddr, u16>>,
@@ -81,13 +87,14 @@
         }
     }
 
-    /// From now on statements ask. Called once.
+    /// Starts the simulated statements. Called once.
     pub fn start_statements(&self, statement_reads: StatementReads) {
         _ = self.statement_reads.set(RefCell::new(statement_reads));
     }
 
-    /// Statements that have come since the last digest ask for their groups, one after the other. A real router is awake
-    /// for each of them in any case; this one is so for digests alone.
+    /// Runs the statements that were due since the last digest: each reads its group, one group after the
+    /// other. A real router wakes up for each statement anyway; a hollow one would wake up only for this, so
+    /// it waits for the next digest.
     fn read_due_statements(&self) {
         let Some(statement_reads) = self.statement_reads.get() else { return };
         let StatementReads { subscription, groups, per_second, completed } =
@@ -121,7 +128,7 @@
         }
     }
 
-    /// A probe has ended. False if none was out there.
+    /// A health check has ended. Returns false if none was in flight.
     pub fn health_check_ended(&self, node: SocketAddr, answered: bool, primary: Option<bool>) -> bool {
         if answered {
             self.record(node, self.now(), primary);
@@ -129,23 +136,25 @@
         self.in_flight.borrow_mut().remove(&node)
     }
 
-    /// How old what is known of each sampled database is; `None` where nothing is known.
+    /// The age of the latest observation of each sampled database; `None` without one.
     pub fn ages(&self) -> Vec<Option<Duration>> {
         let now = self.now();
         let age = |last_seen: &Option<Duration>| last_seen.map(|at| now.saturating_sub(at));
         self.sampled.borrow().values().map(age).collect()
     }
 
-    /// How long this router runs.
+    /// The time since the router's start.
     pub fn uptime(&self) -> Duration {
         self.start.elapsed()
     }
 
+    /// The sampled databases.
     pub fn sampled(&self) -> Vec<SocketAddr> {
         self.sampled.borrow().keys().copied().collect()
     }
 
-    /// When it was first heard that the database is a primary, which it has been all the time since.
+    /// When the database was first seen as a primary, provided that it has been one in every observation
+    /// since.
     pub fn promotion_seen_at(&self, node: SocketAddr) -> Option<Duration> {
         self.roles.borrow().get(&node).filter(|role| role.is_primary).map(|role| role.at)
     }
--- a/crates/testbed/src/scale/partition.rs
+++ b/crates/testbed/src/scale/partition.rs
@@ -1,9 +1,11 @@
-//! The border between the two halves of a fleet, where real processes are cut from each other: relays of datagrams. A
-//! hollow router needs none: it is told what it reaches ([`crate::scale::observations`]).
+//! Simulates a network partition between the two sides of a fleet: datagram relays in front of real
+//! processes. Hollow routers need no relay; their host tells them which addresses they can reach
+//! ([`crate::scale::observations`]).
 //!
-//! A closed border is what a cut between two regions is to datagrams: they are lost without a word, both ways, and
-//! the half within goes on. What it is not: whoever is a process here reaches discovery and all databases over TCP all the
-//! time, as nothing at a database's socket tells the processes of one half from those of the other.
+//! While the relays are closed they drop, in both directions, every datagram between the two sides, as a cut
+//! between two regions does; traffic within a side goes on. TCP is not partitioned: real processes on both
+//! sides always reach discovery and all databases, since a database's socket cannot tell which side a process
+//! belongs to.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -13,18 +15,21 @@
 use crate::scale::hollow::side;
 use crate::scale::member::Address;
 
+/// Datagram relays between the two sides of a fleet; they forward everything until they are closed.
 pub struct PartitionRelays {
-    /// Before each control instance, by where it listens for the others of its fleet, all of which send to its relay.
+    /// One relay in front of each control instance, by the address where the instance listens for its fleet.
+    /// All other members send to the relay.
     fleet: BTreeMap<SocketAddr, Relay>,
-    /// Between a real router and a control instance of the other half, by where both listen.
+    /// One relay for each pair of a real router and a control instance on the other side, by the listen
+    /// addresses of both.
     feed: BTreeMap<(SocketAddr, SocketAddr), Passage>,
 }
 
 impl PartitionRelays {
-    /// Open, between these control instances and the real routers at these addresses.
+    /// Creates open relays for these control instances and for the real routers at these addresses.
     ///
     /// # Errors
-    /// There are no more addresses or threads to be had.
+    /// No free address or thread is available.
     pub fn new(control: &[Address], routers: impl Iterator<Item = SocketAddr>) -> io::Result<Self> {
         let relay = |address: &Address| Ok((address.datagrams, Relay::start(address.datagrams, 0)?));
         let fleet = control.iter().map(relay).collect::<io::Result<_>>()?;
@@ -39,17 +44,17 @@
         Ok(Self { fleet, feed })
     }
 
-    /// Where the fleet reaches the control instance that listens there.
+    /// The address at which fleet members reach the control instance that listens at `listens`.
     pub fn fleet_address(&self, listens: SocketAddr) -> SocketAddr {
         self.fleet.get(&listens).map_or(listens, |relay| relay.address)
     }
 
-    /// Where this router reaches the control instance whose feed is there.
+    /// The address at which this router reaches the control instance that serves its feed at `feed`.
     pub fn feed_address(&self, router: SocketAddr, feed: SocketAddr) -> SocketAddr {
         self.feed.get(&(router, feed)).map_or(feed, |passage| passage.address)
     }
 
-    /// Each half reaches none but its own.
+    /// Drops all datagrams between the two sides.
     pub fn close(&self) {
         for (to, relay) in &self.fleet {
             for from in self.fleet.keys().filter(|from| side(**from) != side(*to)) {
@@ -59,6 +64,7 @@
         self.feed.values().for_each(|passage| passage.close(true));
     }
 
+    /// Forwards all datagrams again.
     pub fn open(&self) {
         self.fleet.values().for_each(Relay::heal);
         self.feed.values().for_each(|passage| passage.close(false));
--- a/crates/testbed/src/scale/prober.rs
+++ b/crates/testbed/src/scale/prober.rs
@@ -1,4 +1,4 @@
-//! The probes of a process of hollow routers, sent to databases with the router's own messages on kept connections.
+//! Health checks of a process of hollow routers, sent with the router's own messages over reused connections.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -12,7 +12,7 @@
 
 use crate::scale::databases::next_message;
 
-/// A probe that is not answered by then has failed.
+/// How long a health check waits for its answer.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(250);
 
 struct Connection {
@@ -20,18 +20,19 @@
     unread: Vec<u8>,
 }
 
-/// Its connections are kept as long as there are few enough; one more is closed after use.
+/// Makes health checks, and keeps idle connections to at most `max_idle` databases.
 pub struct Prober {
     idle: RefCell<BTreeMap<SocketAddr, Vec<Connection>>>,
     max_idle: usize,
 }
 
 impl Prober {
+    /// Keeps idle connections to at most this many databases; others are closed after use.
     pub fn new(max_idle: usize) -> Self {
         Self { idle: RefCell::default(), max_idle }
     }
 
-    /// What the database says of itself; `None` if it says nothing in time.
+    /// The load report of the database; `None` if it does not answer in time.
     pub async fn probe(&self, node: SocketAddr) -> Option<LoadReport> {
         let timed_out = async {
             Timer::after(PROBE_TIMEOUT).await;
--- a/crates/testbed/src/scale/report.rs
+++ b/crates/testbed/src/scale/report.rs
@@ -1,5 +1,5 @@
-//! Plays what is wanted one after the other, holds it against its bounds, and tells of it: a line for each size to a
-//! record, one JSON object last.
+//! Executes runs one after the other, checks them against their bounds and reports them: a line for each run
+//! appended to the record file, and one JSON object at the end of the output.
 
 use std::collections::BTreeMap;
 use std::fs::OpenOptions;
@@ -12,28 +12,28 @@
 use crate::scale::bounds;
 use crate::scale::run::{Programs, RunError, RunSpec, run};
 
-/// A text of the command line that is no bound.
+/// A `--bound` option that is invalid.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub enum BoundError {
     /// It has no `=`.
     #[error("bound: expected FIGURE=VALUE, found {0}")]
     InvalidForm(String),
-    /// What stands behind the `=` is no number.
+    /// The text after the `=` is not a number.
     #[error("bound: expected FIGURE=VALUE, found {0}")]
     InvalidValue(String),
 }
 
-/// A bound as the command line says it.
+/// Parses a `--bound` option.
 ///
 /// # Errors
-/// It is no `FIGURE=VALUE`.
+/// The text is not of the form `FIGURE=VALUE`.
 pub fn bound(text: &str) -> Result<(String, f64), BoundError> {
     let (figure, value) = text.split_once('=').ok_or_else(|| BoundError::InvalidForm(text.to_string()))?;
     let value = value.parse().map_err(|_| BoundError::InvalidValue(text.to_string()))?;
     Ok((figure.to_string(), value))
 }
 
-/// The last line.
+/// The last line of the output.
 #[derive(Serialize)]
 struct Verdict<'a> {
     held: bool,
@@ -50,10 +50,10 @@
     bounds: &'a [Bound],
 }
 
-/// Whether all bounds held.
+/// Executes the runs and reports them. Returns whether all bounds held.
 ///
 /// # Errors
-/// A run could not be played, or the record not written.
+/// A run failed, or the record cannot be written.
 pub fn run_all(
     specs: &[RunSpec],
     programs: &Programs,
@@ -76,24 +76,28 @@
     let without_figure: Vec<&str> =
         extra_bounds.iter().map(|(name, _)| name.as_str()).filter(|name| !has(name)).collect();
     let broken = |run: &RunVerdict<'_>| run.bounds.iter().any(|bound| !bound.held);
-    // A bound that nothing is held against holds nothing.
+    // A bound on a figure that no run has counts as failed.
     let held = without_figure.is_empty() && !runs.iter().any(broken);
     let verdict = Verdict { held, runs, without_figure };
     println!("{}", serde_json::to_string(&verdict).map_err(std::io::Error::from)?);
     Ok(held)
 }
 
-/// What was played so far, and where it is told of.
+/// The runs completed so far, and where they are reported.
 pub struct RunReport<'a> {
+    /// The runs, in the order of execution.
     pub lines: Vec<Line>,
+    /// Bounds of the command line, as figure names and values.
     pub extra_bounds: &'a [(String, f64)],
+    /// The file that each run is appended to.
     pub record: Option<&'a Path>,
+    /// Whether to print nothing about each run.
     pub quiet: bool,
 }
 
 impl RunReport<'_> {
-    /// Holds a run against its bounds and against the earlier ones before it is told and written, so that a record has
-    /// all bounds that were held.
+    /// Checks a run against the bounds of the command line and against earlier runs, then prints and records
+    /// it; the recorded line thus has every bound that was checked.
     ///
     /// # Errors
     /// The record cannot be written.
@@ -112,7 +116,7 @@
     }
 }
 
-/// What holds between two runs is entered with the later one.
+/// Adds the bound on two runs, if an earlier one has half the databases, to the later one.
 fn add_comparison(before: &[Line], line: &mut Line) {
     let Line::Run { sizes, figures, bounds: held, fault: None, .. } = line else { return };
     let found = before.iter().find_map(|line| match line {
@@ -124,7 +128,7 @@
     held.extend(found);
 }
 
-/// Bounds of the command line replace those of the same name, or come on top of them.
+/// Applies the bounds of the command line; they replace bounds on the same figure.
 fn apply_extra_bounds(line: &mut Line, extra_bounds: &[(String, f64)]) {
     let Line::Run { figures, bounds, .. } = line else { return };
     for (name, most) in extra_bounds {
--- a/crates/testbed/src/scale/roles.rs
+++ b/crates/testbed/src/scale/roles.rs
@@ -1,4 +1,4 @@
-//! Which routers of a run are real, which hollow ones have a process to themselves, and which share one.
+//! Selects which routers of a run are real, which hollow ones have a dedicated process, and which share one.
 
 use std::net::SocketAddr;
 
@@ -9,20 +9,25 @@
 use crate::record::{Mode, Sizes};
 use crate::scale::sizes;
 
-/// The name of the router of this place, real or hollow.
+/// The name of the router at this index, real or hollow.
 pub fn router_name(index: usize) -> String {
     format!("r{index}")
 }
 
-/// The places of the real routers, of the hollow ones with a process to themselves, and of those that share one. Where
-/// all are members, each of the first two is chosen so that its routers own as many duties as routers do in the mean
-/// and in the spread, as names share them out by chance: in a fleet of 200 and 250 databases 16 own a fifth more or
-/// less, and say so much more.
+/// The indexes of the real routers, of the hollow routers with a dedicated process, and of those that share
+/// one.
+///
+/// In mode shared, tasks are distributed by rendezvous hashing of names, so routers own different numbers of
+/// them: in a fleet of 200 routers and 250 databases, 16 routers picked without regard to that own a fifth
+/// more or less than the mean, and send that much more or less. Real and dedicated routers are therefore
+/// picked evenly from the routers ordered by owned tasks, so that both groups match the fleet in mean and
+/// spread.
 pub fn roles(sizes: &Sizes, databases: &[SocketAddr]) -> [Vec<usize>; 3] {
     let mut indexes: Vec<usize> = (0..sizes.routers).collect();
     if sizes.mode == Mode::Shared {
         let candidate = |index: &usize| {
-            let name = PeerName::new(&router_name(*index)).expect("letters and digits");
+            let name =
+                PeerName::new(&router_name(*index)).expect("a letter and digits are a valid peer name");
             Candidate { name, zone: 0, weight: 1 }
         };
         let candidates: Vec<Candidate> = indexes.iter().map(candidate).collect();
@@ -41,7 +46,7 @@
     [real, dedicated, indexes]
 }
 
-/// Takes so many out of the line, spread evenly over it.
+/// Removes `count` indexes, evenly spaced, and returns them.
 fn take_evenly(indexes: &mut Vec<usize>, count: usize) -> Vec<usize> {
     let step = indexes.len() as f64 / count.max(1) as f64;
     let taken: Vec<usize> =
--- a/crates/testbed/src/scale/run.rs
+++ b/crates/testbed/src/scale/run.rs
@@ -1,4 +1,5 @@
-//! One run of one size: everything is started, settles, is counted for a while, and is ended.
+//! Executes a run of one size: starts everything, waits until the fleet has settled, measures it for a while,
+//! and stops it.
 
 mod fault_injection;
 mod member_watch;
@@ -28,31 +29,37 @@
 use crate::scale::sizes::{self, DATABASES_PER_PROCESS, Machine, SizeError};
 use crate::scale::{bounds, calibration};
 
-/// A fleet of which not all follow by then does not settle.
+/// How long a fleet may take to settle.
 const SETTLE_TIMEOUT: Duration = Duration::from_secs(60);
-/// All follow for so long before anything is counted; of the feed, until the second copies have come too.
+/// How long all hollow routers must have been caught up before the measurement starts.
 const SETTLED_DURATION: Duration = Duration::from_secs(2);
+/// The same in mode feed, so that the redundant snapshots have been pulled as well.
 const FEED_SETTLED_DURATION: Duration = Duration::from_secs(7);
-/// Clients have been greeted by then, and what that left to be done is over: 11 us for each connection.
+/// How long new clients are given until all have connected and the work that this causes is done, which takes
+/// 11 us per connection.
 const CLIENT_WARM_UP: Duration = Duration::from_secs(2);
-/// After what was counted, what was changed last may still become known.
+/// How long after the measurement the last promotions may take to become known.
 const PROPAGATION_TIME: Duration = Duration::from_secs(2);
-/// Databases of a group: a primary and its replicas.
+/// Databases in a group: a primary and its replicas.
 const GROUP_SIZE: usize = 5;
-/// A fault changes no more primaries.
+/// The most promotions that a fault causes.
 const MAX_PROMOTIONS_PER_FAULT: usize = 2;
 
-/// Where the programs are, and where files may be written.
+/// The programs of a run, and the folder for its files.
 #[derive(Clone, Debug)]
 pub struct Programs {
+    /// The router, which also runs as a control instance.
     pub router: PathBuf,
+    /// The process of hollow routers.
     pub hollow: PathBuf,
+    /// The process of stand-in databases.
     pub databases: PathBuf,
+    /// Where runs create their folders.
     pub folder: PathBuf,
 }
 
 impl Programs {
-    /// As cargo builds them, in one folder.
+    /// The programs as cargo builds them, all in one folder.
     pub fn in_folder(folder: &Path) -> Self {
         Self {
             router: folder.join("quillpoint"),
@@ -63,49 +70,58 @@
     }
 }
 
-/// A run that is wanted.
+/// What to run.
 #[derive(Clone, Debug)]
 pub struct RunSpec {
+    /// The sizes of the run.
     pub sizes: Sizes,
+    /// The axis that this run is a point of, if any.
     pub axis: Option<Axis>,
+    /// The fault to inject after the measurement.
     pub fault: Option<Fault>,
-    /// Whether processor time is held against the bound of the calibration, which wants a quiet machine.
+    /// Whether the processor time of hollow and real routers is compared, which needs an otherwise idle
+    /// machine.
     pub with_cpu: bool,
 }
 
+/// Why a run failed.
 #[derive(Debug, thiserror::Error)]
 pub enum RunError {
+    /// The sizes cannot be run.
     #[error("{0}")]
     Size(#[from] SizeError),
+    /// A process, file or socket failed.
     #[error("{0}")]
     Io(#[from] std::io::Error),
-    #[error("the fleet does not settle within {} s: {caught_up} of {hollow} hollow routers follow", SETTLE_TIMEOUT.as_secs())]
+    /// Some hollow routers were not caught up in time.
+    #[error("the fleet did not settle within {} s: {caught_up} of {hollow} hollow routers have caught up", SETTLE_TIMEOUT.as_secs())]
     NotSettled { caught_up: usize, hollow: usize },
 }
 
-/// A running fleet, with all that stands in for its surroundings.
+/// A running fleet with its stand-ins.
 struct TestFleet {
     sizes: Sizes,
-    /// Groups of databases by place: whose turn it is to be primary.
+    /// All databases, group by group.
     databases: Vec<SocketAddr>,
     databases_processes: Vec<StandIn>,
-    /// Hollow routers that share a process, and behind them those that have one to themselves.
+    /// Processes with shared hollow routers, followed by those with a dedicated one.
     hollow_processes: Vec<StandIn>,
+    /// How many of these have a dedicated router.
     dedicated: usize,
     real: Vec<Member>,
-    /// As many real routers without a control side, under the same load at the same time.
+    /// The baseline: as many real routers without a control side, under the same load at the same time.
     baseline: Vec<Member>,
     control: Vec<Member>,
-    /// Where real processes can be cut from each other.
+    /// Relays that partition the real processes, in a run with a partition.
     partition: Option<PartitionRelays>,
     listing: Listing,
-    /// What is still to rise and fall, last first.
+    /// Promotions still to be made as pairs of the indexes of the new and the old primary, in reverse order.
     promotions: Vec<(usize, usize)>,
     promoted: usize,
 }
 
 impl TestFleet {
-    /// Sends an order to all processes of hollow routers, and waits for their reports.
+    /// Sends a command to all processes of hollow routers and waits for their reports.
     fn command_hollow(&mut self, command: &StandInCommand) -> std::io::Result<Vec<HollowReport>> {
         let indexes: Vec<usize> = self
             .hollow_processes
@@ -115,7 +131,7 @@
         self.hollow_processes.iter().zip(indexes).map(|(process, index)| process.report(index)).collect()
     }
 
-    /// Waits until all hollow routers have followed for a while.
+    /// Waits until all hollow routers have been caught up for a while.
     fn settle(&mut self) -> Result<(), RunError> {
         let (began, mut since) = (Instant::now(), Instant::now());
         let settled = if self.sizes.mode == Mode::Feed { FEED_SETTLED_DURATION } else { SETTLED_DURATION };
@@ -134,27 +150,29 @@
         Ok(())
     }
 
-    /// Clients of real routers, as the sizes say.
+    /// Starts the clients of these real routers.
     fn clients(&self, of: &[Member]) -> std::io::Result<Clients> {
         let routers: Vec<SocketAddr> = of.iter().map(|member| member.address.clients).collect();
         let groups = self.sizes.databases / GROUP_SIZE;
         Clients::start(&routers, self.sizes.connections, self.sizes.statements, groups)
     }
 
-    /// The resident memory of the mean real router.
+    /// The mean resident memory of the real routers.
     fn real_memory(&self) -> f64 {
         let all: Vec<u64> = self.real.iter().filter_map(Member::usage).map(|(bytes, _)| bytes).collect();
         all.iter().sum::<u64>() as f64 / all.len().max(1) as f64
     }
 
-    /// The next promotion: another database of its group is primary from now on.
+    /// Makes the next promotion: replaces the primary of a group.
     fn promote(&mut self) -> std::io::Result<()> {
         let Some((new_primary, old_primary)) = self.promotions.pop() else { return Ok(()) };
         let (node, old_node) = (self.databases[new_primary], self.databases[old_primary]);
         let process_index = new_primary / DATABASES_PER_PROCESS;
         if old_primary / DATABASES_PER_PROCESS != process_index {
-            // Groups are whole within a process: its databases are a multiple of a group.
-            return Err(std::io::Error::other("a group in two processes"));
+            // The number of databases per process is a multiple of the group size.
+            return Err(std::io::Error::other(
+                "expected the databases of a group in one process, found them in two",
+            ));
         }
         let store = &mut self.databases_processes[process_index];
         let index = store.send(&StandInCommand::Promote { new_primary: node, old_primary: old_node })?;
@@ -164,7 +182,7 @@
         self.hollow_processes.iter_mut().try_for_each(|process| process.send(&notice).map(drop))
     }
 
-    /// Lets time pass, with changes at their rate.
+    /// Waits for this time and makes promotions at the rate of the run.
     fn wait_with_promotions(&mut self, span: Duration) -> std::io::Result<()> {
         let (began, rate) = (Instant::now(), self.sizes.changes);
         let mut made = 0;
@@ -183,7 +201,7 @@
         Ok(())
     }
 
-    /// When changes were known, of all that were made since the mark.
+    /// Adds the figures of how long routers took to learn of the promotions since the mark.
     fn put_promotions(&self, reports: &[HollowReport], figures: &mut BTreeMap<String, f64>) {
         let times = merge_histograms(reports.iter().map(|report| &report.known_times));
         let unknown: usize = reports.iter().flat_map(|report| &report.known).map(|known| known.unknown).sum();
@@ -195,12 +213,13 @@
         figures.insert("change_unknown".into(), unknown as f64);
         let last = reports.iter().flat_map(|report| &report.known).max_by_key(|known| known.last_us);
         if let Some(known) = last {
-            eprintln!("the last to know of {}: {}", known.node, known.last_router);
+            eprintln!("last router to learn of the promotion of {}: {}", known.node, known.last_router);
         }
     }
 }
 
-/// Which databases rise and fall in a run, last first: groups in an order by chance, each database once at the most.
+/// The promotions of a run in reverse order: pairs of the indexes of the new and the old primary. Groups are
+/// in random order, and each database is promoted at most once.
 fn promotions(sizes: &Sizes) -> Vec<(usize, usize)> {
     let wanted = (sizes.changes * (sizes.seconds + 10.0)).ceil() as usize + MAX_PROMOTIONS_PER_FAULT;
     let mut groups: Vec<usize> = (0..sizes.databases / GROUP_SIZE).collect();
@@ -215,10 +234,10 @@
     (0..wanted.min(groups.len() * (GROUP_SIZE - 1))).rev().map(of).collect()
 }
 
-/// Plays it and counts. The line that comes back has the calibration among its bounds.
+/// Executes a run and returns its record, which has the calibration among its bounds.
 ///
 /// # Errors
-/// It does not fit, something cannot be started, or the fleet does not settle.
+/// The run does not fit the machine, something cannot be started, or the fleet does not settle.
 pub fn run(spec: &RunSpec, programs: &Programs) -> Result<Line, RunError> {
     sizes::check(&spec.sizes, &Machine::detect())?;
     let sizes = &spec.sizes;
@@ -226,7 +245,7 @@
     let mut world = TestFleet::start(spec, programs)?;
     world.settle()?;
     let memory_before = world.real_memory();
-    // Those of untied routers are others: nobody asks how theirs were answered.
+    // The baseline routers have clients of their own, whose answers are not counted.
     let (clients, baseline_clients) = (world.clients(&world.real)?, world.clients(&world.baseline)?);
     if sizes.connections > 0 || sizes.statements > 0.0 {
         sleep(CLIENT_WARM_UP);
--- a/crates/testbed/src/scale/run/fault_injection.rs
+++ b/crates/testbed/src/scale/run/fault_injection.rs
@@ -1,5 +1,5 @@
-//! Fault injection into a calm fleet: what is done to hollow and real routers and to control instances, and how all are
-//! observed until the fleet is calm again.
+//! Injects a fault into hollow and real routers and control instances of a settled fleet, and observes them
+//! until the fleet has recovered.
 
 use std::collections::BTreeMap;
 use std::thread::sleep;
@@ -21,18 +21,18 @@
 use crate::scale::member::Member;
 use crate::scale::partition::PartitionRelays;
 
-/// How long after a fault the fleet is watched for its return to calm.
+/// How long after a fault the fleet is given to recover.
 const RECOVERY_TIMEOUT: Duration = Duration::from_secs(20);
-/// How often hollow routers are counted meanwhile.
+/// How often hollow routers are polled during recovery.
 const COUNT_INTERVAL: Duration = Duration::from_secs(1);
-/// How long the traffic must have been calm.
+/// How long the traffic must have been back to normal.
 const CALM_DURATION: Duration = Duration::from_secs(4);
-/// Calm is at most so many times the traffic before the fault.
+/// Traffic is normal up to this multiple of the traffic before the fault.
 const CALM_TIMES: f64 = 1.25;
-/// How often real processes are asked for their counts.
+/// How often real processes are polled.
 const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// When a fault begins and ends, since the epoch.
+/// When a fault begins and ends, as times since the Unix epoch.
 #[derive(Clone, Copy)]
 struct FaultSpan {
     began: Duration,
@@ -45,15 +45,16 @@
     }
 }
 
-/// What is still to be done of a fault, and when.
+/// Actions of a fault that are still due.
 struct Schedule {
     end: Option<Duration>,
-    /// Last first.
+    /// In reverse order.
     promotions: Vec<Duration>,
 }
 
 impl Schedule {
-    /// Primaries change while the routers of a fault start; of a cut, in its middle and when it has just healed.
+    /// Primaries change while the restarted routers are starting; in a partition, one changes in its middle
+    /// and one right after it has healed.
     fn new(fault: Fault, span: FaultSpan) -> Self {
         let promotions = match fault {
             Fault::Primary => vec![span.began + RESTART_DOWNTIME / 2],
@@ -63,14 +64,14 @@
         Self { end: Some(span.ended), promotions }
     }
 
-    /// When something is due next: at the latest, to look at real processes.
+    /// When the next action or poll of real processes is due.
     fn next(&self) -> Duration {
         let due = [self.promotions.last().copied(), self.end];
         due.into_iter().flatten().fold(now() + POLL_INTERVAL, Duration::min)
     }
 }
 
-/// Real processes, as they are seen during a fault.
+/// The watches on real processes during a fault.
 #[derive(Default)]
 struct RealWatches {
     control: MemberWatch,
@@ -84,13 +85,14 @@
     }
 }
 
-/// What was last seen of a fleet after a fault.
+/// The last state seen of a fleet after a fault.
 struct Recovery {
-    /// Of hollow routers.
+    /// The reports of hollow routers.
     reports: Vec<HollowReport>,
-    /// The same at the end of a cut.
+    /// The same at the end of a partition.
     while_partitioned: Option<Vec<HollowReport>>,
-    /// How long after the fault the traffic was calm, in seconds, if it was within the timeout.
+    /// How long after the fault the traffic was back to normal, in seconds; `None` if it was not by the
+    /// timeout.
     calm_after_s: Option<f64>,
 }
 
@@ -100,8 +102,8 @@
     }
 }
 
-/// Injects the fault into the fleet, watches it until it is calm again, and enters figures. Returns the bounds on whether
-/// all follow again, the traffic is calm again, and a cut was a cut.
+/// Injects the fault, watches the fleet until it has recovered, and adds figures. Returns bounds on whether
+/// all routers have caught up, the traffic is back to normal, and a partition was complete.
 ///
 /// # Errors
 /// A process cannot be started or does not report.
@@ -140,7 +142,8 @@
     Ok(bounds(missing, recovery.calm_after_s, figures))
 }
 
-/// None may be missing at the end: no follower, no calm, no side of a cut.
+/// Bounds of zero: no router may be left behind, the traffic must be back to normal, and every control
+/// instance must have been partitioned and have rejoined.
 fn bounds(missing: f64, calm_after_s: Option<f64>, figures: &BTreeMap<String, f64>) -> Vec<Bound> {
     let held = |figure: &str, is: f64| Bound { figure: figure.to_string(), is, most: 0.0, held: is <= 0.0 };
     let calm_missing = f64::from(u8::from(calm_after_s.is_none()));
@@ -150,7 +153,7 @@
     bounds
 }
 
-/// When hollow routers follow again, their most traffic, and the age of what they know.
+/// When hollow routers had caught up, their peak traffic, and the ages of their observations.
 fn put_hollow(put: &mut impl FnMut(&str, f64), recovery: &Recovery, ended_us: u64) {
     let reports = &recovery.reports;
     let unfollowed = reports.iter().map(|report| report.last_behind_us).max().unwrap_or(0);
@@ -165,7 +168,7 @@
     put("fault_age_max_s", ages.max() as f64 / 1e6);
 }
 
-/// The most traffic and processor time of control instances.
+/// The peak traffic and processor time of control instances.
 fn put_control(put: &mut impl FnMut(&str, f64), control: &MemberWatch, calm: &Window) {
     put("peak_control_bytes_s", control.peak_bytes);
     put("peak_control_cpu_part", control.peak_cpu);
@@ -173,7 +176,7 @@
     put("peak_control_times", control.peak_bytes / calm.max(1.0));
 }
 
-/// What discovery was asked since the fault began.
+/// The requests to discovery since the fault began.
 fn put_discovery(put: &mut impl FnMut(&str, f64), discovery: &Counts) {
     put("fault_discovery_calls", discovery.calls as f64);
     put("fault_discovery_lists", discovery.lists as f64);
@@ -182,8 +185,9 @@
 }
 
 impl TestFleet {
-    /// Ends the fault in time, and watches the fleet until all follow and the traffic has been calm for a while, or until
-    /// the timeout. `calm_bytes` is the traffic of all hollow routers before the fault, in bytes a second.
+    /// Ends the fault when it is due, and watches the fleet until all routers have caught up and the traffic
+    /// has been normal for a while, or until the timeout. `calm_bytes` is the traffic of all hollow routers
+    /// before the fault, in bytes per second.
     fn recover(
         &mut self,
         fault: Fault,
@@ -223,7 +227,7 @@
         }
     }
 
-    /// How many real routers are struck, when the last of them follows again, and the most traffic of one.
+    /// How many real routers are affected, when the last of them had caught up, and the peak traffic of one.
     fn put_affected(
         &self,
         put: &mut impl FnMut(&str, f64),
@@ -241,7 +245,7 @@
 }
 
 impl TestFleet {
-    /// The places among the real routers of those that are restarted or stopped.
+    /// The indexes of the real routers that are restarted or stopped.
     fn affected(&self, fault: Fault) -> Vec<usize> {
         match fault {
             Fault::Restart | Fault::Stop | Fault::Primary => {
@@ -256,7 +260,7 @@
         let affected = self.affected(fault);
         match fault {
             Fault::Restart | Fault::Primary => {
-                // Real ones take a few milliseconds each, so that they go down first.
+                // Killing a real router takes a few milliseconds, so these go down first.
                 for index in affected {
                     self.real[index].kill();
                     watch.process_lost(index);
@@ -286,7 +290,8 @@
         Ok(())
     }
 
-    /// Hollow routers return, or reach the others again, by themselves.
+    /// Ends the fault for real processes. Hollow routers restart, continue or reach the others again by
+    /// themselves.
     fn end(&mut self, fault: Fault, watch: &mut MemberWatch) -> std::io::Result<()> {
         if fault == Fault::Partition {
             self.partition.iter().for_each(PartitionRelays::open);
@@ -303,8 +308,9 @@
 }
 
 impl TestFleet {
-    /// What each side knew while it was cut off, by these reports of its end, and when all agreed again: routers by what
-    /// they know, control instances by whom they share duties with.
+    /// Adds the age of observations on each side, by reports from the end of the partition, and when all
+    /// agreed again: routers by their observations, control instances by the peers that they share tasks
+    /// with.
     fn put_partition(&self, reports: &[HollowReport], span: FaultSpan, figures: &mut BTreeMap<String, f64>) {
         let (began_us, ended_us) = (span.began.as_micros() as u64, span.ended_us());
         let mut put = |name: &str, value: f64| {
@@ -346,11 +352,12 @@
     }
 }
 
-/// Bytes in and out of all hollow routers by quarters of a second, but for the last, which may not have come from all.
+/// Bytes in and out of all hollow routers by quarters of a second, without the last quarter, which not all
+/// processes may have reported yet.
 fn by_quarter(reports: &[HollowReport]) -> Vec<(u64, u64)> {
     let mut all: BTreeMap<u64, u64> = BTreeMap::new();
     for (at, bytes) in reports.iter().flat_map(|report| &report.quarters) {
-        // Processes look at their routers at moments of their own.
+        // The processes sample at different times; round to a common grid.
         *all.entry(at / 250_000 * 250_000).or_default() += bytes;
     }
     all.pop_last();
--- a/crates/testbed/src/scale/run/member_watch.rs
+++ b/crates/testbed/src/scale/run/member_watch.rs
@@ -1,4 +1,5 @@
-//! Real processes during a fault: their peaks, and whether they follow again.
+//! Observes real processes during a fault: their peak traffic and processor time, and whether they catch up
+//! again.
 
 use std::time::{Duration, Instant};
 
@@ -8,36 +9,39 @@
 use crate::scale::faults::has_caught_up;
 use crate::scale::member::Member;
 
-/// What passes in a shorter time, as right after a return, is a part of what is counted by the next look: divided by so
-/// little time it would be no rate.
+/// The shortest interval of which a rate is taken. After a shorter one, such as right after a process
+/// returns, the bytes are counted with the next interval: dividing them by so little time would give no
+/// meaningful rate.
 const MIN_INTERVAL_S: f64 = 0.15;
 
-/// What was last seen of a real process.
+/// The last state seen of a real process.
 #[derive(Clone, Copy, Default)]
 struct LastSeen {
-    /// Its counts, with its processor time and when that was read. None before it has been asked, and while it is down.
+    /// Its counters and processor time, and when the latter was read. None before the first poll and while
+    /// the process is down.
     last: Option<(Counters, Duration, Instant)>,
-    /// As before the fault.
+    /// The counters before the fault.
     before: Counters,
-    /// It follows as before, and since when.
+    /// Whether it has caught up with those, and since when.
     caught_up: bool,
     caught_up_us: u64,
 }
 
-/// Real processes, asked for their counts again and again.
+/// Polls the counters of real processes.
 #[derive(Default)]
 pub(super) struct MemberWatch {
     seen: Vec<LastSeen>,
-    /// The most bytes a second of one process, in and out, and the most part of a core.
+    /// The highest traffic of one process, in and out, in bytes per second.
     pub(super) peak_bytes: f64,
+    /// The highest processor time of one process, as a part of a core.
     pub(super) peak_cpu: f64,
 }
 
 impl MemberWatch {
-    /// Asks all that run for their counts.
+    /// Polls the counters of all processes that can answer.
     ///
     /// # Errors
-    /// One does not answer.
+    /// A process does not answer in time.
     pub(super) fn poll(&mut self, members: &[Member], mode: Mode) -> std::io::Result<()> {
         self.seen.resize(members.len(), LastSeen::default());
         let asked: Vec<Option<usize>> =
@@ -70,7 +74,7 @@
         Ok(())
     }
 
-    /// What they held by the last look is what they must hold again.
+    /// Takes the last poll as the state that the processes must recover.
     pub(super) fn set_reference(&mut self) {
         for seen in &mut self.seen {
             seen.before = seen.last.map(|(sums, ..)| sums).unwrap_or_default();
@@ -79,14 +83,14 @@
         }
     }
 
-    /// The process is gone, and its counts with it.
+    /// Notes that a process was killed, and its counters with it.
     pub(super) fn process_lost(&mut self, index: usize) {
         self.seen[index].last = None;
         self.seen[index].caught_up = false;
     }
 
-    /// It runs from now on: what has passed by the next look has passed since then. A process that stood still finds
-    /// at its socket what came meanwhile.
+    /// Notes that a process runs again, so that the next rate is taken from now on. A paused process finds
+    /// the datagrams of the pause in its socket buffer.
     pub(super) fn process_returned(&mut self, index: usize) {
         let (sums, cpu, _) =
             self.seen[index].last.unwrap_or((Counters::default(), Duration::ZERO, Instant::now()));
@@ -95,12 +99,12 @@
         self.seen[index].caught_up = false;
     }
 
-    /// Those that did not follow by the last look.
+    /// The number of processes that had not caught up at the last poll.
     pub(super) fn missing(&self) -> usize {
         self.seen.iter().filter(|seen| !seen.caught_up).count()
     }
 
-    /// When the last of them came to follow again.
+    /// When the last process caught up, in microseconds of Unix time; 0 if none had to.
     pub(super) fn caught_up_us(&self) -> u64 {
         self.seen.iter().map(|seen| seen.caught_up_us).max().unwrap_or(0)
     }
--- a/crates/testbed/src/scale/run/stand_in.rs
+++ b/crates/testbed/src/scale/run/stand_in.rs
@@ -1,4 +1,4 @@
-//! A process of stand-ins (databases, or hollow routers): it reads orders and writes reports, a JSON line each.
+//! A process of stand-ins (databases or hollow routers): reads commands and writes reports, each a JSON line.
 
 use std::path::Path;
 use std::process::Command;
@@ -10,10 +10,10 @@
 use crate::process::{Kept, Process};
 use crate::scale::commands::StandInCommand;
 
-/// How long a report is awaited.
+/// How long to wait for a report.
 const REPORT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A running process and what it stands in for.
+/// A running process and the name of what it stands in for.
 pub(super) struct StandIn {
     pub(super) process: Process,
     name: &'static str,
@@ -27,18 +27,20 @@
         Ok(Self { process, name })
     }
 
-    /// Waits for the first report, which says that all of it is listening.
+    /// Waits for the first report, which the process writes once all its addresses are bound.
     pub(super) fn await_up<R: DeserializeOwned>(&self) -> std::io::Result<R> {
         self.report(0)
     }
 
-    /// The report at this place of the output.
+    /// Waits for a report in the output, from the line at `index` on.
     pub(super) fn report<R: DeserializeOwned>(&self, index: usize) -> std::io::Result<R> {
         let found = self.process.await_from(index, REPORT_TIMEOUT, |line| serde_json::from_str(line).ok());
-        found.ok_or_else(|| std::io::Error::other(format!("a process of {} does not report", self.name)))
+        found.ok_or_else(|| {
+            std::io::Error::other(format!("a process of {} did not report in time", self.name))
+        })
     }
 
-    /// Sends an order and returns the place of its report among the lines of the output.
+    /// Sends a command and returns the index of the output line from which to look for its report.
     pub(super) fn send(&mut self, command: &StandInCommand) -> std::io::Result<usize> {
         let index = self.process.count();
         self.process.order(&serde_json::to_string(command)?)?;
--- a/crates/testbed/src/scale/run/start.rs
+++ b/crates/testbed/src/scale/run/start.rs
@@ -1,4 +1,5 @@
-//! How a fleet is started: addresses, databases, discovery, files, real processes, and hollow routers last.
+//! Starts a fleet: addresses, databases, discovery, configuration files, real processes, and hollow routers
+//! last.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::path::PathBuf;
@@ -19,26 +20,26 @@
 use crate::scale::roles::{roles, router_name};
 use crate::scale::sizes::DATABASES_PER_PROCESS;
 
-/// Control instances publish by then and after five periods.
+/// Control instances publish after this time and five probe periods.
 const CONTROL_STARTUP: Duration = Duration::from_millis(1500);
-/// How far behind replicas are.
+/// Replication lag of the replicas.
 const REPLICA_LAG_MS: u64 = 20;
-/// The age of what is known is sampled for so many databases a router.
+/// Databases of each router whose observation age is sampled.
 const SAMPLED_DATABASES: usize = 8;
-/// A router's sessions use one in so many databases.
+/// The sessions of each router use one in this many databases.
 const USES_ONE_IN: usize = 24;
 
-/// Several runs may follow or stand beside each other in a process.
+/// Numbers the runs of this process, which may follow each other or overlap.
 static NEXT_RUN: AtomicU16 = AtomicU16::new(0);
 
-/// What sets a run apart from others on this machine: its folder and its part of the loopback addresses.
+/// What separates a run from others on this machine: its folder and its part of the loopback addresses.
 struct RunSpace {
     folder: PathBuf,
     slot: u16,
 }
 
 impl RunSpace {
-    /// Takes the next of this process, and creates its folder.
+    /// Allocates the space of the next run and creates its folder.
     fn next(programs: &Programs) -> std::io::Result<Self> {
         let run = NEXT_RUN.fetch_add(1, Ordering::SeqCst);
         let slot = (std::process::id() as u16).wrapping_mul(13).wrapping_add(run) & 0xfff;
@@ -47,8 +48,8 @@
         Ok(Self { folder, slot })
     }
 
-    /// The address of a place: 250 on each port. Neither another process of this machine nor another run of this one
-    /// has the same, as far as its id tells.
+    /// The address at an index, 250 on each port. The slot in it keeps other runs on this machine from using
+    /// the same one, as far as process ids differ in the bits that go into the slot.
     fn address(&self, base: u8, port: u16, index: usize) -> SocketAddr {
         let second = base + ((self.slot >> 8) & 15) as u8;
         let ip = Ipv4Addr::new(127, second, self.slot as u8, 1 + (index % 250) as u8);
@@ -59,7 +60,7 @@
         self.address(192, 20_000, index)
     }
 
-    /// Of a control instance or a router.
+    /// The addresses of a control instance or a router.
     fn member(&self, index: usize) -> Address {
         Address {
             clients: self.address(208, 8400, index),
@@ -73,15 +74,15 @@
 struct FleetAddresses {
     control: Vec<Address>,
     routers: Vec<Address>,
-    /// Where the routers listen for datagrams.
+    /// The datagram addresses of the routers.
     datagrams: Vec<SocketAddr>,
-    /// For the files that all hollow routers share, of a router that is not there.
+    /// An unused address, for the files that all hollow routers share.
     spare: Address,
     baseline: Vec<Address>,
 }
 
 impl FleetAddresses {
-    /// Control instances come first, so that there are such of both sides of a cut.
+    /// Control instances come first, so that both sides of a partition have some.
     fn new(space: &RunSpace, sizes: &Sizes) -> Self {
         let all = sizes.control + sizes.routers;
         let members = |indexes: std::ops::Range<usize>| -> Vec<Address> {
@@ -98,7 +99,7 @@
     }
 }
 
-/// Starts the stand-in databases, the first of each group as its primary, and waits until all listen.
+/// Starts the stand-in databases, with the first of each group as its primary, and waits until all listen.
 fn start_databases(programs: &Programs, databases: &[SocketAddr]) -> std::io::Result<Vec<StandIn>> {
     let plans = databases.chunks(DATABASES_PER_PROCESS).map(|chunk| DatabasesPlan {
         addresses: chunk.to_vec(),
@@ -114,7 +115,7 @@
     Ok(databases_processes)
 }
 
-/// Starts discovery with a list of these databases.
+/// Starts discovery with an endpoint list of these databases.
 fn start_listing(databases: &[SocketAddr]) -> std::io::Result<Listing> {
     let entry = |(index, database): (usize, &SocketAddr)| {
         let role = if index.is_multiple_of(GROUP_SIZE) { "primary" } else { "replica" };
@@ -134,7 +135,7 @@
 }
 
 impl RealMembers {
-    /// Writes their files. `chosen` are the places of the real routers.
+    /// Writes their files. `chosen` are the indexes of the real routers.
     fn new(
         files: &Files<'_>,
         programs: &Programs,
@@ -155,19 +156,19 @@
     }
 }
 
-/// What the processes of hollow routers are started with.
+/// What the processes of hollow routers are started from.
 struct HollowStart<'a> {
     spec: &'a RunSpec,
     programs: &'a Programs,
     files: &'a Files<'a>,
     addresses: &'a FleetAddresses,
-    /// The places of routers with a process to themselves, and of those that share one.
+    /// The indexes of the routers with a dedicated process, and of those that share one.
     dedicated: &'a [usize],
     shared: &'a [usize],
 }
 
 impl HollowStart<'_> {
-    /// The plans of all processes, those of shared ones first.
+    /// The plans of all processes, those with shared routers first.
     fn plans(
         &self,
         databases: &[SocketAddr],
@@ -175,7 +176,7 @@
     ) -> std::io::Result<Vec<HollowPlan>> {
         let sizes = &self.spec.sizes;
         let calm = self.spec.fault.is_none();
-        // All hollow routers are told the same but for name and address.
+        // Hollow routers share one set of files; only name and address differ.
         let [platform, conf] =
             self.files.write(Kind::Router, "hollow", self.addresses.spare, sizes.routers)?;
         let each = self.shared.len().div_ceil(sizes.hollow_processes - self.dedicated.len()).max(1);
@@ -207,7 +208,7 @@
         Ok(plans)
     }
 
-    /// Starts all processes, and waits until their routers listen.
+    /// Starts all processes and waits until their routers listen.
     fn start(
         &self,
         databases: &[SocketAddr],
@@ -224,9 +225,10 @@
 }
 
 impl TestFleet {
-    /// Starts the fleet of a run. Routers without a control side are there where processor time is held; in a calm run
-    /// nothing else is done by those whose time it is. A fleet that is to be cut is divided: its real processes can be
-    /// cut from each other.
+    /// Starts the fleet of a run. Baseline routers are started only if processor time is compared. In a run
+    /// without a fault, routers with a dedicated process do nothing that is not part of the control side,
+    /// since their processor time is measured. In a run with a partition, relays are put between the two
+    /// sides.
     ///
     /// # Errors
     /// A file cannot be written, or a process does not start or is not up in time.
@@ -277,13 +279,13 @@
         Ok(world)
     }
 
-    /// Starts the real processes: control instances first, since routers ask them as soon as they run.
+    /// Starts the real processes: control instances first, since routers connect to them as soon as they run.
     fn start_members(&mut self) -> std::io::Result<()> {
         self.control.iter_mut().try_for_each(Member::start)?;
         self.control.iter().try_for_each(Member::await_serving)?;
         if !self.control.is_empty() {
-            // They say nothing before they know all. Routers that start meanwhile turn from one to the next, and come
-            // back to those they prefer over half a minute.
+            // Control instances do not publish until their own observations are complete. Routers that start
+            // earlier try one after the other, and take half a minute to return to the preferred ones.
             sleep(CONTROL_STARTUP + Duration::from_secs_f64(self.sizes.period_s * 5.0));
         }
         self.real.iter_mut().chain(&mut self.baseline).try_for_each(Member::start)?;
--- a/crates/testbed/src/scale/run/window.rs
+++ b/crates/testbed/src/scale/run/window.rs
@@ -1,4 +1,4 @@
-//! What is counted between two snapshots of a run, as figures of its record.
+//! Measures the time between two snapshots of a run, as figures of its record.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -18,7 +18,7 @@
     pub(super) figures: BTreeMap<String, f64>,
 }
 
-/// All counters at one time.
+/// All counters at a point in time.
 pub(super) struct Snapshot {
     pub(super) at: Instant,
     hollow_processes: Vec<HollowReport>,
@@ -29,7 +29,7 @@
     cpu: Cpu,
 }
 
-/// Processor time so far, by role; of roles with a process each, by process.
+/// Processor time so far, by role, and by process for roles with a process each.
 #[derive(Clone)]
 struct Cpu {
     at: Instant,
@@ -40,14 +40,14 @@
     control: Vec<Duration>,
 }
 
-/// The part of a core that each process used between the two times.
+/// The part of a core that each process used between two readings.
 fn cpu_parts(before: &[Duration], after: &[Duration], seconds: f64) -> Vec<f64> {
     let part =
         |(before, after): (&Duration, &Duration)| after.saturating_sub(*before).as_secs_f64() / seconds;
     before.iter().zip(after).map(part).collect()
 }
 
-/// The sums of a process of hollow routers, in the form of a real one's.
+/// The counters of a process of hollow routers, in the form of a real process's.
 fn as_counters(report: &HollowReport) -> Counters {
     Counters {
         at_us: report.at_us,
@@ -68,8 +68,9 @@
 }
 
 impl TestFleet {
-    /// All counts by now. Those of real processes come from their logs, for which they read their files anew, so
-    /// processor time is looked at on the side of that where it is not in the span that is counted.
+    /// Reads all counters. Real processes log theirs on SIGHUP, which also makes them reload their files.
+    /// That processor time does not belong to the measured window, so processor time is read after the
+    /// counters when the window begins and before them when it ends.
     pub(super) fn snapshot(&mut self, begins: bool) -> std::io::Result<Snapshot> {
         let mut cpu = self.cpu();
         let asked: Vec<usize> = self.real.iter().chain(&self.control).map(Member::request_counters).collect();
@@ -107,7 +108,7 @@
         })
     }
 
-    /// Processor time of all processes by now.
+    /// Reads the processor time of all processes.
     fn cpu(&self) -> Cpu {
         let shared = self.hollow_processes.len() - self.dedicated;
         let time = |stand_in: &StandIn| stand_in.process.usage().map(|(_, time)| time);
@@ -125,7 +126,7 @@
         }
     }
 
-    /// The figures of what was counted between two snapshots.
+    /// The figures of the window between two snapshots.
     pub(super) fn window(&self, before: &Snapshot, after: &Snapshot) -> Window {
         let pair = |(before, after): (&Counters, &Counters)| (*before, *after, 1);
         let hollow_processes = before.hollow_processes.iter().zip(&after.hollow_processes);
@@ -156,7 +157,8 @@
         Window { hollow, control, figures }
     }
 
-    /// Figures of hollow routers: processor time of those with a process to themselves, memory of those that share one.
+    /// Figures of hollow routers. Processor time is that of routers with a dedicated process, memory that of
+    /// routers that share one.
     fn put_hollow(
         &self,
         put: &mut impl FnMut(&str, f64),
@@ -186,7 +188,8 @@
         put("router_probes_s", rates.probes);
     }
 
-    /// Figures of real routers: what the control side costs is what they use more than those without one.
+    /// Figures of real routers. The processor time of the control side is the difference to the baseline
+    /// routers.
     fn put_real(&self, put: &mut impl FnMut(&str, f64), before: &Cpu, after: &Cpu, rates: &Rates) {
         let cpu_seconds = after.seconds_since(before);
         let (on, on_error) = mean(&cpu_parts(&before.real, &after.real, cpu_seconds));
@@ -204,7 +207,7 @@
         }
     }
 
-    /// Figures of control instances: the mean processor time, and the most memory.
+    /// Figures of control instances: their mean processor time and the largest memory.
     fn put_control(&self, put: &mut impl FnMut(&str, f64), before: &Cpu, after: &Cpu, rates: &Rates) {
         put_rates(put, "control", rates);
         let cpu_parts = cpu_parts(&before.control, &after.control, after.seconds_since(before));
@@ -213,7 +216,7 @@
         put("control_memory_bytes", most.unwrap_or(0) as f64);
     }
 
-    /// Figures of what is around the routers: databases and discovery.
+    /// Figures of the databases and of discovery.
     fn put_surroundings(&self, put: &mut impl FnMut(&str, f64), before: &Snapshot, after: &Snapshot) {
         let seconds = (after.at - before.at).as_secs_f64();
         let probes =
@@ -222,7 +225,8 @@
             "database_probes_s",
             (probes(after) - probes(before)) as f64 / seconds / self.sizes.databases as f64,
         );
-        // Whoever is a process of its own has the list from discovery; hollow routers are given it.
+        // Only real processes request the endpoint list from discovery; hollow routers get it with their
+        // plan.
         let callers = (self.real.len() + self.control.len()).max(1) as f64;
         let discovery = after.discovery.since(before.discovery);
         put("discovery_calls_s", discovery.calls as f64 / seconds / callers);
@@ -230,7 +234,7 @@
     }
 }
 
-/// The rates of one role; the size of its state where that is known.
+/// The rates of one role, and the size of its state if there is any.
 fn put_rates(put: &mut impl FnMut(&str, f64), role: &str, rates: &Rates) {
     put(&format!("{role}_messages_in_s"), rates.messages_in);
     put(&format!("{role}_messages_out_s"), rates.messages_out);
--- a/crates/testbed/src/scale/sizes.rs
+++ b/crates/testbed/src/scale/sizes.rs
@@ -1,43 +1,52 @@
-//! What a run takes of the machine, and whether it fits, before anything is started.
+//! What a run requires of the machine; checked before anything is started.
 
 use std::fs;
 
 use crate::record::{Mode, Sizes};
 
-/// No run has more processes, and none takes more memory than this, or than half of what the machine has.
+/// The most processes of a run.
 pub const MAX_PROCESSES: usize = 300;
+/// The most memory of a run; it may not take more than half of the machine's memory either.
 pub const MAX_MEMORY_BYTES: u64 = 12 << 30;
-/// A fleet in which all are members keeps no more peers than this (`quillpoint_membership::membership::MAX_PEERS`), and so
-/// is none beyond: each would know another part of it.
+/// The most routers of a fleet in mode shared. A member tracks at most
+/// `quillpoint_membership::membership::MAX_PEERS` peers, so in a larger fleet each member would know a
+/// different part of it. The margin of 6 leaves room for restarted routers.
 pub const MAX_SHARED_ROUTERS: usize = quillpoint_membership::membership::MAX_PEERS - 6;
-/// Databases a process, and about how many connections to each are open at once.
+/// Stand-in databases per process.
 pub const DATABASES_PER_PROCESS: usize = 2000;
+/// About how many connections to each database are open at once.
 const CONNECTIONS_PER_DATABASE: usize = 6;
-/// Standard streams, reactors, files that are read.
+/// For standard streams, event loops and files.
 const SPARE_DESCRIPTORS: usize = 64;
-/// Addresses of a kind: 250 on each of so many ports.
+/// The most addresses of a kind: 250 on each of 80 ports.
 const MAX_ADDRESSES: usize = 250 * 80;
-/// Hollow routers a process, by what a router's control side takes of a core: one that is late by itself would show
-/// the lateness of the measurement.
+/// Hollow routers per process, chosen by the processor time of a router's control side: a process that is
+/// short of processor time would add delays of the measurement to the figures.
 const HOLLOW_PER_PROCESS_SHARED: usize = 20;
 const HOLLOW_PER_PROCESS_FEED: usize = 1000;
-/// Real routers, and control instances where there are such.
+/// The default number of real routers.
 const DEFAULT_REAL_ROUTERS: usize = 16;
+/// The default number of control instances in mode feed.
 const DEFAULT_CONTROL_INSTANCES: usize = 4;
 
-/// What there is.
+/// The resources that are available.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Machine {
-    /// Descriptors a process.
+    /// File descriptors per process.
     pub descriptors: usize,
+    /// The most processes of a run.
     pub processes: usize,
+    /// Memory in bytes.
     pub memory: u64,
 }
 
+/// Sizes that cannot be run.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SizeError {
+    /// A size is below its minimum, or out of range.
     #[error("{what}: asked for {asked}, expected at least {minimum}")]
     TooSmall { what: &'static str, asked: String, minimum: &'static str },
+    /// A size needs more than the machine has.
     #[error(
         "{what}: asked for {asked}, which takes {needed} {resource}; there are {available}: the largest that fits is {largest}"
     )]
@@ -49,30 +58,37 @@
         available: u64,
         largest: usize,
     },
+    /// A fleet in mode shared has more routers than a member can track.
     #[error(
-        "routers: asked for {asked} in one fleet; members keep {MAX_SHARED_ROUTERS} others with room for those that start anew: \
+        "routers: asked for {asked} in one fleet; a member tracks at most {MAX_SHARED_ROUTERS} peers, with room for restarted routers: \
          the largest that fits is {MAX_SHARED_ROUTERS} (modes off and feed take more)"
     )]
     Shared { asked: usize },
+    /// More real routers than routers.
     #[error("real: asked for {real} real routers among {routers} in all")]
     Real { real: usize, routers: usize },
+    /// Hollow routers in mode off.
     #[error(
-        "mode off: asked for {hollow} hollow routers, which have no control side to be measured; expected none"
+        "mode off: asked for {hollow} hollow routers, which have no control side to measure in this mode; expected none"
     )]
     Hollow { hollow: usize },
 }
 
-/// What a run takes: of each the most that any process does, or all together.
+/// What a run requires.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Requirements {
+    /// File descriptors of the process that needs the most.
     pub descriptors: u64,
+    /// Processes of the whole run.
     pub processes: u64,
+    /// Memory of the whole run, in bytes.
     pub memory: u64,
+    /// Loopback addresses of the kind that needs the most.
     pub addresses: u64,
 }
 
 impl Machine {
-    /// As the system tells it.
+    /// Reads the limits of this machine.
     pub fn detect() -> Self {
         let limits = fs::read_to_string("/proc/self/limits").unwrap_or_default();
         let open = limits.lines().find(|line| line.starts_with("Max open files"));
@@ -89,13 +105,13 @@
     }
 }
 
-/// So many of the hollow routers have a process to themselves. Those that share one share its wake-ups too, and so
-/// take less of a core than a real one: 0.8% against 2.1% in a fleet of 25.
+/// How many of the hollow routers get a dedicated process. Routers that share a process also share its
+/// wake-ups, and so use less processor time than a real one: 0.8% against 2.1% of a core in a fleet of 25.
 pub fn dedicated_processes(hollow: usize) -> usize {
     (hollow / 4).clamp(hollow.min(1), 8)
 }
 
-/// Into how many processes so many hollow routers go, with those that have one to themselves.
+/// The number of processes for this many hollow routers, dedicated ones included.
 pub fn hollow_processes(mode: Mode, hollow: usize) -> usize {
     let dedicated = dedicated_processes(hollow);
     match mode {
@@ -105,8 +121,8 @@
     }
 }
 
-/// A run of so many routers and databases with all else as it is where nothing else is said: the one set-up from which
-/// forms, the command's options and tests vary.
+/// The default sizes of a run with this many routers and databases. The suites, the options of the command
+/// and the tests all start from these.
 pub fn default_sizes(mode: Mode, routers: usize, databases: usize) -> Sizes {
     let sizes = Sizes {
         mode,
@@ -125,17 +141,18 @@
     with_real(sizes, if mode == Mode::Off { routers } else { routers.min(DEFAULT_REAL_ROUTERS) })
 }
 
-/// The same run with so many real routers among all.
+/// The same sizes with another number of real routers.
 pub fn with_real(sizes: Sizes, real: usize) -> Sizes {
     let hollow = sizes.routers.saturating_sub(real);
     Sizes { real, hollow_processes: hollow_processes(sizes.mode, hollow), ..sizes }
 }
 
+/// The number of processes for this many stand-in databases.
 pub fn database_processes(databases: usize) -> usize {
     databases.div_ceil(DATABASES_PER_PROCESS)
 }
 
-/// Reckoned from what runs of several sizes took, upwards.
+/// Estimates the requirements of a run, rounded up from those measured in runs of several sizes.
 pub fn requirements(sizes: &Sizes) -> Requirements {
     let Sizes { mode, routers, real, hollow_processes, control, databases, connections, .. } = *sizes;
     let hollow = routers - real.min(routers);
@@ -148,7 +165,7 @@
     };
     let of_databases = databases.min(DATABASES_PER_PROCESS) * (1 + CONNECTIONS_PER_DATABASE);
     let of_real = connections + databases;
-    // As many real routers again have no control side: what the same load costs without it.
+    // For the baseline: as many real routers again, without a control side.
     let baseline = if mode == Mode::Off { 0 } else { real };
     let of_clients = connections * (real + baseline);
     let descriptors = (each + idle).max(of_databases).max(of_real).max(of_clients) + SPARE_DESCRIPTORS;
@@ -171,8 +188,10 @@
     }
 }
 
+/// Checks that the sizes are valid and that the run fits the machine.
+///
 /// # Errors
-/// What was asked for, what there is, and the largest that fits.
+/// The size that is invalid or too large, with what is available and the largest value that fits.
 pub fn check(sizes: &Sizes, machine: &Machine) -> Result<(), SizeError> {
     let too_small = |what, asked: String, minimum| Err(SizeError::TooSmall { what, asked, minimum });
     if sizes.routers == 0 {
@@ -200,7 +219,11 @@
     let sharing = hollow - dedicated_processes(hollow);
     if sizes.mode != Mode::Off && sizes.hollow_processes < dedicated_processes(hollow) + sharing.min(1) {
         let asked = sizes.hollow_processes.to_string();
-        return too_small("hollow processes", asked, "one for each of eight routers, and one for the rest");
+        return too_small(
+            "hollow processes",
+            asked,
+            "one for each dedicated router (up to eight), and one for the rest",
+        );
     }
     if sizes.mode == Mode::Shared && sizes.routers > MAX_SHARED_ROUTERS {
         return Err(SizeError::Shared { asked: sizes.routers });
@@ -228,7 +251,7 @@
     .find(|(_, needed, available)| needed > available)
 }
 
-/// The same run with another size of one kind.
+/// The same sizes with one of them replaced.
 fn with_size(sizes: &Sizes, what: &str, size: usize) -> Sizes {
     let mut other = sizes.clone();
     match what {
@@ -238,7 +261,7 @@
         "control" => other.control = size,
         "hollow processes" => other.hollow_processes = size,
         _ => {
-            // More hollow routers need more processes, as they do without this limit.
+            // The process count follows the number of hollow routers, but does not exceed the one asked for.
             let hollow = size.saturating_sub(sizes.real);
             other.routers = size;
             other.hollow_processes = hollow_processes(sizes.mode, hollow).min(sizes.hollow_processes);
@@ -247,7 +270,7 @@
     other
 }
 
-/// Of which kind fewer would do, the first of them.
+/// The first size whose minimum would make the run fit, and its value.
 fn reducible_size(sizes: &Sizes, machine: &Machine) -> (&'static str, usize) {
     let kinds = [
         ("connections", sizes.connections, 0),
@@ -260,7 +283,7 @@
         asked > minimum && exceeded_limit(&with_size(sizes, what, *minimum), machine).is_none()
     };
     let routers = ("routers", sizes.routers, sizes.real);
-    // Routers first: they are what a run is about.
+    // Routers come first: their number is what most runs are about.
     let found = std::iter::once(routers).chain(kinds).find(is_enough);
     found.map_or(("routers", sizes.routers), |(what, asked, _)| (what, asked))
 }
--- a/crates/testbed/src/scale/suites.rs
+++ b/crates/testbed/src/scale/suites.rs
@@ -1,11 +1,12 @@
-//! Which sizes the short and the long form play.
+//! The runs of the short and the long suite.
 
 use crate::record::{Axis, Mode, Sizes};
 use crate::scale::faults::{ALL, Fault};
 use crate::scale::run::RunSpec;
 use crate::scale::sizes::{default_sizes, with_real};
 
-/// Where few routers are real, or their load is much larger than what control adds.
+/// The measured time of runs with few real routers, or with a load that costs much more than the control
+/// side.
 const LONG_WINDOW_S: f64 = 30.0;
 
 fn sizes(mode: Mode, routers: usize, databases: usize, seed: u64) -> Sizes {
@@ -16,7 +17,8 @@
     RunSpec { sizes, axis, fault, with_cpu: fault.is_none() }
 }
 
-/// Today's sharing, the feed at once and twice the databases, and a restart: under three minutes.
+/// The short suite, under three minutes: mode shared, mode feed at a number of databases and at twice that
+/// number, and a restart.
 pub fn short(seed: u64) -> Vec<RunSpec> {
     let feed = |routers, databases| Sizes { changes: 1.0, ..sizes(Mode::Feed, routers, databases, seed) };
     vec![
@@ -27,8 +29,8 @@
     ]
 }
 
-/// All axes, each with at least four sizes, largest last, and the faults at the largest number of routers. Periods are
-/// lengthened where the databases would take the cores.
+/// The long suite: every axis with at least four sizes, the largest last, and each fault at a large number of
+/// routers. The probe period is longer where the stand-in databases would otherwise use up the cores.
 pub fn long(seed: u64) -> Vec<RunSpec> {
     let mut specs = Vec::new();
     let calm = |sizes: Sizes, axis: Axis| spec(sizes, Some(axis), None);
@@ -38,11 +40,11 @@
     for databases in [500, 1000, 2000, 4000] {
         specs.push(calm(sizes(Mode::Feed, 250, databases, seed), Axis::Databases));
     }
-    // Off both axes: what grows with both.
+    // Sizes on neither axis: costs that grow with both routers and databases.
     for times in [2, 4] {
         specs.push(spec(sizes(Mode::Feed, 250 * times, 250 * times, seed), None, None));
     }
-    // The target's number of databases, at a pace that the stand-ins bear.
+    // The number of databases that quillpoint is designed for, at a probe rate that the stand-ins can serve.
     for databases in [9000, 18_000] {
         let sizes = Sizes { period_s: 2.0, ..sizes(Mode::Feed, 250, databases, seed) };
         specs.push(spec(sizes, None, None));
@@ -57,13 +59,15 @@
         let sizes = Sizes { changes, ..sizes(Mode::Feed, 500, 1000, seed) };
         specs.push(calm(Sizes { period_s: 0.5, ..sizes }, Axis::Changes));
     }
-    // A router says two things a second to those that it follows, at times of its own: of few routers so many are
-    // counted only in a longer time. Clients of all real routers, with and without control, share a process.
+    // A router sends two messages a second to the control instances that it follows, with jittered timing:
+    // with few routers a longer measured time is needed to count enough of them. One process holds the
+    // clients of all real routers, with and without a control side, which limits the number of connections.
     for (connections, real) in [(1000, 4), (2000, 4), (4000, 2), (8481, 1)] {
         let sizes = Sizes { connections, seconds: LONG_WINDOW_S, ..sizes(Mode::Feed, 50, 250, seed) };
         specs.push(calm(with_real(sizes, real), Axis::Connections));
     }
-    // What control adds to the load of statements is small beside it: the more routers, the less its noise.
+    // The control side costs little compared with the statement load, so more real routers are needed to
+    // average out the noise.
     for (statements, real) in [(100.0, 16), (250.0, 16), (500.0, 16), (1000.0, 8)] {
         let sizes = Sizes { statements, seconds: LONG_WINDOW_S, ..sizes(Mode::Feed, 50, 250, seed) };
         specs.push(calm(with_real(sizes, real), Axis::Statements));
--- a/crates/testbed/tests/bounds.rs
+++ b/crates/testbed/tests/bounds.rs
@@ -1,4 +1,5 @@
-//! Each bound of a run breaks just over its limit, and holds at it.
+//! Each bound of a run holds at its limit and breaks just above it. Guards against a bound that is loosened,
+//! dropped, or checked on the wrong figure.
 
 use std::collections::BTreeMap;
 
@@ -27,7 +28,7 @@
     pairs.iter().map(|(name, value)| (name.to_string(), *value)).collect()
 }
 
-/// What must hold in calm, and with each fault besides.
+/// The bounds of every run, with and without a fault.
 const CALM_LIMITS: [(&str, f64); 7] = [
     ("router_cpu_part", 0.047),
     ("router_memory_bytes", 64e6),
@@ -50,15 +51,15 @@
     }
 }
 
-/// The bound of this name, where a run has just these figures.
+/// The bound of this name in a run with just these figures.
 fn bound(fault: Option<Fault>, name: &str, pairs: &[(&str, f64)]) -> Bound {
     let bounds = bounds_of_run(&sizes(), fault, &figures(pairs));
     let found = bounds.iter().find(|bound| bound.figure == name).cloned();
-    found.unwrap_or_else(|| panic!("{name} is not held with {fault:?}: {bounds:?}"))
+    found.unwrap_or_else(|| panic!("found no bound on {name} with fault {fault:?}: {bounds:?}"))
 }
 
 #[test]
-fn each_bound_holds_at_its_limit_and_breaks_just_over_it() {
+fn each_bound_holds_at_its_limit_and_breaks_just_above_it() {
     let faults = ALL.into_iter().map(Some).chain([None]);
     for fault in faults {
         let extra = fault.map_or(&[][..], fault_limits);
@@ -72,12 +73,12 @@
                 .held
         };
         assert!(bytes(12_000.0, 1_000.0));
-        assert!(!bytes(12_000.0, 1_001.0), "in and out are held together");
+        assert!(!bytes(12_000.0, 1_001.0), "the bound is on the sum of bytes in and out");
     }
 }
 
 #[test]
-fn nothing_else_is_held_and_a_figure_that_a_run_lacks_neither() {
+fn runs_have_no_other_bounds_and_none_on_missing_figures() {
     let all: Vec<&str> = CALM_LIMITS
         .iter()
         .map(|(name, _)| *name)
@@ -91,7 +92,8 @@
         assert_eq!(bounds.len(), CALM_LIMITS.len() + 1 + fault_limits.len(), "{fault:?}: {bounds:?}");
         assert_eq!(bounds_of_run(&sizes(), fault, &BTreeMap::new()), Vec::new());
     }
-    // Ages follow the period, and today's sharing is the baseline.
+    // Observation ages depend on the probe period, and mode shared is only a baseline: neither has bounds
+    // here.
     let slow = Sizes { period_s: 2.0, ..sizes() };
     for name in ["age_p99_s", "cut_age_max_s", "fault_age_max_s"] {
         assert!(
@@ -107,15 +109,18 @@
 }
 
 #[test]
-fn bytes_at_twice_the_databases_hold_at_1_3_times_and_break_just_over_it() {
+fn bytes_at_twice_the_databases_hold_at_1_3_times_and_break_just_above_it() {
     let once = figures(&[("router_bytes_in_s", 900.0), ("router_bytes_out_s", 100.0)]);
     let more = |bytes: f64| figures(&[("router_bytes_in_s", bytes - 100.0), ("router_bytes_out_s", 100.0)]);
     let double = Sizes { databases: 1000, ..sizes() };
-    let held =
-        |bytes| twice_the_databases((&sizes(), &once), (&double, &more(bytes))).expect("they differ so").held;
+    let held = |bytes| {
+        twice_the_databases((&sizes(), &once), (&double, &more(bytes)))
+            .expect("the second run has twice the databases")
+            .held
+    };
     assert!(held(1300.0));
     assert!(!held(1301.0));
-    // Nothing else may differ.
+    // No other size may differ.
     for other in [
         sizes(),
         Sizes { databases: 1001, ..sizes() },
--- a/crates/testbed/tests/partition.rs
+++ b/crates/testbed/tests/partition.rs
@@ -1,4 +1,5 @@
-//! A closed border loses what goes from one half of a fleet to the other, both ways, and nothing within a half.
+//! Closed partition relays drop every datagram between the two sides of a fleet, in both directions, and none
+//! within a side.
 
 use std::net::{Ipv4Addr, SocketAddr, UdpSocket};
 use std::time::Duration;
@@ -8,24 +9,26 @@
 use quillpoint_testbed::scale::member::Address;
 use quillpoint_testbed::scale::partition::PartitionRelays;
 
-/// Nothing on loopback takes so long, and what is lost is awaited for no longer.
+/// How long to wait for a datagram that must arrive: far longer than loopback takes.
 const RECEIVE_TIMEOUT: Duration = Duration::from_secs(5);
+/// How long to wait for a datagram that must be dropped.
 const LOSS_TIMEOUT: Duration = Duration::from_millis(100);
 
 fn socket(last: u8) -> UdpSocket {
     let process_id = std::process::id();
     let ip = Ipv4Addr::new(127, 32 + (process_id & 15) as u8, (process_id >> 4) as u8, last);
-    UdpSocket::bind((ip, 0)).expect("the range is wide")
+    UdpSocket::bind((ip, 0)).expect("a loopback address of this process is free")
 }
 
 fn address_of(socket: &UdpSocket) -> SocketAddr {
-    socket.local_addr().expect("it is bound")
+    socket.local_addr().expect("a bound socket has a local address")
 }
 
-/// Whether what is sent there comes to this socket; and from where, for the answer.
+/// Sends a datagram to `via` and returns its source address as `to` sees it, or `None` if it does not arrive.
 fn receive_via(from: &UdpSocket, via: SocketAddr, to: &UdpSocket, lost: bool) -> Option<SocketAddr> {
-    from.send_to(b"word", via).expect("it is sent");
-    to.set_read_timeout(Some(if lost { LOSS_TIMEOUT } else { RECEIVE_TIMEOUT })).expect("a time");
+    from.send_to(b"word", via).expect("the datagram is sent");
+    to.set_read_timeout(Some(if lost { LOSS_TIMEOUT } else { RECEIVE_TIMEOUT }))
+        .expect("a positive timeout is valid");
     to.recv_from(&mut [0; 16]).ok().map(|(_, from)| from)
 }
 
@@ -49,11 +52,11 @@
 }
 
 #[test]
-fn a_closed_border_parts_the_halves_and_an_open_one_joins_them() {
+fn closed_relays_partition_the_sides_and_open_ones_join_them() {
     let instances: Vec<Instance> = (1..=4).map(Instance::new).collect();
     let control: Vec<Address> = instances.iter().map(Instance::address).collect();
     let routers: Vec<UdpSocket> = (11..=12).map(socket).collect();
-    let partition = PartitionRelays::new(&control, routers.iter().map(address_of)).expect("it is built");
+    let partition = PartitionRelays::new(&control, routers.iter().map(address_of)).expect("the relays start");
     for round in 0..3 {
         let closed = round == 1;
         if closed {
@@ -84,10 +87,15 @@
             for instance in &instances {
                 let remote = side(address_of(router)) != side(address_of(&instance.feed));
                 let via = partition.feed_address(address_of(router), address_of(&instance.feed));
-                assert_eq!(via != address_of(&instance.feed), remote, "only who is far goes by the border");
+                assert_eq!(
+                    via != address_of(&instance.feed),
+                    remote,
+                    "only the other side is reached through a relay"
+                );
                 let received = receive_via(router, via, &instance.feed, closed && remote);
                 assert_eq!(received.is_some(), !(closed && remote), "round {round}");
-                // The answer goes to where it came from; while the border is closed, to where it came from before.
+                // The answer goes to the address that the request came from, or came from earlier while the
+                // relays are closed.
                 let back = receive_via(
                     &instance.feed,
                     if remote { via } else { address_of(router) },
@@ -97,7 +105,7 @@
                 assert_eq!(
                     back,
                     (!(closed && remote)).then_some(via),
-                    "round {round}: as if from the other itself"
+                    "round {round}: an answer must come from the address that the request was sent to"
                 );
             }
         }
@@ -105,13 +113,20 @@
 }
 
 #[test]
-fn control_instances_were_cut_that_shared_duties_with_their_half_alone() {
+fn an_instance_that_shared_tasks_with_its_side_alone_was_partitioned() {
     let second = 1_000_000;
     let duties = [(second, 4), (11 * second, 3), (12 * second, 2), (40 * second, 4)];
     assert!(was_partitioned(&duties, (10 * second, 39 * second), 2));
-    assert!(!was_partitioned(&duties[..2], (10 * second, 39 * second), 2), "it lost one of two");
-    assert!(!was_partitioned(&duties, (13 * second, 39 * second), 2), "it was alone before");
+    assert!(
+        !was_partitioned(&duties[..2], (10 * second, 39 * second), 2),
+        "it lost one of two remote instances"
+    );
+    assert!(!was_partitioned(&duties, (13 * second, 39 * second), 2), "it was alone only before this time");
     assert_eq!(rejoined_after_s(&duties, 39 * second, 4), Some(1.0));
-    assert_eq!(rejoined_after_s(&duties[..3], 39 * second, 4), None, "still alone with its half");
+    assert_eq!(
+        rejoined_after_s(&duties[..3], 39 * second, 4),
+        None,
+        "its last share is still with its side alone"
+    );
     assert_eq!(rejoined_after_s(&[], 39 * second, 4), None);
 }
--- a/crates/testbed/tests/sizes.rs
+++ b/crates/testbed/tests/sizes.rs
@@ -1,5 +1,5 @@
-//! Sizes that do not fit are turned away before anything is started, with what was asked, what there is, and the largest
-//! that fits.
+//! Sizes that do not fit the machine are rejected before anything is started, with an error that says what
+//! was asked for, what is available, and the largest size that fits.
 
 use quillpoint_testbed::record::{Mode, Sizes};
 use quillpoint_testbed::scale::sizes::{
@@ -9,16 +9,16 @@
 
 const LARGE_MACHINE: Machine = Machine { descriptors: 20_000, processes: 300, memory: 12 << 30 };
 
-/// What was asked for and does not fit, and the largest that does.
+/// The size that was rejected, its value, and the largest value that fits.
 fn too_large(sizes: &Sizes, machine: &Machine) -> (&'static str, usize, usize) {
     match check(sizes, machine) {
         Err(SizeError::TooLarge { what, asked, largest, .. }) => (what, asked, largest),
-        other => panic!("expected too many, found {other:?}"),
+        other => panic!("expected SizeError::TooLarge, found {other:?}"),
     }
 }
 
 #[test]
-fn the_sizes_of_the_forms_fit() {
+fn default_sizes_and_suites_fit_a_large_machine() {
     for sizes in [
         default_sizes(Mode::Shared, 200, 250),
         default_sizes(Mode::Feed, 2000, 2000),
@@ -31,9 +31,10 @@
     }
 }
 
-/// Beside each real router stands one without control, which takes as much and has as many clients.
+/// Guards against estimates that leave out the baseline routers: for each real router there is one without a
+/// control side, which needs as much and has as many clients.
 #[test]
-fn routers_without_control_are_reckoned_in() {
+fn baseline_routers_count_towards_the_requirements() {
     let feed = default_sizes(Mode::Feed, 50, 250);
     let more = |real| requirements(&with_real(feed.clone(), real)).processes;
     assert_eq!(more(12) - more(10), 4);
@@ -45,10 +46,10 @@
 }
 
 #[test]
-fn nothing_is_no_size() {
+fn empty_and_invalid_sizes_are_rejected() {
     let too_small = |sizes: Sizes| match check(&sizes, &LARGE_MACHINE) {
         Err(SizeError::TooSmall { what, asked, .. }) => (what, asked),
-        other => panic!("expected too few, found {other:?}"),
+        other => panic!("expected SizeError::TooSmall, found {other:?}"),
     };
     assert_eq!(too_small(default_sizes(Mode::Shared, 0, 250)), ("routers", "0".to_string()));
     assert_eq!(too_small(default_sizes(Mode::Shared, 10, 0)), ("databases", "0".to_string()));
@@ -70,10 +71,10 @@
 }
 
 #[test]
-fn a_fleet_of_members_has_no_more_than_each_keeps() {
+fn a_shared_fleet_is_limited_to_the_peers_that_a_member_tracks() {
     let asked = check(&default_sizes(Mode::Shared, 251, 250), &LARGE_MACHINE);
     assert_eq!(asked, Err(SizeError::Shared { asked: 251 }));
-    let message = asked.expect_err("too many").to_string();
+    let message = asked.expect_err("the size does not fit").to_string();
     assert!(
         message.contains("asked for 251") && message.contains("the largest that fits is 250"),
         "{message}"
@@ -82,16 +83,17 @@
 }
 
 #[test]
-fn real_ones_are_among_all_and_off_has_no_hollow_ones() {
+fn real_routers_are_a_part_of_all_and_mode_off_has_no_hollow_ones() {
     let more = Sizes { real: 11, ..default_sizes(Mode::Feed, 10, 250) };
     assert_eq!(check(&more, &LARGE_MACHINE), Err(SizeError::Real { real: 11, routers: 10 }));
     let hollow = Sizes { real: 4, ..default_sizes(Mode::Off, 10, 250) };
     assert_eq!(check(&hollow, &LARGE_MACHINE), Err(SizeError::Hollow { hollow: 6 }));
 }
 
-/// The largest that is named fits, and one more does not, whatever is short.
+/// Guards against an error that names a size that does not fit, or not the largest one: whichever resource is
+/// short, the named size must be accepted and the next larger one rejected.
 #[test]
-fn the_largest_that_fits_is_named() {
+fn the_error_names_the_largest_size_that_fits() {
     let feed = default_sizes(Mode::Feed, 7900, 100);
     let short = [
         Machine { descriptors: 1024, ..LARGE_MACHINE },
@@ -106,7 +108,7 @@
             "databases" => Sizes { databases: size, ..feed.clone() },
             "real" => Sizes { real: size, routers: feed.routers - feed.real + size, ..feed.clone() },
             "hollow processes" => Sizes { hollow_processes: size, ..feed.clone() },
-            other => panic!("{other}"),
+            other => panic!("expected a size that this test varies, found {other}"),
         };
         assert!(check(&with(largest), &machine).is_ok(), "{what} {largest} on {machine:?}");
         assert!(check(&with(largest + 1), &machine).is_err(), "{what} {} on {machine:?}", largest + 1);
@@ -114,17 +116,20 @@
 }
 
 #[test]
-fn an_error_says_what_there_is() {
+fn the_error_names_the_available_resources() {
     let machine = Machine { descriptors: 1024, ..LARGE_MACHINE };
-    let message = check(&default_sizes(Mode::Feed, 100, 18_000), &machine).expect_err("too many").to_string();
+    let message = check(&default_sizes(Mode::Feed, 100, 18_000), &machine)
+        .expect_err("the size does not fit")
+        .to_string();
     assert!(message.contains("databases: asked for 18000"), "{message}");
     assert!(message.contains("descriptors in a process") && message.contains("there are 1024"), "{message}");
     assert!(message.contains("the largest that fits is"), "{message}");
 }
 
-/// What a run has where nothing else is said, which the command, the forms and the tests here all begin from.
+/// Guards against defaults that differ from those of the command's help text, which the suites and the tests
+/// here also start from.
 #[test]
-fn the_usual_run_is_as_the_command_says() {
+fn default_sizes_match_the_help_text() {
     for (mode, real, control) in [(Mode::Off, 200, 0), (Mode::Shared, 16, 0), (Mode::Feed, 16, 4)] {
         let sizes = default_sizes(mode, 200, 250);
         assert_eq!((sizes.routers, sizes.databases, sizes.real, sizes.control), (200, 250, real, control));
@@ -138,7 +143,7 @@
 }
 
 #[test]
-fn some_hollow_routers_have_a_process_to_themselves() {
+fn some_hollow_routers_have_a_dedicated_process() {
     assert_eq!([0, 1, 3, 8, 32, 1000].map(dedicated_processes), [0, 1, 1, 2, 8, 8]);
     assert_eq!(hollow_processes(Mode::Feed, 1), 1);
     assert_eq!(hollow_processes(Mode::Feed, 1008), 9);
