--- a/crates/testbed/src/bin/duties.rs
+++ b/crates/testbed/src/bin/duties.rs
@@ -15,7 +15,7 @@
 use quillpoint_testbed::duties::bench::{Bench, cpu_used};
 use quillpoint_testbed::duties::figures::{Figures, Findings};
 use quillpoint_testbed::duties::gap_plot::plot;
-use quillpoint_testbed::duties::rpc_costs::{contrast, first_reads};
+use quillpoint_testbed::duties::rpc_costs::{measure_first_reads, measure_rpc_costs};
 use quillpoint_testbed::listing::{Entry, Listing, targets};
 use quillpoint_testbed::load::{Load, Outages, Tally};
 use quillpoint_testbed::now;
@@ -255,8 +255,8 @@
         routers: &mut Routers,
         addresses: &[SocketAddr],
     ) -> std::io::Result<()> {
-        self.findings.contrasts.push(contrast(name, &self.bench.busy, addresses, 40));
-        self.findings.first_reads.push(first_reads(name, &self.bench.busy, routers, 20)?);
+        self.findings.rpc_costs.push(measure_rpc_costs(name, &self.bench.busy, addresses, 40));
+        self.findings.first_reads.push(measure_first_reads(name, &self.bench.busy, routers, 20)?);
         Ok(())
     }
 
@@ -297,8 +297,8 @@
         for first in &self.findings.first_reads {
             writeln!(file, "{}", serde_json::to_string(first)?)?;
         }
-        for contrast in &self.findings.contrasts {
-            writeln!(file, "{}", serde_json::to_string(contrast)?)?;
+        for costs in &self.findings.rpc_costs {
+            writeln!(file, "{}", serde_json::to_string(costs)?)?;
         }
         writeln!(file, "{}", serde_json::to_string(figures)?)
     }
@@ -318,8 +318,8 @@
     for first in &trial.findings.first_reads {
         println!("{}", serde_json::to_string(first)?);
     }
-    for contrast in &trial.findings.contrasts {
-        println!("{}", serde_json::to_string(contrast)?);
+    for costs in &trial.findings.rpc_costs {
+        println!("{}", serde_json::to_string(costs)?);
     }
     figures.broken = figures.broken(&trial.bench, &trial.findings);
     if let Some(path) = &options.record {
--- a/crates/testbed/src/duties/bench.rs
+++ b/crates/testbed/src/duties/bench.rs
@@ -27,7 +27,7 @@
     pub probes_per_quiet_node_s: f64,
     /// The most health checks per second of any node.
     pub probes_per_node_s_max: f64,
-    /// Processor time as a part of a core, the mean over the routers.
+    /// Processor time as a fraction of a core, the mean over the routers.
     pub cpu_part: f64,
     /// Resident memory in MB, the mean over the routers.
     pub resident_mb: f64,
--- a/crates/testbed/src/duties/figures.rs
+++ b/crates/testbed/src/duties/figures.rs
@@ -4,13 +4,13 @@
 use serde::Serialize;
 
 use super::bench::{Bench, record_micros};
-use super::rpc_costs::{Contrast, FirstReads};
+use super::rpc_costs::{FirstReads, RpcCosts};
 use super::{MAX_GAP_S, ROUTERS};
 use crate::load::Tally;
 use crate::store::Node;
 
-/// Shared health checks may be at most this part of those that three routers make when each checks all nodes
-/// alone.
+/// Shared health checks may be at most this fraction of those that three routers make when each checks all
+/// nodes alone.
 const MAX_SHARED_PROBES_PART: f64 = 0.5;
 
 /// Results of a run besides its phases.
@@ -26,12 +26,12 @@
     pub logged_pause: bool,
     /// Peers declared dead while one direction between two routers lost all datagrams.
     pub false_deaths: usize,
-    /// RPCs at a node that is warming up, as a part of those at a warm one.
+    /// RPCs at a node that is warming up, as a fraction of those at a warm one.
     pub cold_part: f64,
     /// Whether the router that received SIGTERM exited successfully.
     pub drained: bool,
     /// What sharing health checks changes for RPCs; long runs only.
-    pub contrasts: Vec<Contrast>,
+    pub rpc_costs: Vec<RpcCosts>,
     /// First reads of routers that have just started; long runs only.
     pub first_reads: Vec<FirstReads>,
 }
--- a/crates/testbed/src/duties/gap_plot.rs
+++ b/crates/testbed/src/duties/gap_plot.rs
@@ -46,7 +46,7 @@
     let root = SVGBackend::new(path, (760, 360)).into_drawing_area();
     root.fill(&WHITE)?;
     let mut chart = ChartBuilder::on(&root)
-        .caption("Three routers, one killed again and again: longest gap of any node", ("sans-serif", 16))
+        .caption("Three routers, killed one at a time: longest gap of any node", ("sans-serif", 16))
         .margin(12)
         .x_label_area_size(36)
         .y_label_area_size(56)
--- a/crates/testbed/src/duties/rpc_costs.rs
+++ b/crates/testbed/src/duties/rpc_costs.rs
@@ -17,7 +17,7 @@
 
 /// What sharing health checks changes for RPCs: at routers with few requests, and when a primary fails.
 #[derive(Serialize)]
-pub struct Contrast {
+pub struct RpcCosts {
     /// Whether and how the routers share health checks.
     pub contrast: &'static str,
     /// Median time of sparse bounded reads, one in 0.7 s at each router.
@@ -37,12 +37,12 @@
 }
 
 /// Measures sparse reads at each router for this many seconds, then a failing primary.
-pub fn contrast(
+pub fn measure_rpc_costs(
     name: &'static str,
     busy: &Store,
     addresses: &[std::net::SocketAddr],
     seconds: u64,
-) -> Contrast {
+) -> RpcCosts {
     let load = Load::of(addresses, 1, Duration::from_millis(700), &["recent"]);
     let from = now();
     sleep(Duration::from_secs(seconds));
@@ -63,7 +63,7 @@
     primary.set_up(true);
     load.end();
     let ms = |quantile: f64| times.value_at_quantile(quantile) as f64 / 1000.0;
-    Contrast {
+    RpcCosts {
         contrast: name,
         sparse_p50_ms: ms(0.5),
         sparse_p99_ms: ms(0.99),
@@ -97,7 +97,7 @@
 ///
 /// # Errors
 /// The router cannot be started.
-pub fn first_reads(
+pub fn measure_first_reads(
     name: &'static str,
     busy: &Store,
     routers: &mut Routers,
--- a/crates/testbed/src/scale/bounds.rs
+++ b/crates/testbed/src/scale/bounds.rs
@@ -5,33 +5,34 @@
 use crate::record::{Bound, Mode, Sizes};
 use crate::scale::faults::Fault;
 
-/// The most that a router's control side may cost: bytes in and out, and a part of a core (docs/CAPACITY.md).
+/// Maximum bytes per second, in and out, of a router's control side (docs/CAPACITY.md).
 pub const ROUTER_BYTES_PER_SECOND: f64 = 13_000.0;
-/// The most processor time of a router's control side, as a part of one core.
+/// Maximum processor time of a router's control side, as a fraction of one core (docs/CAPACITY.md).
 pub const ROUTER_CPU_PART: f64 = 0.047;
-/// The most memory of a router's control side.
+/// Maximum memory of a router's control side (docs/CAPACITY.md).
 pub const ROUTER_MEMORY_BYTES: f64 = 64e6;
-/// The most processor time of a control instance: one core, with nothing else running on it.
+/// Maximum processor time of a control instance: one core, with nothing else running on it.
 const CONTROL_CPU_PART: f64 = 1.0;
-/// The most resident memory of a control instance.
+/// Maximum resident memory of a control instance.
 pub const CONTROL_MEMORY_BYTES: f64 = 1e9;
-/// The 99th percentile of the age of observations, for databases probed at least as often as by default.
+/// Maximum 99th percentile of the age of observations. It holds only if databases are probed at least as
+/// often as by default.
 const MAX_AGE_P99_S: f64 = 0.3;
 const DEFAULT_PERIOD_S: f64 = 0.15;
 /// A new primary is known to all routers within this time of the first probe that saw it.
 const MAX_CHANGE_KNOWN_S: f64 = 1.0;
-/// After a restart all routers, hollow and real, have caught up; after a healed partition all routers and
-/// control instances agree again.
+/// All routers, hollow and real, have caught up within this time of a restart.
 const MAX_CATCH_UP_S: f64 = 3.0;
+/// All routers and control instances agree again within this time of a healed partition.
 const MAX_AGREE_S: f64 = 5.0;
 /// During a partition the observations on each side may be as old as after the death of a control instance,
 /// because each side has lost the control instances of the other.
 const MAX_PARTITION_AGE_S: f64 = MAX_CONTROL_LOSS_AGE_S;
-/// The peak traffic of a control instance, as a multiple of its traffic before the fault.
+/// Maximum peak traffic of a control instance, as a multiple of its traffic before the fault.
 const MAX_PEAK_TIMES: f64 = 5.0;
-/// The age of any router's observations when a control instance is killed.
+/// Maximum age of any router's observations after a control instance was killed.
 const MAX_CONTROL_LOSS_AGE_S: f64 = 1.0;
-/// A router's bytes at twice the databases, as a multiple of its bytes at the single number.
+/// Maximum bytes of a router at twice the databases, as a multiple of its bytes at the original number.
 pub const MAX_TWICE_THE_DATABASES_TIMES: f64 = 1.3;
 
 fn bound(figure: &str, is: f64, most: f64) -> Bound {
@@ -50,7 +51,7 @@
         ("router_memory_bytes", ROUTER_MEMORY_BYTES),
         ("control_cpu_part", CONTROL_CPU_PART),
         ("control_memory_bytes", CONTROL_MEMORY_BYTES),
-        // The next probe may be up to one period away.
+        // A change is not seen before the next probe, which may be one period away.
         ("change_known_max_s", MAX_CHANGE_KNOWN_S + sizes.period_s),
         ("change_unknown", 0.0),
     ];
--- a/crates/testbed/src/scale/calibration.rs
+++ b/crates/testbed/src/scale/calibration.rs
@@ -4,7 +4,7 @@
 
 use crate::record::Bound;
 
-/// The most by which a hollow router's figure may deviate from a real router's, as a part of the real one's.
+/// Maximum deviation of a hollow router's figure from a real router's, as a fraction of the real one's.
 pub const MAX_DEVIATIONS: [(&str, f64); 6] = [
     ("messages_in_s", 0.05),
     ("messages_out_s", 0.05),
@@ -14,9 +14,9 @@
     ("cpu_part", 0.25),
 ];
 
-/// The largest accepted standard error of a real router's processor time, as a part of it. Two such errors
-/// make up the allowed deviation of 0.25, so with a larger error the comparison could not tell an allowed
-/// deviation from none at all.
+/// The largest accepted standard error of a real router's processor time, as a fraction of it. Two such
+/// errors make up the allowed deviation of 0.25, so with a larger error the comparison could not tell an
+/// allowed deviation from none at all.
 pub const MAX_CPU_ERROR_PART: f64 = 0.125;
 
 /// A bound on the deviation of each of these figures that the run has under both `real_` and `hollow_`.
--- a/crates/testbed/src/scale/commands.rs
+++ b/crates/testbed/src/scale/commands.rs
@@ -89,15 +89,33 @@
     },
     /// To hollow routers: a database became a primary at this time, in microseconds of Unix time. There is no
     /// report on this command.
-    Promoted { node: SocketAddr, at_us: u64 },
+    Promoted {
+        /// The promoted database.
+        node: SocketAddr,
+        /// The time of the promotion.
+        at_us: u64,
+    },
     /// To hollow routers: kill those whose index among all hollow routers is a multiple of `one_in`, and
     /// restart them after `down_ms`.
-    Restart { one_in: usize, down_ms: u64 },
+    Restart {
+        /// One router in this many is restarted.
+        one_in: usize,
+        /// How long these routers are down, in milliseconds.
+        down_ms: u64,
+    },
     /// To hollow routers: pause those routers for this time.
-    Stop { one_in: usize, ms: u64 },
+    Stop {
+        /// One router in this many is paused.
+        one_in: usize,
+        /// How long these routers are paused, in milliseconds.
+        ms: u64,
+    },
     /// To hollow routers: partition those with even from those with odd last octets for this time.
     #[serde(rename = "cut")]
-    Partition { ms: u64 },
+    Partition {
+        /// How long the partition lasts, in milliseconds.
+        ms: u64,
+    },
 }
 
 /// What a process of databases reports.
--- a/crates/testbed/src/scale/faults.rs
+++ b/crates/testbed/src/scale/faults.rs
@@ -16,8 +16,9 @@
 pub const PARTITION_DURATION: Duration = Duration::from_secs(30);
 
 /// Mode feed: a restarted real router has caught up once it follows as many control instances as before and
-/// its state has this part of its former size. It pulls every snapshot from one control instance first, which
-/// is about half of the state; the redundant snapshots follow seconds later because they are not urgent.
+/// its state has this fraction of its former size. It pulls every snapshot from one control instance first,
+/// which is about half of the state; the redundant snapshots follow seconds later because they are not
+/// urgent.
 const FIRST_COPIES_PART: f64 = 0.45;
 /// Mode shared: members receive their whole state at once.
 const MEMBER_STATE_PART: f64 = 0.9;
@@ -48,8 +49,8 @@
 
 /// Whether a real router with these counters has recovered what it knew before the fault.
 pub fn has_caught_up(mode: Mode, now: &Counters, before: &Counters) -> bool {
-    let held = if mode == Mode::Feed { FIRST_COPIES_PART } else { MEMBER_STATE_PART };
-    now.following >= before.following && now.state as f64 >= before.state as f64 * held
+    let min_part = if mode == Mode::Feed { FIRST_COPIES_PART } else { MEMBER_STATE_PART };
+    now.following >= before.following && now.state as f64 >= before.state as f64 * min_part
 }
 
 /// Whether a control instance shared its tasks with its own side alone at some time within `between`.
--- a/crates/testbed/src/scale/member.rs
+++ b/crates/testbed/src/scale/member.rs
@@ -155,9 +155,10 @@
         if kind == Kind::Control {
             text += &format!("publish {{\n    listen {}\n    keys feed.keys\n}}\n", address.feed);
         } else if self.sizes.mode == Mode::Feed {
-            let (listen, near) = (address.datagrams, region(address.datagrams));
-            text +=
-                &format!("subscribe {{\n    listen {listen}\n    keys feed.keys\n    region {near}\n}}\n");
+            let (listen, own_region) = (address.datagrams, region(address.datagrams));
+            text += &format!(
+                "subscribe {{\n    listen {listen}\n    keys feed.keys\n    region {own_region}\n}}\n"
+            );
             for (index, control) in self.control.iter().enumerate() {
                 let at = self
                     .partition
--- a/crates/testbed/src/scale/observations.rs
+++ b/crates/testbed/src/scale/observations.rs
@@ -25,7 +25,7 @@
 /// Simulates statements that read from a subscriber: each one reads the new observations of a group of
 /// databases.
 pub struct StatementReads {
-    subscription: Weak<SubscriberService>,
+    subscriber: Weak<SubscriberService>,
     groups: Rc<Vec<Vec<SocketAddr>>>,
     per_second: f64,
     completed: u64,
@@ -34,11 +34,11 @@
 impl StatementReads {
     /// Simulates `per_second` statements a second.
     pub fn new(
-        subscription: &Rc<SubscriberService>,
+        subscriber: &Rc<SubscriberService>,
         groups: Rc<Vec<Vec<SocketAddr>>>,
         per_second: f64,
     ) -> Self {
-        Self { subscription: Rc::downgrade(subscription), groups, per_second, completed: 0 }
+        Self { subscriber: Rc::downgrade(subscriber), groups, per_second, completed: 0 }
     }
 }
 
@@ -97,15 +97,14 @@
     /// it waits for the next digest.
     fn read_due_statements(&self) {
         let Some(statement_reads) = self.statement_reads.get() else { return };
-        let StatementReads { subscription, groups, per_second, completed } =
-            &mut *statement_reads.borrow_mut();
-        let Some(subscription) = subscription.upgrade() else { return };
+        let StatementReads { subscriber, groups, per_second, completed } = &mut *statement_reads.borrow_mut();
+        let Some(subscriber) = subscriber.upgrade() else { return };
         let due = (self.uptime().as_secs_f64() * *per_second) as u64;
         while *completed < due && !groups.is_empty() {
             let group = &groups[(*completed % groups.len() as u64) as usize];
             group
                 .iter()
-                .filter_map(|node| subscription.newer_observation(*node))
+                .filter_map(|node| subscriber.newer_observation(*node))
                 .for_each(|observation| self.feed_observation_received(observation));
             *completed += 1;
         }
--- a/crates/testbed/src/scale/roles.rs
+++ b/crates/testbed/src/scale/roles.rs
@@ -33,8 +33,8 @@
         let candidates: Vec<Candidate> = indexes.iter().map(candidate).collect();
         let mut owned = vec![0; candidates.len()];
         for database in databases {
-            let duty = TaskId { kind: TaskKind(0), target: TaskTarget::Node(*database) };
-            let scores = candidates.iter().map(|candidate| rendezvous::score(duty, 0, candidate));
+            let task = TaskId { kind: TaskKind(0), target: TaskTarget::Node(*database) };
+            let scores = candidates.iter().map(|candidate| rendezvous::score(task, 0, candidate));
             let owner = scores.enumerate().max_by(|(_, one), (_, other)| one.total_cmp(other));
             owned[owner.map_or(0, |(index, _)| index)] += 1;
         }
--- a/crates/testbed/src/scale/run.rs
+++ b/crates/testbed/src/scale/run.rs
@@ -42,7 +42,7 @@
 const PROPAGATION_TIME: Duration = Duration::from_secs(2);
 /// Databases in a group: a primary and its replicas.
 const GROUP_SIZE: usize = 5;
-/// The most promotions that a fault causes.
+/// Maximum number of promotions that a fault causes.
 const MAX_PROMOTIONS_PER_FAULT: usize = 2;
 
 /// The programs of a run, and the folder for its files.
@@ -95,7 +95,12 @@
     Io(#[from] std::io::Error),
     /// Some hollow routers were not caught up in time.
     #[error("the fleet did not settle within {} s: {caught_up} of {hollow} hollow routers have caught up", SETTLE_TIMEOUT.as_secs())]
-    NotSettled { caught_up: usize, hollow: usize },
+    NotSettled {
+        /// Hollow routers that had caught up.
+        caught_up: usize,
+        /// All hollow routers.
+        hollow: usize,
+    },
 }
 
 /// A running fleet with its stand-ins.
@@ -103,7 +108,7 @@
     sizes: Sizes,
     /// All databases, group by group.
     databases: Vec<SocketAddr>,
-    databases_processes: Vec<StandIn>,
+    database_processes: Vec<StandIn>,
     /// Processes with shared hollow routers, followed by those with a dedicated one.
     hollow_processes: Vec<StandIn>,
     /// How many of these have a dedicated router.
@@ -174,9 +179,9 @@
                 "expected the databases of a group in one process, found them in two",
             ));
         }
-        let store = &mut self.databases_processes[process_index];
-        let index = store.send(&StandInCommand::Promote { new_primary: node, old_primary: old_node })?;
-        let report: DatabasesReport = store.report(index)?;
+        let process = &mut self.database_processes[process_index];
+        let index = process.send(&StandInCommand::Promote { new_primary: node, old_primary: old_node })?;
+        let report: DatabasesReport = process.report(index)?;
         self.promoted += 1;
         let notice = StandInCommand::Promoted { node, at_us: report.promoted_us };
         self.hollow_processes.iter_mut().try_for_each(|process| process.send(&notice).map(drop))
@@ -242,23 +247,23 @@
     sizes::check(&spec.sizes, &Machine::detect())?;
     let sizes = &spec.sizes;
     let mut figures = BTreeMap::new();
-    let mut world = TestFleet::start(spec, programs)?;
-    world.settle()?;
-    let memory_before = world.real_memory();
+    let mut fleet = TestFleet::start(spec, programs)?;
+    fleet.settle()?;
+    let memory_before = fleet.real_memory();
     // The baseline routers have clients of their own, whose answers are not counted.
-    let (clients, baseline_clients) = (world.clients(&world.real)?, world.clients(&world.baseline)?);
+    let (clients, baseline_clients) = (fleet.clients(&fleet.real)?, fleet.clients(&fleet.baseline)?);
     if sizes.connections > 0 || sizes.statements > 0.0 {
         sleep(CLIENT_WARM_UP);
     }
     if sizes.connections > 0 {
-        let each = (world.real_memory() - memory_before) / sizes.connections as f64;
+        let each = (fleet.real_memory() - memory_before) / sizes.connections as f64;
         figures.insert("connection_memory_bytes".to_string(), each);
     }
-    let before = world.snapshot(true)?;
+    let before = fleet.snapshot(true)?;
     let (answered, ok) = clients.answered();
-    world.wait_with_promotions(Duration::from_secs_f64(sizes.seconds))?;
-    let after = world.snapshot(false)?;
-    let window = world.window(&before, &after);
+    fleet.wait_with_promotions(Duration::from_secs_f64(sizes.seconds))?;
+    let after = fleet.snapshot(false)?;
+    let window = fleet.window(&before, &after);
     figures.extend(window.figures.clone());
     if sizes.statements > 0.0 {
         let (all, ok_after) = clients.answered();
@@ -270,12 +275,12 @@
     baseline_clients.end();
     if sizes.changes > 0.0 {
         sleep(PROPAGATION_TIME + Duration::from_secs_f64(sizes.period_s));
-        let reports = world.command_hollow(&StandInCommand::Count)?;
-        world.put_promotions(&reports, &mut figures);
+        let reports = fleet.command_hollow(&StandInCommand::Count)?;
+        fleet.put_promotions(&reports, &mut figures);
     }
     let mut bounds = calibration::bounds(&figures, spec.with_cpu);
     if let Some(fault) = spec.fault {
-        bounds.extend(fault_injection::inject(&mut world, fault, &window, &mut figures)?);
+        bounds.extend(fault_injection::inject(&mut fleet, fault, &window, &mut figures)?);
     }
     bounds.extend(bounds::bounds_of_run(sizes, spec.fault, &figures));
     Ok(Line::Run {
--- a/crates/testbed/src/scale/run/fault_injection.rs
+++ b/crates/testbed/src/scale/run/fault_injection.rs
@@ -79,9 +79,9 @@
 }
 
 impl RealWatches {
-    fn poll(&mut self, world: &TestFleet) -> std::io::Result<()> {
-        self.control.poll(&world.control, world.sizes.mode)?;
-        self.routers.poll(&world.real, world.sizes.mode)
+    fn poll(&mut self, fleet: &TestFleet) -> std::io::Result<()> {
+        self.control.poll(&fleet.control, fleet.sizes.mode)?;
+        self.routers.poll(&fleet.real, fleet.sizes.mode)
     }
 }
 
@@ -108,36 +108,36 @@
 /// # Errors
 /// A process cannot be started or does not report.
 pub(super) fn inject(
-    world: &mut TestFleet,
+    fleet: &mut TestFleet,
     fault: Fault,
     calm: &Window,
     figures: &mut BTreeMap<String, f64>,
 ) -> Result<Vec<Bound>, RunError> {
-    world.command_hollow(&StandInCommand::Mark)?;
+    fleet.command_hollow(&StandInCommand::Mark)?;
     let mut watches = RealWatches::default();
-    watches.poll(world)?;
+    watches.poll(fleet)?;
     watches.routers.set_reference();
-    let discovery = world.listing.counts();
-    world.begin(fault, &mut watches.routers)?;
+    let discovery = fleet.listing.counts();
+    fleet.begin(fault, &mut watches.routers)?;
     let began = now();
     let span = FaultSpan { began, ended: began + fault.duration() };
-    let hollow = world.sizes.routers - world.sizes.real;
+    let hollow = fleet.sizes.routers - fleet.sizes.real;
     let calm_bytes = (calm.hollow.bytes_in + calm.hollow.bytes_out) * hollow as f64;
-    let recovery = world.recover(fault, span, calm_bytes, &mut watches)?;
+    let recovery = fleet.recover(fault, span, calm_bytes, &mut watches)?;
     let missing = (hollow - recovery.caught_up() + watches.routers.missing()) as f64;
     let mut put = |name: &str, value: f64| {
         figures.insert(name.to_string(), value);
     };
     put("follow_missing", missing);
     put_hollow(&mut put, &recovery, span.ended_us());
-    world.put_affected(&mut put, fault, &watches.routers, span.ended_us());
-    if !world.control.is_empty() {
+    fleet.put_affected(&mut put, fault, &watches.routers, span.ended_us());
+    if !fleet.control.is_empty() {
         put_control(&mut put, &watches.control, calm);
     }
-    put_discovery(&mut put, &world.listing.counts().since(discovery));
-    world.put_promotions(&recovery.reports, figures);
+    put_discovery(&mut put, &fleet.listing.counts().since(discovery));
+    fleet.put_promotions(&recovery.reports, figures);
     if let Some(reports) = &recovery.while_partitioned {
-        world.put_partition(reports, span, figures);
+        fleet.put_partition(reports, span, figures);
     }
     Ok(bounds(missing, recovery.calm_after_s, figures))
 }
@@ -145,20 +145,21 @@
 /// Bounds of zero: no router may be left behind, the traffic must be back to normal, and every control
 /// instance must have been partitioned and have rejoined.
 fn bounds(missing: f64, calm_after_s: Option<f64>, figures: &BTreeMap<String, f64>) -> Vec<Bound> {
-    let held = |figure: &str, is: f64| Bound { figure: figure.to_string(), is, most: 0.0, held: is <= 0.0 };
+    let zero_bound =
+        |figure: &str, is: f64| Bound { figure: figure.to_string(), is, most: 0.0, held: is <= 0.0 };
     let calm_missing = f64::from(u8::from(calm_after_s.is_none()));
-    let mut bounds = vec![held("follow_missing", missing), held("calm_missing", calm_missing)];
-    let put_partition = ["cut_missing", "agree_missing"];
-    bounds.extend(put_partition.iter().filter_map(|name| Some(held(name, *figures.get(*name)?))));
+    let mut bounds = vec![zero_bound("follow_missing", missing), zero_bound("calm_missing", calm_missing)];
+    let partition_figures = ["cut_missing", "agree_missing"];
+    bounds.extend(partition_figures.iter().filter_map(|name| Some(zero_bound(name, *figures.get(*name)?))));
     bounds
 }
 
 /// When hollow routers had caught up, their peak traffic, and the ages of their observations.
 fn put_hollow(put: &mut impl FnMut(&str, f64), recovery: &Recovery, ended_us: u64) {
     let reports = &recovery.reports;
-    let unfollowed = reports.iter().map(|report| report.last_behind_us).max().unwrap_or(0);
+    let last_behind = reports.iter().map(|report| report.last_behind_us).max().unwrap_or(0);
     let peak = reports.iter().map(|report| report.peak_quarter).max().unwrap_or(0);
-    put("follow_max_s", unfollowed.saturating_sub(ended_us) as f64 / 1e6);
+    put("follow_max_s", last_behind.saturating_sub(ended_us) as f64 / 1e6);
     put("peak_router_bytes_s", peak as f64 * 4.0);
     if let Some(after) = recovery.calm_after_s {
         put("calm_after_s", after);
--- a/crates/testbed/src/scale/run/member_watch.rs
+++ b/crates/testbed/src/scale/run/member_watch.rs
@@ -33,7 +33,7 @@
     seen: Vec<LastSeen>,
     /// The highest traffic of one process, in and out, in bytes per second.
     pub(super) peak_bytes: f64,
-    /// The highest processor time of one process, as a part of a core.
+    /// The highest processor time of one process, as a fraction of a core.
     pub(super) peak_cpu: f64,
 }
 
@@ -44,32 +44,33 @@
     /// A process does not answer in time.
     pub(super) fn poll(&mut self, members: &[Member], mode: Mode) -> std::io::Result<()> {
         self.seen.resize(members.len(), LastSeen::default());
-        let asked: Vec<Option<usize>> =
+        let requested: Vec<Option<usize>> =
             members.iter().map(|member| member.is_answering().then(|| member.request_counters())).collect();
-        for ((member, index), seen) in members.iter().zip(asked).zip(&mut self.seen) {
+        for ((member, index), seen) in members.iter().zip(requested).zip(&mut self.seen) {
             let Some(index) = index else {
                 seen.caught_up = false;
                 continue;
             };
-            let sums = member.counters(index, mode)?;
-            let caught_up = has_caught_up(mode, &sums, &seen.before);
+            let counters = member.counters(index, mode)?;
+            let caught_up = has_caught_up(mode, &counters, &seen.before);
             if caught_up && !seen.caught_up {
-                seen.caught_up_us = sums.at_us;
+                seen.caught_up_us = counters.at_us;
             }
             seen.caught_up = caught_up;
             let cpu = member.usage().map_or(Duration::ZERO, |(_, time)| time);
             let at = Instant::now();
             if let Some((before, cpu_before, at_before)) = seen.last {
-                let seconds = sums.at_us.saturating_sub(before.at_us) as f64 / 1e6;
+                let seconds = counters.at_us.saturating_sub(before.at_us) as f64 / 1e6;
                 if seconds < MIN_INTERVAL_S {
                     continue;
                 }
-                let bytes = (sums.sent_bytes + sums.read_bytes) - (before.sent_bytes + before.read_bytes);
+                let bytes =
+                    (counters.sent_bytes + counters.read_bytes) - (before.sent_bytes + before.read_bytes);
                 self.peak_bytes = self.peak_bytes.max(bytes as f64 / seconds);
                 let spent = cpu.saturating_sub(cpu_before).as_secs_f64();
                 self.peak_cpu = self.peak_cpu.max(spent / (at - at_before).as_secs_f64());
             }
-            seen.last = Some((sums, cpu, at));
+            seen.last = Some((counters, cpu, at));
         }
         Ok(())
     }
@@ -77,7 +78,7 @@
     /// Takes the last poll as the state that the processes must recover.
     pub(super) fn set_reference(&mut self) {
         for seen in &mut self.seen {
-            seen.before = seen.last.map(|(sums, ..)| sums).unwrap_or_default();
+            seen.before = seen.last.map(|(counters, ..)| counters).unwrap_or_default();
             seen.caught_up = true;
             seen.caught_up_us = 0;
         }
@@ -92,10 +93,10 @@
     /// Notes that a process runs again, so that the next rate is taken from now on. A paused process finds
     /// the datagrams of the pause in its socket buffer.
     pub(super) fn process_returned(&mut self, index: usize) {
-        let (sums, cpu, _) =
+        let (counters, cpu, _) =
             self.seen[index].last.unwrap_or((Counters::default(), Duration::ZERO, Instant::now()));
-        let sums = Counters { at_us: now().as_micros() as u64, ..sums };
-        self.seen[index].last = Some((sums, cpu, Instant::now()));
+        let counters = Counters { at_us: now().as_micros() as u64, ..counters };
+        self.seen[index].last = Some((counters, cpu, Instant::now()));
         self.seen[index].caught_up = false;
     }
 
--- a/crates/testbed/src/scale/run/start.rs
+++ b/crates/testbed/src/scale/run/start.rs
@@ -106,13 +106,13 @@
         primaries: chunk.iter().step_by(GROUP_SIZE).copied().collect(),
         lag_ms: REPLICA_LAG_MS,
     });
-    let databases_processes: Vec<StandIn> = plans
+    let database_processes: Vec<StandIn> = plans
         .map(|plan| StandIn::start(&programs.databases, "databases", &plan))
         .collect::<Result<_, _>>()?;
-    for store in &databases_processes {
-        store.await_up::<DatabasesReport>()?;
+    for process in &database_processes {
+        process.await_up::<DatabasesReport>()?;
     }
-    Ok(databases_processes)
+    Ok(database_processes)
 }
 
 /// Starts discovery with an endpoint list of these databases.
@@ -237,7 +237,7 @@
         let space = RunSpace::next(programs)?;
         let addresses = FleetAddresses::new(&space, sizes);
         let databases: Vec<SocketAddr> = (0..sizes.databases).map(|index| space.database(index)).collect();
-        let databases_processes = start_databases(programs, &databases)?;
+        let database_processes = start_databases(programs, &databases)?;
         let listing = start_listing(&databases)?;
         let [chosen, dedicated, shared] = roles(sizes, &databases);
         let partitioned = spec.fault == Some(Fault::Partition);
@@ -254,11 +254,11 @@
         files.write_keys()?;
         let with_baseline = spec.with_cpu && sizes.mode != Mode::Off;
         let members = RealMembers::new(&files, programs, &addresses, &chosen, with_baseline)?;
-        let mut world = Self {
+        let mut fleet = Self {
             promotions: promotions(sizes),
             sizes: sizes.clone(),
             databases,
-            databases_processes,
+            database_processes,
             hollow_processes: Vec::new(),
             dedicated: dedicated.len(),
             real: members.routers,
@@ -268,15 +268,15 @@
             listing,
             promoted: 0,
         };
-        world.start_members()?;
+        fleet.start_members()?;
         if sizes.routers > sizes.real {
             let (dedicated, shared) = (&*dedicated, &*shared);
             let hollow =
                 HollowStart { spec, programs, files: &files, addresses: &addresses, dedicated, shared };
-            world.hollow_processes = hollow.start(&world.databases, &world.promotions)?;
+            fleet.hollow_processes = hollow.start(&fleet.databases, &fleet.promotions)?;
         }
-        world.partition = partition;
-        Ok(world)
+        fleet.partition = partition;
+        Ok(fleet)
     }
 
     /// Starts the real processes: control instances first, since routers connect to them as soon as they run.
--- a/crates/testbed/src/scale/run/window.rs
+++ b/crates/testbed/src/scale/run/window.rs
@@ -24,7 +24,7 @@
     hollow_processes: Vec<HollowReport>,
     real: Vec<Counters>,
     control: Vec<Counters>,
-    databases_processes: Vec<DatabasesReport>,
+    database_processes: Vec<DatabasesReport>,
     discovery: listing::Counts,
     cpu: Cpu,
 }
@@ -40,7 +40,7 @@
     control: Vec<Duration>,
 }
 
-/// The part of a core that each process used between two readings.
+/// The fraction of a core that each process used between two readings.
 fn cpu_parts(before: &[Duration], after: &[Duration], seconds: f64) -> Vec<f64> {
     let part =
         |(before, after): (&Duration, &Duration)| after.saturating_sub(*before).as_secs_f64() / seconds;
@@ -89,10 +89,10 @@
             )
             .collect::<Result<_, _>>()?;
         let (real, control) = counters.split_at(self.real.len());
-        let mut databases_processes = Vec::new();
-        for store in &mut self.databases_processes {
-            let index = store.send(&StandInCommand::Count)?;
-            databases_processes.push(store.report(index)?);
+        let mut database_processes = Vec::new();
+        for report in &mut self.database_processes {
+            let index = report.send(&StandInCommand::Count)?;
+            database_processes.push(report.report(index)?);
         }
         if begins {
             cpu = self.cpu();
@@ -102,7 +102,7 @@
             hollow_processes,
             real: real.to_vec(),
             control: control.to_vec(),
-            databases_processes,
+            database_processes,
             discovery: self.listing.counts(),
             cpu,
         })
@@ -220,7 +220,7 @@
     fn put_surroundings(&self, put: &mut impl FnMut(&str, f64), before: &Snapshot, after: &Snapshot) {
         let seconds = (after.at - before.at).as_secs_f64();
         let probes =
-            |snapshot: &Snapshot| snapshot.databases_processes.iter().map(|store| store.probes).sum::<u64>();
+            |snapshot: &Snapshot| snapshot.database_processes.iter().map(|report| report.probes).sum::<u64>();
         put(
             "database_probes_s",
             (probes(after) - probes(before)) as f64 / seconds / self.sizes.databases as f64,
--- a/crates/testbed/src/scale/sizes.rs
+++ b/crates/testbed/src/scale/sizes.rs
@@ -4,11 +4,11 @@
 
 use crate::record::{Mode, Sizes};
 
-/// The most processes of a run.
+/// Maximum number of processes of a run.
 pub const MAX_PROCESSES: usize = 300;
-/// The most memory of a run; it may not take more than half of the machine's memory either.
+/// Maximum memory of a run; a run may not take more than half of the machine's memory either.
 pub const MAX_MEMORY_BYTES: u64 = 12 << 30;
-/// The most routers of a fleet in mode shared. A member tracks at most
+/// Maximum number of routers of a fleet in mode shared. A member tracks at most
 /// `quillpoint_membership::membership::MAX_PEERS` peers, so in a larger fleet each member would know a
 /// different part of it. The margin of 6 leaves room for restarted routers.
 pub const MAX_SHARED_ROUTERS: usize = quillpoint_membership::membership::MAX_PEERS - 6;
@@ -18,7 +18,7 @@
 const CONNECTIONS_PER_DATABASE: usize = 6;
 /// For standard streams, event loops and files.
 const SPARE_DESCRIPTORS: usize = 64;
-/// The most addresses of a kind: 250 on each of 80 ports.
+/// Maximum number of addresses of a kind: 250 on each of 80 ports.
 const MAX_ADDRESSES: usize = 250 * 80;
 /// Hollow routers per process, chosen by the processor time of a router's control side: a process that is
 /// short of processor time would add delays of the measurement to the figures.
@@ -34,7 +34,7 @@
 pub struct Machine {
     /// File descriptors per process.
     pub descriptors: usize,
-    /// The most processes of a run.
+    /// Maximum number of processes of a run.
     pub processes: usize,
     /// Memory in bytes.
     pub memory: u64,
@@ -45,17 +45,30 @@
 pub enum SizeError {
     /// A size is below its minimum, or out of range.
     #[error("{what}: asked for {asked}, expected at least {minimum}")]
-    TooSmall { what: &'static str, asked: String, minimum: &'static str },
+    TooSmall {
+        /// The size.
+        what: &'static str,
+        /// The value asked for.
+        asked: String,
+        /// The minimum, and the range if there is one.
+        minimum: &'static str,
+    },
     /// A size needs more than the machine has.
     #[error(
         "{what}: asked for {asked}, which takes {needed} {resource}; there are {available}: the largest that fits is {largest}"
     )]
     TooLarge {
+        /// The size to reduce.
         what: &'static str,
+        /// The value asked for.
         asked: usize,
+        /// How much of the resource the run needs.
         needed: u64,
+        /// The resource that is short.
         resource: &'static str,
+        /// How much of the resource there is.
         available: u64,
+        /// The largest value that fits.
         largest: usize,
     },
     /// A fleet in mode shared has more routers than a member can track.
@@ -63,15 +76,26 @@
         "routers: asked for {asked} in one fleet; a member tracks at most {MAX_SHARED_ROUTERS} peers, with room for restarted routers: \
          the largest that fits is {MAX_SHARED_ROUTERS} (modes off and feed take more)"
     )]
-    Shared { asked: usize },
+    Shared {
+        /// The number of routers asked for.
+        asked: usize,
+    },
     /// More real routers than routers.
     #[error("real: asked for {real} real routers among {routers} in all")]
-    Real { real: usize, routers: usize },
+    Real {
+        /// Real routers asked for.
+        real: usize,
+        /// All routers asked for.
+        routers: usize,
+    },
     /// Hollow routers in mode off.
     #[error(
         "mode off: asked for {hollow} hollow routers, which have no control side to measure in this mode; expected none"
     )]
-    Hollow { hollow: usize },
+    Hollow {
+        /// Hollow routers that the sizes imply.
+        hollow: usize,
+    },
 }
 
 /// What a run requires.
--- a/crates/testbed/tests/faults.rs
+++ b/crates/testbed/tests/faults.rs
@@ -25,20 +25,23 @@
 
 #[test]
 fn a_real_router_has_caught_up_with_its_control_instances_and_first_snapshots() {
-    let sums = |following, state| Counters { following, state, ..Counters::default() };
-    let before = sums(2, 100_000);
-    assert!(has_caught_up(Mode::Feed, &sums(2, 100_000), &before));
+    let counters = |following, state| Counters { following, state, ..Counters::default() };
+    let before = counters(2, 100_000);
+    assert!(has_caught_up(Mode::Feed, &counters(2, 100_000), &before));
     assert!(
-        has_caught_up(Mode::Feed, &sums(2, 50_000), &before),
+        has_caught_up(Mode::Feed, &counters(2, 50_000), &before),
         "the redundant half of the snapshots is pulled later"
     );
-    assert!(!has_caught_up(Mode::Feed, &sums(2, 40_000), &before), "less than one snapshot of everything");
     assert!(
-        !has_caught_up(Mode::Feed, &sums(1, 100_000), &before),
+        !has_caught_up(Mode::Feed, &counters(2, 40_000), &before),
+        "less than one snapshot of everything"
+    );
+    assert!(
+        !has_caught_up(Mode::Feed, &counters(1, 100_000), &before),
         "only one of two control instances is followed"
     );
     assert!(
-        !has_caught_up(Mode::Shared, &sums(0, 50_000), &before),
+        !has_caught_up(Mode::Shared, &counters(0, 50_000), &before),
         "members receive their whole state at once"
     );
 }
--- a/crates/testbed/tests/partition.rs
+++ b/crates/testbed/tests/partition.rs
@@ -115,16 +115,16 @@
 #[test]
 fn an_instance_that_shared_tasks_with_its_side_alone_was_partitioned() {
     let second = 1_000_000;
-    let duties = [(second, 4), (11 * second, 3), (12 * second, 2), (40 * second, 4)];
-    assert!(was_partitioned(&duties, (10 * second, 39 * second), 2));
+    let shares = [(second, 4), (11 * second, 3), (12 * second, 2), (40 * second, 4)];
+    assert!(was_partitioned(&shares, (10 * second, 39 * second), 2));
     assert!(
-        !was_partitioned(&duties[..2], (10 * second, 39 * second), 2),
+        !was_partitioned(&shares[..2], (10 * second, 39 * second), 2),
         "it lost one of two remote instances"
     );
-    assert!(!was_partitioned(&duties, (13 * second, 39 * second), 2), "it was alone only before this time");
-    assert_eq!(rejoined_after_s(&duties, 39 * second, 4), Some(1.0));
+    assert!(!was_partitioned(&shares, (13 * second, 39 * second), 2), "it was alone only before this time");
+    assert_eq!(rejoined_after_s(&shares, 39 * second, 4), Some(1.0));
     assert_eq!(
-        rejoined_after_s(&duties[..3], 39 * second, 4),
+        rejoined_after_s(&shares[..3], 39 * second, 4),
         None,
         "its last share is still with its side alone"
     );
