--- a/crates/testbed/src/scale/hollow.rs
+++ b/crates/testbed/src/scale/hollow.rs
@@ -77,7 +77,7 @@
     }
 
     /// Polls the future only while the router is not paused.
-    async fn run_unless_paused(self: Rc<Self>, future: impl Future<Output = ()>) {
+    async fn run_gated(self: Rc<Self>, future: impl Future<Output = ()>) {
         let mut future = pin!(future);
         poll_fn(|context| {
             if self.paused.get() {
@@ -178,7 +178,7 @@
         let host = Rc::clone(&observations) as Rc<dyn ControlHost>;
         let pause = Rc::new(PauseGate::default());
         let spawn = |task: Pin<Box<dyn Future<Output = ()>>>| {
-            context.executor.spawn(Rc::clone(&pause).run_unless_paused(task))
+            context.executor.spawn(Rc::clone(&pause).run_gated(task))
         };
         let (control, mut tasks) = match &context.role {
             ControlRole::Member(config) => {
@@ -349,6 +349,6 @@
                 member.health_check_observed(at, observation);
             }
         };
-        executor.spawn(Rc::clone(&pause).run_unless_paused(task)).detach();
+        executor.spawn(Rc::clone(&pause).run_gated(task)).detach();
     }
 }
--- a/crates/testbed/src/scale/run/stand_in.rs
+++ b/crates/testbed/src/scale/run/stand_in.rs
@@ -35,9 +35,7 @@
     /// Waits for a report in the output, from the line at `index` on.
     pub(super) fn report<R: DeserializeOwned>(&self, index: usize) -> std::io::Result<R> {
         let found = self.process.await_from(index, REPORT_TIMEOUT, |line| serde_json::from_str(line).ok());
-        found.ok_or_else(|| {
-            std::io::Error::other(format!("a process of {} did not report in time", self.name))
-        })
+        found.ok_or_else(|| std::io::Error::other(format!("no report in time from {}", self.name)))
     }
 
     /// Sends a command and returns the index of the output line from which to look for its report.
--- a/crates/testbed/tests/bounds.rs
+++ b/crates/testbed/tests/bounds.rs
@@ -38,7 +38,7 @@
     ("change_unknown", 0.0),
     ("age_p99_s", 0.3),
 ];
-const BYTES_FIGURE: &str = "router_bytes_in_s+router_bytes_out_s";
+const BYTES: &str = "router_bytes_in_s+router_bytes_out_s";
 
 fn fault_limits(fault: Fault) -> &'static [(&'static str, f64)] {
     match fault {
@@ -69,8 +69,7 @@
             assert!(!bound(fault, name, &[(name, over)]).held, "{name} at {over} with {fault:?}");
         }
         let bytes = |bytes_in, bytes_out| {
-            bound(fault, BYTES_FIGURE, &[("router_bytes_in_s", bytes_in), ("router_bytes_out_s", bytes_out)])
-                .held
+            bound(fault, BYTES, &[("router_bytes_in_s", bytes_in), ("router_bytes_out_s", bytes_out)]).held
         };
         assert!(bytes(12_000.0, 1_000.0));
         assert!(!bytes(12_000.0, 1_001.0), "the bound is on the sum of bytes in and out");
