--- a/crates/router/src/active_request_ids.rs
+++ b/crates/router/src/active_request_ids.rs
@@ -1,15 +1,15 @@
-//! The ids of the RPCs that are under way here. A second RPC under the id of one of them would be a second copy
-//! to the nodes, and could be given the first one's answer.
+//! The ids of the RPCs in progress in this router. To a node a second RPC with the same id would look like a
+//! copy of the first, and it could receive the first one's answer.
 
 use std::cell::RefCell;
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
-/// The ids that are in use.
+/// The set of ids in use.
 #[derive(Debug, Default)]
 pub struct ActiveRequestIds(RefCell<BTreeSet<String>>);
 
-/// An id in use, for as long as its RPC or one of its attempts is under way; released when it is dropped.
+/// An id in use, as long as its RPC or one of its attempts is in progress. Released on drop.
 #[derive(Debug)]
 pub struct ActiveRequestId {
     ids: Rc<ActiveRequestIds>,
@@ -17,7 +17,7 @@
 }
 
 impl ActiveRequestIds {
-    /// Takes an id into use. None while another RPC uses it.
+    /// Registers an id. Returns `None` if another RPC uses it.
     pub fn register(self: &Rc<Self>, id: String) -> Option<ActiveRequestId> {
         let is_new = self.0.borrow_mut().insert(id.clone());
         is_new.then(|| ActiveRequestId { ids: Rc::clone(self), id })
--- a/crates/router/src/client.rs
+++ b/crates/router/src/client.rs
@@ -1,7 +1,8 @@
-//! Clients: the listener, their sessions, and the life of an RPC.
+//! The client side: the listener, client sessions, and the life cycle of an RPC.
 //!
-//! `listener` accepts connections, `session` begins and closes one, `request_loop` drives it, `intake` reads its
-//! messages, `request` runs an RPC, and `response_writer` writes what comes of it.
+//! `listener` accepts connections, `session` opens and closes a session, `request_loop` drives it, `receive`
+//! reads from its socket, `intake` turns its messages into pipeline requests, `request` runs an RPC, and
+//! `response_writer` writes responses.
 
 mod intake;
 mod listener;
@@ -29,24 +30,24 @@
 use crate::pg::CancelKey;
 use crate::pool::ConnectionPool;
 
-/// How long a message that has begun may take to arrive completely, at the most.
+/// Upper bound for the time between the first and the last byte of a message.
 const MAX_MESSAGE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The parts of the router that sessions use.
+/// The parts of the router that client sessions use.
 pub struct ClientResources {
-    /// Runs the sessions.
+    /// Runs the session tasks.
     pub executor: Rc<LocalExecutor<'static>>,
-    /// Takes the RPCs.
+    /// Receives the RPCs.
     pub engine: Rc<Engine>,
-    /// Makes their attempts.
+    /// Makes the attempts of RPCs.
     pub pool: Rc<ConnectionPool>,
-    /// Counts the sessions' descriptors.
+    /// Limits the descriptors of client connections.
     pub descriptors: Rc<DescriptorLimiter>,
-    /// Accounts for the sessions' memory.
+    /// Limits the memory of client sessions.
     pub budget: SharedBudget,
 }
 
-/// All sessions, and what they share.
+/// All client sessions and the state they share.
 pub struct ClientSessions {
     executor: Rc<LocalExecutor<'static>>,
     engine: Rc<Engine>,
@@ -54,21 +55,21 @@
     descriptors: Rc<DescriptorLimiter>,
     budget: SharedBudget,
     active_ids: Rc<ActiveRequestIds>,
-    /// How long a message that has begun may take to arrive completely.
+    /// The longest time between the first and the last byte of a message.
     message_timeout: Duration,
     longest_deadline: Duration,
     max_pending_rpcs: usize,
-    /// Sessions that are open, and a way to have each closed when it is idle.
-    open: RefCell<BTreeMap<u64, Sender<()>>>,
-    /// A way to cancel what a session has under way, by its key.
-    cancels: RefCell<BTreeMap<CancelKey, Sender<()>>>,
-    next_session: Cell<u64>,
+    /// Open sessions by number; sending on the channel closes the session once it is idle.
+    open_sessions: RefCell<BTreeMap<u64, Sender<()>>>,
+    /// By a session's cancel key; sending on the channel cancels the session's oldest unanswered statement.
+    cancel_senders: RefCell<BTreeMap<CancelKey, Sender<()>>>,
+    next_session_number: Cell<u64>,
     draining: Cell<bool>,
     listener_log: LogRateLimiter,
 }
 
 impl ClientSessions {
-    /// Without a session yet.
+    /// Creates the shared state without any open session.
     pub fn new(resources: ClientResources, deployment: &Deployment) -> Rc<Self> {
         let ClientResources { executor, engine, pool, descriptors, budget } = resources;
         Rc::new(Self {
@@ -81,41 +82,42 @@
             message_timeout: deployment.longest_deadline.min(MAX_MESSAGE_TIMEOUT),
             longest_deadline: deployment.longest_deadline,
             max_pending_rpcs: deployment.max_pending_rpcs,
-            open: RefCell::default(),
-            cancels: RefCell::default(),
-            next_session: Cell::new(0),
+            open_sessions: RefCell::default(),
+            cancel_senders: RefCell::default(),
+            next_session_number: Cell::new(0),
             draining: Cell::new(false),
             listener_log: LogRateLimiter::default(),
         })
     }
 
-    /// The numbers of the open sessions, the oldest first.
+    /// Returns the numbers of the open sessions, oldest first.
     pub fn session_ids(&self) -> Vec<u64> {
-        self.open.borrow().keys().copied().collect()
+        self.open_sessions.borrow().keys().copied().collect()
     }
 
-    /// Closes a session as soon as it is idle. One that is not open changes nothing.
+    /// Closes a session as soon as it is idle. Does nothing if the session is not open.
     pub fn close_when_idle(&self, session: u64) {
-        if let Some(close) = self.open.borrow().get(&session) {
+        if let Some(close) = self.open_sessions.borrow().get(&session) {
             _ = close.try_send(());
         }
     }
 
-    /// Cancels what the session of this key has under way. One that is not known changes nothing.
+    /// Cancels the oldest unanswered statement of the session with this key. Does nothing if the key is
+    /// unknown.
     fn cancel(&self, key: CancelKey) {
-        if let Some(cancel) = self.cancels.borrow().get(&key) {
+        if let Some(cancel) = self.cancel_senders.borrow().get(&key) {
             _ = cancel.try_send(());
         }
     }
 
-    /// From now on each session is closed as soon as it is idle.
+    /// Closes each session as soon as it is idle, including sessions that are opened later.
     pub fn drain(&self) {
         self.draining.set(true);
         self.session_ids().into_iter().for_each(|session| self.close_when_idle(session));
     }
 
-    /// How many sessions are open.
+    /// Returns the number of open sessions.
     pub fn open_session_count(&self) -> usize {
-        self.open.borrow().len()
+        self.open_sessions.borrow().len()
     }
 }
--- a/crates/router/src/client/intake.rs
+++ b/crates/router/src/client/intake.rs
@@ -1,4 +1,4 @@
-//! What becomes of a client's message: a statement that goes into the pipeline, or a response at once.
+//! Turns a client's messages into pipeline entries: statements to run, or immediate responses.
 
 use std::rc::Rc;
 use std::time::Instant;
@@ -16,16 +16,16 @@
 use crate::socket_liveness::ClientLiveness;
 use crate::statement::{InFlightStatement, Statement};
 
-/// This many statements in a row that cannot be used end a session: it is no client of this service.
-const MAX_UNUSABLE_STATEMENTS: usize = 8;
+/// The session ends after this many consecutive unusable statements: it is not a client of this service.
+const MAX_CONSECUTIVE_UNUSABLE_STATEMENTS: usize = 8;
 
-/// What a query comes to. Bytes are the messages that answer it, without ReadyForQuery.
+/// The result of reading a query. The bytes are the response messages without ReadyForQuery.
 enum QueryIntake {
-    /// A statement to run, with the resources that it takes up.
+    /// A statement to run, with the resources reserved for it.
     Statement { method: MethodId, statement: InFlightStatement },
-    /// It is answered at once.
+    /// The query is answered immediately.
     Answered(Vec<u8>),
-    /// It cannot be used.
+    /// The statement cannot be used; the bytes are an error response.
     Unusable(Vec<u8>),
 }
 
@@ -36,8 +36,8 @@
 }
 
 impl Session<'_> {
-    /// Puts a message into the pipeline. How the session ends, where it is the last one.
-    pub(super) fn take_message(
+    /// Adds a message to the pipeline. Returns the session's result if this is its last message.
+    pub(super) fn handle_message(
         &mut self,
         received: ReceivedMessage<FrontendMessage>,
         pipeline: &mut RequestPipeline,
@@ -55,13 +55,13 @@
                 self.discards_until_sync = true;
                 pg::encode_error(&mut out, false, "0A000", "only simple queries are taken", None);
             }
-            FrontendMessage::Query(text) => return self.take_query(text, arrived, pipeline),
+            FrontendMessage::Query(text) => return self.handle_query(text, arrived, pipeline),
         }
         pipeline.push_response(self.clients.encoded(out));
         None
     }
 
-    fn take_query(
+    fn handle_query(
         &mut self,
         text: Vec<u8>,
         arrived: Instant,
@@ -75,19 +75,19 @@
         }
         match self.read_query(text) {
             QueryIntake::Statement { method, statement } => {
-                self.unusable_statements = 0;
+                self.consecutive_unusable_statements = 0;
                 self.push_statement(method, statement, arrived, pipeline);
                 None
             }
             QueryIntake::Answered(out) => {
-                self.unusable_statements = 0;
+                self.consecutive_unusable_statements = 0;
                 pipeline.push_response(self.clients.encoded_with_ready(out));
                 None
             }
             QueryIntake::Unusable(out) => {
-                self.unusable_statements += 1;
+                self.consecutive_unusable_statements += 1;
                 pipeline.push_response(self.clients.encoded_with_ready(out));
-                let is_last = self.unusable_statements >= MAX_UNUSABLE_STATEMENTS;
+                let is_last = self.consecutive_unusable_statements >= MAX_CONSECUTIVE_UNUSABLE_STATEMENTS;
                 is_last.then_some(Err(SessionEnd::TooManyUnusableStatements))
             }
         }
@@ -100,15 +100,15 @@
         arrived: Instant,
         pipeline: &mut RequestPipeline,
     ) {
-        // What was cancelled before anything was under way is over.
-        while !pipeline.has_running_statement() && self.cancelled.try_recv().is_ok() {}
+        // Discards cancel requests that arrived while all statements were answered.
+        while !pipeline.has_unanswered_statement() && self.cancelled.try_recv().is_ok() {}
         let scope = self.clients.engine.statement_scope(method, &statement.statement);
         let commits = Rc::clone(&self.commits);
         let request = RpcRequest { method, statement: Rc::new(statement), arrived, commits };
         pipeline.push_statement(scope, Box::pin(Rc::clone(self.clients).run_rpc(request)));
     }
 
-    /// Reads a query, and takes up the resources for its statement.
+    /// Parses a query and reserves the resources for its statement.
     fn read_query(&self, text: Vec<u8>) -> QueryIntake {
         let clients = self.clients;
         let engine = &clients.engine;
@@ -124,7 +124,7 @@
             return unusable("22023", &message);
         };
         if engine.writes(method) != statement.writes {
-            // Taken for a read, it could be repeated though it writes.
+            // A write that is declared as a read could be retried and run twice.
             return unusable("22023", &format!("the statement is none of class {:?}", statement.method));
         }
         let Some(id) = clients.active_ids.register(statement.id.clone()) else {
@@ -142,7 +142,7 @@
         }
     }
 
-    /// An empty query asks whether the router serves.
+    /// Answers an empty query, which serves as a readiness check.
     fn answer_empty_query(&self) -> QueryIntake {
         let mut out = Vec::new();
         if self.clients.engine.is_ready() {
--- a/crates/router/src/client/listener.rs
+++ b/crates/router/src/client/listener.rs
@@ -1,4 +1,4 @@
-//! The listener: connections of clients are accepted, and each becomes a session.
+//! Accepts client connections and starts a session for each.
 
 use std::io;
 use std::net::{TcpListener, TcpStream};
@@ -15,32 +15,34 @@
 use crate::pg::CancelKey;
 use crate::receive_buffer::ReceiveBuffer;
 
-/// How long a connection may take to its first complete message.
+/// The longest time from accepting a connection to its first complete message.
 const OPENING_TIMEOUT: Duration = Duration::from_secs(2);
-/// A pause after a failed accept, so that a failure that lasts does not spin.
+/// Delay after a failed accept, so that a persistent failure does not cause a busy loop.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(50);
-/// How often accepting may fail at shutdown before the connections that still wait are given up.
+/// At shutdown, the number of failed accepts after which the connections left in the backlog are given up.
 const MAX_ACCEPT_FAILURES: usize = 4;
 
 impl ClientSessions {
-    /// Accepts connections until it is dropped.
+    /// Accepts connections until the future is dropped.
     pub async fn accept(self: Rc<Self>, listener: Rc<Async<TcpListener>>) {
         loop {
-            // Room is made only for one that has come: made ahead, it would cost the one before, which may not
-            // have had time to say anything, its connection.
+            // Acquires a descriptor only once a connection is pending: acquired ahead of time, it could evict
+            // the newest connection, whose client may not have had time to send anything yet.
             if let Err(error) = listener.readable().await {
                 self.accept_failed(&error).await;
                 continue;
             }
-            // The descriptor first: a connection that could not be served had better wait where it is.
+            // The descriptor is acquired before accepting: a connection that cannot be served yet waits in
+            // the backlog.
             let permit = self.descriptors.acquire_for_client().await;
             match listener.accept().await {
                 Ok((stream, _)) => {
                     self.begin_session(stream, permit);
-                    // It is idle from now on, and must be known as such before a place is made for the next.
+                    // Lets the new session register as idle, and thus as evictable, before a descriptor is
+                    // acquired for the next connection.
                     future::yield_now().await;
                 }
-                Err(error) if concerns_one_connection(&error) => {}
+                Err(error) if affects_one_connection(&error) => {}
                 Err(error) => self.accept_failed(&error).await,
             }
         }
@@ -48,13 +50,13 @@
 
     async fn accept_failed(&self, error: &io::Error) {
         if self.listener_log.try_acquire() {
-            log::warn!("accept failed: {error}");
+            log::warn!("failed to accept a client connection: {error}");
         }
         Timer::after(ACCEPT_RETRY_INTERVAL).await;
     }
 
-    /// Accepts what has come to the listener while its task was ended. One connection that cannot be taken leaves those
-    /// behind it waiting, and they would be reset with the listener.
+    /// Accepts the connections that are left in the backlog after the accepting task was cancelled. Retries
+    /// after a failed accept: the connections behind it would be reset when the listener is closed.
     pub async fn accept_remaining(self: &Rc<Self>, listener: &Async<TcpListener>) {
         let mut failures = 0;
         while failures < MAX_ACCEPT_FAILURES {
@@ -63,11 +65,11 @@
                     let permit = self.descriptors.acquire_for_client().await;
                     match Async::new(stream) {
                         Ok(stream) => self.begin_session(stream, permit),
-                        Err(error) => log::warn!("accept failed: {error}"),
+                        Err(error) => log::warn!("failed to set up a client connection: {error}"),
                     }
                 }
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return,
-                Err(error) if concerns_one_connection(&error) => {}
+                Err(error) if affects_one_connection(&error) => {}
                 Err(error) => {
                     failures += 1;
                     self.accept_failed(&error).await;
@@ -76,20 +78,21 @@
         }
     }
 
-    /// Serves a connection in a task of its own. The session is known under its number and its key until it ends.
+    /// Serves a connection in its own task. The session is registered by its number and its cancel key until
+    /// it ends.
     fn begin_session(self: &Rc<Self>, stream: Async<TcpStream>, permit: DescriptorPermit) {
         if permit.held_for == DescriptorUse::RejectedClient && self.listener_log.try_acquire() {
-            log::warn!("no descriptor left for more clients: some are rejected");
+            log::warn!("the descriptor quota for clients is exhausted: rejecting new clients");
         }
         let clients = Rc::clone(self);
-        let number = self.next_session.get();
-        self.next_session.set(number + 1);
+        let number = self.next_session_number.get();
+        self.next_session_number.set(number + 1);
         let (close, closed) = async_channel::bounded(1);
-        self.open.borrow_mut().insert(number, close.clone());
-        // Nobody may guess it, as whoever knows it can end what the session has under way.
+        self.open_sessions.borrow_mut().insert(number, close.clone());
+        // Random, since anyone who knows the key can cancel the session's statements.
         let key = CancelKey(rand::random());
         let (cancel, cancelled) = async_channel::bounded(1);
-        self.cancels.borrow_mut().insert(key, cancel);
+        self.cancel_senders.borrow_mut().insert(key, cancel);
         let task = async move {
             _ = stream.get_ref().set_nodelay(true);
             let session = Session {
@@ -103,20 +106,21 @@
                 cancelled,
                 permit,
                 discards_until_sync: false,
-                unusable_statements: 0,
+                consecutive_unusable_statements: 0,
                 opening_deadline: Some(Instant::now() + OPENING_TIMEOUT),
             };
             let end = session.serve().await;
             log::debug!("session {number}: {end}");
-            // Its descriptor is free by now.
-            clients.cancels.borrow_mut().remove(&key);
-            clients.open.borrow_mut().remove(&number);
+            // Unregistered last: the session's descriptor has been released by now.
+            clients.cancel_senders.borrow_mut().remove(&key);
+            clients.open_sessions.borrow_mut().remove(&number);
         };
         self.executor.spawn(task).detach();
     }
 }
 
-/// Whether a failed accept says nothing of the next: the connection broke before it was taken, or a signal came.
-fn concerns_one_connection(error: &io::Error) -> bool {
+/// Whether a failed accept concerns one connection alone, so that the next accept may succeed: the connection
+/// was aborted before it was accepted, or a signal interrupted the call.
+fn affects_one_connection(error: &io::Error) -> bool {
     matches!(error.kind(), io::ErrorKind::ConnectionAborted | io::ErrorKind::Interrupted)
 }
--- a/crates/router/src/client/receive.rs
+++ b/crates/router/src/client/receive.rs
@@ -1,4 +1,4 @@
-//! How a session reads: with nothing else to do, and while requests are under way.
+//! Reading from a client's socket, both while the session is idle and while requests are in progress.
 
 use std::time::{Duration, Instant};
 
@@ -11,34 +11,35 @@
 use crate::receive_buffer::{READ_CHUNK_BYTES, ReceiveError};
 use crate::socket_liveness::peer_has_closed;
 
-/// How far a client that sends ahead of its responses is read while requests are under way, beyond these.
+/// How many bytes of further messages are read from a pipelining client while its requests are in progress.
 const MAX_READ_AHEAD_BYTES: usize = 4 * READ_CHUNK_BYTES;
-/// How many times in a row a client is read before its requests go on.
-pub(super) const MAX_READS_IN_A_ROW: usize = MAX_READ_AHEAD_BYTES / READ_CHUNK_BYTES;
-/// How often a client that is not read on is checked for whether it has disconnected.
+/// How many consecutive reads from a client take priority over progress of its requests.
+pub(super) const MAX_CONSECUTIVE_READS: usize = MAX_READ_AHEAD_BYTES / READ_CHUNK_BYTES;
+/// How often a client whose socket is not being read is checked for having disconnected.
 pub(super) const DISCONNECT_CHECK_INTERVAL: Duration = Duration::from_millis(25);
 
-/// Times out at this instant.
+/// Waits until `deadline` and returns [`SessionEnd::TimedOut`].
 pub(super) async fn timed_out<T>(deadline: Instant) -> Result<T, SessionEnd> {
     Timer::at(deadline).await;
     Err(SessionEnd::TimedOut)
 }
 
 impl Session<'_> {
-    /// Reads on while nothing else is to be done. Sets the deadline of a message that has begun.
+    /// Reads more bytes while no request is in progress. Sets the deadline of a message that has partly
+    /// arrived.
     pub(super) async fn receive_next(&mut self, message_deadline: &mut Option<Instant>) -> SessionResult {
         if self.buffer.is_empty() {
             return self.receive_while_idle().await;
         }
-        // Its first byte has come, so the rest is due: a trickle does not put that off.
+        // The deadline starts with the first byte of the message; further bytes do not extend it.
         let message_timeout = self.clients.message_timeout;
         let deadline = *message_deadline.get_or_insert_with(|| Instant::now() + message_timeout);
         async { Ok(self.buffer.receive(&self.stream).await?) }.or(timed_out(deadline)).await
     }
 
-    /// Waits for the first bytes of a message. The session may be closed meanwhile.
+    /// Waits for the first bytes of a message. The session may be closed or evicted while it waits.
     async fn receive_while_idle(&mut self) -> SessionResult {
-        // While it drains, a router still takes what has arrived by now.
+        // A draining router still reads the bytes that have already arrived.
         let draining = self.clients.draining.get();
         let close = self.close.clone();
         let closed = self.closed.clone();
@@ -66,14 +67,14 @@
         async { Ok(self.buffer.receive(&self.stream).await?) }.or(closing).or(opening_timeout).await
     }
 
-    /// Reads on while requests are under way, so that a client that disconnects is noticed at once, and the arrival of
-    /// what it sends ahead of its responses is known. Only so far: what lies beyond waits in the kernel, and of that
-    /// only the length is read.
+    /// Reads ahead while requests are in progress, so that a disconnect is noticed at once and the arrival
+    /// times of pipelined messages are known. Reads at most [`MAX_READ_AHEAD_BYTES`]: further bytes stay in
+    /// the kernel, and only their number is recorded.
     pub(super) async fn receive_ahead(&mut self) -> SessionResult {
         if self.buffer.len() < MAX_READ_AHEAD_BYTES && !self.buffer.is_full {
             match self.buffer.receive(&self.stream).await {
                 Ok(()) => return Ok(()),
-                // It is read on once something is decoded, if there is memory by then.
+                // Reading continues once a message has been decoded, if there is memory by then.
                 Err(ReceiveError::OutOfMemory(_)) => {}
                 Err(error) => return Err(error.into()),
             }
--- a/crates/router/src/client/request.rs
+++ b/crates/router/src/client/request.rs
@@ -1,4 +1,4 @@
-//! The life of an RPC, top to bottom.
+//! The life cycle of an RPC, from its turn in the pipeline to its response.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -16,26 +16,27 @@
 use crate::session_commits::SessionCommits;
 use crate::statement::InFlightStatement;
 
-/// An RPC as its session hands it over.
+/// An RPC as its session submits it.
 pub(super) struct RpcRequest {
     pub(super) method: MethodId,
     pub(super) statement: Rc<InFlightStatement>,
-    /// When its last byte arrived: its time runs from then.
+    /// When the last byte of the statement arrived: the RPC's deadline counts from then.
     pub(super) arrived: Instant,
-    /// What RPCs of its connection have written.
+    /// The commits of earlier RPCs on the same connection.
     pub(super) commits: Rc<RefCell<SessionCommits>>,
 }
 
 impl ClientSessions {
-    /// Runs an RPC from its turn, which comes at once where nothing ahead of it on its connection must end first, to its
-    /// response.
+    /// Runs an RPC and returns its response. Called when the statements on the connection that it must wait
+    /// for have ended.
     pub(super) async fn run_rpc(self: Rc<Self>, request: RpcRequest) -> EncodedResponse {
         let RpcRequest { method, statement: in_flight, arrived, commits } = request;
         let mut out = Vec::new();
         let engine = &self.engine;
         let statement = &in_flight.statement;
         if arrived.elapsed() >= DISCONNECT_CHECK_INTERVAL && !in_flight.client.is_connected() {
-            // It is not begun. Its session has not checked since, and is about to.
+            // The RPC is not started. The session notices the disconnect at its next check and drops this
+            // future.
             return future::pending().await;
         }
         if engine.pending_rpcs() >= self.max_pending_rpcs {
@@ -68,7 +69,8 @@
                 }
                 Some(RpcCommand::Reject { retry_after }) => encode_rejection(&mut out, retry_after),
                 Some(RpcCommand::Abort { last_outcome }) => encode_abort(&mut out, last_outcome),
-                // The engine gives each RPC that is pending its final response.
+                // The channel closes only after the final response, so this is not reached while the RPC is
+                // pending.
                 None => return future::pending().await,
             }
             return self.encoded_with_ready(out);
--- a/crates/router/src/client/request_loop.rs
+++ b/crates/router/src/client/request_loop.rs
@@ -1,5 +1,5 @@
-//! The loop of a session that has begun: it reads ahead, runs the requests in its pipeline, and writes responses, all of
-//! it side by side.
+//! The event loop of an open session. It concurrently reads ahead, runs the requests in the pipeline, and
+//! writes responses.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -9,35 +9,35 @@
 
 use futures_lite::{FutureExt, future};
 
-use super::receive::MAX_READS_IN_A_ROW;
+use super::receive::MAX_CONSECUTIVE_READS;
 use super::response_writer::write_response;
 use super::session::Session;
 use super::session_end::{SessionEnd, SessionResult};
 use crate::pg;
 use crate::request_pipeline::RequestPipeline;
 
-/// What a session has to go on with.
+/// An event that the session's loop handles.
 enum SessionEvent {
     /// More of the client's bytes were read.
     Received,
-    /// The client cancels its first request.
+    /// A cancel request arrived for the oldest unanswered statement.
     Cancelled,
-    /// A request has its response.
+    /// The response to a request is ready to be written.
     Answered,
-    /// The response that was being written is written, or its client is not waited for any longer.
+    /// Writing a response has ended: it was written completely, or writing failed or timed out.
     Written(SessionResult),
 }
 
-/// The state of the loop.
+/// The state of a session's event loop.
 pub(super) struct RequestLoop<'s, 'a> {
     session: &'s mut Session<'a>,
     write: Option<Pin<Box<dyn Future<Output = SessionResult>>>>,
     pipeline: RequestPipeline,
-    /// How the session ends once all that came before has been answered.
+    /// The result with which the session ends once all earlier requests have been answered.
     result: Option<SessionResult>,
-    /// By when the message that has begun must be complete.
+    /// When the partly received message must be complete.
     message_deadline: Option<Instant>,
-    reads_in_a_row: usize,
+    consecutive_reads: usize,
 }
 
 impl<'s, 'a> RequestLoop<'s, 'a> {
@@ -49,7 +49,7 @@
             pipeline: RequestPipeline::default(),
             result: None,
             message_deadline,
-            reads_in_a_row: 0,
+            consecutive_reads: 0,
         }
     }
 
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Takes complete messages into the pipeline, as far as it has capacity.
+    /// Moves complete messages into the pipeline while it has capacity.
     fn fill_pipeline(&mut self) {
         while self.result.is_none() && self.pipeline.has_capacity(self.session.clients.is_memory_critical()) {
             match self.session.buffer.decode_next(pg::decode_frontend_message) {
@@ -79,14 +79,14 @@
                 Ok(Some(received)) => {
                     self.session.opening_deadline = None;
                     self.message_deadline = None;
-                    self.result = self.session.take_message(received, &mut self.pipeline);
+                    self.result = self.session.handle_message(received, &mut self.pipeline);
                 }
-                Err(broken) => self.result = Some(Err(broken.into())),
+                Err(violation) => self.result = Some(Err(violation.into())),
             }
         }
     }
 
-    /// Begins to write the next response that is due, unless one is being written.
+    /// Starts writing the next response that is due, unless one is being written.
     fn begin_write(&mut self) {
         if self.write.is_some() {
             return;
@@ -98,13 +98,14 @@
         }
     }
 
-    /// Waits for what happens next.
+    /// Waits for the next event.
     ///
-    /// Reading comes first, so that a client that has disconnected is noticed before a command that came at the same
-    /// time is carried out. But the requests of one that sends without a pause go on, too.
+    /// Reading has priority, so that a disconnect is noticed before a command of the engine that arrived at
+    /// the same time is executed. After [`MAX_CONSECUTIVE_READS`] reads it loses priority, so that the
+    /// requests of a client that sends without a pause make progress too.
     async fn next_event(&mut self) -> Result<SessionEvent, SessionEnd> {
         let is_idle = self.pipeline.is_empty() && self.write.is_none();
-        let reads_first = self.reads_in_a_row < MAX_READS_IN_A_ROW;
+        let reads_first = self.consecutive_reads < MAX_CONSECUTIVE_READS;
         let Self { session, write, pipeline, message_deadline, .. } = self;
         let cancel_requests = session.cancelled.clone();
         let received = async {
@@ -136,14 +137,14 @@
             answered.or(written).or(cancelled).or(received).await
         };
         let has_received = matches!(event, Ok(SessionEvent::Received));
-        self.reads_in_a_row = if reads_first && has_received { self.reads_in_a_row + 1 } else { 0 };
+        self.consecutive_reads = if reads_first && has_received { self.consecutive_reads + 1 } else { 0 };
         event
     }
 
     async fn handle(&mut self, event: SessionEvent) -> SessionResult {
         match event {
-            // A client that always has more to say must not keep the others from theirs: nothing here waits
-            // while there is something to read.
+            // A client that sends without a pause must not starve other sessions: without this, the loop does
+            // not yield as long as there is something to read.
             SessionEvent::Received => future::yield_now().await,
             SessionEvent::Answered => {}
             SessionEvent::Cancelled => {
@@ -160,7 +161,7 @@
         Ok(())
     }
 
-    /// What is under way ends at once, and what waits is not begun; a response that is being written may still go out.
+    /// Drops running and waiting statements at once. A response that is being written may still be completed.
     async fn abandon(self, end: SessionEnd) -> SessionResult {
         let Self { write, pipeline, .. } = self;
         drop(pipeline);
--- a/crates/router/src/client/response_writer.rs
+++ b/crates/router/src/client/response_writer.rs
@@ -1,4 +1,4 @@
-//! Responses to clients: how they are encoded and accounted for, and how they are written.
+//! Encodes responses to clients, accounts for their memory, and writes them.
 
 use std::net::TcpStream;
 use std::rc::Rc;
@@ -17,37 +17,38 @@
 use crate::request_pipeline::EncodedResponse;
 use crate::socket;
 
-/// The mean rate at which a client must read a response; one on a slow connection does.
+/// The mean rate at which a client must read a response; low enough for clients on slow connections.
 const MIN_READ_BYTES_PER_SECOND: u64 = 16 * 1024;
 
-/// After this long a client that found no capacity may come back.
+/// The Retry-After for a client that was rejected for lack of capacity in the router.
 const NO_CAPACITY_RETRY_AFTER: Duration = Duration::from_millis(50);
 
-/// Tells a client that there is neither memory nor a place left for its RPC.
+/// The error message when the router has no memory left or too many pending RPCs.
 pub(super) const TOO_MANY_RPCS: &str = "this router holds all the RPCs it may";
 
 impl ClientSessions {
-    /// Whether memory is so short that slow readers are disconnected.
+    /// Whether memory is so short that clients which read slowly are disconnected.
     pub(super) fn is_memory_critical(&self) -> bool {
         self.budget.read(|budget| budget.calls_for(ReclaimAction::DisconnectSlowReaders))
     }
 
-    /// A response with the end that each response to a query has.
+    /// Appends ReadyForQuery, which ends each response to a query, and charges the response's memory.
     pub(super) fn encoded_with_ready(&self, mut bytes: Vec<u8>) -> EncodedResponse {
         pg::encode_ready_for_query(&mut bytes);
         self.encoded(bytes)
     }
 
-    /// A response with its memory charged. It is never refused: what it takes makes new RPCs be refused.
+    /// Charges a response's memory. The charge never fails, even beyond the budget: new RPCs are rejected
+    /// instead.
     pub(super) fn encoded(&self, bytes: Vec<u8>) -> EncodedResponse {
-        let beyond_a_chunk = bytes.len().saturating_sub(READ_CHUNK_BYTES);
-        let memory = self.budget.charge(Category::ResponseWrites, beyond_a_chunk);
+        let bytes_beyond_chunk = bytes.len().saturating_sub(READ_CHUNK_BYTES);
+        let memory = self.budget.charge(Category::ResponseWrites, bytes_beyond_chunk);
         EncodedResponse { bytes, memory }
     }
 }
 
-/// Writes a response. A client that does not read it is not waited for for ever, but one that reads on is, however long
-/// the response.
+/// Writes a response. Times out if the client stops reading, or reads too slowly while memory is short; a
+/// client that keeps reading fast enough gets the whole response, however long it is.
 ///
 /// # Errors
 /// The connection is broken, or the client reads too slowly.
@@ -76,20 +77,21 @@
     Ok(())
 }
 
-/// The error for a client that there is no room for: nothing has run, and soon there may be some.
+/// Appends the error for a client that the router has no capacity for: nothing ran, and a retry may succeed
+/// soon.
 pub(super) fn encode_no_capacity(out: &mut Vec<u8>, fatal: bool, message: &str) {
     let retry_after_ms = NO_CAPACITY_RETRY_AFTER.as_millis().to_string();
     pg::encode_error(out, fatal, "53300", message, Some(&retry_after_ms));
 }
 
-/// The error for an RPC that is rejected, with Retry-After unless it is zero.
+/// Appends the error for a rejected RPC, with Retry-After unless it is zero.
 pub(super) fn encode_rejection(out: &mut Vec<u8>, retry_after: Duration) {
     let retry_after_ms = retry_after.as_millis().to_string();
     let detail = (!retry_after.is_zero()).then_some(retry_after_ms.as_str());
     pg::encode_error(out, false, "53300", "nothing ran, so trying again is harmless", detail);
 }
 
-/// The error for an RPC that is aborted, by how its last attempt ended.
+/// Appends the error for an aborted RPC, chosen by the outcome of its last attempt.
 pub(super) fn encode_abort(out: &mut Vec<u8>, last_outcome: Option<Outcome>) {
     let (code, message) = match last_outcome {
         Some(Outcome::Reset) => ("08006", "the connection to the node broke; it may have run"),
--- a/crates/router/src/client/session.rs
+++ b/crates/router/src/client/session.rs
@@ -1,4 +1,4 @@
-//! One client's session: its state, how it begins, and how its connection is closed.
+//! A client session: its state, its startup, and how its connection is closed.
 
 use std::cell::RefCell;
 use std::net::{Shutdown, TcpStream};
@@ -19,35 +19,37 @@
 use crate::session_commits::SessionCommits;
 use crate::socket;
 
-/// How long what still comes from a client is discarded after the router has ended its sending, and how many bytes of
-/// it. A close at once would be a reset, which can take a response that is still on its way with it.
+/// How long, and how many bytes, the router still reads and discards after it has shut down its side of the
+/// connection. Closing with unread bytes would reset the connection, and the client could lose a response
+/// that is still in transit.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
 const MAX_LINGER_BYTES: usize = 256 * 1024;
 
-/// One client's session. It owns the connection.
+/// A client session, which owns the client's connection.
 pub(super) struct Session<'a> {
     pub(super) clients: &'a Rc<ClientSessions>,
-    /// Attempts look through a weak reference whether the client is still connected.
+    /// Attempts hold a weak reference, to check whether the client is still connected.
     pub(super) stream: Rc<Async<TcpStream>>,
     pub(super) buffer: ReceiveBuffer,
-    /// What RPCs of this connection have written.
+    /// The commits of RPCs on this connection.
     pub(super) commits: Rc<RefCell<SessionCommits>>,
-    /// Asks this session to close as soon as it is idle.
+    /// Asks this session to close as soon as it is idle; `closed` receives the request.
     pub(super) close: Sender<()>,
     pub(super) closed: Receiver<()>,
     pub(super) key: CancelKey,
+    /// Receives the cancel requests with this session's key.
     pub(super) cancelled: Receiver<()>,
     pub(super) permit: DescriptorPermit,
-    /// Whether messages are discarded up to Sync, after one of the extended protocol.
+    /// Whether messages are discarded up to the next Sync, because an extended query message arrived.
     pub(super) discards_until_sync: bool,
-    /// Statements in a row that cannot be used.
-    pub(super) unusable_statements: usize,
-    /// By when the first complete message of the session must have come, until it has.
+    /// The number of consecutive statements that could not be used.
+    pub(super) consecutive_unusable_statements: usize,
+    /// When the first complete message must have arrived; `None` once it has.
     pub(super) opening_deadline: Option<Instant>,
 }
 
 impl Session<'_> {
-    /// Serves the client from its first byte to its last. Why the session ended.
+    /// Serves the client until the session ends, and returns why it ended.
     pub(super) async fn serve(mut self) -> SessionEnd {
         let end = match self.run().await {
             Ok(()) => SessionEnd::Finished,
@@ -64,11 +66,11 @@
         RequestLoop::new(self).run().await
     }
 
-    /// Reads startup messages. Whether a session begins; a cancel request begins none.
+    /// Handles startup packets. Returns whether a session was opened; a cancel request opens none.
     async fn open(&mut self) -> Result<bool, SessionEnd> {
         loop {
             let mut out = Vec::new();
-            match self.next_opening().await? {
+            match self.next_startup_packet().await? {
                 StartupPacket::CancelRequest(key) => {
                     self.clients.cancel(key);
                     return Ok(false);
@@ -76,12 +78,13 @@
                 StartupPacket::EncryptionRequest => out.push(b'N'),
                 StartupPacket::Startup => pg::encode_session_start(&mut out, Some(self.key)),
             }
-            let begins = out.len() > 1;
+            let is_session_start = out.len() > 1;
             self.write(out).await?;
-            if begins {
+            if is_session_start {
                 return Ok(true);
             }
-            // One that asks for encryption again and again must neither keep the others from theirs nor stay.
+            // A client that repeats its encryption request must not starve other sessions, nor stay past the
+            // deadline.
             future::yield_now().await;
             if self.opening_deadline.is_some_and(|deadline| Instant::now() >= deadline) {
                 return Err(SessionEnd::TimedOut);
@@ -89,7 +92,7 @@
         }
     }
 
-    async fn next_opening(&mut self) -> Result<StartupPacket, SessionEnd> {
+    async fn next_startup_packet(&mut self) -> Result<StartupPacket, SessionEnd> {
         let mut message_deadline = self.opening_deadline;
         loop {
             if let Some(received) = self.buffer.decode_next(pg::decode_startup_packet)? {
@@ -104,9 +107,9 @@
         write_response(Rc::clone(self.clients), Rc::clone(&self.stream), response).await
     }
 
-    /// The one place that ends a client's connection from this side: the router ends its sending, reads on for a
-    /// while without acting on it, and closes then. The end of the sending is the point of no return: what has
-    /// been read before it is answered, what comes after it is not.
+    /// Closes the client's connection; the only place that does so from the router's side. Shuts down
+    /// sending, then reads and discards for a while, then closes. Requests read before the shutdown have been
+    /// answered; bytes that arrive after it are ignored.
     async fn close_connection(&mut self, end: &SessionEnd) {
         if matches!(end, SessionEnd::ClientDisconnected | SessionEnd::Io(_)) {
             return;
@@ -122,7 +125,7 @@
             return;
         }
         self.buffer.clear();
-        // It is evicted at once where descriptors are short, and by nothing else.
+        // Closed early only when descriptors are short.
         let (close, closed) = async_channel::bounded::<()>(1);
         let _evictable = self.clients.descriptors.register_evictable(
             self.permit.held_for,
@@ -134,7 +137,7 @@
         self.discard_received().or(evicted).or(timeout).await;
     }
 
-    /// Reads on, up to the client's end of sending or the bytes that are put up with.
+    /// Reads and discards bytes until the client shuts down its side or [`MAX_LINGER_BYTES`] have arrived.
     async fn discard_received(&self) {
         let mut chunk = [0; READ_CHUNK_BYTES];
         let mut remaining = MAX_LINGER_BYTES;
--- a/crates/router/src/client/session_end.rs
+++ b/crates/router/src/client/session_end.rs
@@ -1,4 +1,4 @@
-//! Why a session ends.
+//! The reasons for which a session ends.
 
 use std::io;
 
@@ -6,10 +6,10 @@
 use crate::pg::ProtocolViolation;
 use crate::receive_buffer::ReceiveError;
 
-/// How a session ends: in order, or for a reason.
+/// `Ok` if the client ended its session in the regular way, or else the reason for its end.
 pub(super) type SessionResult = Result<(), SessionEnd>;
 
-/// Why a session ended. Of those that have a code, the text reaches the client.
+/// Why a session ended. The text of a reason with a SQLSTATE is sent to the client.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum SessionEnd {
     #[error("{0}")]
@@ -31,7 +31,7 @@
 }
 
 impl SessionEnd {
-    /// The SQLSTATE for the client, where it has caused the end.
+    /// The SQLSTATE of the error to send, or `None` if no error is sent to the client.
     pub(super) fn code(&self) -> Option<&'static str> {
         match self {
             Self::ProtocolViolation(violation) => Some(violation.sqlstate()),
@@ -47,7 +47,7 @@
     fn from(error: ReceiveError) -> Self {
         match error {
             ReceiveError::Io(error) => Self::Io(error),
-            ReceiveError::OutOfMemory(refused) => Self::OutOfMemory(refused),
+            ReceiveError::OutOfMemory(rejected) => Self::OutOfMemory(rejected),
             ReceiveError::Closed => Self::ClientDisconnected,
         }
     }
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -1,17 +1,17 @@
-//! quillpoint on sockets: a router between PostgreSQL clients and a primary with its replicas.
+//! The quillpoint router process: a proxy between PostgreSQL clients and a primary with its replicas.
 //!
-//! [`runtime_config::RuntimeConfig`] holds what a router is told; [`serve::serve`] runs one until it has drained. Every
-//! choice is made by the `quillpoint` package; this one carries it out.
+//! [`runtime_config::RuntimeConfig`] is the configuration of a router; [`serve::serve`] runs a router until
+//! it has drained. The `quillpoint` package makes all routing decisions; this crate does the I/O for them.
 //!
-//! Each resource has one owner and one place of return:
+//! Each resource has one owner and is released in one place:
 //!
-//! - the decisions, their clock and their timer: [`engine::Engine`]; an RPC ends by its final response, or when its
-//!   [`engine::PendingResponse`] is dropped
-//! - connections to nodes: [`pool::ConnectionPool`], checked out and checked in there
-//! - connections of clients: their session in [`client`], closed in one place
-//! - descriptors: [`descriptors::DescriptorPermit`], given back when it is dropped
-//! - memory: [`budget::Reservation`], given back when it is dropped
-//! - ids of RPCs: [`active_request_ids::ActiveRequestId`], released when it is dropped
+//! - the decision state machine with its clock and timer: [`engine::Engine`]; an RPC ends with its final
+//!   response or when its [`engine::PendingResponse`] is dropped
+//! - connections to nodes: [`pool::ConnectionPool`], which checks them out and in
+//! - client connections: the session in [`client`], which closes them in one place
+//! - file descriptors: [`descriptors::DescriptorPermit`], released on drop
+//! - memory: [`budget::Reservation`], released on drop
+//! - RPC ids: [`active_request_ids::ActiveRequestId`], released on drop
 
 #![warn(missing_docs)]
 
--- a/crates/router/src/main.rs
+++ b/crates/router/src/main.rs
@@ -1,4 +1,4 @@
-//! `quillpoint`: see [`quillpoint_router::command`].
+//! The `quillpoint` binary. [`quillpoint_router::command`] parses the command line and runs it.
 
 use std::process::ExitCode;
 
--- a/crates/router/src/receive_buffer.rs
+++ b/crates/router/src/receive_buffer.rs
@@ -1,7 +1,7 @@
-//! What a client has sent and is not decoded yet, and when each byte of it arrived.
+//! The receive buffer of a client connection: bytes that have not been decoded yet, and their arrival times.
 //!
-//! An RPC's time runs from when its last byte arrived, and not from when it was decoded. Bytes that are not read
-//! ahead wait in the kernel, which says how many there are: so their time is known as well.
+//! An RPC's deadline counts from the arrival of its last byte, not from when it is decoded. Bytes that are
+//! not read ahead wait in the kernel, which reports their number, so that their arrival times are known too.
 
 use std::collections::VecDeque;
 use std::io;
@@ -15,54 +15,55 @@
 use crate::socket;
 use crate::socket_liveness::unread_bytes;
 
-/// How much is read at once.
+/// The size of one read.
 pub const READ_CHUNK_BYTES: usize = 4096;
-/// How many times of arrival are kept apart; past it, the oldest bytes pass for as young as those behind them.
+/// How many arrival times are stored. Beyond it the oldest is dropped, and its bytes count as arrived with
+/// the next ones.
 const MAX_ARRIVALS: usize = 256;
 
-/// The buffer of one connection.
+/// The receive buffer of one client connection.
 pub struct ReceiveBuffer {
     unread: Vec<u8>,
     memory: Reservation,
-    /// Bytes that were decoded since the start.
+    /// The number of bytes decoded since the connection was opened.
     decoded_bytes: u64,
-    /// Bytes that were read since the start.
+    /// The number of bytes read since the connection was opened.
     read_bytes: u64,
     arrivals: VecDeque<Arrival>,
-    /// Whether the memory budget had no room for more, and nothing has been decoded since.
+    /// Whether the memory budget was exceeded by the last read, and nothing has been decoded since.
     pub is_full: bool,
 }
 
-/// This many bytes since the start had arrived by then.
+/// At the time `at`, `total_bytes` bytes had arrived since the connection was opened.
 struct Arrival {
     total_bytes: u64,
     at: Instant,
 }
 
-/// A message that was decoded.
+/// A decoded message.
 pub struct ReceivedMessage<T> {
-    /// What the decoder made of it.
+    /// The result of the decoder.
     pub message: T,
     /// When its last byte arrived.
     pub arrived: Instant,
 }
 
-/// Why nothing more was read.
+/// Why reading failed.
 #[derive(Debug, thiserror::Error)]
 pub enum ReceiveError {
     /// The connection is broken.
     #[error("{0}")]
     Io(#[from] io::Error),
-    /// There is no memory for more.
+    /// The memory budget has no room for the bytes.
     #[error("{0}")]
     OutOfMemory(#[from] ReservationRejected),
-    /// The client ended its sending.
-    #[error("the client ended its sending")]
+    /// The client closed its side of the connection.
+    #[error("the client closed its side of the connection")]
     Closed,
 }
 
 impl ReceiveBuffer {
-    /// An empty buffer, which accounts for its memory with `memory`.
+    /// Creates an empty buffer that accounts for its memory with `memory`.
     pub fn new(memory: Reservation) -> Self {
         Self {
             unread: Vec::new(),
@@ -74,20 +75,20 @@
         }
     }
 
-    /// Bytes that have been read and not decoded.
+    /// The number of bytes that have been read and not yet decoded.
     pub fn len(&self) -> usize {
         self.unread.len()
     }
 
-    /// Whether all that was read has been decoded.
+    /// Whether all bytes that were read have been decoded.
     pub fn is_empty(&self) -> bool {
         self.unread.is_empty()
     }
 
-    /// Decodes the next message, once it is complete.
+    /// Decodes the next message, or returns `None` if it is not complete yet.
     ///
     /// # Errors
-    /// What the decoder says.
+    /// The decoder's error.
     pub fn decode_next<T>(
         &mut self,
         decode: impl Fn(&[u8]) -> Result<Option<(T, usize)>, ProtocolViolation>,
@@ -96,11 +97,11 @@
         self.unread.drain(..length);
         self.decoded_bytes += length as u64;
         self.is_full = false;
-        let passed = self.arrivals.partition_point(|arrival| arrival.total_bytes < self.decoded_bytes);
-        self.arrivals.drain(..passed);
+        let decoded = self.arrivals.partition_point(|arrival| arrival.total_bytes < self.decoded_bytes);
+        self.arrivals.drain(..decoded);
         let arrived = self.arrivals.front().map_or_else(Instant::now, |arrival| arrival.at);
         if self.unread.is_empty() {
-            // What a long message took is not kept for the next.
+            // Frees the memory that a long message needed.
             self.unread.shrink_to(READ_CHUNK_BYTES);
             _ = self.memory.resize(bytes_to_reserve(&self.unread));
         }
@@ -110,14 +111,15 @@
     /// Waits for the next bytes and reads them.
     ///
     /// # Errors
-    /// The connection has ended or broken, or there is no memory for more.
+    /// The connection is closed or broken, or the memory budget has no room for the bytes. In the latter case
+    /// the bytes have been read.
     pub async fn receive(&mut self, stream: &Async<TcpStream>) -> Result<(), ReceiveError> {
         let mut chunk = [0; READ_CHUNK_BYTES];
         let count = socket::read(stream, &mut chunk).await?;
         if count == 0 {
             return Err(ReceiveError::Closed);
         }
-        // No more than has arrived: many clients may send long messages at once.
+        // Grows by what has arrived and no more, since many clients may send long messages at the same time.
         self.unread.reserve_exact(count);
         self.unread.extend(&chunk[..count]);
         self.read_bytes += count as u64;
@@ -127,15 +129,15 @@
         Ok(reserved?)
     }
 
-    /// Notes when the bytes arrived that wait in the kernel, for when they are read.
+    /// Records the arrival time of the bytes that wait in the kernel.
     pub fn record_unread_arrivals(&mut self, stream: &TcpStream) {
         self.record_arrival(self.read_bytes + unread_bytes(stream));
     }
 
-    /// Bytes that were noted before arrived then, and not now.
+    /// Records the current time as the arrival time of the bytes up to `total_bytes` that have none yet.
     fn record_arrival(&mut self, total_bytes: u64) {
-        let known = self.arrivals.back().map_or(self.decoded_bytes, |arrival| arrival.total_bytes);
-        if total_bytes > known {
+        let recorded = self.arrivals.back().map_or(self.decoded_bytes, |arrival| arrival.total_bytes);
+        if total_bytes > recorded {
             self.arrivals.push_back(Arrival { total_bytes, at: Instant::now() });
         }
         if self.arrivals.len() > MAX_ARRIVALS {
@@ -143,14 +145,15 @@
         }
     }
 
-    /// Frees the buffer: nothing of it is needed any more.
+    /// Discards all bytes and frees the buffer.
     pub fn clear(&mut self) {
         self.unread = Vec::new();
         _ = self.memory.resize(0);
     }
 }
 
-/// A chunk for each session is bounded by the count of descriptors; only what goes beyond it is reserved.
+/// The bytes to reserve for a buffer: those beyond one chunk. One chunk for each session is bounded by the
+/// descriptor limit.
 fn bytes_to_reserve(unread: &Vec<u8>) -> usize {
     unread.capacity().saturating_sub(READ_CHUNK_BYTES)
 }
--- a/crates/router/src/request_pipeline.rs
+++ b/crates/router/src/request_pipeline.rs
@@ -1,5 +1,5 @@
-//! The request pipeline of a connection: what its client has asked and has not been answered yet, in order. Statements run
-//! side by side where they may; responses leave in the order in which they were asked for.
+//! The request pipeline of a client connection: its unanswered requests, in order of arrival. Statements run
+//! concurrently where their order does not matter; responses are written in request order.
 
 use std::collections::VecDeque;
 use std::future::Future;
@@ -10,29 +10,32 @@
 
 use crate::budget::Reservation;
 
-/// Bounds the statements of a connection that run, wait to run, or have a response that waits to be written.
+/// The most requests of a connection that are running, waiting to run, or waiting for their response to be
+/// written.
 pub const MAX_PIPELINED_REQUESTS: usize = 16;
-/// With this much of responses that wait to be written nothing more is begun, but for what these wait for.
-const MAX_WAITING_RESPONSE_BYTES: usize = 64 * 1024;
+/// While this many bytes of responses wait to be written, no further statement starts except the oldest
+/// unanswered one, which the later responses wait for.
+const MAX_UNWRITTEN_RESPONSE_BYTES: usize = 64 * 1024;
 
-/// What a statement reads or writes, as far as its order among others goes.
+/// What a statement reads or writes; determines which earlier statements it must wait for.
 #[derive(Clone, Copy, Debug)]
 pub struct StatementScope {
-    /// The replica set that it goes to.
+    /// The replica set that the statement is sent to.
     pub replica_set: ReplicaSetId,
-    /// The session that it belongs to; none may be any.
+    /// The session of the statement. `None` if unknown: it could be any session.
     pub session: Option<SessionKey>,
-    /// Whether it writes.
+    /// Whether the statement is a write.
     pub writes: bool,
-    /// Whether it must see all that was committed before it, of any session.
+    /// Whether it must see all earlier commits, of any session.
     pub reads_fresh: bool,
 }
 
 impl StatementScope {
-    /// Whether this statement, which came later, is begun only when `earlier` has ended. Reads pass reads. A read
-    /// sees the write of its own session that it came behind, and does not see the one that it came ahead of.
-    /// Writes of a replica set keep their order whatever their sessions: of a statement only one literal is known
-    /// here, and a client that sends one behind the other may count on the first.
+    /// Whether this statement may start only after the statement `earlier`, which arrived before it, has
+    /// ended. Reads do not wait for reads. A read sees the earlier writes of its session and not the later
+    /// ones. Writes to a replica set keep their order even across sessions: the router knows only one literal
+    /// of each statement, and a client that sends one write after the other may rely on the effect of the
+    /// first.
     pub fn waits_for(&self, earlier: &Self) -> bool {
         let same_session =
             self.session.is_none() || earlier.session.is_none() || self.session == earlier.session;
@@ -44,25 +47,25 @@
     }
 }
 
-/// A response in the form in which it is written, and the memory that it takes.
+/// An encoded response and the memory charged for it.
 pub struct EncodedResponse {
-    /// The bytes for the client.
+    /// The bytes to write to the client.
     pub bytes: Vec<u8>,
-    /// What the bytes take.
+    /// The memory charged for the bytes.
     pub memory: Reservation,
 }
 
-/// From a statement's turn to its response. Dropping it ends the statement.
+/// Runs a statement and returns its response. Dropping it ends the statement.
 pub type ResponseFuture = Pin<Box<dyn Future<Output = EncodedResponse>>>;
 
 enum Request {
-    Running { scope: StatementScope, response: ResponseFuture, begun: bool },
+    Unanswered { scope: StatementScope, response: ResponseFuture, started: bool },
     Answered(EncodedResponse),
 }
 
 impl Request {
-    fn is_running(&self) -> bool {
-        matches!(self, Self::Running { .. })
+    fn is_unanswered(&self) -> bool {
+        matches!(self, Self::Unanswered { .. })
     }
 }
 
@@ -71,83 +74,86 @@
 pub struct RequestPipeline(VecDeque<Request>);
 
 impl RequestPipeline {
-    /// Whether nothing waits for its response, nor any response to be written.
+    /// Whether no request waits for its response and no response waits to be written.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// Whether one more may be added. `one_at_a_time` where memory is short.
+    /// Whether another request may be added. With `one_at_a_time`, for when memory is short, only to an empty
+    /// pipeline.
     pub fn has_capacity(&self, one_at_a_time: bool) -> bool {
         if self.0.is_empty() {
             return true;
         }
         let has_room = self.0.len() < MAX_PIPELINED_REQUESTS;
-        !one_at_a_time && has_room && self.waiting_response_bytes() < MAX_WAITING_RESPONSE_BYTES
+        !one_at_a_time && has_room && self.unwritten_response_bytes() < MAX_UNWRITTEN_RESPONSE_BYTES
     }
 
-    /// Bytes of responses that wait to be written.
-    fn waiting_response_bytes(&self) -> usize {
+    /// The number of bytes of responses that wait to be written.
+    fn unwritten_response_bytes(&self) -> usize {
         let bytes = self.0.iter().map(|request| match request {
             Request::Answered(response) => response.bytes.len(),
-            Request::Running { .. } => 0,
+            Request::Unanswered { .. } => 0,
         });
         bytes.sum()
     }
 
-    /// Adds a statement. It begins when none that it waits for is ahead of it.
+    /// Adds a statement. It starts once all earlier statements that it must wait for have ended.
     pub fn push_statement(&mut self, scope: StatementScope, response: ResponseFuture) {
-        self.0.push_back(Request::Running { scope, response, begun: false });
+        self.0.push_back(Request::Unanswered { scope, response, started: false });
     }
 
-    /// Adds the response to what is answered at once, to be written when all before it has been.
+    /// Adds the response to a request that runs no statement. It is written after all earlier responses.
     pub fn push_response(&mut self, response: EncodedResponse) {
         self.0.push_back(Request::Answered(response));
     }
 
-    /// Takes the oldest response out, if it is there and nothing older waits for its own.
+    /// Removes and returns the response to the oldest request, if that has been answered.
     pub fn pop_response(&mut self) -> Option<EncodedResponse> {
         match self.0.pop_front()? {
             Request::Answered(response) => Some(response),
-            running => {
-                self.0.push_front(running);
+            unanswered => {
+                self.0.push_front(unanswered);
                 None
             }
         }
     }
 
-    /// Whether a statement has no response yet.
-    pub fn has_running_statement(&self) -> bool {
-        self.0.iter().any(Request::is_running)
+    /// Whether any statement has no response yet.
+    pub fn has_unanswered_statement(&self) -> bool {
+        self.0.iter().any(Request::is_unanswered)
     }
 
-    /// Ends the first statement that has no response yet, which is the one that its client waits for, with this one.
+    /// Ends the oldest statement without a response, which is the one that the client waits for, with this
+    /// response.
     pub fn cancel_first(&mut self, response: EncodedResponse) {
-        if let Some(first) = self.0.iter_mut().find(|request| request.is_running()) {
+        if let Some(first) = self.0.iter_mut().find(|request| request.is_unanswered()) {
             *first = Request::Answered(response);
         }
     }
 
-    /// Goes on with all statements that may. Whether one has been answered.
+    /// Polls all statements that may run, and starts those whose turn has come. Returns whether any was
+    /// answered.
     pub fn poll(&mut self, context: &mut Context<'_>) -> bool {
-        let mut ahead: Vec<StatementScope> = Vec::new();
+        let mut earlier_scopes: Vec<StatementScope> = Vec::new();
         let mut any_answered = false;
-        let mut waiting_bytes = self.waiting_response_bytes();
+        let mut unwritten_bytes = self.unwritten_response_bytes();
         for request in &mut self.0 {
-            let Request::Running { scope, response, begun } = request else { continue };
-            // The first one is what the others' responses wait for.
-            let has_capacity = ahead.is_empty() || waiting_bytes < MAX_WAITING_RESPONSE_BYTES;
-            *begun |= has_capacity && !ahead.iter().any(|earlier| scope.waits_for(earlier));
-            if !*begun {
-                ahead.push(*scope);
+            let Request::Unanswered { scope, response, started } = request else { continue };
+            // The oldest unanswered statement may always start, since later responses wait for its response.
+            let has_capacity = earlier_scopes.is_empty() || unwritten_bytes < MAX_UNWRITTEN_RESPONSE_BYTES;
+            *started |= has_capacity && !earlier_scopes.iter().any(|earlier| scope.waits_for(earlier));
+            if !*started {
+                earlier_scopes.push(*scope);
                 continue;
             }
             match response.as_mut().poll(context) {
                 Poll::Ready(response) => {
-                    waiting_bytes += response.bytes.len();
+                    unwritten_bytes += response.bytes.len();
                     *request = Request::Answered(response);
                     any_answered = true;
                 }
-                Poll::Pending => ahead.push(*scope),
+                Poll::Pending => earlier_scopes.push(*scope),
             }
         }
         any_answered
--- a/crates/router/src/socket.rs
+++ b/crates/router/src/socket.rs
@@ -1,11 +1,12 @@
-//! Reads and writes of sockets. A call that a signal interrupts is made again: nothing is wrong with its connection.
+//! Socket reads and writes that retry system calls interrupted by a signal.
 
 use std::io::{self, Read, Write};
 use std::net::TcpStream;
 
 use async_io::Async;
 
-/// Waits for bytes and reads them; their count, which is zero at the end of the peer's sending.
+/// Waits for bytes, reads them into `chunk`, and returns their number; zero if the peer has shut down its
+/// side.
 ///
 /// # Errors
 /// The connection is broken.
@@ -13,7 +14,7 @@
     stream.read_with(|mut stream| retry_interrupted(|| stream.read(chunk))).await
 }
 
-/// Waits for room and writes what fits in it; the count of bytes.
+/// Waits until the socket is writable, writes as much as it accepts, and returns the number of bytes.
 ///
 /// # Errors
 /// The connection is broken.
@@ -21,10 +22,10 @@
     stream.write_with(|mut stream| retry_interrupted(|| stream.write(bytes))).await
 }
 
-/// Writes all of it.
+/// Writes all bytes.
 ///
 /// # Errors
-/// The connection is broken, or takes nothing any more.
+/// The connection is broken, or accepts no more bytes.
 pub async fn write_all(stream: &Async<TcpStream>, mut bytes: &[u8]) -> io::Result<()> {
     while !bytes.is_empty() {
         match write(stream, bytes).await? {
@@ -35,10 +36,10 @@
     Ok(())
 }
 
-/// Makes a call again for as long as signals interrupt it.
+/// Repeats a call while it fails with [`io::ErrorKind::Interrupted`].
 ///
 /// # Errors
-/// Any other one of the call.
+/// Any other error of the call.
 pub fn retry_interrupted<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
     loop {
         match call() {
