--- a/crates/router/src/engine.rs
+++ b/crates/router/src/engine.rs
@@ -1,7 +1,9 @@
-//! The engine: sole owner of the decisions, of their clock and of their one timer, and of what each RPC is still owed.
+//! The engine: the only owner of the decision state machine (`quillpoint::Router`), of its clock and timer,
+//! and of the pending RPCs.
 //!
-//! The decisions act by calling their host, which only queues work: commands go to the task of the RPC, health checks
-//! and closings to the pool, polls of the endpoint list to the discovery client.
+//! The decisions act by calling their host, which only queues work: commands go to the task of the RPC,
+//! health checks and requests to close idle connections to the pool, polls of the endpoint list to the
+//! discovery client.
 
 mod clock;
 mod command;
@@ -34,30 +36,30 @@
 pub use observations::{LocalObservation, ObservationExchange};
 pub use pending_response::PendingResponse;
 
-/// Tells the decisions of each thing that happens, by one method for each.
+/// Passes events to the decisions, with one method for each kind of event.
 pub struct Engine {
     /// The clock that the decisions see.
     pub clock: Clock,
     host: Rc<HostState>,
     decisions: RefCell<Router<DecisionHost>>,
     methods: MethodTable,
-    next_rpc: Cell<u64>,
+    next_rpc_number: Cell<u64>,
     has_endpoint_list: Cell<bool>,
-    /// When the router ends, once it has been told to stop.
+    /// When the router stops waiting for RPCs; set once it begins to shut down.
     shutdown_deadline: Cell<Option<Duration>>,
     exchange: OnceCell<Rc<dyn ObservationExchange>>,
 }
 
-/// Where the decisions' work for other parts of the router arrives.
+/// Receivers for the work that the decisions queue for other parts of the router.
 pub struct EngineOutputs {
-    /// For the pool.
+    /// Tasks for the connection pool.
     pub background_tasks: Receiver<BackgroundTask>,
-    /// For the discovery client: each one asks it for the endpoint list.
+    /// Requests to the discovery client, each for a poll of the endpoint list.
     pub endpoint_requests: Receiver<()>,
 }
 
 impl Engine {
-    /// An engine for a deployment. Equal seeds draw the same random numbers.
+    /// Creates an engine for a deployment. `seed` seeds the random numbers of the decisions.
     pub fn new(seed: u64, deployment: &Deployment) -> (Rc<Self>, EngineOutputs) {
         let (background_tasks, background_task_receiver) = async_channel::unbounded();
         let (endpoint_requests, endpoint_request_receiver) = async_channel::unbounded();
@@ -79,7 +81,7 @@
             host,
             decisions: RefCell::new(decisions),
             methods: MethodTable::new(deployment),
-            next_rpc: Cell::new(0),
+            next_rpc_number: Cell::new(0),
             has_endpoint_list: Cell::new(false),
             shutdown_deadline: Cell::new(None),
             exchange: OnceCell::new(),
@@ -91,7 +93,8 @@
         (engine, outputs)
     }
 
-    /// Calls the decisions, and then ends the attempts that they commanded and that cannot be made.
+    /// Calls the decisions, then reports the attempts that they commanded but that cannot be made as not
+    /// sent.
     fn with_decisions<T>(&self, call: impl FnOnce(&mut Router<DecisionHost>, Duration) -> T) -> T {
         let result = call(&mut self.decisions.borrow_mut(), self.clock.now());
         loop {
@@ -100,39 +103,39 @@
         }
     }
 
-    /// Whether an empty query is answered as ready: the endpoint list has come, or has been waited for long enough. RPCs are not
-    /// held back: without nodes each is rejected at once.
+    /// Whether the router answers readiness checks as ready: it has an endpoint list, or has waited for one
+    /// long enough. RPCs do not wait for this; without nodes each is rejected at once.
     pub fn is_ready(&self) -> bool {
         self.has_endpoint_list.get()
             || self.clock.uptime() >= quillpoint_discovery_watch::SERVE_WITHOUT_LIST_AFTER
     }
 
-    /// How many RPCs are pending.
+    /// Returns the number of pending RPCs.
     pub fn pending_rpcs(&self) -> usize {
         self.host.pending.borrow().len()
     }
 
-    /// The method of this name, if the deployment has one.
+    /// Looks up a method of the deployment by its name.
     pub fn method_by_name(&self, name: &str) -> Option<MethodId> {
         self.methods.by_name(name)
     }
 
-    /// Whether RPCs of the method write.
+    /// Whether RPCs of the method are writes.
     pub fn writes(&self, method: MethodId) -> bool {
         self.methods.writes(method)
     }
 
-    /// What a statement of the method reads or writes.
+    /// Returns what a statement of the method reads or writes, for its order in the pipeline.
     pub fn statement_scope(&self, method: MethodId, statement: &Statement) -> StatementScope {
         self.methods.statement_scope(method, statement)
     }
 
-    /// The shortest deadline of a method, and the longest.
+    /// Returns the shortest and the longest deadline of the methods.
     pub fn deadline_range(&self) -> DeadlineRange {
         self.methods.deadline_range()
     }
 
-    /// No RPC is waited for past this time, be it pending by now or yet to come.
+    /// Limits the deadlines of all RPCs, pending and future, to `deadline`.
     pub fn set_shutdown_deadline(&self, deadline: Instant) {
         let remaining = deadline.saturating_duration_since(Instant::now());
         let deadline = self.clock.now() + remaining;
@@ -143,9 +146,9 @@
         self.with_decisions(|decisions, now| decisions.set_shutdown_deadline(now, deadline));
     }
 
-    /// The endpoint list has changed.
+    /// Passes a change of the endpoint list to the decisions and to the observation exchange.
     pub fn endpoints_changed(&self, update: EndpointUpdate, endpoints: &[Endpoint]) {
-        // An empty list from discovery is a list; an empty cached one is none.
+        // An empty list counts as received if it came from discovery, but not if it is the cached one.
         if !endpoints.is_empty() || update != EndpointUpdate::CachedSnapshot {
             self.has_endpoint_list.set(true);
         }
@@ -155,8 +158,8 @@
         }
     }
 
-    /// Runs the decisions' one timer until it is dropped. An earlier time replaces a later one, after which the
-    /// decisions set the timer anew.
+    /// Runs the decisions' timer until the future is dropped. An earlier due time replaces a later one; the
+    /// decisions set the timer again whenever it fires.
     pub async fn run_timer(&self) {
         loop {
             let changed = self.host.timer_changed.listen();
@@ -173,7 +176,7 @@
                 false
             };
             let has_expired = expired.or(replaced).await;
-            // Never early: a timer that fired early would find nothing due.
+            // Checked against the decisions' clock: a timer that fires early would find nothing due.
             if has_expired && due.is_some_and(|at| at <= self.clock.now()) {
                 self.host.timer_due.set(None);
                 self.with_decisions(|decisions, now| decisions.timer_fired(now));
--- a/crates/router/src/engine/clock.rs
+++ b/crates/router/src/engine/clock.rs
@@ -1,8 +1,9 @@
-//! The router's clock.
+//! The clock of the engine and the decisions.
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Unix time that never goes back: the system's clock is read once, and a monotonic clock runs on top of it.
+/// A monotonic clock of Unix time: the system clock is read once at the start, and elapsed monotonic time is
+/// added.
 #[derive(Clone, Copy)]
 pub struct Clock {
     unix_at_start: Duration,
@@ -10,23 +11,23 @@
 }
 
 impl Clock {
-    /// Reads the system's clock.
+    /// Starts the clock at the current time of the system clock.
     pub fn start() -> Self {
         let unix_at_start = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Self { unix_at_start, start: Instant::now() }
     }
 
-    /// The time since the Unix epoch.
+    /// Returns the time since the Unix epoch.
     pub fn now(&self) -> Duration {
         self.unix_at_start + self.start.elapsed()
     }
 
-    /// A time since the Unix epoch as an instant of the monotonic clock; one before the start is the start.
+    /// Converts a time since the Unix epoch to an instant. A time before the clock's start maps to its start.
     pub fn instant(&self, unix_time: Duration) -> Instant {
         self.start + unix_time.saturating_sub(self.unix_at_start)
     }
 
-    /// How long the clock has been running.
+    /// Returns the time since the clock was started, which is the uptime of the router.
     pub(super) fn uptime(&self) -> Duration {
         self.start.elapsed()
     }
--- a/crates/router/src/engine/command.rs
+++ b/crates/router/src/engine/command.rs
@@ -1,4 +1,4 @@
-//! What the decisions command, and what comes back of a node's response.
+//! Commands from the decisions, and the parts of a node's response that are reported back to them.
 
 use std::time::Duration;
 
@@ -6,62 +6,63 @@
 
 use crate::pg::QueryResult;
 
-/// A command to the task of one RPC. All but an attempt are final responses.
+/// A command to the task of an RPC. All variants except `Attempt` are final responses.
 pub enum RpcCommand {
-    /// Make an attempt.
+    /// Send the statement to a node.
     Attempt(AttemptCommand),
     /// Send a node's answer to the client.
     Answer {
-        /// The row and its tag.
+        /// The result row and its command tag.
         answer: QueryResult,
-        /// The log position that the node reported with it; of a write, its commit time.
+        /// The log position that the node reported with the answer; for a write, its commit time.
         position: Option<Duration>,
     },
     /// Reject the RPC: nothing ran.
     Reject {
-        /// When the client is advised to come back; zero is no advice.
+        /// The Retry-After for the client; none is sent if it is zero.
         retry_after: Duration,
     },
     /// Abort the RPC: it may have run.
     Abort {
-        /// How its last attempt ended, if one has.
+        /// The outcome of the last attempt that ended, if any.
         last_outcome: Option<Outcome>,
     },
 }
 
-/// One attempt that is to be made. Times are those of the engine's clock.
+/// An attempt to make. Times are those of the engine's clock.
 pub struct AttemptCommand {
-    /// The RPC that it is made for.
+    /// The RPC of the attempt.
     pub rpc: RpcId,
-    /// Which attempt of its RPC it is.
+    /// The number of the attempt within its RPC.
     pub number: AttemptNumber,
-    /// The node that it goes to.
+    /// The node to send the statement to.
     pub node: NodeId,
-    /// When it was commanded.
+    /// When the decisions commanded the attempt.
     pub started: Duration,
-    /// When it times out, which is no later than its client leaves.
+    /// When the attempt times out; never later than the deadline of its RPC.
     pub deadline: Duration,
 }
 
-/// Work that the decisions ask of the connection pool, for no RPC.
+/// Work that the decisions queue for the connection pool and that belongs to no RPC.
 pub enum BackgroundTask {
-    /// A health check that the decisions of this router ask for.
+    /// Make a health check that this router's decisions want.
     HealthCheck(NodeId),
-    /// A health check that is assigned to this router on behalf of others as well.
+    /// Make a health check that the fleet or the feed has assigned to this router, on behalf of other routers
+    /// too.
     AssignedHealthCheck(NodeId),
     /// Close the idle connections to the node.
     CloseIdle(NodeId),
 }
 
-/// What a node's response says.
+/// What a node reported in its response to a query.
 #[derive(Default)]
 pub struct NodeResponse {
-    /// The answer to the statement, where it is complete.
+    /// The answer to the statement, if it arrived completely.
     pub answer: Option<QueryResult>,
     /// The node's role.
     pub role: Option<Role>,
     /// The node's log position, or the commit time of a write.
     pub position: Option<Duration>,
-    /// The node's load.
+    /// The node's load report.
     pub report: Option<LoadReport>,
 }
--- a/crates/router/src/engine/host.rs
+++ b/crates/router/src/engine/host.rs
@@ -1,5 +1,5 @@
-//! The host of the decisions. It only queues what they ask for, so that nothing calls them from inside one of their
-//! own calls.
+//! The host of the decisions. It only queues the work that they request, so that no call into the decisions
+//! can be reentrant.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -22,12 +22,13 @@
     pub(super) last_outcome: Option<Outcome>,
 }
 
-/// What the engine and its host share.
+/// The state that the engine shares with the host.
 pub(super) struct HostState {
     pub(super) clock: Clock,
     pub(super) pending: RefCell<BTreeMap<RpcId, PendingRpc>>,
     pub(super) max_attempts: u32,
-    /// Attempts that cannot be made, to be ended as such once the decisions have returned.
+    /// Attempts that cannot be made; reported as not sent once the current call into the decisions has
+    /// returned.
     pub(super) unsent: RefCell<Vec<AttemptCommand>>,
     pub(super) background_tasks: Sender<BackgroundTask>,
     pub(super) endpoint_requests: Sender<()>,
@@ -36,21 +37,22 @@
 }
 
 impl HostState {
-    /// The one place where an RPC ends.
+    /// Ends an RPC by removing it from the pending ones; the only place that does so.
     pub(super) fn remove(&self, rpc: RpcId) -> Option<PendingRpc> {
         self.pending.borrow_mut().remove(&rpc)
     }
 
-    /// Gives the final response: the RPC ends here, whoever gives it.
+    /// Ends the RPC and sends its final response to its task. Does nothing if the RPC has already ended.
     pub(super) fn finish(&self, rpc: RpcId, command: impl FnOnce(&PendingRpc) -> RpcCommand) {
         if let Some(pending) = self.remove(rpc) {
-            // Its task may have ended with its client; then nobody waits for the response.
+            // Sending fails if the task has ended because its client disconnected. Nobody needs the response
+            // then.
             _ = pending.commands.try_send(command(&pending));
         }
     }
 }
 
-/// The face of [`HostState`] towards the decisions.
+/// Implements the decisions' [`Host`] trait for [`HostState`].
 pub(super) struct DecisionHost(pub(super) Rc<HostState>);
 
 impl Host for DecisionHost {
@@ -59,7 +61,8 @@
         let started = state.clock.now();
         let mut pending = state.pending.borrow_mut();
         let Some(entry) = pending.get_mut(&rpc) else {
-            // The attempt's number is unknown here, but so is the RPC to the decisions by then.
+            // The attempt's number is unknown. The decisions do not need it, since the RPC has ended for them
+            // too.
             let number = AttemptNumber(u32::MAX);
             let unsent = AttemptCommand { rpc, number, node, started, deadline: started };
             return state.unsent.borrow_mut().push(unsent);
--- a/crates/router/src/engine/methods.rs
+++ b/crates/router/src/engine/methods.rs
@@ -1,4 +1,4 @@
-//! What the router needs to know of the methods of RPCs; all else is the decisions' own.
+//! The properties of methods that the router needs itself. All others are used by the decisions alone.
 
 use std::time::Duration;
 
@@ -8,23 +8,23 @@
 use crate::request_pipeline::StatementScope;
 use crate::statement::Statement;
 
-/// The shortest and the longest deadline among the methods.
+/// The range of the methods' deadlines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DeadlineRange {
-    /// The shortest.
+    /// The shortest deadline of a method.
     pub shortest: Duration,
-    /// The longest.
+    /// The longest deadline of a method.
     pub longest: Duration,
 }
 
-/// One method of the deployment.
+/// A method of the deployment.
 pub(super) struct MethodInfo {
     name: String,
-    /// The longest that a client waits: an RPC that claims more would be pending for ever.
+    /// Upper bound for the remaining time that a client states, so that no RPC stays pending without limit.
     pub(super) deadline: Duration,
     pub(super) has_sessions: bool,
     writes: bool,
-    /// Its reads must see all that was committed before them.
+    /// Whether the method's reads must see all earlier commits, of any session.
     reads_fresh: bool,
 }
 
@@ -44,7 +44,7 @@
     }
 }
 
-/// The methods, by their place in the settings.
+/// The methods, indexed by their position in the settings.
 pub(super) struct MethodTable(Vec<MethodInfo>);
 
 impl MethodTable {
--- a/crates/router/src/engine/observations.rs
+++ b/crates/router/src/engine/observations.rs
@@ -1,4 +1,4 @@
-//! What this router observes of the nodes and shares with others, and what others have observed.
+//! Observations of nodes: sharing this router's own, and passing those of other routers to the decisions.
 
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -9,27 +9,27 @@
 use super::Engine;
 use super::command::BackgroundTask;
 
-/// What this router has observed of a node by itself.
+/// An observation of a node that this router made itself.
 pub struct LocalObservation {
     /// The node.
     pub node: NodeId,
     /// When the request was sent to the node, on the engine's clock.
     pub requested_at: Duration,
-    /// Whether it comes from a health check, which has ended then.
+    /// Whether it comes from a health check that has ended, not from an attempt.
     pub by_health_check: bool,
-    /// Whether the health check brought nothing of use: no answer, or one that could not be read.
+    /// Whether the health check failed: the node gave no answer, or a malformed one.
     pub failed: bool,
-    /// The node's log position.
+    /// The node's log position, if reported.
     pub position: Option<Duration>,
-    /// Whether the node is the primary.
+    /// Whether the node is the primary, if reported.
     pub primary: Option<bool>,
-    /// Requests queued at the node.
+    /// The number of requests queued at the node, if reported.
     pub queued: Option<f64>,
-    /// When the node's process started.
+    /// When the node's process started, if known.
     pub started: Option<Duration>,
 }
 
-/// What the observation itself says of the node.
+/// The state of a node as reported in one response.
 #[derive(Clone, Copy, Default)]
 pub(super) struct ObservedState {
     pub(super) position: Option<Duration>,
@@ -37,30 +37,32 @@
     pub(super) queued: Option<f64>,
 }
 
-/// Where the observation comes from.
+/// The kind of request that an observation comes from.
 #[derive(Clone, Copy)]
 pub(super) enum ObservationSource {
     Attempt,
     HealthCheck { failed: bool },
 }
 
-/// The exchange of observations with other routers.
+/// Exchanges observations of nodes with other routers.
 pub trait ObservationExchange {
-    /// This router has observed something of a node.
+    /// Shares an observation that this router made.
     fn observed(&self, observation: LocalObservation);
-    /// The endpoint list has changed.
+    /// Called when the endpoint list has changed.
     fn endpoints_changed(&self);
-    /// Whether a health check that the decisions ask for is made here, and not left to another router.
+    /// Whether this router makes a health check that its decisions want, instead of leaving it to another
+    /// router.
     fn permits_health_check(&self, node: NodeId) -> bool;
-    /// The latest observation of the node by others; one that was returned before may be left out. Asked for when an RPC needs
-    /// it, since observations of all nodes may come often.
+    /// Returns the latest observation of the node by other routers, or `None` if there is none or it was
+    /// returned before. Called when an RPC needs it, since observations of all nodes may arrive too often to
+    /// pass each one on.
     fn latest_observation(&self, _node: NodeId) -> Option<PeerObservation> {
         None
     }
 }
 
 impl Engine {
-    /// From now on observations are exchanged with other routers. Called once.
+    /// Starts exchanging observations with other routers. A second call has no effect.
     pub fn set_observation_exchange(&self, exchange: Rc<dyn ObservationExchange>) {
         if self.exchange.set(exchange).is_ok()
             && let Some(exchange) = self.exchange.get()
@@ -69,7 +71,7 @@
         }
     }
 
-    /// The one place where a local observation goes on to others.
+    /// Shares a local observation with other routers; the only place that does so.
     pub(super) fn share(
         &self,
         node: NodeId,
@@ -91,12 +93,12 @@
         });
     }
 
-    /// Another router has observed something of a node.
+    /// Passes an observation by another router to the decisions.
     pub fn peer_observed(&self, observation: PeerObservation) {
         self.with_decisions(|decisions, now| decisions.peer_observed(now, observation));
     }
 
-    /// Tells the decisions what others have observed of a replica set's nodes.
+    /// Passes the latest observations by other routers of a replica set's nodes to the decisions.
     pub(super) fn refresh_observations(&self, replica_set: ReplicaSetId) {
         let Some(exchange) = self.exchange.get() else { return };
         let nodes: Vec<NodeId> = self.decisions.borrow().nodes_of(replica_set).collect();
@@ -105,20 +107,22 @@
         }
     }
 
-    /// Others have observed something new, which may let pending RPCs go on.
+    /// Refreshes the observations of all replica sets with pending RPCs, which may allow these RPCs to
+    /// proceed.
     pub fn refresh_pending_rpcs(&self) {
         let pending: BTreeSet<ReplicaSetId> =
             self.host.pending.borrow().values().map(|pending| pending.replica_set).collect();
         pending.into_iter().for_each(|replica_set| self.refresh_observations(replica_set));
     }
 
-    /// Begins a health check that is assigned to this router. False if one is under way already.
+    /// Queues a health check that is assigned to this router. Returns false if one is already in progress.
     pub fn begin_assigned_health_check(&self, node: NodeId) -> bool {
-        let begins = self.decisions.borrow_mut().begin_assigned_health_check(node);
-        begins && self.host.background_tasks.try_send(BackgroundTask::AssignedHealthCheck(node)).is_ok()
+        let has_begun = self.decisions.borrow_mut().begin_assigned_health_check(node);
+        has_begun && self.host.background_tasks.try_send(BackgroundTask::AssignedHealthCheck(node)).is_ok()
     }
 
-    /// Whether a health check that the decisions have asked for is made here. One that is not has ended.
+    /// Whether this router makes a health check that the decisions want. If not, the check is reported as
+    /// cancelled.
     pub fn permits_health_check(&self, node: NodeId) -> bool {
         let permitted = self.exchange.get().is_none_or(|exchange| exchange.permits_health_check(node));
         if !permitted {
@@ -129,12 +133,13 @@
         permitted
     }
 
-    /// Whether the node is ejected: only a health check of this router tells it anything of the node.
+    /// Whether the node is ejected, so that only this router's own health checks reveal its state to this
+    /// router.
     pub fn is_ejected(&self, node: NodeId) -> bool {
         self.decisions.borrow().is_ejected(node)
     }
 
-    /// The nodes on the endpoint list, with their zones.
+    /// Returns the nodes on the endpoint list with their zones.
     pub fn nodes(&self) -> Vec<(NodeId, ZoneId)> {
         self.decisions.borrow().nodes().collect()
     }
--- a/crates/router/src/engine/pending_response.rs
+++ b/crates/router/src/engine/pending_response.rs
@@ -1,4 +1,4 @@
-//! The receiving end of one RPC's commands.
+//! The receiver of an RPC's commands.
 
 use std::rc::Rc;
 
@@ -8,7 +8,8 @@
 use super::Engine;
 use super::command::{NodeResponse, RpcCommand};
 
-/// An RPC under way. Dropping it before its final response means that its client has disconnected.
+/// A pending RPC, as its task sees it. Dropping it before the final response means that the client has
+/// disconnected.
 pub struct PendingResponse {
     engine: Rc<Engine>,
     rpc: RpcId,
@@ -20,12 +21,12 @@
         Self { engine, rpc, commands }
     }
 
-    /// Waits for the next command. None comes after the final response.
+    /// Waits for the next command. Returns `None` after the final response.
     pub async fn next_command(&self) -> Option<RpcCommand> {
         self.commands.recv().await.ok()
     }
 
-    /// The next command, if one has been given by now.
+    /// Returns the next command if one is already queued.
     pub fn try_next_command(&self) -> Option<RpcCommand> {
         self.commands.try_recv().ok()
     }
@@ -33,10 +34,10 @@
 
 impl Drop for PendingResponse {
     fn drop(&mut self) {
-        // Changes nothing where the RPC has had its final response.
+        // Has no effect if the RPC has received its final response.
         self.engine.client_disconnected(self.rpc);
-        // An attempt that was commanded and that nobody makes any more has ended as well: the decisions would count
-        // it as in flight, and its node as one that does not answer.
+        // Attempts that were commanded but will not be made are ended too. Otherwise the decisions would
+        // count them as in flight, and their nodes as unresponsive.
         while let Some(command) = self.try_next_command() {
             if let RpcCommand::Attempt(attempt) = command {
                 self.engine.attempt_ended(attempt, Outcome::NotSent, NodeResponse::default());
--- a/crates/router/src/engine/rpcs.rs
+++ b/crates/router/src/engine/rpcs.rs
@@ -1,4 +1,4 @@
-//! RPCs: their arrival, their attempts, and how these end.
+//! RPC events: arrivals, attempts, health checks, and their ends.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -13,10 +13,10 @@
 use crate::statement::Statement;
 
 impl Engine {
-    /// Takes an RPC on. It is pending until its final response, or until what is returned is dropped.
+    /// Admits an RPC. It is pending until its final response, or until the returned value is dropped.
     ///
-    /// None where its time is over, which runs from `received`, when its last byte came. `last_commit` is the last
-    /// commit that its connection knows of for its session.
+    /// Returns `None` if its deadline, which counts from `received`, the arrival of its last byte, has
+    /// passed. `last_commit` is the last commit of the RPC's session that its connection knows of.
     pub fn rpc_arrived(
         self: &Rc<Self>,
         method: MethodId,
@@ -30,7 +30,8 @@
         let deadline = self.methods.get(method).deadline;
         let wait = statement.remaining.min(deadline).saturating_sub(received.elapsed());
         let remaining = wait.min(time_to_shutdown);
-        // Its own time alone: an RPC that the shutdown cuts short is handed over, and so rejected with Retry-After.
+        // Considers the RPC's own time alone. One that the shutdown cuts short is passed to the decisions,
+        // which reject it with Retry-After.
         if wait.is_zero() {
             return None;
         }
@@ -45,14 +46,14 @@
         Some(PendingResponse::new(Rc::clone(self), id, command_receiver))
     }
 
-    /// Counted here: a client's own id could come twice, and must not mix up two RPCs.
+    /// Numbers RPCs in the router, since clients could use the same id for two RPCs.
     fn next_rpc_id(&self) -> RpcId {
-        let id = RpcId(self.next_rpc.get());
-        self.next_rpc.set(id.0 + 1);
+        let id = RpcId(self.next_rpc_number.get());
+        self.next_rpc_number.set(id.0 + 1);
         id
     }
 
-    /// Hands an RPC to the decisions.
+    /// Passes an RPC to the decisions.
     fn admit(
         &self,
         id: RpcId,
@@ -63,7 +64,8 @@
     ) {
         let has_sessions = self.methods.get(method).has_sessions;
         let last_write = statement.last_write.max(last_commit);
-        // By the time that the decisions read too: with a later one, the write would lie past its commit.
+        // Relative to the same `now` that the decisions get: with a later one, the write would appear older
+        // than it is.
         self.with_decisions(|decisions, now| {
             let rpc = Rpc {
                 id,
@@ -85,21 +87,22 @@
         }
     }
 
-    /// Whether an attempt may be written, or more of it.
+    /// Whether an attempt's statement, or the rest of it, may be written to the node.
     pub fn permits_attempt(&self, attempt: &AttemptCommand) -> bool {
         let is_pending = self.host.pending.borrow().contains_key(&attempt.rpc);
         is_pending
             && self.decisions.borrow_mut().permits_attempt(self.clock.now(), attempt.rpc, attempt.number)
     }
 
-    /// An attempt has ended; its RPC may be over by then.
+    /// Reports the end of an attempt. Its RPC may have ended before.
     pub fn attempt_ended(&self, attempt: AttemptCommand, outcome: Outcome, response: NodeResponse) {
         self.record_attempt_end(attempt, outcome, response);
-        // Ends what the call above commanded and cannot be made.
+        // Reports attempts that the call above commanded but that cannot be made as not sent.
         self.with_decisions(|_, _| ());
     }
 
-    /// Records the end of an attempt; the caller ends what this commanded and cannot be made.
+    /// Records the end of an attempt. The caller must report the attempts that this commands but that cannot
+    /// be made.
     pub(super) fn record_attempt_end(
         &self,
         attempt: AttemptCommand,
@@ -110,11 +113,11 @@
         let NodeResponse { answer, role, position, report } = response;
         let now = self.clock.now();
         if outcome == Outcome::Ok && !self.decisions.borrow().permits_response(now, rpc, number, position) {
-            log::debug!("{}: an answer that does not show that it is fresh", node.0);
+            log::debug!("node {}: rejected an answer that does not prove its freshness", node.0);
             outcome = Outcome::Malformed;
         }
         if let Some(answer) = answer.filter(|_| outcome == Outcome::Ok) {
-            // The first answer goes to the client without asking the decisions again.
+            // The first valid answer is sent to the client without another decision.
             self.host.finish(rpc, |_| RpcCommand::Answer { answer, position });
         }
         let finished = !self.record_outcome(rpc, outcome);
@@ -124,7 +127,7 @@
         self.share_attempt(node, started, role, position, report);
     }
 
-    /// Notes how an attempt ended with its RPC. False where the RPC is over.
+    /// Stores the outcome of an attempt with its RPC. Returns false if the RPC has ended.
     fn record_outcome(&self, rpc: RpcId, outcome: Outcome) -> bool {
         match self.host.pending.borrow_mut().get_mut(&rpc) {
             Some(pending) => {
@@ -135,7 +138,7 @@
         }
     }
 
-    /// Shares what an attempt's response says of its node.
+    /// Shares the node state that an attempt's response reported.
     fn share_attempt(
         &self,
         node: NodeId,
@@ -144,8 +147,8 @@
         position: Option<Duration>,
         report: Option<LoadReport>,
     ) {
-        // Stands for `COMMIT_ROUNDING` of the decisions: nodes round a commit time up to a millisecond, so that as a
-        // position it is shared a millisecond lower.
+        // The equivalent of `COMMIT_ROUNDING` in the decisions: nodes round commit times up to a millisecond,
+        // so one millisecond is subtracted before a commit time is shared as a log position.
         let committed = position.map(|at| at.saturating_sub(Duration::from_millis(1)));
         let position = committed.max(report.and_then(|report| report.position));
         if position.is_none() && role.is_none() {
@@ -157,7 +160,8 @@
         self.share(node, started, ObservationSource::Attempt, observed);
     }
 
-    /// A health check that was begun at `requested_at` has ended, with the node's load report if it gave one.
+    /// Reports the end of a health check that started at `requested_at`, with the node's load report if it
+    /// sent one.
     pub fn health_check_ended(
         &self,
         node: NodeId,
--- a/crates/router/src/pool.rs
+++ b/crates/router/src/pool.rs
@@ -1,5 +1,5 @@
-//! The sole owner of connections to nodes: they are opened, checked out and checked in here, and closed once they have
-//! been idle for too long.
+//! The connection pool, the only owner of connections to nodes. It opens connections, checks them out and in,
+//! and closes them after an idle timeout.
 
 mod checkout;
 mod connection;
@@ -28,42 +28,42 @@
 use connection::NodeConnection;
 use exchange::Exchange;
 
-/// A node's entry is dropped after this many idle timeouts without a request: the node's own restart is over by then,
-/// or it is gone.
+/// A node's entry is dropped after this many idle timeouts without a request: by then the node has restarted
+/// or is gone for good.
 const ENTRY_LIFETIME_IDLE_TIMEOUTS: u32 = 10;
 
-/// `value`, at that time.
+/// Waits until `time` and returns `value`.
 async fn value_at<T>(time: Instant, value: T) -> T {
     Timer::at(time).await;
     value
 }
 
-/// A connection that nobody has checked out.
+/// A connection that is not checked out.
 struct IdleConnection {
     connection: NodeConnection,
-    since: Instant,
+    idle_since: Instant,
     id: u64,
     _evictable: EvictableRegistration,
 }
 
-/// What the pool keeps of one node.
+/// The pool's state for one node.
 #[derive(Default)]
 struct NodeEntry {
-    /// The most recently used one last.
+    /// Idle connections, most recently used last.
     idle: Vec<IdleConnection>,
-    /// Exchanges that wait for a connection, in the order in which they came. Each has a connection of its own being
-    /// opened, but takes whichever comes first.
+    /// Exchanges that wait for a connection, in order of arrival. A dial is started for each, but a waiter
+    /// takes whichever connection becomes available first.
     waiters: VecDeque<Sender<CheckoutResult>>,
-    /// Connections that are being opened and have time left: no fewer than exchanges that wait.
-    dials: usize,
-    /// Whether the log says last that it is unreachable.
-    is_unreachable: bool,
+    /// Dials that have neither ended nor timed out. Never fewer than the waiting exchanges.
+    active_dials: usize,
+    /// Whether the node was last logged as unreachable.
+    logged_unreachable: bool,
     reachability_log: LogRateLimiter,
-    /// When a connection to it was last asked for.
+    /// When an exchange last had to wait for a connection to the node.
     last_request: Option<Instant>,
 }
 
-/// The connections to all nodes.
+/// The pooled connections to all nodes.
 pub struct ConnectionPool {
     executor: Rc<LocalExecutor<'static>>,
     descriptors: Rc<DescriptorLimiter>,
@@ -76,7 +76,7 @@
 }
 
 impl ConnectionPool {
-    /// An empty pool. Its tasks run on `executor`.
+    /// Creates an empty pool. Its tasks run on `executor`.
     pub fn new(
         executor: Rc<LocalExecutor<'static>>,
         descriptors: Rc<DescriptorLimiter>,
@@ -90,14 +90,15 @@
             nodes: RefCell::default(),
             next_idle_id: Cell::new(0),
             connect_timeout: deployment.connect_timeout,
-            // A query may be under way for as long as a connect may take; the node must not close meanwhile.
+            // A query may be in transit for as long as the connect timeout; the node must not close the idle
+            // connection during that time.
             idle_timeout: deployment.idle_connection_timeout
                 - deployment.connect_timeout.min(deployment.idle_connection_timeout / 2),
             report_fields: deployment.report_fields.clone(),
         })
     }
 
-    /// Does what the decisions ask of the pool, as long as the engine lives.
+    /// Runs the background tasks that the decisions queue for the pool, until the engine is dropped.
     pub async fn run_background_tasks(self: Rc<Self>, engine: Rc<Engine>, tasks: Receiver<BackgroundTask>) {
         while let Ok(task) = tasks.recv().await {
             match task {
@@ -116,25 +117,27 @@
         }
     }
 
-    /// Closes connections that have been idle for as long as they may, until it is dropped.
+    /// Closes connections that have reached the idle timeout. Runs until the future is dropped.
     pub async fn close_expired(self: Rc<Self>) {
         loop {
-            let oldest = self.nodes.borrow().values().filter_map(|node| Some(node.idle.first()?.since)).min();
+            let oldest =
+                self.nodes.borrow().values().filter_map(|node| Some(node.idle.first()?.idle_since)).min();
             let next = oldest.unwrap_or_else(Instant::now) + self.idle_timeout;
             Timer::at(next).await;
-            self.nodes.borrow_mut().retain(|_, node| self.expire(node));
+            self.nodes.borrow_mut().retain(|_, node| self.close_expired_of_node(node));
         }
     }
 
-    /// Closes a node's expired connections. Whether its entry is still needed.
-    fn expire(&self, node: &mut NodeEntry) -> bool {
-        node.idle.retain(|idle| idle.since.elapsed() < self.idle_timeout);
+    /// Closes a node's expired connections and returns whether its entry is still needed.
+    fn close_expired_of_node(&self, node: &mut NodeEntry) -> bool {
+        node.idle.retain(|idle| idle.idle_since.elapsed() < self.idle_timeout);
         let lifetime = self.idle_timeout * ENTRY_LIFETIME_IDLE_TIMEOUTS;
         let is_recent = node.last_request.is_some_and(|last| last.elapsed() < lifetime);
-        is_recent || !node.idle.is_empty() || node.dials > 0
+        is_recent || !node.idle.is_empty() || node.active_dials > 0
     }
 
-    /// Makes an attempt. The engine is notified of its end, whether or not its RPC is over by then.
+    /// Starts a task that makes an attempt and reports its end to the engine, even if its RPC has ended
+    /// before.
     pub fn make_attempt(
         self: &Rc<Self>,
         engine: Rc<Engine>,
@@ -144,8 +147,8 @@
         let pool = Rc::clone(self);
         let task = async move {
             let deadline = engine.clock.instant(attempt.deadline);
-            // The one place that every attempt passes right before its first byte, and before more of it where
-            // its write has stalled: its RPC is pending, its client is there, and the rules hold as of now.
+            // Every attempt passes this check right before its first byte is written, and again after a
+            // stalled write: its RPC is pending, its client is connected, and the decisions still permit it.
             let query = || {
                 let permitted = statement.client.is_connected() && engine.permits_attempt(&attempt);
                 let wait = attempt.deadline.saturating_sub(engine.clock.now());
--- a/crates/router/src/pool/checkout.rs
+++ b/crates/router/src/pool/checkout.rs
@@ -1,5 +1,5 @@
-//! Checking connections out and in. A connection has one owner at a time: the pool, or the exchange that has checked
-//! it out; [`ConnectionPool::check_in`] is the one place where it comes back.
+//! Checks connections out and in. A connection has one owner at a time: the pool, or the exchange that has
+//! checked it out. Connections return to the pool through [`ConnectionPool::check_in`] only.
 
 use std::future::Future;
 use std::pin::pin;
@@ -14,20 +14,21 @@
 use super::{ConnectionPool, IdleConnection, value_at};
 use crate::descriptors::{DescriptorUse, EvictionPriority};
 
-/// How long past its time a dial may still come up: a lost packet is sent again after one second, and after three.
+/// How long after its connect timeout a dial may still succeed. TCP retransmits a lost packet after one
+/// second, and again after three.
 const LATE_DIAL_TIMEOUT: Duration = Duration::from_millis(3500);
 
-/// What an exchange that waits for a connection gets.
+/// What an exchange that waits for a connection receives.
 pub(super) type CheckoutResult = Result<NodeConnection, Outcome>;
 
 impl ConnectionPool {
-    /// The most recently used idle connection that is still good.
+    /// Checks out the most recently used idle connection that is still usable.
     pub(super) fn check_out_idle(&self, node: NodeId) -> Option<NodeConnection> {
         let mut nodes = self.nodes.borrow_mut();
         let node = nodes.get_mut(&node)?;
-        while let Some(IdleConnection { connection, since, .. }) = node.idle.pop() {
-            if since.elapsed() >= self.idle_timeout {
-                // The ones below have been idle for longer.
+        while let Some(IdleConnection { connection, idle_since, .. }) = node.idle.pop() {
+            if idle_since.elapsed() >= self.idle_timeout {
+                // The remaining connections have been idle for even longer.
                 node.idle.clear();
             } else if connection.is_reusable() {
                 return Some(connection);
@@ -36,7 +37,7 @@
         None
     }
 
-    /// Waits for a connection: one that is opened for this exchange, or one that is checked in earlier.
+    /// Dials the node and waits for a connection: the new one, or one that is checked in before.
     pub(super) async fn check_out(self: &Rc<Self>, node: NodeId) -> CheckoutResult {
         let (waiter, checked_out) = async_channel::bounded(1);
         self.enqueue_waiter(node, waiter);
@@ -45,25 +46,29 @@
     }
 
     async fn dial(self: Rc<Self>, node: NodeId) {
-        // A shortage of descriptors here is no fault of the node's, so that its time runs from then on.
+        // Waiting for a descriptor is not the node's fault, so the connect timeout starts after it.
         let permit = self.descriptors.acquire().await;
         if self.waiting_exchanges(node) == 0 {
             return self.dial_ended(node);
         }
-        // The dial goes on when its exchange has ended: what has been paid for serves the next.
+        // The dial continues after its exchange has ended, so that a later exchange can use the connection.
         let mut dial = pin!(NodeConnection::open(node, permit, &self.budget));
         let timeout = value_at(Instant::now() + self.connect_timeout, Err(ConnectionError::ConnectTimeout));
         match dial.as_mut().or(timeout).await {
             Ok(connection) => {
                 if !connection.is_reusable() {
-                    // More than a greeting came: nothing that follows could be told apart from a response.
-                    log::debug!("{}: no connection: it says more than it was asked", node.0);
+                    // The node sent more than its startup response, so later responses could not be matched
+                    // to queries.
+                    log::debug!(
+                        "node {}: dropped a new connection: unexpected data after the startup",
+                        node.0
+                    );
                 }
                 self.check_in(node, connection);
                 self.dial_ended(node);
             }
             Err(error) => {
-                log::debug!("{}: no connection: {error}", node.0);
+                log::debug!("node {}: failed to connect: {error}", node.0);
                 self.dial_ended(node);
                 if matches!(error, ConnectionError::ConnectTimeout) {
                     self.await_late_dial(node, dial).await;
@@ -72,8 +77,8 @@
         }
     }
 
-    /// A dial whose time is over goes on for a while, for the next exchange: a packet may have been lost. It is evicted
-    /// where descriptors are short.
+    /// Lets a dial continue for a while after its connect timeout, since a packet may have been lost; a later
+    /// exchange can use the connection. The dial is evicted when descriptors are short.
     async fn await_late_dial(
         self: &Rc<Self>,
         node: NodeId,
@@ -98,10 +103,10 @@
         let entry = nodes.entry(node).or_default();
         entry.last_request = Some(Instant::now());
         entry.waiters.push_back(waiter);
-        entry.dials += 1;
+        entry.active_dials += 1;
     }
 
-    /// How many exchanges wait for a connection.
+    /// Returns the number of exchanges that wait for a connection.
     fn waiting_exchanges(&self, node: NodeId) -> usize {
         let mut nodes = self.nodes.borrow_mut();
         let waiters = &mut nodes.entry(node).or_default().waiters;
@@ -109,21 +114,22 @@
         waiters.len()
     }
 
-    /// A dial has come to its end, or to that of its time. Its failure goes to an exchange that no dial is left for,
-    /// and to no other: one that came later has a dial with a time of its own.
+    /// Called when a dial has succeeded, failed or timed out. A failure is passed on only if there are more
+    /// waiting exchanges than dials left: an exchange that arrived later has its own dial with its own
+    /// timeout.
     fn dial_ended(&self, node: NodeId) {
         let remaining_dials = {
             let mut nodes = self.nodes.borrow_mut();
-            let dials = &mut nodes.entry(node).or_default().dials;
-            *dials -= 1;
-            *dials
+            let active_dials = &mut nodes.entry(node).or_default().active_dials;
+            *active_dials -= 1;
+            *active_dials
         };
         if self.waiting_exchanges(node) > remaining_dials {
             self.offer(node, Err(Outcome::ConnectFailed));
         }
     }
 
-    /// Gives the result to the first exchange that still waits. What nobody waited for comes back.
+    /// Passes the result to the first exchange that still waits. Returns it if there is none.
     fn offer(&self, node: NodeId, mut result: CheckoutResult) -> Option<CheckoutResult> {
         let mut nodes = self.nodes.borrow_mut();
         let node = nodes.entry(node).or_default();
@@ -136,8 +142,8 @@
         Some(result)
     }
 
-    /// The one place where a connection comes back: it goes to the first exchange that waits, or becomes idle. One that
-    /// cannot carry another query is closed.
+    /// Returns a connection to the pool: it is passed to the first waiting exchange, or becomes idle. A
+    /// connection that cannot be reused is closed.
     pub(super) fn check_in(self: &Rc<Self>, node: NodeId, connection: NodeConnection) {
         if !connection.is_reusable() {
             return;
@@ -155,10 +161,10 @@
         };
         let evictable =
             self.descriptors.register_evictable(DescriptorUse::Internal, EvictionPriority::Idle, close);
-        let idle = IdleConnection { since: connection.last_used, connection, id, _evictable: evictable };
-        // In the order in which they were used; one that came back unused is older than those that were.
+        let idle = IdleConnection { idle_since: connection.last_used, connection, id, _evictable: evictable };
+        // Sorted by last use: a connection that is returned unused may be older than others that are idle.
         let mut nodes = self.nodes.borrow_mut();
-        let all = &mut nodes.entry(node).or_default().idle;
-        all.insert(all.partition_point(|other| other.since <= idle.since), idle);
+        let connections = &mut nodes.entry(node).or_default().idle;
+        connections.insert(connections.partition_point(|other| other.idle_since <= idle.idle_since), idle);
     }
 }
--- a/crates/router/src/pool/connection.rs
+++ b/crates/router/src/pool/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to a node: it is opened, a query is written, and messages are read.
+//! A connection to a node: opening it, writing queries, and reading messages.
 
 use std::io::{self, Read, Write};
 use std::net::TcpStream;
@@ -14,55 +14,56 @@
 use crate::pg::{self, BackendMessage, ProtocolViolation};
 use crate::socket;
 
-/// How much is read at once.
+/// The size of one read.
 const READ_CHUNK_BYTES: usize = 4096;
-/// Bounds what one response may make the router read; an answer of one value comes nowhere near it.
+/// The longest response that is read. An answer of one value is much shorter.
 const MAX_RESPONSE_BYTES: usize = 2 << 20;
-/// Nodes accept any user; these are the ones that clients name.
+/// Nodes accept any user and database. These are the names that clients use.
 const STARTUP_USER: &str = "portal";
 const STARTUP_DATABASE: &str = "crm";
 
-/// Why an exchange on a connection came to no complete response.
+/// Why a connection or an exchange on it failed.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum ConnectionError {
     #[error("{0}")]
     Io(#[from] io::Error),
     #[error("{0}")]
     ProtocolViolation(#[from] ProtocolViolation),
-    #[error("the connection ended")]
+    #[error("the node closed or rejected the connection")]
     Closed,
-    #[error("it did not come up in time")]
+    #[error("the connect timeout expired")]
     ConnectTimeout,
     #[error("{0}")]
     OutOfMemory(#[from] ReservationRejected),
-    /// Its RPC is over, or may not go there any more.
+    /// The RPC has ended, or may no longer be sent to this node.
     #[error("the query is no longer permitted")]
     NotPermitted,
-    #[error("the response does not end within {MAX_RESPONSE_BYTES} bytes")]
+    #[error("the response is longer than {MAX_RESPONSE_BYTES} bytes")]
     ResponseTooLong,
 }
 
-/// A connection to a node, with what has been read of it and not decoded.
+/// A connection to a node, with the bytes that have been read and not yet decoded.
 pub(super) struct NodeConnection {
     stream: Async<TcpStream>,
     unread: Vec<u8>,
     memory: Reservation,
-    /// Whether the first byte of the query that it carries has been written.
+    /// Whether the first byte of the current query has been written.
     pub(super) write_begun: bool,
-    /// Whether the last byte of that query has been written: from then on it may run.
+    /// Whether the last byte of the current query has been written. The query may run from then on.
     pub(super) fully_written: bool,
-    /// Bytes read since that query.
+    /// The number of bytes read since the current query was started.
     bytes_read: usize,
-    /// When bytes were last exchanged with its node; a checkout that came to nothing does not change it.
+    /// When bytes were last sent to or received from the node. A checkout that sends nothing does not change
+    /// it.
     pub(super) last_used: Instant,
     _permit: DescriptorPermit,
 }
 
 impl NodeConnection {
-    /// Connects, and reads the node's greeting up to ReadyForQuery.
+    /// Connects and reads the node's startup response up to ReadyForQuery.
     ///
     /// # Errors
-    /// The connection cannot be had, breaks, or is rejected by the node.
+    /// The connection cannot be established, breaks, or is rejected by the node.
     pub(super) async fn open(
         node: NodeId,
         permit: DescriptorPermit,
@@ -92,11 +93,11 @@
             match self.next_message().await? {
                 BackendMessage::ReadyForQuery => return Ok(()),
                 BackendMessage::ErrorResponse { code, message, .. } => {
-                    log::debug!("{} rejected a connection with {code}: {message}", node.0);
+                    log::debug!("node {}: rejected a connection with {code}: {message}", node.0);
                     return Err(ConnectionError::Closed);
                 }
                 BackendMessage::Authentication(kind) if kind != 0 => {
-                    log::debug!("{} asks for a password, which routers have none of", node.0);
+                    log::debug!("node {}: requested authentication, which routers do not support", node.0);
                     return Err(ConnectionError::Closed);
                 }
                 _ => {}
@@ -104,11 +105,11 @@
         }
     }
 
-    /// Writes a query while it is permitted. `query` is asked right before the first byte, and again after a stall, as
-    /// its RPC may have ended meanwhile.
+    /// Writes a query while it is permitted. `query` is called right before the first byte and again after
+    /// each stalled write, since the RPC may have ended by then.
     ///
     /// # Errors
-    /// The connection is broken, or the query is not permitted any more.
+    /// The connection is broken, or the query is no longer permitted.
     pub(super) async fn write(
         &mut self,
         query: &impl Fn() -> Option<Vec<u8>>,
@@ -130,7 +131,7 @@
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {
                     self.stream.writable().await?;
                     let renewed = query().ok_or(ConnectionError::NotPermitted)?;
-                    // Nothing has gone out, so the query says how much time is left as of now.
+                    // If nothing has been written yet, the renewed query states the currently remaining time.
                     message = if self.write_begun { message } else { renewed };
                 }
                 Err(error) => return Err(error.into()),
@@ -140,37 +141,39 @@
         Ok(())
     }
 
-    /// The next message from the node.
+    /// Waits for the next message from the node.
     ///
     /// # Errors
-    /// The connection is broken, the bytes are no message, or there is no memory for them.
+    /// The connection is broken, the bytes are not a valid message, or there is no memory for them.
     pub(super) async fn next_message(&mut self) -> Result<BackendMessage, ConnectionError> {
         loop {
             if let Some((message, length)) = pg::decode_backend_message(&self.unread)? {
                 self.unread.drain(..length);
                 if self.unread.is_empty() {
-                    // What a long value took is not kept for the next.
+                    // Frees the memory that a long value needed.
                     self.unread.shrink_to(READ_CHUNK_BYTES);
                     self.reserve_memory()?;
                 }
                 return Ok(message);
             }
             if self.fully_written && self.bytes_read == 0 {
-                // Its response has not come yet: to read at once would be in vain, at each of thousands of checks.
+                // The response has usually not arrived yet. Waiting for readiness first saves a read that
+                // would fail with WouldBlock, for each of thousands of health checks.
                 self.stream.readable().await?;
             }
             self.receive().await?;
-            // A node that never stops must not keep the other tasks, nor the time-out, from their turn.
+            // A node that sends without a pause must not starve other tasks or the timeout.
             if self.bytes_read > READ_CHUNK_BYTES {
                 future::yield_now().await;
             }
         }
     }
 
-    /// Reads what comes next.
+    /// Reads the next bytes into `unread`.
     async fn receive(&mut self) -> Result<(), ConnectionError> {
         let Self { stream, unread, .. } = self;
-        // The chunk is no part of the task, which would be as much larger, and moved as it begins.
+        // The chunk lives inside the closure: kept across an await, it would enlarge the task, which is moved
+        // when it is spawned.
         let read = |mut stream: &TcpStream| {
             let mut chunk = [0; READ_CHUNK_BYTES];
             let count = socket::retry_interrupted(|| stream.read(&mut chunk))?;
@@ -190,12 +193,13 @@
         Ok(())
     }
 
-    /// A chunk for each connection is bounded by the count of sockets; only what goes beyond it is reserved.
+    /// Reserves the buffer's memory beyond one chunk. One chunk for each connection is bounded by the
+    /// descriptor limit.
     fn reserve_memory(&mut self) -> Result<(), ReservationRejected> {
         self.memory.resize(self.unread.capacity().saturating_sub(READ_CHUNK_BYTES))
     }
 
-    /// Whether nothing is unread and the node has not closed it. Only then can it carry another query.
+    /// Whether another query can be sent: no bytes are unread, and the node has not closed the connection.
     pub(super) fn is_reusable(&self) -> bool {
         let peeked = socket::retry_interrupted(|| self.stream.get_ref().peek(&mut [0]));
         self.unread.is_empty() && peeked.is_err_and(|error| error.kind() == io::ErrorKind::WouldBlock)
--- a/crates/router/src/pool/exchange.rs
+++ b/crates/router/src/pool/exchange.rs
@@ -1,4 +1,4 @@
-//! An exchange: one query to a node, and what comes of it.
+//! An exchange: a query to a node and its response.
 
 use std::rc::Rc;
 use std::time::Instant;
@@ -11,27 +11,28 @@
 use crate::engine::NodeResponse;
 use crate::pg::{self, BackendMessage, ProtocolViolation, Response};
 
-/// How an exchange ended.
+/// The result of an exchange.
 pub(super) struct Exchange {
     pub(super) outcome: Outcome,
     pub(super) response: NodeResponse,
 }
 
-/// Why a connection cannot be used any further.
+/// Why an exchange failed, so that its connection cannot be reused.
 struct ExchangeError {
-    /// The node's final response, where it came before.
+    /// The outcome of the node's final response, if that arrived before the failure.
     outcome: Option<Outcome>,
     cause: ConnectionError,
 }
 
-/// The connection failed before the node's final response.
+/// The error for a failure before the node's final response.
 fn without_outcome(cause: impl Into<ConnectionError>) -> ExchangeError {
     ExchangeError { outcome: None, cause: cause.into() }
 }
 
 impl ConnectionPool {
-    /// One query to a node and its outcome. `query` decides whether it is sent, and in which words, when there is a
-    /// connection for it. The connection is checked in, or closed, before this ends.
+    /// Sends a query to a node and returns the outcome. `query` is called once there is a connection: it
+    /// returns the message to send, or `None` if the query may no longer be sent. The connection is checked
+    /// in or closed before this returns.
     pub(super) async fn exchange(
         self: &Rc<Self>,
         node: NodeId,
@@ -51,17 +52,17 @@
             };
             let sent = async { Some(self.send_query(&mut connection, &query, &mut response).await) };
             let result = sent.or(value_at(deadline, None)).await;
-            // A node may close an idle connection at any time. What it has not been sent completely cannot have run,
-            // so one that breaks before that is no failure of the attempt.
-            if was_idle && broke_before_it_could_run(&result, &connection) {
+            // A node may close an idle connection at any time. A query that was not sent completely cannot
+            // have run, so it is retried on another connection instead of failing the attempt.
+            if was_idle && failed_before_query_was_sent(&result, &connection) {
                 continue;
             }
-            return self.conclude(node, connection, result, response);
+            return self.finish_exchange(node, connection, result, response);
         }
     }
 
-    /// Says what an exchange came to, and gives its connection back where it can be used again.
-    fn conclude(
+    /// Determines the result of an exchange and checks its connection in if it can be reused.
+    fn finish_exchange(
         self: &Rc<Self>,
         node: NodeId,
         connection: NodeConnection,
@@ -78,22 +79,26 @@
             }
             Some(Err(ExchangeError { outcome: Some(outcome), .. })) => Exchange { outcome, response },
             Some(Err(ExchangeError { cause: ConnectionError::NotPermitted, .. })) => {
-                // Closed where a part of it is on its way: without the rest it never runs.
+                // If a part of the query has been sent, the connection is closed: an incomplete query never
+                // runs.
                 if !connection.write_begun {
                     self.check_in(node, connection);
                 }
                 Exchange { outcome: Outcome::NotSent, response }
             }
             Some(Err(ExchangeError { cause, .. })) => {
-                log::debug!("{}: {cause}", node.0);
-                // What a response that breaks off says is not believed.
-                Exchange { outcome: failure(&cause, fully_written), response: NodeResponse::default() }
+                log::debug!("node {}: query failed: {cause}", node.0);
+                // The role, position and load report of an incomplete response are discarded.
+                Exchange {
+                    outcome: outcome_of_failure(&cause, fully_written),
+                    response: NodeResponse::default(),
+                }
             }
         }
     }
 
-    /// Sends the query and reads up to ReadyForQuery. An error that comes with an outcome is the node's last word on a
-    /// connection that it then ended.
+    /// Sends the query and reads up to ReadyForQuery. An error with an outcome means that the node responded,
+    /// but that the connection cannot be used after the response.
     async fn send_query(
         &self,
         connection: &mut NodeConnection,
@@ -101,10 +106,10 @@
         response: &mut NodeResponse,
     ) -> Result<Outcome, ExchangeError> {
         connection.write(query).await.map_err(without_outcome)?;
-        let mut reading = pg::ResponseReader::default();
+        let mut reader = pg::ResponseReader::default();
         let mut outcome = None;
         loop {
-            // What comes behind a complete answer can cost the connection, but no longer the answer.
+            // A violation after a complete answer closes the connection, but the answer is kept.
             let message =
                 connection.next_message().await.map_err(|cause| ExchangeError { outcome, cause })?;
             match message {
@@ -115,14 +120,14 @@
                 BackendMessage::ReadyForQuery => {
                     return outcome.ok_or_else(|| without_outcome(ProtocolViolation::UnexpectedOrder));
                 }
-                message if outcome.is_none() => match reading.push(message).map_err(without_outcome)? {
+                message if outcome.is_none() => match reader.push(message).map_err(without_outcome)? {
                     None => {}
                     Some(Response::Result(answer)) => {
                         outcome = Some(Outcome::Ok);
                         response.answer = Some(answer);
                     }
                     Some(Response::Error { code, message, fatal }) => {
-                        log::debug!("a node answered {code}: {message}");
+                        log::debug!("a node responded with error {code}: {message}");
                         outcome = Some(outcome_of_error(&code));
                         if fatal {
                             return Err(ExchangeError { outcome, cause: ConnectionError::Closed });
@@ -135,8 +140,9 @@
     }
 }
 
-/// Whether the connection failed, by itself, before the query was written completely.
-fn broke_before_it_could_run(
+/// Whether the connection failed before the query was written completely, as opposed to a query that was not
+/// permitted.
+fn failed_before_query_was_sent(
     result: &Option<Result<Outcome, ExchangeError>>,
     connection: &NodeConnection,
 ) -> bool {
@@ -148,8 +154,8 @@
     }
 }
 
-/// What a failed connection means for its query.
-fn failure(cause: &ConnectionError, fully_written: bool) -> Outcome {
+/// The outcome of a query whose connection failed.
+fn outcome_of_failure(cause: &ConnectionError, fully_written: bool) -> Outcome {
     if !fully_written {
         return Outcome::ConnectFailed;
     }
@@ -161,12 +167,12 @@
     }
 }
 
-/// What a node's error means, by its SQLSTATE.
+/// The outcome of a query that the node answered with an error, by its SQLSTATE.
 fn outcome_of_error(code: &str) -> Outcome {
     match code {
         "25006" | "72000" => Outcome::Misrouted,
         "53300" => Outcome::Rejected,
-        // It is down, or not up yet. Were that an answer, it would pass for a node that is up and short of
+        // The node is shutting down or starting up. `Rejected` would mean a node that is up and short of
         // connections.
         "57P03" => Outcome::ConnectFailed,
         _ => Outcome::Error,
--- a/crates/router/src/pool/health_check.rs
+++ b/crates/router/src/pool/health_check.rs
@@ -1,4 +1,4 @@
-//! A health check: a query over a pooled connection whose row is the node's load report.
+//! Health checks: a query over a pooled connection that returns the node's load report as its row.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -10,11 +10,10 @@
 use crate::engine::Engine;
 use crate::pg;
 
-/// The query of a health check.
 const HEALTH_CHECK_QUERY: &[u8] = b"SHOW load";
 
 impl ConnectionPool {
-    /// Makes a health check, and tells the engine how it ended.
+    /// Starts a task that makes a health check and reports its outcome to the engine.
     pub(super) fn spawn_health_check(self: &Rc<Self>, engine: &Rc<Engine>, node: NodeId) {
         let pool = Rc::clone(self);
         let engine = Rc::clone(engine);
@@ -44,14 +43,14 @@
         };
         let mut nodes = self.nodes.borrow_mut();
         let entry = nodes.entry(node).or_default();
-        if is_unreachable == entry.is_unreachable || !entry.reachability_log.try_acquire() {
+        if is_unreachable == entry.logged_unreachable || !entry.reachability_log.try_acquire() {
             return;
         }
-        entry.is_unreachable = is_unreachable;
+        entry.logged_unreachable = is_unreachable;
         if is_unreachable {
-            log::warn!("node {} out of reach: {outcome:?}", node.0);
+            log::warn!("node {} is unreachable: {outcome:?}", node.0);
         } else {
-            log::info!("node {} answers again", node.0);
+            log::info!("node {} is reachable again", node.0);
         }
     }
 }
--- a/crates/router/src/pool/node_status.rs
+++ b/crates/router/src/pool/node_status.rs
@@ -1,4 +1,4 @@
-//! What a node says of itself beside its answers: parameters, and the load report.
+//! The state that nodes report along with their answers: run-time parameters and load reports.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 use crate::engine::NodeResponse;
 
 impl ConnectionPool {
-    /// Takes a parameter that came with a response; one of another name is passed over.
+    /// Stores a run-time parameter that arrived with a response. Ignores parameters of other names.
     pub(super) fn record_parameter(&self, name: &str, value: &str, response: &mut NodeResponse) {
         match (name, value) {
             ("role", "primary") => response.role = Some(Role::Primary),
@@ -19,8 +19,8 @@
         }
     }
 
-    /// A load report: `name=value` pairs, or bare values in the order of the settings' names. None if any value is no
-    /// number.
+    /// Parses a load report: comma-separated `name=value` pairs, or bare values in the order of the
+    /// configured report fields. Returns `None` if any value is not a number.
     pub(super) fn parse_load_report(&self, text: &str) -> Option<LoadReport> {
         let mut report = LoadReport::default();
         for (index, pair) in text.split(',').enumerate() {
