--- a/crates/router/src/pg.rs
+++ b/crates/router/src/pg.rs
@@ -1,4 +1,4 @@
-//! Messages of PostgreSQL's protocol, version 3: bytes to small typed values and back. No sockets.
+//! Encoding and decoding of messages of the PostgreSQL protocol, version 3. Does no I/O.
 
 mod backend;
 mod framing;
@@ -17,9 +17,9 @@
 pub use response::{QueryResult, Response, ResponseReader};
 pub use violation::ProtocolViolation;
 
-/// What a decoder makes of the bytes that have arrived so far: a message and how many bytes it takes, so that the
-/// caller's buffer stays the only one, or `None` while the message is not complete.
+/// The result of a decoder: a message and its length in bytes, or `None` if the message is not complete yet.
+/// The caller removes the bytes from its buffer, so the decoder needs none of its own.
 pub type Decoded<T> = Result<Option<(T, usize)>, ProtocolViolation>;
 
-/// The longest message that only says something in words.
+/// The longest message that contains only text, such as an error or a parameter.
 const MAX_TEXT_MESSAGE_BYTES: usize = 8_192;
--- a/crates/router/src/pg/backend.rs
+++ b/crates/router/src/pg/backend.rs
@@ -1,70 +1,71 @@
-//! Messages that servers send.
+//! Messages sent by servers (backend messages).
 
 use super::framing::{FieldReader, decode_message, encode_message, encode_text};
 use super::response::QueryResult;
 use super::{CancelKey, Decoded, MAX_TEXT_MESSAGE_BYTES, ProtocolViolation};
 
-/// The longest value that is forwarded. A value is buffered until it is complete; its bytes are reserved where it is buffered.
+/// The longest value that is forwarded. A value is buffered until it is complete; the buffer's owner reserves
+/// its memory.
 const MAX_VALUE_BYTES: usize = 1 << 20;
-/// What a row of one column holds beside its value: its own length, the count of columns, the value's length.
+/// The overhead of a row with one column: the message length, the column count, and the length of the value.
 const ROW_OVERHEAD_BYTES: usize = 4 + 2 + 4;
-/// The length field that stands for a null value.
+/// The length field of a null value.
 const NULL_LENGTH: u32 = u32::MAX;
 
 /// The one column of a result.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Column {
-    /// Its name, in the server's encoding.
+    /// The column's name, in the server's encoding.
     pub name: Vec<u8>,
-    /// The object ID of its type.
+    /// The object ID of the column's type.
     pub type_oid: u32,
-    /// The type's size in bytes; 65,535 for one of variable length.
+    /// The type's size in bytes; 65,535 for a type of variable length.
     pub type_size: u16,
-    /// Whether its values are in binary format, not in text format.
+    /// Whether values are in binary format instead of text format.
     pub binary: bool,
 }
 
-/// A message of a server.
+/// A message sent by a server.
 #[derive(Debug, PartialEq, Eq)]
 pub enum BackendMessage {
-    /// Which authentication is asked for; 0 where none is.
+    /// The requested authentication method; 0 (AuthenticationOk) means that none is required.
     Authentication(u32),
-    /// A run-time parameter and its value.
+    /// A run-time parameter.
     ParameterStatus {
         /// The parameter's name.
         name: String,
-        /// Its value.
+        /// The parameter's value.
         value: String,
     },
-    /// Of one column, as all that is answered here.
+    /// The description of a result row. Only results with one column are supported.
     RowDescription(Column),
     /// The value of the one column; `None` for null.
     DataRow(Option<Vec<u8>>),
     /// The command tag.
     CommandComplete(Vec<u8>),
-    /// The response to a query without a statement.
+    /// The response to an empty query.
     EmptyQueryResponse,
-    /// An error, by which the statement ends, and the session too if it is fatal.
+    /// An error, which ends the statement, and if fatal the session.
     ErrorResponse {
         /// The SQLSTATE.
         code: String,
-        /// The message for people.
+        /// The human-readable message.
         message: String,
-        /// Field D.
+        /// The detail (field D).
         detail: Option<String>,
         /// Whether the server closes the connection after it.
         fatal: bool,
     },
-    /// The server waits for a query.
+    /// The server is ready for the next query.
     ReadyForQuery,
-    /// Of no meaning here: notices, the key for cancelling, a parameter that cannot be read.
+    /// A message that routers ignore: a notice, BackendKeyData, or a malformed parameter.
     Ignored,
 }
 
 /// Decodes the message at the start of `bytes`.
 ///
 /// # Errors
-/// A message that a server may not send, or that does not fit its length.
+/// A message that servers must not send, or whose fields do not match its length.
 pub fn decode_backend_message(bytes: &[u8]) -> Decoded<BackendMessage> {
     let Some((mut body, taken)) = decode_message(bytes, max_length)? else {
         check_incomplete_row(bytes)?;
@@ -83,8 +84,8 @@
     }
 }
 
-/// The start of a row says as much of its length as the message's own length field: a row that cannot fit is not
-/// waited for in vain.
+/// Checks the start of an incomplete row. The length of its value must match the message length, so a
+/// malformed row is detected without waiting for the rest of it.
 fn check_incomplete_row(bytes: &[u8]) -> Result<(), ProtocolViolation> {
     match bytes {
         [b'D', rest @ ..] => match rest.first_chunk::<ROW_OVERHEAD_BYTES>() {
@@ -95,7 +96,7 @@
     }
 }
 
-/// Whether the three lengths ahead of a row's value agree.
+/// Whether the message length, column count and value length at the start of a row are consistent.
 fn row_fits(overhead: &[u8; ROW_OVERHEAD_BYTES]) -> bool {
     let mut fields = FieldReader::new('D', overhead);
     let (Ok(length), Ok(columns), Ok(value_length)) = (fields.u32(), fields.u16(), fields.u32()) else {
@@ -107,7 +108,7 @@
 
 fn decode_body(body: &mut FieldReader) -> Result<BackendMessage, ProtocolViolation> {
     let message = match body.message_type {
-        // What follows is of other kinds of authentication, which are not spoken here.
+        // The rest of the body belongs to authentication methods that are not supported.
         'R' => return Ok(BackendMessage::Authentication(body.u32()?)),
         'S' => return Ok(decode_parameter(body).unwrap_or(BackendMessage::Ignored)),
         'N' | 'K' => return Ok(BackendMessage::Ignored),
@@ -126,7 +127,8 @@
     Ok(message)
 }
 
-/// A parameter that cannot be read takes nothing from the response that it comes with.
+/// Decodes a parameter. The caller ignores a malformed one, since it does not affect the rest of the
+/// response.
 fn decode_parameter(body: &mut FieldReader) -> Result<BackendMessage, ProtocolViolation> {
     let name = body.text()?;
     let value = body.text()?;
@@ -137,10 +139,10 @@
 fn decode_column(body: &mut FieldReader) -> Result<Column, ProtocolViolation> {
     body.expect_count_of_one()?;
     let name = body.zero_terminated()?.to_vec();
-    body.bytes(6)?; // the table's and the column's number
+    body.bytes(6)?; // table OID and column number
     let type_oid = body.u32()?;
     let type_size = body.u16()?;
-    body.bytes(4)?; // the type's modifier
+    body.bytes(4)?; // type modifier
     let binary = body.u16()? == 1;
     Ok(Column { name, type_oid, type_size, binary })
 }
@@ -162,7 +164,7 @@
         match body.bytes(1)?[0] {
             0 if code.len() != 5 => return Err(body.invalid_fields()),
             0 => return Ok(BackendMessage::ErrorResponse { code, message, detail, fatal }),
-            // The severity that is never translated, or else the one for the eye.
+            // The severity: V is never localized, S may be.
             b'V' | b'S' => fatal |= matches!(body.zero_terminated()?, b"FATAL" | b"PANIC"),
             b'C' => code = body.text()?,
             b'M' => message = body.text()?,
@@ -174,7 +176,8 @@
     }
 }
 
-/// Appends the response to a startup: no password, what clients ask of every server, the key for cancelling, ready.
+/// Appends the response to a startup packet: AuthenticationOk, the parameters that clients expect from every
+/// server, BackendKeyData, and ReadyForQuery.
 pub fn encode_session_start(out: &mut Vec<u8>, cancel_key: Option<CancelKey>) {
     encode_message(out, b'R', |out| out.extend([0; 4]));
     encode_parameter(out, "server_version", "16.0");
@@ -193,17 +196,17 @@
     });
 }
 
-/// Appends the message that ends each response: no transaction is open.
+/// Appends ReadyForQuery with the status "no open transaction", which ends each response.
 pub fn encode_ready_for_query(out: &mut Vec<u8>) {
     encode_message(out, b'Z', |out| out.push(b'I'));
 }
 
-/// Appends the response to a query without a statement.
+/// Appends the response to an empty query.
 pub fn encode_empty_query_response(out: &mut Vec<u8>) {
     encode_message(out, b'I', |_| ());
 }
 
-/// Appends a result: the description of its column, its row, and its command tag.
+/// Appends a result: the description of the column, the row, and the command tag.
 pub fn encode_result(out: &mut Vec<u8>, result: &QueryResult) {
     let column = &result.column;
     encode_message(out, b'T', |out| {
@@ -224,7 +227,7 @@
     encode_message(out, b'C', |out| encode_text(out, &result.tag));
 }
 
-/// Appends an error, with a field D where there is a detail to add.
+/// Appends an error, with a detail (field D) if there is one.
 pub fn encode_error(out: &mut Vec<u8>, fatal: bool, code: &str, message: &str, detail: Option<&str>) {
     let severity = if fatal { "FATAL" } else { "ERROR" };
     let fields = [(b'S', severity), (b'V', severity), (b'C', code), (b'M', message)];
--- a/crates/router/src/pg/framing.rs
+++ b/crates/router/src/pg/framing.rs
@@ -1,10 +1,10 @@
-//! What all messages have in common: a type, a length that counts itself, and a body of fields.
+//! Framing that is common to all messages: a type byte, a length that includes itself, and a body of fields.
 
 use super::{Decoded, ProtocolViolation};
 
 const LENGTH_BYTES: usize = 4;
 
-/// Reads the fields of one message's body.
+/// Reads the fields of a message body.
 pub struct FieldReader<'a> {
     pub message_type: char,
     rest: &'a [u8],
@@ -43,44 +43,44 @@
         self.array().map(u64::from_be_bytes)
     }
 
-    /// What stands before the next zero byte, which is passed over.
+    /// Reads up to the next zero byte and skips it.
     pub fn zero_terminated(&mut self) -> Result<&'a [u8], ProtocolViolation> {
         let end = self.rest.iter().position(|byte| *byte == 0).ok_or_else(|| self.invalid_fields())?;
         let taken = self.bytes(end + 1)?;
         Ok(&taken[..end])
     }
 
-    /// The same as text; what is not UTF-8 is replaced.
+    /// Reads a zero-terminated string, replacing invalid UTF-8.
     pub fn text(&mut self) -> Result<String, ProtocolViolation> {
         Ok(String::from_utf8_lossy(self.zero_terminated()?).into_owned())
     }
 
-    /// A count of columns or fields, which is always one here.
+    /// Reads a column or field count, which must be one.
     pub fn expect_count_of_one(&mut self) -> Result<(), ProtocolViolation> {
         if self.u16()? == 1 { Ok(()) } else { Err(self.invalid_fields()) }
     }
 
-    /// A body that goes on behind its last field is as wrong as one that ends early.
+    /// Checks that no bytes are left after the last field.
     pub fn expect_end(&self) -> Result<(), ProtocolViolation> {
         if self.rest.is_empty() { Ok(()) } else { Err(self.invalid_fields()) }
     }
 }
 
-/// The length field at the start of `bytes`, once it is there.
+/// Decodes the length field at the start of `bytes`, or returns `None` if it is not complete yet.
 pub fn decode_length(bytes: &[u8], max_length: usize) -> Result<Option<usize>, ProtocolViolation> {
     let Some(field) = bytes.first_chunk() else { return Ok(None) };
     match u32::from_be_bytes(*field) as usize {
         length if length < LENGTH_BYTES => Err(ProtocolViolation::InvalidLength(length)),
-        // Rejected by its length, before any memory is taken for it.
+        // Rejected before any memory is allocated for the message.
         length if length > max_length => Err(ProtocolViolation::MessageTooLong(length)),
         length => Ok(Some(length)),
     }
 }
 
-/// The body of one message of a session, and how many bytes the message takes.
+/// Decodes a message with a type byte. Returns a reader for its body and the message's length in bytes.
 ///
-/// `max_length` is `None` for a type that is not taken. What can be no message is told by its first byte, or by its
-/// first five.
+/// `max_length` returns `None` for a type that is not accepted. An invalid type is detected from the first
+/// byte, an invalid length from the first five.
 pub fn decode_message(bytes: &[u8], max_length: impl Fn(u8) -> Option<usize>) -> Decoded<FieldReader<'_>> {
     let Some((type_byte, rest)) = bytes.split_first() else { return Ok(None) };
     let message_type = char::from(*type_byte);
@@ -90,13 +90,13 @@
     Ok(Some((FieldReader::new(message_type, body), 1 + length)))
 }
 
-/// Appends one message: its type, its length, and the body that `append_body` appends.
+/// Appends a message: its type, its length, and the body that `append_body` appends.
 pub fn encode_message(out: &mut Vec<u8>, message_type: u8, append_body: impl FnOnce(&mut Vec<u8>)) {
     out.push(message_type);
     encode_with_length(out, append_body);
 }
 
-/// Appends a body with its length ahead of it.
+/// Appends a length field and the body that `append_body` appends.
 pub fn encode_with_length(out: &mut Vec<u8>, append_body: impl FnOnce(&mut Vec<u8>)) {
     let start = out.len();
     out.extend([0; LENGTH_BYTES]);
@@ -105,7 +105,7 @@
     out[start..start + LENGTH_BYTES].copy_from_slice(&length.to_be_bytes());
 }
 
-/// Appends text without the zero bytes that it cannot have, and the one that ends it.
+/// Appends a zero-terminated string, leaving out zero bytes within `text`.
 pub fn encode_text(out: &mut Vec<u8>, text: &[u8]) {
     out.extend(text.iter().filter(|byte| **byte != 0));
     out.push(0);
--- a/crates/router/src/pg/frontend.rs
+++ b/crates/router/src/pg/frontend.rs
@@ -1,13 +1,13 @@
-//! Messages that clients send: the packets ahead of a session, and those within it.
+//! Messages sent by clients (frontend messages): startup packets, and messages within a session.
 
 use super::framing::{
     FieldReader, decode_length, decode_message, encode_message, encode_text, encode_with_length,
 };
 use super::{Decoded, MAX_TEXT_MESSAGE_BYTES, ProtocolViolation};
 
-/// The longest message that a client may send: a statement with a value of 64 KiB in hex, and its comment.
+/// The longest message that a client may send: a statement with a value of 64 KiB in hex, plus its comment.
 const MAX_MESSAGE_BYTES: usize = 2 * 65_536 + MAX_TEXT_MESSAGE_BYTES;
-/// As PostgreSQL has it, for the packets ahead of a session.
+/// The same limit for startup packets as in PostgreSQL.
 const MAX_STARTUP_BYTES: usize = 10_000;
 const MIN_STARTUP_BYTES: usize = 8;
 
@@ -16,38 +16,38 @@
 const SSL_REQUEST: u32 = 80_877_103;
 const GSSENC_REQUEST: u32 = 80_877_104;
 
-/// A packet ahead of a session.
+/// A packet that a client sends before a session is open.
 #[derive(Debug, PartialEq, Eq)]
 pub enum StartupPacket {
-    /// Begins a session.
+    /// Opens a session.
     Startup,
-    /// Asks for TLS or GSS encryption.
+    /// Requests TLS or GSSAPI encryption.
     EncryptionRequest,
-    /// Asks that what the session of this key has in flight is cancelled.
+    /// Requests cancellation of the running statement of the session with this key.
     CancelRequest(CancelKey),
 }
 
-/// The BackendKeyData of a session, by which a later connection can cancel what it has in flight.
+/// The BackendKeyData of a session. A cancel request with this key cancels a statement of the session.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct CancelKey(pub u64);
 
-/// A message of a client within its session.
+/// A message from a client within its session.
 #[derive(Debug, PartialEq, Eq)]
 pub enum FrontendMessage {
-    /// A simple query, without the zero byte that ends it.
+    /// A simple query, without the terminating zero byte.
     Query(Vec<u8>),
-    /// A message of the extended query protocol, which is not spoken here.
+    /// A message of the extended query protocol, which is not supported.
     ExtendedQuery,
-    /// The end of an extended query.
+    /// Ends an extended query.
     Sync,
-    /// The end of the session.
+    /// Ends the session.
     Terminate,
 }
 
-/// Decodes the packet at the start of `bytes`.
+/// Decodes the startup packet at the start of `bytes`.
 ///
 /// # Errors
-/// A length that no such packet has, or a version that is not spoken here.
+/// The length is invalid, or the protocol version is not supported.
 pub fn decode_startup_packet(bytes: &[u8]) -> Decoded<StartupPacket> {
     let Some(length) = decode_length(bytes, MAX_STARTUP_BYTES)? else { return Ok(None) };
     if length < MIN_STARTUP_BYTES {
@@ -67,7 +67,7 @@
 /// Decodes the message at the start of `bytes`.
 ///
 /// # Errors
-/// A message that a client may not send, or that does not fit its length.
+/// A message that clients must not send, or whose fields do not match its length.
 pub fn decode_frontend_message(bytes: &[u8]) -> Decoded<FrontendMessage> {
     let Some((mut body, taken)) = decode_message(bytes, max_length)? else { return Ok(None) };
     let message = match body.message_type {
@@ -88,7 +88,7 @@
     b"QPBDECFHSX".contains(&message_type).then_some(MAX_MESSAGE_BYTES)
 }
 
-/// Appends the packet that begins a session.
+/// Appends the startup packet that opens a session.
 pub fn encode_startup(out: &mut Vec<u8>, user: &str, database: &str) {
     encode_with_length(out, |out| {
         out.extend(PROTOCOL_VERSION_3.to_be_bytes());
@@ -104,7 +104,7 @@
     encode_message(out, b'Q', |out| encode_text(out, text));
 }
 
-/// A simple query as a message of its own.
+/// Encodes a simple query as a new message.
 pub fn query_message(text: &[u8]) -> Vec<u8> {
     let mut out = Vec::with_capacity(text.len() + 6);
     encode_query(&mut out, text);
--- a/crates/router/src/pg/response.rs
+++ b/crates/router/src/pg/response.rs
@@ -1,47 +1,49 @@
-//! The messages of one response to what they come to.
+//! Assembles the messages of a node's response to a query.
 
 use super::{BackendMessage, Column, ProtocolViolation};
 
-/// A value as a node gave it for one RPC.
+/// The result of a query: a row with one value.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct QueryResult {
-    /// The description of the one column.
+    /// The description of the column.
     pub column: Column,
-    /// Its value in the one row; `None` for null.
+    /// The value in the row; `None` for null.
     pub value: Option<Vec<u8>>,
     /// The command tag.
     pub tag: Vec<u8>,
 }
 
-/// What a query came to.
+/// The response to a query.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Response {
-    /// One row of one column.
+    /// A row with one column.
     Result(QueryResult),
-    /// An error in place of a result.
+    /// An error instead of a result.
     Error {
         /// The SQLSTATE.
         code: String,
-        /// The message for people.
+        /// The human-readable message.
         message: String,
         /// Whether the server closes the connection after it.
         fatal: bool,
     },
 }
 
-/// Reads the response to one query, message by message: a column, its row and the tag, or an error.
+/// Assembles the response to a query from its messages: RowDescription, DataRow and CommandComplete, or
+/// ErrorResponse.
 #[derive(Default)]
 pub struct ResponseReader {
     column: Option<Column>,
-    /// The row's one value, which may be null.
+    /// The value of the row, which may be null.
     row: Option<Option<Vec<u8>>>,
 }
 
 impl ResponseReader {
-    /// Takes the next message that is no parameter and no notice. The response, once it is complete.
+    /// Adds the next message, which must not be a parameter or a notice. Returns the response once it is
+    /// complete.
     ///
     /// # Errors
-    /// Any other order than that of one value is no response: a second row, say, would be a part of something else.
+    /// The messages are not in the order of a result with one value; for example, there is a second row.
     pub fn push(&mut self, message: BackendMessage) -> Result<Option<Response>, ProtocolViolation> {
         match message {
             BackendMessage::RowDescription(column) if self.column.is_none() => {
@@ -65,7 +67,7 @@
     }
 }
 
-/// The tags of statements that count their rows end in the count; that of SHOW, a health check's, has none.
+/// Whether a command tag reports one row. The tag of SHOW, which health checks use, has no row count.
 fn counts_one_row(tag: &[u8]) -> bool {
     matches!(tag, b"SHOW" | b"SELECT 1" | b"INSERT 0 1" | b"UPDATE 1" | b"DELETE 1")
 }
--- a/crates/router/src/pg/violation.rs
+++ b/crates/router/src/pg/violation.rs
@@ -1,30 +1,30 @@
-//! What breaks the protocol.
+//! Protocol violations.
 
-/// Bytes that are no message which has a place here.
+/// Bytes that are not a valid or supported message. The text of a client's violation is sent to the client.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ProtocolViolation {
-    /// The message's length field, in bytes, is above the limit for its type.
+    /// The message's length, in bytes, exceeds the limit for its type.
     #[error("a message of {0} bytes is longer than any that is taken here")]
     MessageTooLong(usize),
-    /// The length field is less than the bytes that every message of its type has.
+    /// The length field is smaller than the shortest message of its type.
     #[error("a message with a length of {0} cannot be")]
     InvalidLength(usize),
-    /// A startup packet of another version: the major one in the upper half, the minor one in the lower.
+    /// The startup packet has another protocol version: major in the upper 16 bits, minor in the lower ones.
     #[error("protocol {}.{} is not spoken here", .0 >> 16, .0 & 0xffff)]
     UnsupportedVersion(u32),
-    /// The fields of a message of this type do not fill its body, or go beyond it.
+    /// The fields of a message of this type are shorter or longer than its body, or have invalid values.
     #[error("a message of type {0:?} and its fields do not fit")]
     InvalidFields(char),
-    /// A message type that the protocol lacks, or that the other side may not send.
+    /// The message type does not exist, or the peer must not send it.
     #[error("a message of type {0:?} has no place here")]
     UnexpectedType(char),
-    /// A response of another form than one row of one column, or an error.
+    /// The response is neither a row with one column nor an error.
     #[error("its messages come in no order that makes an answer of one value")]
     UnexpectedOrder,
 }
 
 impl ProtocolViolation {
-    /// The SQLSTATE that tells a client of it.
+    /// Returns the SQLSTATE to send to the client.
     pub fn sqlstate(&self) -> &'static str {
         match self {
             Self::MessageTooLong(_) => "54000",
--- a/crates/router/src/statement.rs
+++ b/crates/router/src/statement.rs
@@ -1,6 +1,7 @@
-//! A client's statement: the comment ahead of it, which says what RPC it is, and what its SQL says beyond.
+//! A client's statement: the leading comment that describes the RPC, and the SQL after it.
 //!
-//! The statement goes on to a node as the client wrote it, but for the number of `d`.
+//! A statement is forwarded to a node as the client wrote it, except for the value of the `d` field, the
+//! remaining time.
 
 mod comment;
 mod error;
@@ -19,53 +20,53 @@
 use comment::Comment;
 pub use error::StatementError;
 
-/// One statement with the comment that it begins with.
+/// A statement with its leading comment.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Statement {
     text: Vec<u8>,
-    /// Where the number of `d` stands in the text.
-    remaining_at: Range<usize>,
-    /// The client's name for the RPC, no longer than 64 bytes.
+    /// The position of the value of `d` in the text.
+    remaining_range: Range<usize>,
+    /// The client's id for the RPC, at most 64 bytes.
     pub id: String,
-    /// The name of its class.
+    /// The name of the RPC's method, from the `c` field (class).
     pub method: String,
-    /// Whether it changes anything.
+    /// Whether the statement is a write.
     pub writes: bool,
-    /// How long the client still waits; never zero.
+    /// How much longer the client waits for the response; never zero.
     pub remaining: Duration,
-    /// The replica set that has its data.
+    /// The replica set that stores the data.
     pub replica_set: ReplicaSetId,
-    /// When the session's last write was committed, in Unix time, where clients carry that.
+    /// When the session's last write was committed, in Unix time, if the client states it.
     pub last_write: Option<Duration>,
-    /// Whether the client marks it as a retry of its own.
+    /// Whether the client marks the RPC as a retry by the client.
     pub retried: bool,
-    /// The session that it belongs to: a hash of the first quoted literal, the same on all routers.
+    /// The session of the RPC: a hash of the first quoted literal, which is the same on all routers.
     pub session: Option<SessionKey>,
 }
 
-/// A statement in flight, with whom it is for and what it takes up until it is dropped.
+/// A statement in flight, with its client's connection and the resources that are held until it is dropped.
 pub struct InFlightStatement {
     /// The statement.
     pub statement: Statement,
-    /// Whether its client is still there.
+    /// Checks whether the client is still connected.
     pub client: ClientLiveness,
-    /// The memory that is reserved for its text.
+    /// The memory reserved for the statement's text.
     pub memory: Reservation,
-    /// Its id, which no other RPC here can have meanwhile.
+    /// The registration of the RPC's id, which no other RPC in this router can use meanwhile.
     pub active_id: ActiveRequestId,
 }
 
 impl Statement {
-    /// Reads the comment and checks the SQL behind it.
+    /// Parses the leading comment and checks the SQL after it.
     ///
     /// # Errors
-    /// What the client has to change.
+    /// The statement is invalid or not supported.
     pub fn parse(text: Vec<u8>) -> Result<Self, StatementError> {
         let comment = Comment::parse(&text)?;
         let writes = sql::writes(&text[comment.end..])?;
-        let session = sql::first_literal(&text[comment.end..]).map(session_of);
+        let session = sql::first_literal(&text[comment.end..]).map(session_key);
         Ok(Self {
-            remaining_at: comment.remaining_at,
+            remaining_range: comment.remaining_range,
             id: comment.id,
             method: comment.method,
             writes,
@@ -78,21 +79,22 @@
         })
     }
 
-    /// The memory that it takes, in bytes.
+    /// Returns the size of the text in bytes.
     pub fn size(&self) -> usize {
         self.text.len()
     }
 
-    /// The statement for a node, which is told how long its answer is waited for.
+    /// Returns the statement's text with the remaining time replaced, for sending it to a node.
     pub fn with_remaining(&self, remaining: Duration) -> Vec<u8> {
-        let before = &self.text[..self.remaining_at.start];
-        let after = &self.text[self.remaining_at.end..];
+        let before = &self.text[..self.remaining_range.start];
+        let after = &self.text[self.remaining_range.end..];
         [before, remaining.as_millis().max(1).to_string().as_bytes(), after].concat()
     }
 }
 
-/// Only whether two keys are the same matters; the hasher's own keys are fixed.
-fn session_of(literal: &[u8]) -> SessionKey {
+/// Hashes a literal. Keys are only compared for equality; [`DefaultHasher::new`] uses fixed keys, so that all
+/// routers compute the same hash.
+fn session_key(literal: &[u8]) -> SessionKey {
     let mut hasher = DefaultHasher::new();
     literal.hash(&mut hasher);
     SessionKey(hasher.finish())
--- a/crates/router/src/statement/comment.rs
+++ b/crates/router/src/statement/comment.rs
@@ -1,4 +1,4 @@
-//! The comment ahead of a statement: fields of the form `name=value`, separated by commas.
+//! Parses the leading comment of a statement: comma-separated `name=value` fields.
 
 use std::ops::Range;
 use std::time::Duration;
@@ -7,31 +7,31 @@
 
 use super::StatementError;
 
-/// No id that a client makes up is longer.
+/// The longest id that clients use.
 const MAX_ID_BYTES: usize = 64;
-/// More milliseconds than any clock can hold.
-const MS_BOUND: f64 = 1e14;
+/// Exclusive upper bound for times in milliseconds; beyond any time that a clock can represent.
+const TIME_LIMIT_MS: f64 = 1e14;
 
-/// What the comment says.
+/// The parsed fields of a leading comment.
 pub struct Comment {
     pub id: String,
     pub method: String,
     pub remaining: Duration,
-    /// Where in the text the number of `d` stands.
-    pub remaining_at: Range<usize>,
+    /// The position of the value of `d` in the text.
+    pub remaining_range: Range<usize>,
     pub replica_set: ReplicaSetId,
     pub last_write: Option<Duration>,
     pub retried: bool,
-    /// Where in the text what follows the comment starts.
+    /// The position right after the comment.
     pub end: usize,
 }
 
 impl Comment {
     pub fn parse(text: &[u8]) -> Result<Self, StatementError> {
-        let content_at = content_range(text).ok_or(StatementError::NoComment)?;
-        let content = str::from_utf8(&text[content_at.clone()]).map_err(|_| StatementError::NoComment)?;
+        let content_range = find_content(text).ok_or(StatementError::NoComment)?;
+        let content = str::from_utf8(&text[content_range.clone()]).map_err(|_| StatementError::NoComment)?;
         let mut fields = Fields::default();
-        let mut offset = content_at.start;
+        let mut offset = content_range.start;
         for pair in content.split(',') {
             let (name, value) = pair.split_once('=').unwrap_or((pair, ""));
             let value = value.trim();
@@ -39,19 +39,19 @@
             fields.set(name.trim(), value, value_end - value.len()..value_end)?;
             offset += pair.len() + 1;
         }
-        fields.complete(content_at.end + COMMENT_END.len())
+        fields.into_comment(content_range.end + COMMENT_END.len())
     }
 }
 
 const COMMENT_START: &[u8] = b"/*";
 const COMMENT_END: &[u8] = b"*/";
 
-/// Where the text between the comment's marks stands.
-fn content_range(text: &[u8]) -> Option<Range<usize>> {
-    let comment = text.iter().position(|byte| !byte.is_ascii_whitespace())?;
-    let content = text[comment..].strip_prefix(COMMENT_START)?;
+/// Finds the text between the comment delimiters.
+fn find_content(text: &[u8]) -> Option<Range<usize>> {
+    let comment_start = text.iter().position(|byte| !byte.is_ascii_whitespace())?;
+    let content = text[comment_start..].strip_prefix(COMMENT_START)?;
     let length = content.windows(COMMENT_END.len()).position(|bytes| bytes == COMMENT_END)?;
-    let start = comment + COMMENT_START.len();
+    let start = comment_start + COMMENT_START.len();
     Some(start..start + length)
 }
 
@@ -67,12 +67,12 @@
 }
 
 impl Fields {
-    /// Fields of other names are for the nodes.
-    fn set(&mut self, name: &str, value: &str, value_at: Range<usize>) -> Result<(), StatementError> {
+    /// Sets a field. Ignores fields with other names, which are meant for the nodes.
+    fn set(&mut self, name: &str, value: &str, value_range: Range<usize>) -> Result<(), StatementError> {
         match name {
             "id" => set_once("id", &mut self.id, parse_id(value)?),
             "c" => set_once("c", &mut self.method, value.to_string()),
-            "d" => set_once("d", &mut self.remaining, (parse_remaining(value)?, value_at)),
+            "d" => set_once("d", &mut self.remaining, (parse_remaining(value)?, value_range)),
             "cluster" => set_once("cluster", &mut self.replica_set, parse_replica_set(value)?),
             "after" => set_once("after", &mut self.last_write, parse_ms("after", value)?),
             "r" => set_once("r", &mut self.retried, value == "1"),
@@ -80,14 +80,14 @@
         }
     }
 
-    fn complete(self, end: usize) -> Result<Comment, StatementError> {
+    fn into_comment(self, end: usize) -> Result<Comment, StatementError> {
         let id = self.id.ok_or(StatementError::MissingField("id"))?;
         let method = self.method.ok_or(StatementError::MissingField("c"))?;
-        let (remaining, remaining_at) = self.remaining.ok_or(StatementError::MissingField("d"))?;
+        let (remaining, remaining_range) = self.remaining.ok_or(StatementError::MissingField("d"))?;
         let replica_set = self.replica_set.ok_or(StatementError::MissingField("cluster"))?;
         let last_write = self.last_write.filter(|at| !at.is_zero());
         let retried = self.retried.unwrap_or(false);
-        Ok(Comment { id, method, remaining, remaining_at, replica_set, last_write, retried, end })
+        Ok(Comment { id, method, remaining, remaining_range, replica_set, last_write, retried, end })
     }
 }
 
@@ -118,9 +118,9 @@
     value.parse().map(ReplicaSetId).map_err(invalid)
 }
 
-/// Milliseconds, to the microsecond.
+/// Parses a time in milliseconds, and rounds it to a microsecond.
 fn parse_ms(name: &'static str, value: &str) -> Result<Duration, StatementError> {
-    let ms = value.parse().ok().filter(|ms: &f64| (0.0..MS_BOUND).contains(ms));
+    let ms = value.parse().ok().filter(|ms: &f64| (0.0..TIME_LIMIT_MS).contains(ms));
     let ms = ms.ok_or_else(|| StatementError::InvalidField(name, value.to_string()))?;
     Ok(Duration::from_micros((ms * 1000.0).round() as u64))
 }
--- a/crates/router/src/statement/error.rs
+++ b/crates/router/src/statement/error.rs
@@ -1,30 +1,30 @@
-//! What is wrong with a statement.
+//! Errors in a client's statement.
 
-/// A statement that is not taken. Its text goes to the client.
+/// Why a statement is rejected. The text is sent to the client.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub enum StatementError {
-    /// No comment at the start, or one that is not closed or not UTF-8.
+    /// There is no leading comment, or it is not closed or not UTF-8.
     #[error("the statement does not begin with a comment that says what it is")]
     NoComment,
-    /// The comment lacks this field.
+    /// A required field is missing from the comment.
     #[error("the comment lacks {0}")]
     MissingField(&'static str),
-    /// A field of the comment, and a value that it cannot have.
+    /// A field of the comment has an invalid value.
     #[error("the comment's {0} cannot be {1:?}")]
     InvalidField(&'static str, String),
-    /// A field that stands twice, and could mean either.
+    /// A field occurs twice in the comment, so its value is ambiguous.
     #[error("the comment says {0} twice")]
     DuplicateField(&'static str),
-    /// A statement of another kind.
+    /// The SQL command is not supported.
     #[error("only SELECT, INSERT, UPDATE and DELETE are taken here")]
     UnsupportedVerb,
-    /// More than one statement, or a quote or comment that is not closed.
+    /// There is more than one statement, or a quote or comment is not closed.
     #[error("a query is one statement, with its quotes closed")]
     NotOneStatement,
 }
 
 impl StatementError {
-    /// The SQLSTATE that tells a client of it.
+    /// Returns the SQLSTATE to send to the client.
     pub fn sqlstate(&self) -> &'static str {
         match self {
             Self::NoComment | Self::MissingField(_) | Self::NotOneStatement => "42601",
--- a/crates/router/src/statement/sql.rs
+++ b/crates/router/src/statement/sql.rs
@@ -1,11 +1,11 @@
-//! The little that must be known of a statement's SQL.
+//! Minimal parsing of a statement's SQL.
 
 use super::StatementError;
 
-/// Whether the statement changes anything.
+/// Whether the statement is a write.
 ///
 /// # Errors
-/// More than one statement, for a second one would run as well, or a verb that is not taken here.
+/// There is more than one statement, of which the second would run too, or the command is not supported.
 pub fn writes(sql: &[u8]) -> Result<bool, StatementError> {
     check_is_one_statement(sql)?;
     let verb = sql.trim_ascii_start();
@@ -25,7 +25,8 @@
     Ok(())
 }
 
-/// The length of what `rest` begins with: a literal, a comment, or one byte of anything else.
+/// Returns the length of the first token of `rest`: a quoted literal or identifier, a comment, or a single
+/// byte.
 fn token_length(rest: &[u8]) -> Result<usize, StatementError> {
     let position = |end: &[u8]| rest[1..].windows(end.len()).position(|bytes| bytes == end);
     Ok(match rest[0] {
@@ -37,12 +38,13 @@
     })
 }
 
-/// Whether nothing follows but blanks and semicolons.
+/// Whether `rest` consists of whitespace and semicolons.
 fn ends_statement(rest: &[u8]) -> bool {
     rest.iter().all(|byte| byte.is_ascii_whitespace() || *byte == b';')
 }
 
-/// The first literal in single quotes: the session's key, in both forms that clients send.
+/// Returns the first literal in single quotes. In both statement forms that clients send it is the session's
+/// key.
 pub fn first_literal(sql: &[u8]) -> Option<&[u8]> {
     let start = sql.iter().position(|byte| *byte == b'\'')? + 1;
     let length = sql[start..].iter().position(|byte| *byte == b'\'')?;
