--- a/crates/router/tests/connection_checkout.rs
+++ b/crates/router/tests/connection_checkout.rs
@@ -1,5 +1,5 @@
-//! Connections that are checked out for an attempt, with the engine and the pool of a router in the test's own process: what
-//! comes between a command and its first byte comes when the test says so, and not by chance.
+//! Checking out connections for attempts. The engine and the pool of a router run in the test process, so
+//! that the test controls what happens between the command of an attempt and its first byte.
 
 mod standin;
 
@@ -22,19 +22,22 @@
 use quillpoint_router::statement::{InFlightStatement, Statement};
 use standin::{ConnectBehavior, Discovery, Node, VALUE, configuration, count, statement, targets};
 
-/// Far longer than anything here takes.
-const NEVER: Duration = Duration::from_secs(30);
+/// Timeout for expected events, much longer than any of them takes.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
-async fn until(mut there: impl FnMut() -> bool) {
-    let began = Instant::now();
-    while !there() {
-        assert!(began.elapsed() < NEVER, "it never came");
+async fn wait_until(mut condition: impl FnMut() -> bool) {
+    let started = Instant::now();
+    while !condition() {
+        assert!(
+            started.elapsed() < WAIT_TIMEOUT,
+            "the condition did not become true within {WAIT_TIMEOUT:?}"
+        );
         Timer::after(Duration::from_millis(1)).await;
     }
 }
 
-/// The parts of a router that knows one primary and makes no health checks.
-struct Parts {
+/// The engine and the pool of a router that knows one primary and makes no health checks.
+struct RouterParts {
     engine: Rc<Engine>,
     pool: Rc<ConnectionPool>,
     budget: SharedBudget,
@@ -42,21 +45,21 @@
     _outputs: EngineOutputs,
 }
 
-/// An RPC that has come, and its client's end of the connection.
+/// A pending RPC, and the client's end of its connection.
 struct ArrivedRpc {
     pending: PendingResponse,
-    kept: Rc<InFlightStatement>,
+    statement: Rc<InFlightStatement>,
     session: Rc<Async<TcpStream>>,
     client: TcpStream,
 }
 
-impl Parts {
-    fn of(executor: &Rc<LocalExecutor<'static>>, node: &Node, change: &[(&str, &str)]) -> Self {
+impl RouterParts {
+    fn new(executor: &Rc<LocalExecutor<'static>>, node: &Node, replacements: &[(&str, &str)]) -> Self {
         let list = targets(&[(node, "primary", "in_service")]);
         let text = configuration(Discovery::start(list.clone()).address, &list, 200);
-        let unprobed = (r#""Probes":true"#, r#""Probes":false"#);
-        let text = [unprobed].iter().chain(change).fold(text, |text, (from, to)| {
-            assert!(text.contains(from), "{from}");
+        let no_health_checks = (r#""Probes":true"#, r#""Probes":false"#);
+        let text = [no_health_checks].iter().chain(replacements).fold(text, |text, (from, to)| {
+            assert!(text.contains(from), "the configuration does not contain {from}");
             text.replace(from, to)
         });
         let options = StartupOptions::from_json(&serde_json::from_str(&text).unwrap(), |_| None).unwrap();
@@ -74,7 +77,7 @@
         Self { engine, pool, budget, active_ids: Rc::default(), _outputs }
     }
 
-    /// A write that may wait 9 s, from a client of its own.
+    /// Starts a write with a deadline of 9 s, from a new client.
     fn begin_rpc(&self) -> ArrivedRpc {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let client = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
@@ -82,20 +85,20 @@
         let statement = Statement::parse(statement("enter", 9000).into_bytes()).unwrap();
         let method = self.engine.method_by_name(&statement.method).unwrap();
         let arrived = self.engine.rpc_arrived(method, &statement, Instant::now(), None);
-        let pending = arrived.expect("its time is not over");
-        let kept = InFlightStatement {
+        let pending = arrived.expect("the deadline of the RPC has not passed");
+        let statement = InFlightStatement {
             client: ClientLiveness::new(Rc::downgrade(&session)),
             memory: self.budget.reserve(Category::Statements, statement.size()).unwrap(),
             active_id: self.active_ids.register(statement.id.clone()).unwrap(),
             statement,
         };
-        ArrivedRpc { pending, kept: Rc::new(kept), session, client }
+        ArrivedRpc { pending, statement: Rc::new(statement), session, client }
     }
 
-    /// Makes the attempt, and waits until it is over: then nothing holds its statement but the RPC.
+    /// Makes an attempt and waits for its end, after which only the RPC holds a reference to the statement.
     async fn make_attempt(&self, rpc: &ArrivedRpc, attempt: AttemptCommand) {
-        self.pool.make_attempt(Rc::clone(&self.engine), attempt, Rc::clone(&rpc.kept));
-        until(|| Rc::strong_count(&rpc.kept) == 1).await;
+        self.pool.make_attempt(Rc::clone(&self.engine), attempt, Rc::clone(&rpc.statement));
+        wait_until(|| Rc::strong_count(&rpc.statement) == 1).await;
     }
 
     async fn serve_rpc(&self) {
@@ -104,16 +107,16 @@
         self.make_attempt(&rpc, attempt).await;
         match rpc.pending.try_next_command() {
             Some(RpcCommand::Answer { answer, .. }) => assert_eq!(answer.value.as_deref(), Some(VALUE)),
-            _ => panic!("it has no answer"),
+            _ => panic!("the RPC has no answer after its attempt"),
         }
     }
 
-    /// An attempt whose client disconnects behind its command, before its first byte.
+    /// Makes an attempt whose client disconnects after the command and before the first byte.
     async fn abandon_rpc(&self) {
         let rpc = self.begin_rpc();
         let attempt = rpc.commanded_attempt();
         rpc.client.shutdown(std::net::Shutdown::Write).unwrap();
-        until(|| peer_has_closed(rpc.session.get_ref())).await;
+        wait_until(|| peer_has_closed(rpc.session.get_ref())).await;
         self.make_attempt(&rpc, attempt).await;
     }
 }
@@ -122,7 +125,7 @@
     fn commanded_attempt(&self) -> AttemptCommand {
         match self.pending.try_next_command() {
             Some(RpcCommand::Attempt(attempt)) => attempt,
-            _ => panic!("no attempt was commanded at once"),
+            _ => panic!("no attempt was commanded on arrival of the RPC"),
         }
     }
 }
@@ -132,45 +135,51 @@
     async_io::block_on(executor.run(test(Rc::clone(&executor))));
 }
 
+/// Guards against losing a connection that was checked out for an RPC whose client disconnects before the
+/// first byte.
 #[test]
-fn a_client_that_disconnects_between_the_command_and_its_first_byte_costs_the_connection_nothing() {
+fn connection_is_reused_if_the_client_disconnects_before_the_first_byte() {
     let node = Node::start(true);
     run(async |executor| {
-        let parts = Parts::of(&executor, &node, &[]);
+        let parts = RouterParts::new(&executor, &node, &[]);
         parts.serve_rpc().await;
-        // More than the node is given at once: none of them stays out there.
+        // More than the attempts that the node may have in flight: none of the abandoned ones stays in
+        // flight.
         for _ in 0..30 {
             parts.abandon_rpc().await;
         }
-        assert_eq!(node.queries().len(), 1, "it ran for nobody");
+        assert_eq!(node.queries().len(), 1, "a query without a client was sent");
         parts.serve_rpc().await;
         assert_eq!(node.queries().len(), 2);
         assert_eq!(
             (count(&node.connections), count(&node.open_connections)),
             (1, 1),
-            "it has come back each time, and serves"
+            "the connection was checked in each time and is reused"
         );
     });
 }
 
+/// Guards against checkouts that send nothing but reset the idle time: the node closes the connection in the
+/// meantime.
 #[test]
-fn a_connection_that_is_checked_out_and_not_used_still_expires() {
+fn unused_checkouts_do_not_extend_the_idle_time() {
     let node = Node::start(true);
-    // A connection may stand idle for 700 ms: nodes close it after 1,000, and a query may be on its way for 300.
-    let change = [
+    // A connection may be idle for 700 ms: nodes close it after 1,000 ms, and a query may be in transit for
+    // 300 ms.
+    let replacements = [
         ("\"ConnIdleMs\":30000.0", "\"ConnIdleMs\":1000.0"),
         ("\"ConnectTimeoutMs\":5000.0", "\"ConnectTimeoutMs\":300.0"),
     ];
     run(async |executor| {
-        let parts = Parts::of(&executor, &node, &change);
+        let parts = RouterParts::new(&executor, &node, &replacements);
         parts.serve_rpc().await;
-        let used = Instant::now();
-        // Closed where it stands, or found too old when it is to be checked out.
+        let last_used = Instant::now();
+        // The connection is closed while idle, or found expired at the next checkout.
         while count(&node.open_connections) == 1 && count(&node.connections) == 1 {
             assert!(
-                used.elapsed() < NEVER,
-                "checkouts that came to nothing have kept it for {:?}",
-                used.elapsed()
+                last_used.elapsed() < WAIT_TIMEOUT,
+                "unused checkouts have kept the connection open for {:?}",
+                last_used.elapsed()
             );
             parts.abandon_rpc().await;
             Timer::after(Duration::from_millis(50)).await;
@@ -179,26 +188,30 @@
     });
 }
 
+/// Guards against a dial whose timeout fails a later attempt, which has a dial and a timeout of its own.
 #[test]
-fn a_dial_that_times_out_fails_no_attempt_that_came_later() {
+fn dial_timeout_does_not_fail_a_later_attempt() {
     let node = Node::start(true);
     node.set_connect_behavior(ConnectBehavior::Hang);
-    let connect = Duration::from_millis(1000);
+    let connect_timeout = Duration::from_millis(1000);
     run(async |executor| {
-        let parts =
-            Parts::of(&executor, &node, &[("\"ConnectTimeoutMs\":5000.0", "\"ConnectTimeoutMs\":1000.0")]);
-        // Its own time ends long before that of the dial that was begun for it.
+        let parts = RouterParts::new(
+            &executor,
+            &node,
+            &[("\"ConnectTimeoutMs\":5000.0", "\"ConnectTimeoutMs\":1000.0")],
+        );
+        // The attempt times out long before the dial that was started for it.
         let first = parts.begin_rpc();
         let attempt = first.commanded_attempt();
-        let deadline = attempt.started + connect / 10;
+        let deadline = attempt.started + connect_timeout / 10;
         parts.make_attempt(&first, AttemptCommand { deadline, ..attempt }).await;
         drop(first);
-        Timer::after(connect / 4).await;
-        // The next one has a dial with a time of its own.
+        Timer::after(connect_timeout / 4).await;
+        // The next attempt has its own dial.
         let second = parts.begin_rpc();
-        let (attempt, began) = (second.commanded_attempt(), Instant::now());
+        let (attempt, started) = (second.commanded_attempt(), Instant::now());
         parts.make_attempt(&second, attempt).await;
-        assert!(began.elapsed() >= connect, "failed after {:?}", began.elapsed());
+        assert!(started.elapsed() >= connect_timeout, "the attempt failed after {:?}", started.elapsed());
         assert_eq!(count(&node.connections), 2);
     });
 }
--- a/crates/router/tests/messages.rs
+++ b/crates/router/tests/messages.rs
@@ -1,4 +1,5 @@
-//! Messages, the comment, HTTP responses and endpoint lists, by seeded random runs.
+//! Property tests with a fixed seed, for PostgreSQL messages, statement comments, memory budgets, HTTP
+//! responses and endpoint lists.
 
 use std::time::Duration;
 
@@ -13,18 +14,19 @@
 };
 use quillpoint_router::statement::Statement;
 
-/// The same runs every time.
+/// Checks a property with 400 inputs. The seed is fixed, so the inputs are the same in every run.
 fn check(property: impl Testable) {
     QuickCheck::new().rng(Gen::from_size_and_seed(200, 5_432)).tests(400).quickcheck(property);
 }
 
-/// What a decoder makes of the whole, if it takes all of it and nothing of any part.
-fn whole<T>(
+/// Decodes a message. Returns `None` unless the decoder consumes all of `bytes` and returns nothing for any
+/// prefix.
+fn decode_exactly<T>(
     bytes: &[u8],
     decode: impl Fn(&[u8]) -> Result<Option<(T, usize)>, pg::ProtocolViolation>,
 ) -> Option<T> {
-    let early = (0..bytes.len()).any(|cut| decode(&bytes[..cut]).is_ok_and(|told| told.is_some()));
-    decode(bytes).unwrap().filter(|(_, taken)| !early && *taken == bytes.len()).map(|(told, _)| told)
+    let early = (0..bytes.len()).any(|cut| decode(&bytes[..cut]).is_ok_and(|decoded| decoded.is_some()));
+    decode(bytes).unwrap().filter(|(_, taken)| !early && *taken == bytes.len()).map(|(decoded, _)| decoded)
 }
 
 fn without_zero(bytes: &[u8]) -> Vec<u8> {
@@ -32,33 +34,33 @@
 }
 
 #[test]
-fn a_query_decodes_to_what_was_encoded_cut_at_any_byte() {
+fn encoded_query_decodes_to_itself_and_no_prefix_decodes() {
     check(
         (|text| {
             let text = without_zero(&text);
             let mut out = Vec::new();
             pg::encode_query(&mut out, &text);
-            whole(&out, pg::decode_frontend_message) == Some(FrontendMessage::Query(text))
+            decode_exactly(&out, pg::decode_frontend_message) == Some(FrontendMessage::Query(text))
         }) as fn(Vec<u8>) -> bool,
     );
 }
 
 #[test]
-fn an_answer_decodes_to_what_was_encoded() {
+fn encoded_result_decodes_to_its_messages() {
     check(
         (|name, value, binary| {
             let column = Column { name: without_zero(&name), type_oid: 17, type_size: u16::MAX, binary };
             let answer = QueryResult { column, value, tag: b"SELECT 1".to_vec() };
             let mut out = Vec::new();
             pg::encode_result(&mut out, &answer);
-            let mut told = Vec::new();
+            let mut messages = Vec::new();
             while let Some((message, taken)) = pg::decode_backend_message(&out).unwrap() {
                 out.drain(..taken);
-                told.push(message);
+                messages.push(message);
             }
             let QueryResult { column, value, tag } = answer;
             out.is_empty()
-                && told
+                && messages
                     == [
                         BackendMessage::RowDescription(column),
                         BackendMessage::DataRow(value),
@@ -69,7 +71,7 @@
 }
 
 #[test]
-fn an_error_and_an_opening_decode_to_what_was_encoded() {
+fn encoded_error_and_startup_packet_decode_to_themselves() {
     check(
         (|message: String, detail: Option<String>, fatal| {
             let clean = |text: String| text.replace('\0', "");
@@ -79,62 +81,68 @@
             let error = BackendMessage::ErrorResponse { code: "53300".into(), message, detail, fatal };
             let mut startup = Vec::new();
             pg::encode_startup(&mut startup, "portal", "crm");
-            whole(&out, pg::decode_backend_message) == Some(error)
-                && whole(&startup, pg::decode_startup_packet) == Some(StartupPacket::Startup)
+            decode_exactly(&out, pg::decode_backend_message) == Some(error)
+                && decode_exactly(&startup, pg::decode_startup_packet) == Some(StartupPacket::Startup)
         }) as fn(String, Option<String>, bool) -> bool,
     );
 }
 
-/// What is made of a node's bytes, as a router reads them: the first thing said, or why nothing can be.
-fn read(mut bytes: &[u8]) -> Result<Option<Response>, pg::ProtocolViolation> {
-    let mut reading = ResponseReader::default();
-    while let Some((told, taken)) = pg::decode_backend_message(bytes)? {
+/// Reads a node's bytes as a router does. Returns the first response if it is complete, or the protocol
+/// violation.
+fn read_response(mut bytes: &[u8]) -> Result<Option<Response>, pg::ProtocolViolation> {
+    let mut reader = ResponseReader::default();
+    while let Some((message, taken)) = pg::decode_backend_message(bytes)? {
         bytes = &bytes[taken..];
-        if matches!(told, BackendMessage::ParameterStatus { .. } | BackendMessage::Ignored) {
+        if matches!(message, BackendMessage::ParameterStatus { .. } | BackendMessage::Ignored) {
             continue;
         }
-        if let Some(said) = reading.push(told)? {
-            return Ok(Some(said));
+        if let Some(response) = reader.push(message)? {
+            return Ok(Some(response));
         }
     }
     Ok(None)
 }
 
+/// Guards against reading a truncated or corrupted response as a complete answer with a value of another
+/// length.
 #[test]
-fn a_malformed_response_is_never_taken_for_one_with_other_lengths() {
+fn corrupted_response_is_not_read_as_an_answer_of_another_length() {
     check(
         (|value: Vec<u8>, places: Vec<(usize, u8)>, cut: usize, extra: Vec<u8>| {
             let column = Column { name: b"data".to_vec(), type_oid: 17, type_size: u16::MAX, binary: true };
             let whole = QueryResult { column, value: Some(value), tag: b"SELECT 1".to_vec() };
             let mut out = Vec::new();
             pg::encode_result(&mut out, &whole);
-            assert_eq!(read(&out), Ok(Some(Response::Result(whole.clone()))));
-            // Whatever follows is no part of it.
+            assert_eq!(read_response(&out), Ok(Some(Response::Result(whole.clone()))));
+            // Bytes after the response are not a part of it.
             let followed = [&out[..], &extra].concat();
-            assert_eq!(read(&followed), Ok(Some(Response::Result(whole.clone()))));
-            assert_eq!(read(&out[..cut % out.len()]), Ok(None));
+            assert_eq!(read_response(&followed), Ok(Some(Response::Result(whole.clone()))));
+            assert_eq!(read_response(&out[..cut % out.len()]), Ok(None));
             let cut = cut % (out.len() + 1);
             let longer = [&out[..cut], &extra, &out[cut..]].concat();
             for (place, byte) in places {
                 let place = place % out.len();
                 out[place] = byte;
             }
-            // What is still taken for an answer has a value of as many bytes as its row says.
-            let taken = |bytes: &[u8]| match read(bytes) {
+            // If the bytes still contain an answer, its value is as long as its row states.
+            let is_consistent = |bytes: &[u8]| match read_response(bytes) {
                 Ok(Some(Response::Result(answer))) => {
-                    let mut again = Vec::new();
-                    pg::encode_result(&mut again, &answer);
-                    again.len() <= bytes.len() && again.len() >= answer.value.map_or(0, |value| value.len())
+                    let mut reencoded = Vec::new();
+                    pg::encode_result(&mut reencoded, &answer);
+                    reencoded.len() <= bytes.len()
+                        && reencoded.len() >= answer.value.map_or(0, |value| value.len())
                 }
                 _ => true,
             };
-            taken(&out) && taken(&longer)
+            is_consistent(&out) && is_consistent(&longer)
         }) as fn(Vec<u8>, Vec<(usize, u8)>, usize, Vec<u8>) -> bool,
     );
 }
 
+/// Guards against a router that waits for more bytes of a response whose first bytes already show that it is
+/// malformed.
 #[test]
-fn what_is_no_answer_is_told_by_its_first_bytes() {
+fn malformed_response_is_detected_from_its_first_bytes() {
     use pg::ProtocolViolation::{
         InvalidFields, InvalidLength, MessageTooLong, UnexpectedOrder, UnexpectedType,
     };
@@ -145,8 +153,8 @@
             .chain(value.to_be_bytes())
             .collect::<Vec<u8>>()
     };
-    assert_eq!(read(&row(15, 1, 5)), Ok(None));
-    for (bytes, fault) in [
+    assert_eq!(read_response(&row(15, 1, 5)), Ok(None));
+    for (bytes, violation) in [
         (row(15, 1, 6), InvalidFields('D')),
         (row(15, 2, 5), InvalidFields('D')),
         (row(15, 1, u32::MAX), InvalidFields('D')),
@@ -160,59 +168,60 @@
         ([row(14, 1, 4), b"four".to_vec(), row(14, 1, 4), b"four".to_vec()].concat(), UnexpectedOrder),
         ([row(14, 1, 4), b"fourC\0\0\0\x0dSELECT 2\0".to_vec()].concat(), UnexpectedOrder),
     ] {
-        assert_eq!(read(&bytes), Err(fault), "{bytes:?}");
+        assert_eq!(read_response(&bytes), Err(violation), "{bytes:?}");
     }
-    // A parameter that cannot be read is passed over, and the answer stands.
+    // A malformed parameter is ignored, and the answer is kept.
     let parameter = b"S\0\0\0\x0aload\0\xff".to_vec();
     let whole = [row(14, 1, 4), b"four".to_vec(), parameter, b"C\0\0\0\x0dSELECT 1\0".to_vec()].concat();
-    assert!(matches!(read(&whole), Ok(Some(Response::Result(_)))));
+    assert!(matches!(read_response(&whole), Ok(Some(Response::Result(_)))));
 }
 
-/// Bytes near enough to a message that decoders get past its head.
+/// Random bytes that are similar enough to a message for decoders to read beyond its type and length.
 #[derive(Clone, Debug)]
-struct Mangled(Vec<u8>);
+struct CorruptedMessage(Vec<u8>);
 
-impl Arbitrary for Mangled {
+impl Arbitrary for CorruptedMessage {
     fn arbitrary(g: &mut Gen) -> Self {
-        let kinds = b"QPSXRTDCIEZNKz";
+        let message_types = b"QPSXRTDCIEZNKz";
         let body = Vec::<u8>::arbitrary(g);
-        let off = *g.choose(&[0, 0, 0, 1, 4, 1000]).unwrap();
-        let length = (body.len() as u32 + 4).wrapping_sub(off);
-        let kind = *g.choose(kinds).unwrap();
-        Self([&[kind][..], &length.to_be_bytes(), &body].concat())
+        let length_error = *g.choose(&[0, 0, 0, 1, 4, 1000]).unwrap();
+        let length = (body.len() as u32 + 4).wrapping_sub(length_error);
+        let message_type = *g.choose(message_types).unwrap();
+        Self([&[message_type][..], &length.to_be_bytes(), &body].concat())
     }
 }
 
 #[test]
-fn no_bytes_make_a_decoder_panic() {
+fn decoders_do_not_panic_on_corrupted_bytes() {
     check(
-        (|Mangled(bytes): Mangled, plain: Vec<u8>| {
-            for bytes in [&bytes[..], &bytes[1..], &plain] {
-                // Whatever is taken was there to be taken.
+        (|CorruptedMessage(bytes): CorruptedMessage, random: Vec<u8>| {
+            for bytes in [&bytes[..], &bytes[1..], &random] {
+                // A decoder must not consume more bytes than there are.
                 let fits = |taken: Option<usize>| taken.is_none_or(|taken| taken <= bytes.len());
                 assert!(fits(pg::decode_frontend_message(bytes).ok().flatten().map(|(_, taken)| taken)));
                 assert!(fits(pg::decode_backend_message(bytes).ok().flatten().map(|(_, taken)| taken)));
                 assert!(fits(pg::decode_startup_packet(bytes).ok().flatten().map(|(_, taken)| taken)));
                 let text = [b"/* id=1,", bytes, b"*/ SELECT"].concat();
                 _ = (Statement::parse(bytes.to_vec()), Statement::parse(text));
-                let answer = [b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", bytes].concat();
+                let response = [b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", bytes].concat();
                 _ = (
                     http::parse_body(bytes, StreamState::Ended),
-                    http::parse_body(&answer, StreamState::Ended),
+                    http::parse_body(&response, StreamState::Ended),
                 );
             }
-        }) as fn(Mangled, Vec<u8>),
+        }) as fn(CorruptedMessage, Vec<u8>),
     );
 }
 
+/// Guards against changing anything but the remaining time of a statement when it is forwarded.
 #[test]
-fn a_statement_keeps_every_byte_but_those_of_its_wait() {
+fn forwarded_statement_differs_only_in_its_remaining_time() {
     check(
         (|other: String, tail: Vec<u8>, wait: u32, group: u32, to: u16, first: bool| {
             if other.contains([',', '=', '*', '/']) {
                 return TestResult::discard();
             }
-            // What follows is no second statement, and opens no quote.
+            // Without bytes that would start a second statement, a quote or a comment.
             let plain = |byte: &u8| !b"';\"/-".contains(byte);
             let tail: Vec<u8> = tail.into_iter().filter(plain).collect();
             let wait = wait.max(1);
@@ -222,63 +231,69 @@
                 (format!("x={other},"), String::new())
             };
             let text = |wait: u64| {
-                let words = format!("/* {start}id=9b1f, c=basket, d={wait} ,cluster={group}{end} */ SELECT ");
-                [words.as_bytes(), &tail].concat()
+                let head = format!("/* {start}id=9b1f, c=basket, d={wait} ,cluster={group}{end} */ SELECT ");
+                [head.as_bytes(), &tail].concat()
             };
             let statement = Statement::parse(text(wait.into())).unwrap();
             let read = (statement.method.as_str(), statement.remaining, statement.replica_set.0);
-            let right = read == ("basket", Duration::from_millis(wait.into()), group.into());
+            let is_parsed = read == ("basket", Duration::from_millis(wait.into()), group.into());
             let to = u64::from(to.max(1));
-            TestResult::from_bool(right && statement.with_remaining(Duration::from_millis(to)) == text(to))
+            TestResult::from_bool(
+                is_parsed && statement.with_remaining(Duration::from_millis(to)) == text(to),
+            )
         }) as fn(String, Vec<u8>, u32, u32, u16, bool) -> TestResult,
     );
 }
 
 #[test]
-fn no_more_is_held_than_the_budget_has_and_all_is_given_back() {
+fn reservations_never_exceed_the_budget_and_are_released_on_drop() {
     check(
         (|limit: u16, sizes: Vec<(bool, u16)>| {
-            // An eighth is for messages that come in.
+            // An eighth of the memory is for incoming messages.
             let budget = SharedBudget::new(u64::from(limit) * 8);
-            let (mut owners, mut sum): (Vec<(Reservation, usize)>, usize) = (Vec::new(), 0);
-            for (again, size) in sizes.into_iter().map(|(again, size)| (again, usize::from(size / 4))) {
-                match owners.last_mut().filter(|_| again) {
-                    Some((held, was)) => {
-                        let fits = size <= *was || sum - *was + size <= limit.into();
-                        assert_eq!(held.resize(size).is_ok(), fits);
+            let (mut reservations, mut sum): (Vec<(Reservation, usize)>, usize) = (Vec::new(), 0);
+            for (resize, size) in sizes.into_iter().map(|(resize, size)| (resize, usize::from(size / 4))) {
+                match reservations.last_mut().filter(|_| resize) {
+                    Some((reservation, old)) => {
+                        let fits = size <= *old || sum - *old + size <= limit.into();
+                        assert_eq!(reservation.resize(size).is_ok(), fits);
                         if fits {
-                            (sum, *was) = (sum - *was + size, size);
+                            (sum, *old) = (sum - *old + size, size);
                         }
                     }
                     None => match budget.reserve(IncomingMessages, size) {
-                        Ok(held) => {
+                        Ok(reservation) => {
                             sum += size;
-                            owners.push((held, size));
+                            reservations.push((reservation, size));
                         }
                         Err(_) => assert!(sum + size > limit.into()),
                     },
                 }
             }
-            owners.clear();
+            reservations.clear();
             budget.reserve(IncomingMessages, limit.into()).is_ok()
                 && budget.reserve(IncomingMessages, usize::from(limit) + 1).is_err()
         }) as fn(u16, Vec<(bool, u16)>) -> bool,
     );
 }
 
+/// Guards against responses that use up the memory of statements, or the other way round.
 #[test]
-fn statements_and_answers_share_a_quarter_and_neither_shuts_the_other_out() {
+fn statements_and_responses_share_a_quarter_with_a_guarantee_for_each() {
     let budget = SharedBudget::new(1 << 20);
-    let most = budget.reserve(Responses, (1 << 18) - (1 << 14)).unwrap();
-    assert!(budget.reserve(Responses, 1).is_err(), "the rest is statements' own");
+    let responses = budget.reserve(Responses, (1 << 18) - (1 << 14)).unwrap();
+    assert!(budget.reserve(Responses, 1).is_err(), "the rest is guaranteed to statements");
     assert!(budget.reserve(Statements, 1 << 14).is_ok());
-    drop(most);
-    assert!(budget.reserve(Statements, (1 << 18) - (1 << 14)).is_ok(), "and the other way round");
-    assert_eq!(budget.read(|budget| budget.total_used()), 0, "all was given back");
+    drop(responses);
+    assert!(
+        budget.reserve(Statements, (1 << 18) - (1 << 14)).is_ok(),
+        "statements may use all but the guarantee of responses"
+    );
+    assert_eq!(budget.read(|budget| budget.total_used()), 0, "all reservations were released");
 }
 
 #[test]
-fn two_keys_are_one_session_only_if_they_are_the_same() {
+fn statements_share_a_session_only_if_their_keys_are_equal() {
     let session = |text: &str| {
         Statement::parse(format!("/* id=1,c=a,d=1,cluster=0,after=1767225600123,r=1 */ {text}").into())
             .unwrap()
@@ -291,7 +306,7 @@
 }
 
 #[test]
-fn a_response_is_parsed_cut_at_any_byte_and_chunked_anyhow() {
+fn http_body_is_parsed_only_when_complete_with_any_chunk_sizes() {
     check(
         (|sizes: Vec<u8>| {
             let body = br#"{"rev":7,"all":true,"targets":[]}"#;
@@ -311,10 +326,11 @@
                     .concat();
             [chunked, sized].iter().all(|bytes| {
                 let open = StreamState::Open;
-                let cut =
+                let no_prefix_parses =
                     (0..bytes.len()).all(|cut| http::parse_body(&bytes[..cut], open).unwrap().is_none());
-                cut && http::parse_body(bytes, open).unwrap()
-                    == Some(http::Body { bytes: body.to_vec(), keeps_connection: true })
+                no_prefix_parses
+                    && http::parse_body(bytes, open).unwrap()
+                        == Some(http::Body { bytes: body.to_vec(), keeps_connection: true })
             })
         }) as fn(Vec<u8>) -> bool,
     );
@@ -325,8 +341,9 @@
 "limits":{"sockets":64},"settings":{"Allowed":{"ConnIdleMs":30000.0,"ConnectTimeoutMs":250.0},
 "Classes":[{"Name":"a","GiveUpMs":600.0,"GoalTimeMs":150.0}],"FailureDomains":["x","y"],"Skus":["m","n"]}}"#;
 
+/// Guards against keeping the old node of an entry whose address has changed.
 #[test]
-fn a_machine_that_moves_is_its_old_node_gone_and_a_new_one_come() {
+fn entry_with_a_new_address_removes_the_old_node() {
     use quillpoint::host::EndpointStatus::{Draining, InService, Removed};
     let tree = serde_json::from_str(SETTINGS).unwrap();
     let mut parser = EndpointParser::new(&StartupOptions::from_json(&tree, |_| None).unwrap().deployment);
--- a/crates/router/tests/sockets/client_input.rs
+++ b/crates/router/tests/sockets/client_input.rs
@@ -1,13 +1,14 @@
-//! What clients send that cannot be used, and how sessions begin.
+//! Invalid input from clients, and the startup of sessions.
 
 use quillpoint_router::pg::{self, BackendMessage};
 
 use crate::standin::{Reply, statement};
-use crate::{error, ok, pair};
+use crate::{error, ok, start_pair};
 
+/// Guards against invalid statements and messages that are not answered, or that affect other sessions.
 #[test]
-fn what_cannot_be_read_is_answered_and_harms_nobody() {
-    let (_, _, router, _discovery) = pair();
+fn invalid_input_is_answered_with_an_error() {
+    let (_, _, router, _discovery) = start_pair();
     let mut client = router.client();
     let good = statement("look", 9000);
     for (text, code) in [
@@ -29,14 +30,14 @@
         client.send_query(&text);
         assert_eq!(client.reply(), error(code), "{text}");
         client.send_query("");
-        assert_eq!(client.reply(), Reply::Empty, "the connection lives on");
+        assert_eq!(client.reply(), Reply::Empty, "the session continues");
     }
-    // Parse, then Sync: the extended protocol is passed over up to there.
+    // Parse, then Sync: messages of the extended protocol are discarded up to the Sync.
     client.send(b"P\0\0\0\x08\0\0\0\0S\0\0\0\x04");
     assert_eq!(client.reply(), error("0A000"));
     client.send_query("  ; ");
     assert_eq!(client.reply(), Reply::Empty);
-    assert_eq!(client.rpc("look", 9000), ok(), "the connection lives on");
+    assert_eq!(client.rpc("look", 9000), ok(), "the session continues");
     for (bytes, code) in [
         (&b"Q\x7f\xff\xff\xff"[..], "54000"),
         (b"Q\0\0\0\x01", "08P01"),
@@ -48,67 +49,72 @@
         let mut client = router.client();
         client.send(bytes);
         assert_eq!(client.reply(), error(code), "{bytes:?}");
-        assert_eq!(client.next_message(), None, "and that was the end");
+        assert_eq!(client.next_message(), None, "the session is closed after the error");
     }
 }
 
+/// Guards against resetting the connection of a client that is still sending, which could lose the error
+/// message.
 #[test]
-fn a_fault_is_told_to_a_client_that_is_still_sending() {
+fn client_that_is_still_sending_receives_the_error() {
     use std::io::Write;
-    let (_, _, router, _discovery) = pair();
+    let (_, _, router, _discovery) = start_pair();
     let mut client = router.client();
-    let mut sends = client.stream.try_clone().unwrap();
-    sends.write_all(b"Q\x03\x93\x87\0").unwrap();
-    // More than the router reads at once, so that a close on unread bytes would reset the connection.
-    assert!((0..16).all(|_| sends.write_all(&[b'x'; 4096]).is_ok()));
+    let mut stream = client.stream.try_clone().unwrap();
+    stream.write_all(b"Q\x03\x93\x87\0").unwrap();
+    // More than one read returns, so that closing with unread bytes would reset the connection.
+    assert!((0..16).all(|_| stream.write_all(&[b'x'; 4096]).is_ok()));
     assert_eq!(client.reply(), error("54000"));
     assert_eq!(client.next_message(), None);
 }
 
+/// Guards against a client that floods the router with unusable statements and starves other sessions.
 #[test]
-fn a_flood_of_faults_ends_its_session_and_keeps_nobody_waiting() {
-    let (_, _, router, _discovery) = pair();
-    let (mut floods, mut usual) = (router.client(), router.client());
-    let faults: Vec<u8> = (0..500).flat_map(|_| pg::query_message(b"SELECT 1")).collect();
-    floods.send(&faults);
-    assert_eq!(usual.rpc("look", 9000), ok());
-    let codes: Vec<Reply> = (0..8).map(|_| floods.reply()).collect();
+fn flood_of_unusable_statements_ends_its_session_only() {
+    let (_, _, router, _discovery) = start_pair();
+    let (mut flooding, mut normal) = (router.client(), router.client());
+    let unusable: Vec<u8> = (0..500).flat_map(|_| pg::query_message(b"SELECT 1")).collect();
+    flooding.send(&unusable);
+    assert_eq!(normal.rpc("look", 9000), ok());
+    let codes: Vec<Reply> = (0..8).map(|_| flooding.reply()).collect();
     assert!(codes.iter().all(|reply| *reply == error("42601")), "{codes:?}");
-    assert_eq!(floods.reply(), error("08P01"), "the last word");
-    assert_eq!(floods.next_message(), None);
+    assert_eq!(flooding.reply(), error("08P01"), "the error that ends the session");
+    assert_eq!(flooding.next_message(), None);
 }
 
+/// Guards against startup sequences of real clients that fail: encryption requests, a first query together
+/// with the startup packet, and cancel requests.
 #[test]
-fn a_session_opens_as_clients_open_it() {
+fn session_startup_follows_the_protocol() {
     use std::io::{Read, Write};
-    let (_, _, router, _discovery) = pair();
+    let (_, _, router, _discovery) = start_pair();
     let mut raw = std::net::TcpStream::connect(router.address).unwrap();
     let mut byte = [0];
-    for wish in [80_877_103u32, 80_877_104] {
-        raw.write_all(&[&8u32.to_be_bytes()[..], &wish.to_be_bytes()].concat()).unwrap();
+    for encryption_request in [80_877_103u32, 80_877_104] {
+        raw.write_all(&[&8u32.to_be_bytes()[..], &encryption_request.to_be_bytes()].concat()).unwrap();
         raw.read_exact(&mut byte).unwrap();
         assert_eq!(byte, *b"N");
     }
-    // The startup and the first query in one piece.
+    // The startup packet and the first query in one write.
     let mut out = Vec::new();
     pg::encode_startup(&mut out, "portal", "crm");
     pg::encode_query(&mut out, b"");
     raw.write_all(&out).unwrap();
     let mut bytes = Vec::new();
     let mut messages = Vec::new();
-    while messages.iter().filter(|told| **told == BackendMessage::ReadyForQuery).count() < 2 {
+    while messages.iter().filter(|message| **message == BackendMessage::ReadyForQuery).count() < 2 {
         raw.read_exact(&mut byte).unwrap();
         bytes.extend(byte);
-        if let Some((told, taken)) = pg::decode_backend_message(&bytes).unwrap() {
+        if let Some((message, taken)) = pg::decode_backend_message(&bytes).unwrap() {
             bytes.drain(..taken);
-            messages.push(told);
+            messages.push(message);
         }
     }
     assert!(
         messages.contains(&BackendMessage::EmptyQueryResponse)
             && messages.contains(&BackendMessage::Authentication(0))
     );
-    let mut cancels = std::net::TcpStream::connect(router.address).unwrap();
-    cancels.write_all(b"\0\0\0\x10\x04\xd2\x16\x2e\0\0\0\0\0\0\0\0").unwrap();
-    assert_eq!(cancels.read(&mut byte).unwrap(), 0, "closed without a word");
+    let mut cancelling = std::net::TcpStream::connect(router.address).unwrap();
+    cancelling.write_all(b"\0\0\0\x10\x04\xd2\x16\x2e\0\0\0\0\0\0\0\0").unwrap();
+    assert_eq!(cancelling.read(&mut byte).unwrap(), 0, "closed without a response");
 }
--- a/crates/router/tests/sockets/command_line.rs
+++ b/crates/router/tests/sockets/command_line.rs
@@ -1,9 +1,10 @@
-//! The command line and the checks of the configuration.
+//! The command line and the validation of the configuration.
 
 use crate::standin::{Discovery, configuration, router_command, write_config_file};
 
+/// Guards against configuration errors that do not name the invalid key.
 #[test]
-fn the_command_line_names_the_faulty_key() {
+fn configuration_errors_name_the_invalid_key() {
     let run = |arguments: &[&str], variables: &[(&str, &str)]| {
         let output = router_command(arguments, variables).output().unwrap();
         let text = [output.stdout, output.stderr].concat();
@@ -15,7 +16,7 @@
         run(&["check", "-c", write_config_file(text).to_str().unwrap()], variables)
     };
     assert_eq!(check(&good, &[]).0, Some(0));
-    for (from, to, named) in [
+    for (from, to, key) in [
         (r#""seed":"92094eb940cf389a""#, r#""seed":"x""#, "seed:"),
         (r#""listen":"127.0.0.1:0""#, r#""listen":"here""#, "listen:"),
         (r#""memory_mb":192"#, r#""memory_mb":"much""#, "limits.memory_mb:"),
@@ -39,15 +40,18 @@
         ("{", "", "JSON"),
     ] {
         let (status, text) = check(&good.replacen(from, to, 1), &[]);
-        assert!(status == Some(2) && text.contains(named), "{status:?}: {text}");
+        assert!(status == Some(2) && text.contains(key), "expected status 2 and {key:?}: {status:?}: {text}");
     }
-    // Two settings that cannot both hold.
+    // Two settings that contradict each other.
     let probed = good.replace(r#""Source":"answers""#, r#""Source":"probe""#);
     assert_eq!(check(&probed, &[]).0, Some(0));
     let (status, text) = check(&probed.replace(r#""Probes":true"#, r#""Probes":false"#), &[]);
     assert!(status == Some(2) && text.contains("reports.source"), "{text}");
     let (status, text) = check(&good, &[("GW_DISCOVERY", "nowhere")]);
-    assert!(status == Some(2) && text.contains("GW_DISCOVERY:"), "variables win: {text}");
+    assert!(
+        status == Some(2) && text.contains("GW_DISCOVERY:"),
+        "environment variables take precedence: {text}"
+    );
     assert!(run(&["serve"], &[]).1.contains("GW_CONFIG"));
     assert_eq!(run(&["dance"], &[]).0, Some(2));
     assert!(run(&["version"], &[]).1.contains(env!("CARGO_PKG_VERSION")));
--- a/crates/router/tests/sockets/connections.rs
+++ b/crates/router/tests/sockets/connections.rs
@@ -1,53 +1,56 @@
-//! Connections to nodes: when they are used again.
+//! Reuse of connections to nodes.
 
 use crate::standin::{ConnectBehavior, NodeBehavior, count, statement};
-use crate::{ok, pair};
+use crate::{ok, start_pair};
 
+/// Guards against closing the connection of an attempt whose client has disconnected.
 #[test]
-fn an_attempt_outlives_the_client_that_left_and_its_connection_serves_on() {
-    let (_, replica, router, _discovery) = pair();
+fn attempt_continues_after_its_client_disconnects_and_its_connection_is_reused() {
+    let (_, replica, router, _discovery) = start_pair();
     replica.set_behavior(NodeBehavior::Hang);
-    let mut leaves = router.client();
-    leaves.send_query(&statement("look", 9000));
+    let mut disconnecting = router.client();
+    disconnecting.send_query(&statement("look", 9000));
     replica.await_queries(1);
-    leaves.disconnect();
-    let mut stays = router.client();
-    stays.send_query(&statement("look", 9000));
+    disconnecting.disconnect();
+    let mut client = router.client();
+    client.send_query(&statement("look", 9000));
     replica.await_queries(2);
     replica.set_behavior(NodeBehavior::Answer);
-    assert_eq!(stays.reply(), ok());
-    assert_eq!(stays.rpc("look", 9000), ok());
+    assert_eq!(client.reply(), ok());
+    assert_eq!(client.rpc("look", 9000), ok());
     assert_eq!((count(&replica.connections), replica.queries().len()), (2, 3));
 }
 
+/// Guards against an RPC that has ended and is sent all the same once its connection has been opened.
 #[test]
-fn a_connection_that_came_up_too_late_is_kept_and_nothing_is_written_to_it() {
-    let (_, replica, router, _discovery) = pair();
+fn connection_opened_after_its_rpc_ended_is_kept_and_the_rpc_is_not_sent() {
+    let (_, replica, router, _discovery) = start_pair();
     replica.set_connect_behavior(ConnectBehavior::Hang);
-    let mut leaves = router.client();
-    leaves.send_query(&statement("look", 9000));
+    let mut disconnecting = router.client();
+    disconnecting.send_query(&statement("look", 9000));
     while count(&replica.connections) == 0 {
         std::thread::yield_now();
     }
-    leaves.disconnect();
+    disconnecting.disconnect();
     replica.set_connect_behavior(ConnectBehavior::Accept);
     assert_eq!(router.client().rpc("look", 9000), ok());
-    assert_eq!(replica.queries().len(), 1, "the RPC that was over was not written: {:?}", replica.queries());
+    assert_eq!(replica.queries().len(), 1, "only the second RPC is sent: {:?}", replica.queries());
 }
 
+/// Guards against reusing an idle connection that its node has closed.
 #[test]
-fn a_connection_that_its_node_closed_is_not_used_again() {
-    let (_, replica, router, _discovery) = pair();
+fn connection_closed_by_its_node_is_not_reused() {
+    let (_, replica, router, _discovery) = start_pair();
     let mut client = router.client();
     replica.set_behavior(NodeBehavior::AnswerAndClose);
-    let mut answered = || {
+    let mut is_answered = || {
         while count(&replica.open_connections) > 0 {
             std::thread::yield_now();
         }
         client.rpc("look", 9000) == ok()
     };
-    // An end may still be under way when the next RPC is sent, but hardly ever. Used again, a closed
-    // connection would cost every second RPC.
-    let answered = (0..20).filter(|_| answered()).count();
-    assert!(answered > 15, "{answered} of 20");
+    // In rare cases the close has not arrived yet when the next RPC is sent. If closed connections were
+    // reused, every second RPC would fail.
+    let answered = (0..20).filter(|_| is_answered()).count();
+    assert!(answered > 15, "only {answered} of 20 RPCs were answered");
 }
--- a/crates/router/tests/sockets/shutdown.rs
+++ b/crates/router/tests/sockets/shutdown.rs
@@ -1,15 +1,16 @@
-//! SIGTERM and SIGHUP.
+//! Graceful shutdown on SIGTERM, and configuration reload on SIGHUP.
 
 use std::time::Duration;
 
 use crate::standin::{
     Client, Discovery, Node, NodeBehavior, Reply, RouterProcess, configuration, statement, targets,
 };
-use crate::{LOOK, SHORT_DEADLINE_LOOK, ok, pair, pair_with};
+use crate::{LOOK, SHORT_DEADLINE_LOOK, ok, start_pair, start_pair_with};
 
+/// Guards against a stopping router that exits before it has answered pending RPCs.
 #[test]
-fn a_router_that_is_told_to_stop_answers_all_pending_rpcs_first() {
-    let (_, replica, mut router, _discovery) = pair();
+fn stopping_router_answers_pending_rpcs() {
+    let (_, replica, mut router, _discovery) = start_pair();
     let (mut busy, mut idle) = (router.client(), router.client());
     assert_eq!(idle.rpc("look", 9000), ok());
     replica.set_behavior(NodeBehavior::Hang);
@@ -17,32 +18,36 @@
     replica.await_queries(2);
     router.signal("-TERM");
     router.signal("-TERM");
-    assert_eq!(idle.next_message(), None, "an idle connection is closed");
+    assert_eq!(idle.next_message(), None, "an idle session is closed");
     replica.set_behavior(NodeBehavior::Answer);
     assert_eq!(busy.reply(), ok());
     assert_eq!(busy.next_message(), None);
     assert!(router.wait_for_exit().success());
 }
 
+/// Guards against RPCs whose deadline is later than the router's exit and that are never answered.
 #[test]
-fn what_would_outlast_a_router_that_is_told_to_stop_is_answered_before_it_ends() {
-    let (_, replica, mut router, _discovery) = pair();
+fn stopping_router_answers_rpcs_with_later_deadlines_before_it_exits() {
+    let (_, replica, mut router, _discovery) = start_pair();
     replica.set_behavior(NodeBehavior::Hang);
-    // The platform kills it 3.7 s after the signal at the latest, however long its clients would wait.
+    // The platform kills the router 3.7 s after the signal at the latest, even if its clients would wait
+    // longer.
     let mut clients: Vec<Client> = (0..3).map(|_| router.client()).collect();
     clients.iter_mut().for_each(|client| client.send_query(&statement("look", 9000)));
     replica.await_queries(3);
     router.signal("-TERM");
     for client in &mut clients {
         let reply = client.reply();
-        assert!(matches!(reply, Reply::Error(..)), "{reply:?}");
+        assert!(matches!(reply, Reply::Error(..)), "expected an error response, got {reply:?}");
     }
     assert!(router.wait_for_exit().success());
 }
 
+/// Guards against a stopping router that rejects the RPCs of open sessions, or that closes all sessions at
+/// once.
 #[test]
-fn a_router_that_is_told_to_stop_serves_its_clients_on_and_closes_their_sessions_bit_by_bit() {
-    let (_, _, mut router, _) = pair_with(200, LOOK, SHORT_DEADLINE_LOOK);
+fn stopping_router_serves_open_sessions_and_closes_them_gradually() {
+    let (_, _, mut router, _) = start_pair_with(200, LOOK, SHORT_DEADLINE_LOOK);
     let mut clients: Vec<Client> = (0..20).map(|_| router.client()).collect();
     assert!(clients.iter_mut().all(|client| client.rpc("look", 500) == ok()));
     router.signal("-TERM");
@@ -55,11 +60,13 @@
     assert!(clients.iter_mut().all(|client| client.next_message().is_none()));
 }
 
+/// Guards against losing RPCs during shutdown: one that arrives on an open session is either answered or not
+/// forwarded.
 #[test]
-fn each_rpc_that_comes_on_an_open_connection_after_the_signal_is_answered_or_was_never_read() {
-    let (primary, replica, mut router, _) = pair_with(200, LOOK, SHORT_DEADLINE_LOOK);
+fn rpcs_after_sigterm_are_answered_or_not_forwarded() {
+    let (primary, replica, mut router, _) = start_pair_with(200, LOOK, SHORT_DEADLINE_LOOK);
     let clients: Vec<Client> = (0..40).map(|_| router.client()).collect();
-    // All of them send without a pause until their connection ends.
+    // The clients send RPCs without a pause until their connection is closed.
     let load = clients.into_iter().map(|mut client| {
         std::thread::spawn(move || {
             let mut answered = 0;
@@ -77,40 +84,43 @@
     router.signal("-TERM");
     let ends: Vec<(usize, String)> = load.into_iter().map(|one| one.join().unwrap()).collect();
     assert!(router.wait_for_exit().success());
-    let sent_on: Vec<String> = primary.queries().into_iter().chain(replica.queries()).collect();
+    let forwarded: Vec<String> = primary.queries().into_iter().chain(replica.queries()).collect();
     assert!(ends.iter().all(|(answered, _)| *answered > 0), "{ends:?}");
-    let lost: Vec<_> = ends.iter().filter(|(_, last)| sent_on.contains(last)).collect();
-    assert!(lost.is_empty(), "read and sent on, and not answered: {lost:?}");
+    let lost: Vec<_> = ends.iter().filter(|(_, last)| forwarded.contains(last)).collect();
+    assert!(lost.is_empty(), "forwarded but not answered: {lost:?}");
 }
 
+/// Guards against a configuration reload that keeps polling the old discovery address, or that ends RPCs or
+/// sessions, also while the router drains.
 #[test]
-fn a_new_configuration_moves_the_watch_of_the_list_and_ends_nothing() {
+fn reload_moves_the_endpoint_watch_and_interrupts_nothing() {
     let nodes = [true, false, false].map(Node::start);
     let [primary, first, second] = &nodes;
-    let only = |node| targets(&[(primary, "primary", "in_service"), (node, "replica", "in_service")]);
-    let [old, new] = [first, second].map(|node| Discovery::start(only(node)));
-    let text = configuration(old.address, &only(first), 200);
-    // The variable is as old as the process, so the file's word wins from then on.
+    let list_with = |node| targets(&[(primary, "primary", "in_service"), (node, "replica", "in_service")]);
+    let [old, new] = [first, second].map(|node| Discovery::start(list_with(node)));
+    let text = configuration(old.address, &list_with(first), 200);
+    // The environment variable dates from the start of the process, so after a reload the file takes
+    // precedence.
     let mut router = RouterProcess::start_with(&text, &[("GW_DISCOVERY", &old.address.to_string())]);
     old.await_calls(2);
     let mut client = router.client();
     assert_eq!((client.rpc("look", 9000), first.queries().len()), (ok(), 1));
     second.set_behavior(NodeBehavior::Hang);
-    let told = |text: &str, line: &str| {
+    let reload = |text: &str, log_line: &str| {
         std::fs::write(&router.path, text).unwrap();
         router.signal("-HUP");
-        router.await_log_line(line);
+        router.await_log_line(log_line);
     };
-    told("{", "not taken over");
-    told(&text.replace("192", "64"), "limits.memory_mb has changed");
-    told(&text.replace(&old.address.to_string(), &new.address.to_string()), "read anew, discovery at");
+    reload("{", "not taken over");
+    reload(&text.replace("192", "64"), "limits.memory_mb has changed");
+    reload(&text.replace(&old.address.to_string(), &new.address.to_string()), "read anew, discovery at");
     new.await_calls(2);
     client.send_query(&statement("look", 9000));
     second.await_queries(1);
-    // Also while it drains, with an attempt under way.
+    // The same while the router drains, with an attempt in progress.
     router.signal("-TERM");
     router.await_log_line("draining");
-    old.set_targets(only(first));
+    old.set_targets(list_with(first));
     let calls = old.calls();
     std::fs::write(&router.path, &text).unwrap();
     router.signal("-HUP");
--- a/crates/router/tests/standin/client.rs
+++ b/crates/router/tests/standin/client.rs
@@ -1,4 +1,4 @@
-//! A client of a router, and its statements.
+//! A client of a router, and the statements that it sends.
 
 use std::io::Write;
 use std::net::{SocketAddr, TcpStream};
@@ -7,16 +7,16 @@
 use quillpoint_router::pg::{self, BackendMessage};
 use quillpoint_testbed::store::next;
 
-use super::NEVER;
+use super::WAIT_TIMEOUT;
 
-/// How a query was answered.
+/// The response to a query.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Reply {
     Value(Vec<u8>),
-    /// The code, and the field D.
+    /// The SQLSTATE and the detail (field D).
     Error(String, Option<String>),
     Empty,
-    /// The connection ended without an answer.
+    /// The connection was closed without a response.
     Closed,
 }
 
@@ -30,7 +30,7 @@
         Self::connect_with(address, &[])
     }
 
-    /// With a first query right behind the startup.
+    /// Connects and sends a query right after the startup packet.
     pub fn connect_and_query(address: SocketAddr, text: &str) -> Self {
         let mut query = Vec::new();
         pg::encode_query(&mut query, text.as_bytes());
@@ -43,15 +43,15 @@
         client
     }
 
-    /// On a connection of the test's own making.
+    /// Opens a session on a connection that the test has created.
     pub fn from_stream(stream: TcpStream) -> Self {
         Self::try_from_stream(stream).unwrap()
     }
 
     /// # Errors
-    /// The connection has ended.
+    /// The connection is closed.
     pub fn try_from_stream(stream: TcpStream) -> std::io::Result<Self> {
-        stream.set_read_timeout(Some(NEVER))?;
+        stream.set_read_timeout(Some(WAIT_TIMEOUT))?;
         let mut client = Self { stream, unread: Vec::new() };
         let mut out = Vec::new();
         pg::encode_startup(&mut out, "portal", "crm");
@@ -63,12 +63,12 @@
         self.stream.write_all(bytes).unwrap();
     }
 
-    /// The next message of a router.
+    /// Waits for the router's next message; `None` if the connection is closed.
     pub fn next_message(&mut self) -> Option<BackendMessage> {
         next(&mut self.stream, &mut self.unread, pg::decode_backend_message)
     }
 
-    /// Closes its sending, and waits until the router has taken notice.
+    /// Shuts down sending and waits until the router has closed the connection.
     pub fn disconnect(mut self) {
         self.stream.shutdown(std::net::Shutdown::Write).unwrap();
         while self.next_message().is_some() {}
@@ -80,7 +80,7 @@
         self.send(&out);
     }
 
-    /// Up to the ReadyForQuery that follows an answer.
+    /// Reads the response to a query, up to the ReadyForQuery after it.
     pub fn reply(&mut self) -> Reply {
         let mut reply = Reply::Closed;
         loop {
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Queries on a connection that may have been closed.
+    /// Sends a query on a connection that the router may have closed.
     pub fn try_query(&mut self, text: &str) -> Reply {
         let sent = self.stream.write_all(&pg::query_message(text.as_bytes()));
         sent.map_or(Reply::Closed, |()| self.reply())
@@ -113,7 +113,7 @@
     }
 }
 
-/// A statement under an id of its own.
+/// A statement with a new id.
 pub fn statement(class: &str, wait_ms: u64) -> String {
     static NEXT: AtomicUsize = AtomicUsize::new(0);
     let id = NEXT.fetch_add(1, Ordering::SeqCst);
--- a/crates/router/tests/standin/discovery.rs
+++ b/crates/router/tests/standin/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery, with a list that a test changes.
+//! A discovery service whose endpoint list is set by the test.
 
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -7,21 +7,21 @@
 use std::thread;
 use std::time::Duration;
 
-use super::{NEVER, Node, count};
+use super::{Node, WAIT_TIMEOUT, count};
 
-/// Discovery, with a list that a test changes.
+/// A discovery service whose endpoint list is set by the test.
 #[derive(Clone)]
 pub struct Discovery {
     pub address: SocketAddr,
     list: Arc<(Mutex<(u64, String)>, Condvar)>,
     calls: Arc<(Mutex<usize>, Condvar)>,
-    /// Calls that come meanwhile, and those that wait, are never answered; their connections stay open.
+    /// While set, new and waiting calls are left unanswered for good; their connections stay open.
     pub unresponsive: Arc<AtomicBool>,
-    /// Calls that were left without an answer.
+    /// The number of calls that were left unanswered.
     unanswered: Arc<AtomicUsize>,
 }
 
-/// The list's entries: a node, its role and its state.
+/// The entries of an endpoint list in JSON, from nodes with their roles and states.
 pub fn targets(nodes: &[(&Node, &str, &str)]) -> String {
     let entry = |(index, (node, role, state)): (usize, &(&Node, &str, &str))| {
         let endpoint = node.address;
@@ -83,7 +83,7 @@
                 continue;
             }
             let body = format!(r#"{{"rev":{rev},"all":{all},"targets":{targets}}}"#);
-            // In two chunks, split where it hurts.
+            // Two chunks, split within the JSON.
             let (first, second) = body.split_at(body.len() / 3);
             let chunk = |text: &str| format!("{:x}\r\n{text}\r\n", text.len());
             let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
@@ -94,7 +94,7 @@
         }
     }
 
-    /// The same, where routers are told another address than its own.
+    /// The same discovery service with another address in `address`, to put into a router's configuration.
     pub fn with_advertised_address(&self, address: SocketAddr) -> Self {
         Self { address, ..self.clone() }
     }
@@ -107,10 +107,11 @@
         *self.calls.0.lock().unwrap()
     }
 
-    /// A call after an answer shows that the answer has been read.
+    /// Waits for this many calls. A call after an answer proves that the router has read the answer.
     pub fn await_calls(&self, count: usize) {
         let calls = self.calls.0.lock().unwrap();
-        let (_guard, wait) = self.calls.1.wait_timeout_while(calls, NEVER, |calls| *calls < count).unwrap();
-        assert!(!wait.timed_out(), "call {count} never came");
+        let (_guard, wait) =
+            self.calls.1.wait_timeout_while(calls, WAIT_TIMEOUT, |calls| *calls < count).unwrap();
+        assert!(!wait.timed_out(), "discovery received fewer than {count} calls within {WAIT_TIMEOUT:?}");
     }
 }
--- a/crates/router/tests/standin/mod.rs
+++ b/crates/router/tests/standin/mod.rs
@@ -1,6 +1,7 @@
-//! Stand-ins for clients, nodes and discovery, after their public protocols, and a router process among them.
-//! They do as they are set to and record what they see; nothing in them decides.
-#![allow(dead_code, unused_imports, reason = "each test file uses a part of them")]
+//! Stand-ins for clients, nodes and discovery that speak their public protocols, and a router process between
+//! them. They behave as configured by a test and record what they receive; they make no decisions of their
+//! own.
+#![allow(dead_code, unused_imports, reason = "each test file uses only some of the stand-ins")]
 
 mod client;
 mod discovery;
@@ -15,8 +16,8 @@
 pub use node::{ConnectBehavior, Node, NodeBehavior, VALUE};
 pub use router_process::{RouterProcess, configuration, router_command, write_config_file};
 
-/// Far longer than anything here takes: what is awaited for so long never comes.
-const NEVER: Duration = Duration::from_secs(30);
+/// Timeout for expected events, much longer than any of them takes.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
 pub fn unix_ms() -> u128 {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis()
--- a/crates/router/tests/standin/node.rs
+++ b/crates/router/tests/standin/node.rs
@@ -1,4 +1,4 @@
-//! A node that does with connections and RPCs what a test sets.
+//! A node whose handling of connections and RPCs is set by the test.
 
 use std::io::Write;
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -10,19 +10,19 @@
 use quillpoint_router::pg::{self, FrontendMessage, StartupPacket};
 use quillpoint_testbed::store::{next, parameter, row as answer};
 
-use super::{NEVER, unix_ms};
+use super::{WAIT_TIMEOUT, unix_ms};
 
-/// What a node does with the next RPCs.
+/// How a node handles RPCs.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum NodeBehavior {
     Answer,
-    /// Answers with an error of this code.
+    /// Answers with an error with this SQLSTATE.
     Error(&'static str),
-    /// Answers after so many milliseconds.
+    /// Answers after this many milliseconds.
     Delay(u64),
-    /// Ends the connection once the query is complete.
+    /// Closes the connection once a query has arrived completely.
     Disconnect,
-    /// Says nothing until its behavior is set to another one.
+    /// Delays the response until another behavior is set, then follows that.
     Hang,
     /// Answers, and closes the connection.
     AnswerAndClose,
@@ -30,26 +30,26 @@
     Truncate,
     /// Answers with these bytes and leaves the connection open.
     RawBytes(&'static [u8]),
-    /// Answers with a value of so many bytes.
+    /// Answers with a value of this many bytes.
     LargeValue(usize),
     /// Answers with the id of the RPC as the value.
     EchoId,
-    /// Sends these bytes again and again, until the connection ends.
+    /// Sends these bytes repeatedly until the connection is closed.
     Flood(&'static [u8]),
-    /// Answers, with these bytes behind ReadyForQuery.
+    /// Answers, and sends these bytes after ReadyForQuery.
     TrailingBytes(&'static [u8]),
-    /// Answers, with a load report that cannot be read.
+    /// Answers with a malformed load report.
     MalformedReport,
-    /// Is down: says so whatever it is asked, also to a health check.
+    /// Answers every query with "down" (57P03), including health checks.
     Down,
 }
 
-/// What a node does with new connections.
+/// How a node handles new connections.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ConnectBehavior {
     Accept,
     Hang,
-    /// Accepts the first so many that have ever come, and says nothing to those that came later.
+    /// Accepts the first connections up to this number, and does not answer later ones.
     AcceptFirst(usize),
     Close,
 }
@@ -59,7 +59,7 @@
     connect_behavior: ConnectBehavior,
     primary: bool,
     queries: Vec<String>,
-    /// How many RPCs it has not answered.
+    /// The number of RPCs without a response.
     in_flight: usize,
 }
 
@@ -69,7 +69,7 @@
     state: Arc<(Mutex<NodeState>, Condvar)>,
     pub connections: Arc<AtomicUsize>,
     pub open_connections: Arc<AtomicUsize>,
-    /// Connections that were accepted.
+    /// The number of connections whose startup was answered.
     pub accepted: Arc<AtomicUsize>,
 }
 
@@ -94,7 +94,7 @@
         thread::spawn(move || {
             for stream in listener.incoming() {
                 let node = served.clone();
-                // Both are counted here: a connection's own thread may begin much later.
+                // Counted here, since the connection's thread may start much later.
                 let index = node.connections.fetch_add(1, Ordering::SeqCst);
                 node.open_connections.fetch_add(1, Ordering::SeqCst);
                 thread::spawn(move || {
@@ -116,19 +116,22 @@
         self.state.1.notify_all();
     }
 
-    /// The RPCs that came completely.
+    /// The RPCs that have arrived completely.
     pub fn queries(&self) -> Vec<String> {
         self.state.0.lock().unwrap().queries.clone()
     }
 
     pub fn await_queries(&self, count: usize) {
         let queries = self.state.0.lock().unwrap();
-        let (_guard, wait) =
-            self.state.1.wait_timeout_while(queries, NEVER, |state| state.queries.len() < count).unwrap();
-        assert!(!wait.timed_out(), "{count} queries never came");
+        let (_guard, wait) = self
+            .state
+            .1
+            .wait_timeout_while(queries, WAIT_TIMEOUT, |state| state.queries.len() < count)
+            .unwrap();
+        assert!(!wait.timed_out(), "the node received fewer than {count} queries within {WAIT_TIMEOUT:?}");
     }
 
-    /// The connection that so many came before.
+    /// Serves a connection; `index` is the number of connections before it.
     fn serve(&self, index: usize, mut stream: TcpStream) {
         if !self.accepts(index) {
             return;
@@ -153,7 +156,7 @@
         }
     }
 
-    /// Waits while the node hangs on new connections. Whether this one is accepted.
+    /// Waits while the node hangs on new connections. Returns whether this one is accepted.
     fn accepts(&self, index: usize) -> bool {
         let hangs = |state: &mut NodeState| match state.connect_behavior {
             ConnectBehavior::Hang => true,
@@ -161,7 +164,7 @@
             ConnectBehavior::Accept | ConnectBehavior::Close => false,
         };
         let state = self.state.0.lock().unwrap();
-        let (state, _) = self.state.1.wait_timeout_while(state, NEVER, hangs).unwrap();
+        let (state, _) = self.state.1.wait_timeout_while(state, WAIT_TIMEOUT, hangs).unwrap();
         state.connect_behavior != ConnectBehavior::Close
     }
 
@@ -176,7 +179,7 @@
         out
     }
 
-    /// Answers an RPC as the node behaves then. Whether its connection goes on.
+    /// Answers an RPC according to the node's behavior. Returns whether the connection stays open.
     fn answer_rpc(&self, stream: &mut TcpStream, text: String) -> bool {
         let rpc = self.begin_rpc(text);
         let behavior = rpc.behavior;
@@ -189,13 +192,13 @@
             _ if rpc.misrouted => pg::encode_error(&mut out, false, "25006", "this is a replica", None),
             NodeBehavior::Disconnect => return false,
             NodeBehavior::Down => pg::encode_error(&mut out, false, "57P03", "down", None),
-            NodeBehavior::Error(code) => pg::encode_error(&mut out, false, code, "as told", None),
+            NodeBehavior::Error(code) => pg::encode_error(&mut out, false, code, "set by the test", None),
             NodeBehavior::RawBytes(bytes) => out.extend(bytes),
             NodeBehavior::LargeValue(length) => pg::encode_result(&mut out, &answer(&vec![b'v'; length])),
             NodeBehavior::EchoId => pg::encode_result(&mut out, &answer(&rpc.id)),
             NodeBehavior::Flood(bytes) => {
-                let many = bytes.repeat(4096 / bytes.len());
-                while stream.write_all(&many).is_ok() {}
+                let batch = bytes.repeat(4096 / bytes.len());
+                while stream.write_all(&batch).is_ok() {}
                 return false;
             }
             _ => pg::encode_result(&mut out, &answer(VALUE)),
@@ -215,15 +218,16 @@
         stream.write_all(&out).is_ok() && behavior != NodeBehavior::AnswerAndClose
     }
 
-    /// Takes an RPC on, and waits while the node hangs. What it reports with its answer is as of now. The lock is kept
-    /// up to the wait: a test that has seen the query changes nothing of what this RPC meets.
+    /// Registers an RPC, then waits while the node hangs. The role and position for the answer are taken
+    /// before the wait. The lock is held until then, so a test that reacts to the query cannot change what
+    /// this RPC encounters.
     fn begin_rpc(&self, text: String) -> NodeRpc {
         let mut state = self.state.0.lock().unwrap();
         let applied_ms = unix_ms();
         let id = text.split("id=").nth(1).and_then(|rest| rest.split(',').next());
         let mut rpc = NodeRpc {
             id: id.unwrap_or_default().as_bytes().to_vec(),
-            // As every replica does with a write.
+            // Replicas reject all writes.
             misrouted: text.contains("INSERT") && !state.primary,
             role: if state.primary { "primary" } else { "replica" },
             applied_ms,
@@ -234,13 +238,13 @@
         state.in_flight += 1;
         self.state.1.notify_all();
         let hangs = |state: &mut NodeState| state.behavior == NodeBehavior::Hang;
-        let (state, _) = self.state.1.wait_timeout_while(state, NEVER, hangs).unwrap();
+        let (state, _) = self.state.1.wait_timeout_while(state, WAIT_TIMEOUT, hangs).unwrap();
         rpc.behavior = state.behavior;
         rpc
     }
 }
 
-/// An RPC that a node has taken on.
+/// An RPC that a node is handling.
 struct NodeRpc {
     id: Vec<u8>,
     misrouted: bool,
@@ -251,12 +255,12 @@
 }
 
 impl NodeState {
-    /// The load report, with the log applied up to this time.
+    /// The load report, with this time as the log position.
     fn load(&self, applied_ms: u128) -> String {
         let (x0, x1) = (applied_ms as f64 / 1000.0, u8::from(self.primary));
         format!("x0={x0:.3},x1={x1},inflight={},queue=0", self.in_flight)
     }
 }
 
-/// Bytes that no text could hold.
+/// A value that is not valid text: it contains zero bytes and invalid UTF-8.
 pub const VALUE: &[u8] = &[0, 255, 10, 39, 0, 128];
--- a/crates/router/tests/standin/router_process.rs
+++ b/crates/router/tests/standin/router_process.rs
@@ -1,4 +1,4 @@
-//! A router as a process of its own, and its configuration.
+//! A router in its own process, and its configuration.
 
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
@@ -8,9 +8,9 @@
 use std::sync::{Arc, Condvar, Mutex};
 use std::thread;
 
-use super::{Client, Discovery, NEVER, Node, targets};
+use super::{Client, Discovery, Node, WAIT_TIMEOUT, targets};
 
-/// A router as a process of its own.
+/// A router in its own process, killed on drop.
 pub struct RouterProcess {
     pub child: Child,
     pub address: SocketAddr,
@@ -18,21 +18,22 @@
     log: Arc<(Mutex<Vec<String>>, Condvar)>,
 }
 
-/// A configuration for a router that asks for its list there. `targets` is the list that it had last.
+/// The configuration of a router that polls the endpoint list at `discovery`. `targets` is its cached list.
 pub fn configuration(discovery: SocketAddr, targets: &str, sockets: usize) -> String {
-    let class = |name: &str, effect: &str| {
+    let method = |name: &str, semantics: &str| {
         format!(
             r#"{{"Name":"{name}","GiveUpMs":9000.0,"GoalTimeMs":9000.0,"LateValue":0.5,"Value":1.0,
-            "Semantics":"{effect}","Group":"all","WindowMs":5000.0}}"#
+            "Semantics":"{semantics}","Group":"all","WindowMs":5000.0}}"#
         )
     };
-    let classes = [class("look", "free"), class("enter", "single_shot"), class("recent", "free")].join(",");
+    let methods =
+        [method("look", "free"), method("enter", "single_shot"), method("recent", "free")].join(",");
     format!(
         r#"{{"name":"n0","listen":"127.0.0.1:0","discovery":"{discovery}","seed":"92094eb940cf389a",
         "limits":{{"cores":1.0,"memory_mb":192,"sockets":{sockets}}},
         "known":{{"rev":0,"all":true,"targets":{targets}}},
         "settings":{{"Allowed":{{"ConnIdleMs":30000.0,"ConnectTimeoutMs":5000.0,"MaxAttempts":6,"Probes":true,
-            "MaxRetryAfterMs":1000.0,"MayDuplicate":true,"MostHeld":20000}},"Balancers":1,"Classes":[{classes}],
+            "MaxRetryAfterMs":1000.0,"MayDuplicate":true,"MostHeld":20000}},"Balancers":1,"Classes":[{methods}],
             "Discovery":"subscribe","Extra":{{"Checks":"none","ClassBoundMs":[0,0,300],
             "NeedsByClass":["loose","update","recent"],"WriteMarks":"router"}},"FailureDomains":["a"],
             "Feedback":{{"Fields":["x0","x1"],"Source":"answers"}},"Invariants":{{"AskEveryMs":20000.0,
@@ -67,42 +68,43 @@
         let mut child = command.stderr(Stdio::piped()).spawn().unwrap();
         let mut lines = BufReader::new(child.stderr.take().unwrap()).lines();
         let address = loop {
-            let line = lines.next().expect("a line says where it serves").unwrap();
+            let line = lines.next().expect("the router exited without logging its address").unwrap();
             if let Some((_, rest)) = line.split_once("serves at ") {
                 break rest.split(',').next().unwrap().parse().unwrap();
             }
         };
         let log = Arc::new((Mutex::new(Vec::new()), Condvar::new()));
-        let kept = Arc::clone(&log);
+        let collected = Arc::clone(&log);
         thread::spawn(move || {
             for line in lines.map_while(Result::ok) {
-                kept.0.lock().unwrap().push(line);
-                kept.1.notify_all();
+                collected.0.lock().unwrap().push(line);
+                collected.1.notify_all();
             }
         });
         Self { child, address, path, log }
     }
 
-    /// Until a line with this in it has been logged since the start.
+    /// Waits until a line that contains `part` has been logged since the start.
     pub fn await_log_line(&self, part: &str) {
         self.log_line(part);
     }
 
-    /// The first line with this in it that has been logged since the start, once there is one.
+    /// Waits for a line that contains `part`, and returns the first one since the start.
     pub fn log_line(&self, part: &str) -> String {
         let lines = self.log.0.lock().unwrap();
         let missing = |lines: &mut Vec<String>| !lines.iter().any(|line| line.contains(part));
-        let (lines, wait) = self.log.1.wait_timeout_while(lines, NEVER, missing).unwrap();
-        assert!(!wait.timed_out(), "no line has {part:?}: {lines:?}");
+        let (lines, wait) = self.log.1.wait_timeout_while(lines, WAIT_TIMEOUT, missing).unwrap();
+        assert!(!wait.timed_out(), "no log line contains {part:?}: {lines:?}");
         lines.iter().find(|line| line.contains(part)).unwrap().clone()
     }
 
-    /// All that it has logged since the start.
+    /// All lines logged since the start.
     pub fn log_lines(&self) -> Vec<String> {
         self.log.0.lock().unwrap().clone()
     }
 
-    /// Nodes as `(node, role)`, a list that names them, and a router that knows it.
+    /// Starts a router that knows these nodes, given as `(node, role)`, and a discovery service that lists
+    /// them.
     pub fn start_with_nodes(nodes: &[(&Node, &str)]) -> (Self, Discovery) {
         let all: Vec<_> = nodes.iter().map(|(node, role)| (*node, *role, "in_service")).collect();
         let discovery = Discovery::start(targets(&all));
@@ -118,7 +120,7 @@
     }
 
     /// # Errors
-    /// It has ended.
+    /// The process has exited.
     pub fn try_signal(&self, name: &str) -> std::io::Result<()> {
         use rustix::process::{Pid, Signal, kill_process};
         let signal = match name {
@@ -126,7 +128,7 @@
             "-HUP" => Signal::HUP,
             "-STOP" => Signal::STOP,
             "-CONT" => Signal::CONT,
-            other => panic!("{other}"),
+            other => panic!("unsupported signal: {other}"),
         };
         Ok(kill_process(Pid::from_child(&self.child), signal)?)
     }
