--- a/crates/observation-feed/src/observation_store/node_record.rs
+++ b/crates/observation-feed/src/observation_store/node_record.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use quillpoint_membership::DatedObservation;
+use quillpoint_membership::TimestampedObservation;
 
 use crate::message::{Entry, LAG_CLASSES, LagClass, NodeStatus};
 
@@ -11,7 +11,7 @@
 /// for dead.
 const IMPROVEMENT_PERIODS: u32 = 10;
 /// A start is published for this long: routers' slow start ends sooner.
-pub const START_PUBLISHED_FOR: Duration = Duration::from_secs(120);
+pub const START_TIME_PUBLISHED_FOR: Duration = Duration::from_secs(120);
 /// A database that has not answered yet gets an entry after this many periods.
 const FIRST_ANSWER_PERIODS: u32 = 4;
 
@@ -75,7 +75,7 @@
     }
 
     /// Takes an observation unless it is older than what is known.
-    pub(super) fn observe(&mut self, now: Duration, observation: DatedObservation) {
+    pub(super) fn observe(&mut self, now: Duration, observation: TimestampedObservation) {
         let observed_at = observation.at.min(now);
         if self.answered_at.is_some_and(|answered_at| observed_at < answered_at) {
             return;
@@ -131,7 +131,7 @@
         if self.is_removed {
             return Some(DesiredChange { urgency: Urgency::Notable, entry: None });
         }
-        let started = self.started.filter(|started| *started + START_PUBLISHED_FOR > now);
+        let started = self.started.filter(|started| *started + START_TIME_PUBLISHED_FOR > now);
         let status = self.current_status(now, max_silence, period);
         let Some(published) = self.published else {
             // Time to answer first, so that a start is no burst of changes.
--- a/crates/router/src/engine/rpcs.rs
+++ b/crates/router/src/engine/rpcs.rs
@@ -75,7 +75,7 @@
                 remaining,
                 work: None,
                 since_write: last_write.map(|at| now.saturating_sub(at)),
-                retried: statement.retried,
+                is_retry: statement.retried,
             };
             decisions.rpc_arrived(now, rpc);
         });
@@ -120,9 +120,10 @@
             // The first valid answer is sent to the client without another decision.
             self.host.finish(rpc, |_| RpcCommand::Answer { answer, position });
         }
-        let finished = !self.record_outcome(rpc, outcome);
+        let rpc_finished = !self.record_outcome(rpc, outcome);
         let took = now.saturating_sub(started);
-        let end = AttemptEnd { rpc, attempt: number, node, outcome, finished, took, role, position, report };
+        let end =
+            AttemptEnd { rpc, attempt: number, node, outcome, rpc_finished, took, role, position, report };
         self.decisions.borrow_mut().attempt_ended(now, end);
         self.share_attempt(node, started, role, position, report);
     }
--- a/crates/router/tests/messages.rs
+++ b/crates/router/tests/messages.rs
@@ -358,7 +358,7 @@
         let endpoints = parser.apply(&list);
         endpoints
             .iter()
-            .map(|endpoint| (endpoint.node.0.port(), endpoint.status, endpoint.zone.0, endpoint.kind))
+            .map(|endpoint| (endpoint.node.0.port(), endpoint.status, endpoint.zone.0, endpoint.machine_type))
             .collect::<Vec<_>>()
     };
     assert_eq!(
--- a/crates/router/tests/pipeline.rs
+++ b/crates/router/tests/pipeline.rs
@@ -426,7 +426,7 @@
         primary.await_queries(1);
         router.signal("-TERM");
         if node_answers {
-            router.await_log_line("told to stop");
+            router.await_log_line("received a shutdown signal");
             primary.set_behavior(NodeBehavior::Answer);
         }
         let replies: Vec<Reply> = all.iter().map(|_| client.reply()).collect();
--- a/crates/router/tests/race_conditions.rs
+++ b/crates/router/tests/race_conditions.rs
@@ -323,11 +323,11 @@
     let bytes = pg::query_message(statement("look", 900).as_bytes());
     client.send(&bytes[..20]);
     router.signal("-TERM");
-    router.await_log_line("no new sessions are taken");
+    router.await_log_line("listener closed, draining");
     // A second SIGTERM and a configuration reload between the two parts.
     router.signal("-TERM");
     router.signal("-HUP");
-    router.await_log_line("configuration read anew");
+    router.await_log_line("configuration reloaded");
     client.send(&bytes[20..]);
     assert_eq!(client.reply(), ok());
     assert_eq!(client.next_message(), None, "the session is closed after the answer");
--- a/crates/router/tests/sockets/endpoint_list.rs
+++ b/crates/router/tests/sockets/endpoint_list.rs
@@ -55,7 +55,7 @@
     // The waiting poll is never answered; the next one is.
     std::thread::sleep(Duration::from_millis(100));
     discovery.unresponsive.store(false, Ordering::SeqCst);
-    router.await_log_line("fallen silent");
+    router.await_log_line("watch timed out without an answer");
     router.await_log_line("list 2: 2 entries");
     assert!(
         changed_at.elapsed() < Duration::from_millis(3000),
--- a/crates/router/tests/sockets/shutdown.rs
+++ b/crates/router/tests/sockets/shutdown.rs
@@ -51,7 +51,7 @@
     let mut clients: Vec<Client> = (0..20).map(|_| router.client()).collect();
     assert!(clients.iter_mut().all(|client| client.rpc("look", 500) == ok()));
     router.signal("-TERM");
-    router.await_log_line("20 sessions go on");
+    router.await_log_line("listener closed, draining 20 sessions");
     assert!(std::net::TcpStream::connect(router.address).is_err());
     let replies: Vec<Reply> = clients.iter_mut().map(|client| client.try_rpc("look", 500)).collect();
     let served = replies.iter().filter(|reply| **reply == ok()).count();
@@ -111,9 +111,12 @@
         router.signal("-HUP");
         router.await_log_line(log_line);
     };
-    reload("{", "not taken over");
+    reload("{", "configuration reload failed");
     reload(&text.replace("192", "64"), "limits.memory_mb has changed");
-    reload(&text.replace(&old.address.to_string(), &new.address.to_string()), "read anew, discovery at");
+    reload(
+        &text.replace(&old.address.to_string(), &new.address.to_string()),
+        "configuration reloaded, discovery at",
+    );
     new.await_calls(2);
     client.send_query(&statement("look", 9000));
     second.await_queries(1);
