--- a/crates/router/src/engine.rs
+++ b/crates/router/src/engine.rs
@@ -64,18 +64,18 @@
         let (background_tasks, background_task_receiver) = async_channel::unbounded();
         let (endpoint_requests, endpoint_request_receiver) = async_channel::unbounded();
         let clock = Clock::start();
-        let values = deployment.settings.clone();
+        let settings = deployment.settings.clone();
         let host = Rc::new(HostState {
             clock,
             pending: RefCell::default(),
-            max_attempts: values.number("allowed.attempts").unwrap_or(1.0) as u32,
+            max_attempts: settings.number("allowed.attempts").unwrap_or(1.0) as u32,
             unsent: RefCell::default(),
             background_tasks,
             endpoint_requests,
             timer_due: Cell::new(None),
             timer_changed: Event::new(),
         });
-        let decisions = Router::new(DecisionHost(Rc::clone(&host)), seed, values, clock.now());
+        let decisions = Router::new(DecisionHost(Rc::clone(&host)), seed, settings, clock.now());
         let engine = Rc::new(Self {
             clock,
             host,
@@ -93,8 +93,8 @@
         (engine, outputs)
     }
 
-    /// Calls the decisions, then reports the attempts that they commanded but that cannot be made as not
-    /// sent.
+    /// Calls the decisions, then reports each commanded attempt that cannot be made with
+    /// [`Outcome::NotSent`].
     fn with_decisions<T>(&self, call: impl FnOnce(&mut Router<DecisionHost>, Duration) -> T) -> T {
         let result = call(&mut self.decisions.borrow_mut(), self.clock.now());
         loop {
--- a/crates/router/src/engine/host.rs
+++ b/crates/router/src/engine/host.rs
@@ -27,8 +27,8 @@
     pub(super) clock: Clock,
     pub(super) pending: RefCell<BTreeMap<RpcId, PendingRpc>>,
     pub(super) max_attempts: u32,
-    /// Attempts that cannot be made; reported as not sent once the current call into the decisions has
-    /// returned.
+    /// Commanded attempts that cannot be made; reported as not sent once the current call into the decisions
+    /// has returned.
     pub(super) unsent: RefCell<Vec<AttemptCommand>>,
     pub(super) background_tasks: Sender<BackgroundTask>,
     pub(super) endpoint_requests: Sender<()>,
--- a/crates/router/src/engine/methods.rs
+++ b/crates/router/src/engine/methods.rs
@@ -30,9 +30,9 @@
 
 impl MethodInfo {
     fn new(index: usize, name: &str, deployment: &Deployment) -> Self {
-        let values = &deployment.settings;
-        let consistency = values.text(&format!("replication.consistency.{index}"));
-        let deadline = values.duration(&format!("methods.{index}.deadline"));
+        let settings = &deployment.settings;
+        let consistency = settings.text(&format!("replication.consistency.{index}"));
+        let deadline = settings.duration(&format!("methods.{index}.deadline"));
         let writes = consistency == "write";
         Self {
             name: name.to_string(),
--- a/crates/router/src/engine/rpcs.rs
+++ b/crates/router/src/engine/rpcs.rs
@@ -27,8 +27,8 @@
         let now = self.clock.now();
         let time_to_shutdown =
             self.shutdown_deadline.get().map_or(Duration::MAX, |deadline| deadline.saturating_sub(now));
-        let deadline = self.methods.get(method).deadline;
-        let wait = statement.remaining.min(deadline).saturating_sub(received.elapsed());
+        let max_wait = self.methods.get(method).deadline;
+        let wait = statement.remaining.min(max_wait).saturating_sub(received.elapsed());
         let remaining = wait.min(time_to_shutdown);
         // Considers the RPC's own time alone. One that the shutdown cuts short is passed to the decisions,
         // which reject it with Retry-After.
@@ -75,7 +75,7 @@
                 remaining,
                 work: None,
                 since_write: last_write.map(|at| now.saturating_sub(at)),
-                is_retry: statement.retried,
+                is_retry: statement.is_retry,
             };
             decisions.rpc_arrived(now, rpc);
         });
@@ -97,12 +97,12 @@
     /// Reports the end of an attempt. Its RPC may have ended before.
     pub fn attempt_ended(&self, attempt: AttemptCommand, outcome: Outcome, response: NodeResponse) {
         self.record_attempt_end(attempt, outcome, response);
-        // Reports attempts that the call above commanded but that cannot be made as not sent.
+        // The call above may have commanded attempts that cannot be made. This reports them as not sent.
         self.with_decisions(|_, _| ());
     }
 
-    /// Records the end of an attempt. The caller must report the attempts that this commands but that cannot
-    /// be made.
+    /// Records the end of an attempt. The decisions may command attempts that cannot be made, which the caller
+    /// must report.
     pub(super) fn record_attempt_end(
         &self,
         attempt: AttemptCommand,
--- a/crates/router/src/pool.rs
+++ b/crates/router/src/pool.rs
@@ -122,8 +122,8 @@
         loop {
             let oldest =
                 self.nodes.borrow().values().filter_map(|node| Some(node.idle.first()?.idle_since)).min();
-            let next = oldest.unwrap_or_else(Instant::now) + self.idle_timeout;
-            Timer::at(next).await;
+            let next_expiry = oldest.unwrap_or_else(Instant::now) + self.idle_timeout;
+            Timer::at(next_expiry).await;
             self.nodes.borrow_mut().retain(|_, node| self.close_expired_of_node(node));
         }
     }
--- a/crates/router/src/pool/checkout.rs
+++ b/crates/router/src/pool/checkout.rs
@@ -125,12 +125,12 @@
             *active_dials
         };
         if self.waiting_exchanges(node) > remaining_dials {
-            self.offer(node, Err(Outcome::ConnectFailed));
+            self.offer_to_waiter(node, Err(Outcome::ConnectFailed));
         }
     }
 
     /// Passes the result to the first exchange that still waits. Returns it if there is none.
-    fn offer(&self, node: NodeId, mut result: CheckoutResult) -> Option<CheckoutResult> {
+    fn offer_to_waiter(&self, node: NodeId, mut result: CheckoutResult) -> Option<CheckoutResult> {
         let mut nodes = self.nodes.borrow_mut();
         let node = nodes.entry(node).or_default();
         while let Some(waiter) = node.waiters.pop_front() {
@@ -148,7 +148,7 @@
         if !connection.is_reusable() {
             return;
         }
-        let Some(Ok(connection)) = self.offer(node, Ok(connection)) else { return };
+        let Some(Ok(connection)) = self.offer_to_waiter(node, Ok(connection)) else { return };
         let id = self.next_idle_id.get();
         self.next_idle_id.set(id + 1);
         let pool = Rc::downgrade(self);
--- a/crates/router/src/pool/connection.rs
+++ b/crates/router/src/pool/connection.rs
@@ -45,7 +45,7 @@
 /// A connection to a node, with the bytes that have been read and not yet decoded.
 pub(super) struct NodeConnection {
     stream: Async<TcpStream>,
-    unread: Vec<u8>,
+    undecoded: Vec<u8>,
     memory: Reservation,
     /// Whether the first byte of the current query has been written.
     pub(super) write_begun: bool,
@@ -73,7 +73,7 @@
         stream.get_ref().set_nodelay(true)?;
         let mut connection = Self {
             stream,
-            unread: Vec::new(),
+            undecoded: Vec::new(),
             memory: budget.empty_reservation(Category::Responses),
             write_begun: false,
             fully_written: false,
@@ -147,11 +147,11 @@
     /// The connection is broken, the bytes are not a valid message, or there is no memory for them.
     pub(super) async fn next_message(&mut self) -> Result<BackendMessage, ConnectionError> {
         loop {
-            if let Some((message, length)) = pg::decode_backend_message(&self.unread)? {
-                self.unread.drain(..length);
-                if self.unread.is_empty() {
+            if let Some((message, length)) = pg::decode_backend_message(&self.undecoded)? {
+                self.undecoded.drain(..length);
+                if self.undecoded.is_empty() {
                     // Frees the memory that a long value needed.
-                    self.unread.shrink_to(READ_CHUNK_BYTES);
+                    self.undecoded.shrink_to(READ_CHUNK_BYTES);
                     self.reserve_memory()?;
                 }
                 return Ok(message);
@@ -169,15 +169,15 @@
         }
     }
 
-    /// Reads the next bytes into `unread`.
+    /// Reads the next bytes into `undecoded`.
     async fn receive(&mut self) -> Result<(), ConnectionError> {
-        let Self { stream, unread, .. } = self;
+        let Self { stream, undecoded, .. } = self;
         // The chunk lives inside the closure: kept across an await, it would enlarge the task, which is moved
         // when it is spawned.
         let read = |mut stream: &TcpStream| {
             let mut chunk = [0; READ_CHUNK_BYTES];
             let count = socket::retry_interrupted(|| stream.read(&mut chunk))?;
-            unread.extend(&chunk[..count]);
+            undecoded.extend(&chunk[..count]);
             Ok(count)
         };
         let count = stream.read_with(read).await?;
@@ -196,12 +196,13 @@
     /// Reserves the buffer's memory beyond one chunk. One chunk for each connection is bounded by the
     /// descriptor limit.
     fn reserve_memory(&mut self) -> Result<(), ReservationRejected> {
-        self.memory.resize(self.unread.capacity().saturating_sub(READ_CHUNK_BYTES))
+        self.memory.resize(self.undecoded.capacity().saturating_sub(READ_CHUNK_BYTES))
     }
 
-    /// Whether another query can be sent: no bytes are unread, and the node has not closed the connection.
+    /// Whether another query can be sent: no unexpected bytes have arrived, and the node has not closed the
+    /// connection.
     pub(super) fn is_reusable(&self) -> bool {
         let peeked = socket::retry_interrupted(|| self.stream.get_ref().peek(&mut [0]));
-        self.unread.is_empty() && peeked.is_err_and(|error| error.kind() == io::ErrorKind::WouldBlock)
+        self.undecoded.is_empty() && peeked.is_err_and(|error| error.kind() == io::ErrorKind::WouldBlock)
     }
 }
--- a/crates/router/src/receive_buffer.rs
+++ b/crates/router/src/receive_buffer.rs
@@ -23,7 +23,7 @@
 
 /// The receive buffer of one client connection.
 pub struct ReceiveBuffer {
-    unread: Vec<u8>,
+    undecoded: Vec<u8>,
     memory: Reservation,
     /// The number of bytes decoded since the connection was opened.
     decoded_bytes: u64,
@@ -66,7 +66,7 @@
     /// Creates an empty buffer that accounts for its memory with `memory`.
     pub fn new(memory: Reservation) -> Self {
         Self {
-            unread: Vec::new(),
+            undecoded: Vec::new(),
             memory,
             decoded_bytes: 0,
             read_bytes: 0,
@@ -77,12 +77,12 @@
 
     /// The number of bytes that have been read and not yet decoded.
     pub fn len(&self) -> usize {
-        self.unread.len()
+        self.undecoded.len()
     }
 
     /// Whether all bytes that were read have been decoded.
     pub fn is_empty(&self) -> bool {
-        self.unread.is_empty()
+        self.undecoded.is_empty()
     }
 
     /// Decodes the next message, or returns `None` if it is not complete yet.
@@ -93,17 +93,17 @@
         &mut self,
         decode: impl Fn(&[u8]) -> Result<Option<(T, usize)>, ProtocolViolation>,
     ) -> Result<Option<ReceivedMessage<T>>, ProtocolViolation> {
-        let Some((message, length)) = decode(&self.unread)? else { return Ok(None) };
-        self.unread.drain(..length);
+        let Some((message, length)) = decode(&self.undecoded)? else { return Ok(None) };
+        self.undecoded.drain(..length);
         self.decoded_bytes += length as u64;
         self.is_full = false;
         let decoded = self.arrivals.partition_point(|arrival| arrival.total_bytes < self.decoded_bytes);
         self.arrivals.drain(..decoded);
         let arrived = self.arrivals.front().map_or_else(Instant::now, |arrival| arrival.at);
-        if self.unread.is_empty() {
+        if self.undecoded.is_empty() {
             // Frees the memory that a long message needed.
-            self.unread.shrink_to(READ_CHUNK_BYTES);
-            _ = self.memory.resize(bytes_to_reserve(&self.unread));
+            self.undecoded.shrink_to(READ_CHUNK_BYTES);
+            _ = self.memory.resize(bytes_to_reserve(&self.undecoded));
         }
         Ok(Some(ReceivedMessage { message, arrived }))
     }
@@ -120,11 +120,11 @@
             return Err(ReceiveError::Closed);
         }
         // Grows by what has arrived and no more, since many clients may send long messages at the same time.
-        self.unread.reserve_exact(count);
-        self.unread.extend(&chunk[..count]);
+        self.undecoded.reserve_exact(count);
+        self.undecoded.extend(&chunk[..count]);
         self.read_bytes += count as u64;
         self.record_arrival(self.read_bytes);
-        let reserved = self.memory.resize(bytes_to_reserve(&self.unread));
+        let reserved = self.memory.resize(bytes_to_reserve(&self.undecoded));
         self.is_full = reserved.is_err();
         Ok(reserved?)
     }
@@ -147,13 +147,13 @@
 
     /// Discards all bytes and frees the buffer.
     pub fn clear(&mut self) {
-        self.unread = Vec::new();
+        self.undecoded = Vec::new();
         _ = self.memory.resize(0);
     }
 }
 
 /// The bytes to reserve for a buffer: those beyond one chunk. One chunk for each session is bounded by the
 /// descriptor limit.
-fn bytes_to_reserve(unread: &Vec<u8>) -> usize {
-    unread.capacity().saturating_sub(READ_CHUNK_BYTES)
+fn bytes_to_reserve(undecoded: &Vec<u8>) -> usize {
+    undecoded.capacity().saturating_sub(READ_CHUNK_BYTES)
 }
--- a/crates/router/src/statement.rs
+++ b/crates/router/src/statement.rs
@@ -39,7 +39,7 @@
     /// When the session's last write was committed, in Unix time, if the client states it.
     pub last_write: Option<Duration>,
     /// Whether the client marks the RPC as a retry by the client.
-    pub retried: bool,
+    pub is_retry: bool,
     /// The session of the RPC: a hash of the first quoted literal, which is the same on all routers.
     pub session: Option<SessionKey>,
 }
@@ -73,7 +73,7 @@
             remaining: comment.remaining,
             replica_set: comment.replica_set,
             last_write: comment.last_write,
-            retried: comment.retried,
+            is_retry: comment.is_retry,
             session,
             text,
         })
--- a/crates/router/src/statement/comment.rs
+++ b/crates/router/src/statement/comment.rs
@@ -21,7 +21,7 @@
     pub remaining_range: Range<usize>,
     pub replica_set: ReplicaSetId,
     pub last_write: Option<Duration>,
-    pub retried: bool,
+    pub is_retry: bool,
     /// The position right after the comment.
     pub end: usize,
 }
@@ -63,7 +63,7 @@
     remaining: Option<(Duration, Range<usize>)>,
     replica_set: Option<ReplicaSetId>,
     last_write: Option<Duration>,
-    retried: Option<bool>,
+    is_retry: Option<bool>,
 }
 
 impl Fields {
@@ -75,7 +75,7 @@
             "d" => set_once("d", &mut self.remaining, (parse_remaining(value)?, value_range)),
             "cluster" => set_once("cluster", &mut self.replica_set, parse_replica_set(value)?),
             "after" => set_once("after", &mut self.last_write, parse_ms("after", value)?),
-            "r" => set_once("r", &mut self.retried, value == "1"),
+            "r" => set_once("r", &mut self.is_retry, value == "1"),
             _ => Ok(()),
         }
     }
@@ -86,8 +86,8 @@
         let (remaining, remaining_range) = self.remaining.ok_or(StatementError::MissingField("d"))?;
         let replica_set = self.replica_set.ok_or(StatementError::MissingField("cluster"))?;
         let last_write = self.last_write.filter(|at| !at.is_zero());
-        let retried = self.retried.unwrap_or(false);
-        Ok(Comment { id, method, remaining, remaining_range, replica_set, last_write, retried, end })
+        let is_retry = self.is_retry.unwrap_or(false);
+        Ok(Comment { id, method, remaining, remaining_range, replica_set, last_write, is_retry, end })
     }
 }
 
--- a/crates/router/tests/messages.rs
+++ b/crates/router/tests/messages.rs
@@ -302,7 +302,7 @@
     let write = session("INSERT INTO facts (code, data) VALUES ('ab', '\\x00') RETURNING data");
     let other = session("SELECT data FROM facts WHERE code = 'abc'");
     assert!(read.session == write.session && read.session != other.session && read.session.is_some());
-    assert_eq!((read.last_write, read.retried), (Some(Duration::from_millis(1_767_225_600_123)), true));
+    assert_eq!((read.last_write, read.is_retry), (Some(Duration::from_millis(1_767_225_600_123)), true));
 }
 
 #[test]
--- a/crates/router/tests/standin/client.rs
+++ b/crates/router/tests/standin/client.rs
@@ -22,7 +22,7 @@
 
 pub struct Client {
     pub stream: TcpStream,
-    unread: Vec<u8>,
+    undecoded: Vec<u8>,
 }
 
 impl Client {
@@ -52,7 +52,7 @@
     /// The connection is closed.
     pub fn try_from_stream(stream: TcpStream) -> std::io::Result<Self> {
         stream.set_read_timeout(Some(WAIT_TIMEOUT))?;
-        let mut client = Self { stream, unread: Vec::new() };
+        let mut client = Self { stream, undecoded: Vec::new() };
         let mut out = Vec::new();
         pg::encode_startup(&mut out, "portal", "crm");
         client.stream.write_all(&out)?;
@@ -65,7 +65,7 @@
 
     /// Waits for the router's next message; `None` if the connection is closed.
     pub fn next_message(&mut self) -> Option<BackendMessage> {
-        next(&mut self.stream, &mut self.unread, pg::decode_backend_message)
+        next(&mut self.stream, &mut self.undecoded, pg::decode_backend_message)
     }
 
     /// Shuts down sending and waits until the router has closed the connection.
--- a/crates/router/tests/standin/node.rs
+++ b/crates/router/tests/standin/node.rs
@@ -136,8 +136,8 @@
         if !self.accepts(index) {
             return;
         }
-        let mut unread = Vec::new();
-        if next(&mut stream, &mut unread, pg::decode_startup_packet) != Some(StartupPacket::Startup) {
+        let mut undecoded = Vec::new();
+        if next(&mut stream, &mut undecoded, pg::decode_startup_packet) != Some(StartupPacket::Startup) {
             return;
         }
         let mut out = Vec::new();
@@ -145,7 +145,7 @@
         _ = stream.write_all(&out);
         self.accepted.fetch_add(1, Ordering::SeqCst);
         while let Some(FrontendMessage::Query(text)) =
-            next(&mut stream, &mut unread, pg::decode_frontend_message)
+            next(&mut stream, &mut undecoded, pg::decode_frontend_message)
         {
             let text = String::from_utf8(text).unwrap();
             if text == "SHOW load" {
