--- a/crates/router/tests/mixed_deployment.rs
+++ b/crates/router/tests/mixed_deployment.rs
@@ -126,12 +126,15 @@
     let each = routers.each_ref().map(|router| load(router, 2, Duration::from_millis(1500)));
     let [old, new] = each.map(|tallies| tallies.join().unwrap());
     for tally in [old, new] {
-        assert!(tally.ok > 50 && tally.aborted == 0, "{old:?} {new:?}");
-        assert!(tally.rejected * 20 <= tally.ok, "{old:?} {new:?}");
+        assert!(tally.ok > 50 && tally.aborted == 0, "too few answers, or aborts: {old:?} {new:?}");
+        assert!(tally.rejected * 20 <= tally.ok, "too many rejections: {old:?} {new:?}");
     }
     assert!(old.ok < 3 * new.ok && new.ok < 3 * old.ok, "one router starves: {old:?} {new:?}");
     let writes = writes(&nodes[0]);
-    assert!(writes.len() > 30 && writes.values().all(|times| *times == 1), "{writes:?}");
+    assert!(
+        writes.len() > 30 && writes.values().all(|times| *times == 1),
+        "writes at the primary: {writes:?}"
+    );
 }
 
 /// Guards against a surge at one router that takes the nodes' capacity away from the other.
@@ -221,6 +224,6 @@
     // At the end of that second the node has 0.475 of its full capacity, so its mean during the second is
     // lower.
     let warm = (one + other) as f64 / 2.0;
-    assert!(warm > 30.0 && warming_up > 0, "{one} {other} {warming_up}");
-    assert!(warming_up as f64 <= 0.6 * warm + 8.0, "{one} {other} {warming_up}");
+    assert!(warm > 30.0 && warming_up > 0, "RPCs at the replicas: {one} {other} {warming_up}");
+    assert!(warming_up as f64 <= 0.6 * warm + 8.0, "RPCs at the replicas: {one} {other} {warming_up}");
 }
--- a/crates/router/tests/pipeline.rs
+++ b/crates/router/tests/pipeline.rs
@@ -111,7 +111,7 @@
     primary.set_behavior(NodeBehavior::Answer);
     assert_eq!((client.reply(), client.reply()), (ok(), ok()));
     let second = remaining_time(&primary.queries()[1]);
-    assert!(second <= Duration::from_secs(9) - delay, "{second:?}");
+    assert!(second <= Duration::from_secs(9) - delay, "the second statement had {second:?} left");
 }
 
 /// Guards against a deadline that starts only when the router reads an RPC that has waited in the kernel.
@@ -135,7 +135,7 @@
     primary.set_behavior(NodeBehavior::Answer);
     assert!(all.iter().all(|_| client.reply() == ok()));
     let last = remaining_time(&primary.queries()[299]);
-    assert!(last <= Duration::from_secs(9) - delay / 2, "{last:?}");
+    assert!(last <= Duration::from_secs(9) - delay / 2, "the last statement had {last:?} left");
 }
 
 /// Guards against forwarding an RPC whose deadline passed while it waited in the pipeline.
@@ -243,7 +243,11 @@
     send_all(&mut client, &all);
     assert_eq!((client.reply(), client.reply()), (ok(), ok()));
     let arrivals = |node: &Node| node.queries().iter().filter(|query| id(query) == id(&all[1])).count();
-    assert_eq!((arrivals(&primary), arrivals(&replicas[0])), (1, 0), "the replica had not shown the commit");
+    assert_eq!(
+        (arrivals(&primary), arrivals(&replicas[0])),
+        (1, 0),
+        "the replica has not reported the commit, so the read goes to the primary"
+    );
 }
 
 /// Guards against forgetting a session's commit when more sessions write on a connection than are tracked
@@ -259,7 +263,11 @@
     send_all(&mut client, &all);
     assert!(all.iter().all(|_| client.reply() == ok()));
     let arrivals = |node: &Node| node.queries().iter().filter(|query| id(query) == id(&all[100])).count();
-    assert_eq!((arrivals(&primary), arrivals(&replicas[0])), (1, 0), "the replica had not shown the commit");
+    assert_eq!(
+        (arrivals(&primary), arrivals(&replicas[0])),
+        (1, 0),
+        "the replica has not reported the commit, so the read goes to the primary"
+    );
 }
 
 /// Guards against a client that floods the router with extended query messages and starves its own earlier
@@ -402,11 +410,14 @@
         let number = line.split(&format!("{name}=")).nth(1).unwrap().split(' ').next().unwrap();
         number.parse::<usize>().unwrap()
     };
-    assert!(high_watermark("buffers_coming_high") <= MAX_READ_AHEAD_BYTES + 4096, "{line}");
+    assert!(
+        high_watermark("buffers_coming_high") <= MAX_READ_AHEAD_BYTES + 4096,
+        "too many bytes were read ahead: {line}"
+    );
     let longest = all.iter().map(|text| text.len()).max().unwrap();
     assert!(
         high_watermark("buffers_statements_high") <= (MAX_PIPELINED_REQUESTS + 1) * longest.max(200),
-        "{line}"
+        "the statements take too much memory: {line}"
     );
     assert!(router.wait_for_exit().success());
 }
@@ -431,13 +442,13 @@
         }
         let replies: Vec<Reply> = all.iter().map(|_| client.reply()).collect();
         match node_answers {
-            true => assert!(replies.iter().all(|reply| *reply == ok()), "{replies:?}"),
+            true => assert!(replies.iter().all(|reply| *reply == ok()), "expected values only: {replies:?}"),
             false => assert!(
                 matches!(&replies[0], Reply::Error(code, _) if code == "57014")
                     && replies[1..]
                         .iter()
                         .all(|reply| matches!(reply, Reply::Error(code, _) if code == "53300")),
-                "{replies:?}"
+                "expected one abort, then rejections: {replies:?}"
             ),
         }
         // The client is still connected.
--- a/crates/router/tests/race_conditions.rs
+++ b/crates/router/tests/race_conditions.rs
@@ -367,7 +367,7 @@
     let mut client = router.client();
     discovery.await_calls(1);
     client.send_query("");
-    assert_eq!(client.reply(), error("57P03"), "not ready yet");
+    assert_eq!(client.reply(), error("57P03"), "the router is not ready without a list");
     router.signal("-TERM");
     assert_eq!(client.next_message(), None);
     drop(client);
@@ -475,7 +475,7 @@
     });
     let routers: Vec<_> = routers.collect();
     let ready_after: Vec<Duration> = routers.into_iter().map(|router| router.join().unwrap()).collect();
-    assert!(ready_after.iter().all(|took| *took < Duration::from_secs(10)), "{ready_after:?}");
+    assert!(ready_after.iter().all(|took| *took < Duration::from_secs(10)), "ready after {ready_after:?}");
 }
 
 /// Guards against a node that sends messages without end, and starves the other sessions of the router.
@@ -546,8 +546,11 @@
         let id = text.split(['=', ',']).nth(1).unwrap();
         let (_, class, wait_ms, key) = sent.iter().find(|(sent_id, ..)| sent_id == id).unwrap();
         let wait: u64 = text.split(",d=").nth(1).unwrap().split(',').next().unwrap().parse().unwrap();
-        assert!(text.contains(&format!(",c={class},")) && text.contains(key), "{text}");
-        assert!((1..=*wait_ms).contains(&wait), "{text}");
+        assert!(
+            text.contains(&format!(",c={class},")) && text.contains(key),
+            "the statement was changed: {text}"
+        );
+        assert!((1..=*wait_ms).contains(&wait), "wrong remaining time: {text}");
     }
     let at_primary = primary.queries();
     let times = |id: &str| at_primary.iter().filter(|text| text.contains(id)).count();
--- a/crates/router/tests/sockets/command_line.rs
+++ b/crates/router/tests/sockets/command_line.rs
@@ -46,7 +46,10 @@
     let probed = good.replace(r#""Source":"answers""#, r#""Source":"probe""#);
     assert_eq!(check(&probed, &[]).0, Some(0));
     let (status, text) = check(&probed.replace(r#""Probes":true"#, r#""Probes":false"#), &[]);
-    assert!(status == Some(2) && text.contains("reports.source"), "{text}");
+    assert!(
+        status == Some(2) && text.contains("reports.source"),
+        "expected an error for reports.source: {text}"
+    );
     let (status, text) = check(&good, &[("GW_DISCOVERY", "nowhere")]);
     assert!(
         status == Some(2) && text.contains("GW_DISCOVERY:"),
--- a/crates/router/tests/sockets/shutdown.rs
+++ b/crates/router/tests/sockets/shutdown.rs
@@ -55,7 +55,10 @@
     assert!(std::net::TcpStream::connect(router.address).is_err());
     let replies: Vec<Reply> = clients.iter_mut().map(|client| client.try_rpc("look", 500)).collect();
     let served = replies.iter().filter(|reply| **reply == ok()).count();
-    assert!(served > 0 && replies.iter().all(|reply| [ok(), Reply::Closed].contains(reply)), "{replies:?}");
+    assert!(
+        served > 0 && replies.iter().all(|reply| [ok(), Reply::Closed].contains(reply)),
+        "expected answers or closed sessions: {replies:?}"
+    );
     assert!(router.wait_for_exit().success());
     assert!(clients.iter_mut().all(|client| client.next_message().is_none()));
 }
@@ -85,7 +88,7 @@
     let ends: Vec<(usize, String)> = load.into_iter().map(|one| one.join().unwrap()).collect();
     assert!(router.wait_for_exit().success());
     let forwarded: Vec<String> = primary.queries().into_iter().chain(replica.queries()).collect();
-    assert!(ends.iter().all(|(answered, _)| *answered > 0), "{ends:?}");
+    assert!(ends.iter().all(|(answered, _)| *answered > 0), "a client received no answer: {ends:?}");
     let lost: Vec<_> = ends.iter().filter(|(_, last)| forwarded.contains(last)).collect();
     assert!(lost.is_empty(), "forwarded but not answered: {lost:?}");
 }
