--- a/crates/discovery-watch/src/lib.rs
+++ b/crates/discovery-watch/src/lib.rs
@@ -1,22 +1,28 @@
-//! The long poll of the endpoint list: when discovery is polled, and how long each phase of a poll may take.
+//! Timing of the long poll of the endpoint list: when to poll discovery, and how long each phase of a poll
+//! may take.
 //!
-//! [`DiscoveryWatch`] is the one owner of the state "idle, polling, backing off". It has no I/O, no clock and no threads: times
-//! are handed in, as spans since any fixed moment.
+//! A poll with a hold is called a watch: discovery may hold the request until the list changes or the hold
+//! has passed. A poll without a hold is called a fresh poll: discovery responds immediately.
 //!
-//! It guarantees, whatever fails: [`MAX_PROPAGATION_DELAY`] after discovery had a change and could be reached, the change is known
-//! here. The longest ways to it, with an answer to a fresh poll within [`FRESH_POLL_RESPONSE_TIME`]:
+//! [`DiscoveryWatch`] is the state machine (idle, scheduled, polling). It does no I/O, has no clock and
+//! starts no threads: the caller passes in the current time as a [`Duration`] since an arbitrary fixed
+//! instant.
 //!
-//! | what fails first | time until the answer |
+//! Guarantee: a change of the list is known to the router at most [`MAX_PROPAGATION_DELAY`] after discovery
+//! has the change and is reachable, whatever failed before. The worst cases, in which each phase lasts until
+//! its timeout, if discovery then responds to the fresh poll within [`FRESH_POLL_RESPONSE_TIME`]:
+//!
+//! | failure | time until the next fresh poll |
 //! | --- | --- |
-//! | a watch falls silent | `MAX_HOLD` + `HOLD_SLACK`, then a poll at once |
-//! | its answer begins at the last moment and stalls | `MAX_HOLD` + `HOLD_SLACK` + `BODY_TIMEOUT`, then `MAX_BACKOFF` |
-//! | a poll is connected and never answered | `CONNECT_TIMEOUT` + `HEAD_TIMEOUT`, then `MAX_BACKOFF` |
-//! | the same, and its answer stalls | `CONNECT_TIMEOUT` + `HEAD_TIMEOUT` + `BODY_TIMEOUT`, then `MAX_BACKOFF` |
-//! | a poll is rejected, or breaks off | `MAX_BACKOFF` |
+//! | a watch gets no response | `MAX_HOLD` + `HOLD_SLACK` |
+//! | a watch gets headers but no body | `MAX_HOLD` + `HOLD_SLACK` + `BODY_TIMEOUT` + `MAX_BACKOFF` |
+//! | a fresh poll gets no response | `CONNECT_TIMEOUT` + `HEADERS_TIMEOUT` + `MAX_BACKOFF` |
+//! | a fresh poll gets headers but no body | the same + `BODY_TIMEOUT` |
+//! | a poll is rejected, or its connection breaks | `MAX_BACKOFF` |
 //!
-//! A poll that has timed out is not closed: discovery may be writing its answer just then, and takes what it has written for
-//! delivered: it would not send those changes again. A new poll is made beside it, and whichever is answered is
-//! heard; [`ListVersions`] decides what is applied.
+//! A poll that has timed out is kept open: discovery may be writing its response at that moment, considers
+//! what it has written as delivered, and would not send those changes again. A new poll is started beside the
+//! late one, and the responses of both are processed; [`ListVersions`] decides which of them are applied.
 
 #![warn(missing_docs)]
 
@@ -29,82 +35,88 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// By when a change of the list is known here, once discovery has it and can be reached.
+/// Upper bound on the time from the moment when discovery has a change and is reachable until the router
+/// knows it.
 pub const MAX_PROPAGATION_DELAY: Duration = Duration::from_millis(6000);
-/// How long, within that, a discovery that can be reached may take to answer a fresh poll.
+/// The response time of a reachable discovery to a fresh poll that is included in [`MAX_PROPAGATION_DELAY`].
 pub const FRESH_POLL_RESPONSE_TIME: Duration = Duration::from_millis(500);
-/// A router that has no list serves all the same after this, and rejects RPCs with Retry-After: one that never says it is
-/// ready is taken for one that cannot start.
+/// After this time a router without an endpoint list reports that it is ready and rejects RPCs with
+/// Retry-After: the platform treats a router that never becomes ready as one that cannot start.
 pub const SERVE_WITHOUT_LIST_AFTER: Duration = Duration::from_millis(5000);
-/// The longest hold of a watch. A silent one is found out only after it.
+/// Upper limit of the hold of a watch: a watch that gets no response is detected only after its hold.
 const MAX_HOLD: Duration = Duration::from_millis(2750);
-/// The shortest hold of a watch, which keeps polls few.
+/// Lower limit of the hold of a watch: bounds the rate of polls.
 const MIN_HOLD: Duration = Duration::from_millis(1000);
-/// The fraction of the hold by which routers differ, by their seeds: routers that were cut off or started together would else
-/// poll together for good.
+/// Routers shorten their holds by up to this fraction, depending on their seeds: routers that were cut off or
+/// started at the same time would otherwise keep polling in step.
 const HOLD_JITTER: f64 = 0.125;
-/// How long a connection may take: one lost packet is made up for.
+/// Timeout of [`PollPhase::Connect`]: leaves time for TCP to retransmit one lost packet.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1000);
-/// How long a poll without a hold may take to the end of the answer's head.
-const HEAD_TIMEOUT: Duration = Duration::from_millis(2500);
-/// The platform's discovery rejects a poll that has been queued for this long. Its answer is to come before the timeout.
-const DISCOVERY_REJECTS_AFTER: Duration = Duration::from_millis(2000);
-/// How long after its hold a watch may be answered, before it counts as silent.
+/// Timeout of [`PollPhase::Headers`] of a poll without a hold.
+const HEADERS_TIMEOUT: Duration = Duration::from_millis(2500);
+/// The platform's discovery rejects a poll that it has queued for this long. `HEADERS_TIMEOUT` is longer, so
+/// that the rejection arrives before the poll times out.
+const DISCOVERY_QUEUE_TIMEOUT: Duration = Duration::from_millis(2000);
+/// How long after the end of its hold the response headers to a watch may arrive.
 const HOLD_SLACK: Duration = Duration::from_millis(1000);
-/// How long the rest of an answer may take that has begun.
+/// Timeout of [`PollPhase::Body`].
 const BODY_TIMEOUT: Duration = Duration::from_millis(750);
-/// How long after its start and its hold the answer to a poll is still accepted. A later one holds nothing that later polls
-/// have not brought.
+/// How long after its start, plus its hold, a poll that has timed out is kept open for its response. A
+/// response after that contains nothing that later polls have not returned already.
 pub const LATE_RESPONSE_WINDOW: Duration = Duration::from_millis(12_000);
-/// How many polls that have timed out are kept open beside the newest one.
+/// How many polls that have timed out are kept open beside the newest poll.
 pub const MAX_LATE_POLLS: usize = 2;
-/// The interval within which a failed poll is repeated, at a random moment. It doubles with each further failure.
+/// Upper bound of the random backoff after the first failed poll. It doubles with each consecutive failure.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(500);
-/// The longest such interval.
+/// Upper bound of the random backoff, however many polls have failed.
 const MAX_BACKOFF: Duration = Duration::from_millis(1000);
-/// The pause after an answer that came at once and held no change, which keeps polls from spinning. The platform allows 200
-/// ms between an answer and the next poll.
-const EMPTY_ANSWER_PAUSE: Duration = Duration::from_millis(100);
+/// Delay of the next poll after an immediate response without changes, which would otherwise cause a busy
+/// loop. The platform allows 200 ms between a response and the next poll.
+const EMPTY_RESPONSE_DELAY: Duration = Duration::from_millis(100);
 
-// The table above holds.
+// Checks the worst cases in the table of the module documentation.
 const _: () = {
-    let after_failure = MAX_BACKOFF.as_millis() + FRESH_POLL_RESPONSE_TIME.as_millis();
-    let watch = MAX_HOLD.as_millis() + HOLD_SLACK.as_millis() + BODY_TIMEOUT.as_millis() + after_failure;
-    let poll =
-        CONNECT_TIMEOUT.as_millis() + HEAD_TIMEOUT.as_millis() + BODY_TIMEOUT.as_millis() + after_failure;
+    let backoff_and_response = MAX_BACKOFF.as_millis() + FRESH_POLL_RESPONSE_TIME.as_millis();
+    let watch =
+        MAX_HOLD.as_millis() + HOLD_SLACK.as_millis() + BODY_TIMEOUT.as_millis() + backoff_and_response;
+    let poll = CONNECT_TIMEOUT.as_millis()
+        + HEADERS_TIMEOUT.as_millis()
+        + BODY_TIMEOUT.as_millis()
+        + backoff_and_response;
     assert!(watch <= MAX_PROPAGATION_DELAY.as_millis() && poll <= MAX_PROPAGATION_DELAY.as_millis());
     assert!(
-        HEAD_TIMEOUT.as_millis()
-            >= DISCOVERY_REJECTS_AFTER.as_millis() + FRESH_POLL_RESPONSE_TIME.as_millis()
+        HEADERS_TIMEOUT.as_millis()
+            >= DISCOVERY_QUEUE_TIMEOUT.as_millis() + FRESH_POLL_RESPONSE_TIME.as_millis()
     );
 };
 
-/// When the list is polled for the first time.
+/// When discovery is polled for the first time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WatchStart {
-    /// At once.
+    /// As soon as the watch is created.
     Immediate,
-    /// When the list is requested.
+    /// When the list is requested: see [`DiscoveryWatch::list_requested`].
     OnRequest,
 }
 
-/// The phases of a call to discovery, in their order.
+/// The phases of a poll, in their order. Each has a timeout of its own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PollPhase {
-    /// Until the connection is up.
+    /// Until the connection is established.
     Connect,
-    /// From the request to the end of the answer's head. The hold is within it.
+    /// From sending the request to the end of the response headers. Includes the hold.
     Headers,
-    /// Until the end of the answer.
+    /// Until the end of the response body.
     Body,
 }
 
-/// What has failed.
+/// How a poll failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FailureKind {
-    /// A watch has fallen silent. It is begun again at once.
+    /// A watch got no response headers by the end of its hold and `HOLD_SLACK`. The next poll is due
+    /// immediately.
     WatchTimeout,
-    /// A poll. It is repeated after a backoff.
+    /// Any other failure or timeout. The next poll is due after a backoff.
     PollFailed,
 }
 
@@ -112,7 +124,7 @@
 enum State {
     /// The list has not been requested yet.
     Idle,
-    /// The next poll is due then.
+    /// The time at which the next poll is due.
     Scheduled(Duration),
     Polling {
         phase: PollPhase,
@@ -121,18 +133,20 @@
     },
 }
 
-/// When to poll the endpoint list.
+/// The state machine that times the polls of the endpoint list.
 pub struct DiscoveryWatch {
     state: State,
-    /// How long discovery may hold the next poll, or the current one, until there is a change.
+    /// The hold of the current poll, or of the next one. Zero for a fresh poll.
     hold: Duration,
+    /// The hold of a watch.
     full_hold: Duration,
-    failures_in_a_row: u32,
+    consecutive_failures: u32,
     rng: ChaCha8Rng,
 }
 
 impl DiscoveryWatch {
-    /// A watch that polls at least once in `poll_interval`. The seed spreads the holds and backoffs of routers.
+    /// Creates a watch that polls at least once in `poll_interval`, which is clamped to the limits of a hold.
+    /// `seed` should differ between routers: it spreads their holds and backoffs.
     pub fn new(poll_interval: Duration, start: WatchStart, seed: u64) -> Self {
         let full_hold = poll_interval.clamp(MIN_HOLD, MAX_HOLD);
         Self {
@@ -142,26 +156,28 @@
             },
             hold: Duration::ZERO,
             full_hold: full_hold.mul_f64(1.0 - HOLD_JITTER * (seed % 1024) as f64 / 1024.0),
-            failures_in_a_row: 0,
+            consecutive_failures: 0,
             rng: ChaCha8Rng::seed_from_u64(seed),
         }
     }
 
-    /// The list is requested. A poll that is under way or scheduled serves that.
+    /// Schedules a poll because the list was requested. Does nothing if a poll is already scheduled or in
+    /// progress.
     pub fn list_requested(&mut self, now: Duration) {
         if let State::Idle = self.state {
             self.state = State::Scheduled(now);
         }
     }
 
-    /// Discovery has another address from now on. A poll that is under way no longer counts.
+    /// Schedules a fresh poll because the address of discovery has changed. The current poll is no longer
+    /// tracked.
     pub fn address_changed(&mut self, now: Duration) {
         self.state = State::Scheduled(now);
         self.hold = Duration::ZERO;
-        self.failures_in_a_row = 0;
+        self.consecutive_failures = 0;
     }
 
-    /// When the next poll is due, or the phase of the current one times out.
+    /// The time at which the next poll is due or the current phase times out. `None` while the watch is idle.
     pub fn deadline(&self) -> Option<Duration> {
         match self.state {
             State::Idle => None,
@@ -173,13 +189,14 @@
     fn timeout(&self, phase: PollPhase) -> Duration {
         match phase {
             PollPhase::Connect => CONNECT_TIMEOUT,
-            PollPhase::Headers if self.hold.is_zero() => HEAD_TIMEOUT,
+            PollPhase::Headers if self.hold.is_zero() => HEADERS_TIMEOUT,
             PollPhase::Headers => self.hold + HOLD_SLACK,
             PollPhase::Body => BODY_TIMEOUT,
         }
     }
 
-    /// Begins a poll if one is due. Returns how long discovery may hold it until there is a change.
+    /// Starts a poll if one is due. Returns its hold: how long discovery may wait for a change before it
+    /// responds.
     pub fn start_poll_if_due(&mut self, now: Duration) -> Option<Duration> {
         match self.state {
             State::Scheduled(at) if at <= now => {
@@ -191,7 +208,7 @@
         }
     }
 
-    /// The current poll has come to this phase.
+    /// Records that the current poll has entered the phase `next`.
     pub fn phase_reached(&mut self, now: Duration, next: PollPhase) {
         if let State::Polling { phase, phase_started, .. } = &mut self.state {
             *phase = next;
@@ -199,46 +216,48 @@
         }
     }
 
-    /// The current poll has its complete answer, with changes of the list or without.
+    /// Records that the current poll has received its complete response, and schedules a watch.
     pub fn response_received(&mut self, now: Duration, has_changes: bool) {
         let State::Polling { poll_started, .. } = self.state else { return };
-        let came_at_once = now.saturating_sub(poll_started) < self.hold / 2;
-        let pause = if !has_changes && came_at_once { EMPTY_ANSWER_PAUSE } else { Duration::ZERO };
-        self.watch_from(now + pause);
+        let was_immediate = now.saturating_sub(poll_started) < self.hold / 2;
+        let delay = if !has_changes && was_immediate { EMPTY_RESPONSE_DELAY } else { Duration::ZERO };
+        self.schedule_watch(now + delay);
     }
 
-    /// A poll that had timed out has its complete answer after all. Discovery answers again, so a backoff ends here. A poll
-    /// that is under way goes on.
+    /// Records that a poll that had timed out has received its complete response. Ends a backoff, since
+    /// discovery is responding again. A poll in progress continues.
     pub fn late_response_received(&mut self, now: Duration) {
         if let State::Scheduled(_) = self.state {
-            self.watch_from(now);
+            self.schedule_watch(now);
         }
     }
 
-    fn watch_from(&mut self, at: Duration) {
+    fn schedule_watch(&mut self, at: Duration) {
         self.hold = self.full_hold;
-        self.failures_in_a_row = 0;
+        self.consecutive_failures = 0;
         self.state = State::Scheduled(at);
     }
 
-    /// The current poll has failed, or its phase has timed out.
+    /// Records that the current poll has failed or that its phase has timed out, and schedules a fresh poll.
     pub fn poll_failed(&mut self, now: Duration) -> FailureKind {
-        let is_silent = self.is_silent(now);
+        let has_watch_timed_out = self.has_watch_timed_out(now);
         self.hold = Duration::ZERO;
-        if is_silent {
+        if has_watch_timed_out {
             self.state = State::Scheduled(now);
             return FailureKind::WatchTimeout;
         }
-        let interval = (INITIAL_BACKOFF * 2u32.pow(self.failures_in_a_row.min(8))).min(MAX_BACKOFF);
-        self.failures_in_a_row += 1;
-        // Anywhere in the interval: routers that were rejected together must not come back together.
+        let interval = (INITIAL_BACKOFF * 2u32.pow(self.consecutive_failures.min(8))).min(MAX_BACKOFF);
+        self.consecutive_failures += 1;
+        // Full jitter: routers that were rejected at the same time must not retry at the same
+        // time.
         let backoff = interval.mul_f64(self.rng.random_range(0.0..1.0));
         self.state = State::Scheduled(now + backoff);
         FailureKind::PollFailed
     }
 
-    /// Whether a watch has had no answer by the end of its hold.
-    fn is_silent(&self, now: Duration) -> bool {
+    /// Whether the current poll is a watch that got no response headers by the end of its hold and
+    /// `HOLD_SLACK`.
+    fn has_watch_timed_out(&self, now: Duration) -> bool {
         let State::Polling { phase: PollPhase::Headers, phase_started, .. } = self.state else {
             return false;
         };
--- a/crates/discovery-watch/src/list_versions.rs
+++ b/crates/discovery-watch/src/list_versions.rs
@@ -1,68 +1,73 @@
-//! Which answers of discovery are applied. Several polls may be under way at once, to more than one address, and be answered
-//! in any order; the list that is known must not go back.
+//! Decides which responses of discovery are applied. Several polls may be in progress at the same time, to
+//! different addresses of discovery, and their responses may arrive in any order; an older list must never
+//! replace a newer one.
 
-/// What was known when a poll was made.
+/// The router's state when it sent a poll, with which the response to the poll is compared.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PollBasis {
-    /// How often discovery had changed its address by then.
+    /// How many times the address of discovery had changed by then.
     address_changes: u64,
-    /// The version from which a delta was requested; none where a snapshot was.
+    /// The version from which the poll requested a delta; `None` if it requested a snapshot.
     pub from_version: Option<u64>,
 }
 
-/// What of an answer is applied.
+/// How much of a response is applied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ApplyScope {
-    /// All of it.
+    /// The whole response.
     All,
-    /// Only which nodes are draining or removed: it comes from an earlier address of discovery.
+    /// Only the entries of nodes that are draining or removed: the response comes from an earlier address of
+    /// discovery.
     DrainingOnly,
-    /// Nothing: a newer one has been applied.
+    /// Nothing: a newer response has been applied already.
     Nothing,
 }
 
-/// The version of the list that is known, at the present address of discovery.
+/// The version of the endpoint list that the router has, as numbered at the current address of discovery.
 #[derive(Debug)]
 pub struct ListVersions {
     address_changes: u64,
-    known: Option<u64>,
+    /// `None` until a response from the current address, or a cached list, has been applied.
+    known_version: Option<u64>,
 }
 
 impl ListVersions {
-    /// `known` is the version of a cached list, if there is one.
-    pub fn new(known: Option<u64>) -> Self {
-        Self { address_changes: 0, known }
+    /// `known_version` is the version of the list that the router has cached, if any.
+    pub fn new(known_version: Option<u64>) -> Self {
+        Self { address_changes: 0, known_version }
     }
 
-    /// The basis of a poll that begins now.
+    /// The basis of a poll that is sent now.
     pub fn poll_basis(&self) -> PollBasis {
-        PollBasis { address_changes: self.address_changes, from_version: self.known }
+        PollBasis { address_changes: self.address_changes, from_version: self.known_version }
     }
 
-    /// Discovery has another address from now on, where versions may be numbered otherwise.
+    /// Records that the address of discovery has changed. The new address may number versions differently.
     pub fn address_changed(&mut self) {
         self.address_changes += 1;
-        self.known = None;
+        self.known_version = None;
     }
 
-    /// Whether a poll was made to the present address of discovery.
+    /// Whether the poll with this basis was sent to the current address of discovery.
     pub fn is_from_current_address(&self, basis: PollBasis) -> bool {
         basis.address_changes == self.address_changes
     }
 
-    /// What is applied of the answer to a poll, which has the list as of this version.
+    /// How much to apply of the response to the poll with this basis, if the response has this version of the
+    /// list.
     pub fn apply_scope(&self, basis: PollBasis, version: u64) -> ApplyScope {
         if !self.is_from_current_address(basis) {
-            // A list from the present address is later than any from an earlier one.
-            return if self.known.is_none() { ApplyScope::DrainingOnly } else { ApplyScope::Nothing };
+            // A list from the current address is newer than any list from an earlier address.
+            return if self.known_version.is_none() { ApplyScope::DrainingOnly } else { ApplyScope::Nothing };
         }
-        // Where nothing has been applied since the poll, discovery is right, even with a lower version after a restart.
-        let is_next = basis.from_version == self.known || Some(version) > self.known;
-        if is_next { ApplyScope::All } else { ApplyScope::Nothing }
+        // If nothing has been applied since the poll was sent, the response is applied even if its version is
+        // lower: discovery may have restarted and numbered its versions from the start again.
+        let is_applicable = basis.from_version == self.known_version || Some(version) > self.known_version;
+        if is_applicable { ApplyScope::All } else { ApplyScope::Nothing }
     }
 
-    /// All of an answer has been applied, which had the list as of this version.
+    /// Records that a whole response with this version of the list has been applied.
     pub fn record_applied(&mut self, version: u64) {
-        self.known = Some(version);
+        self.known_version = Some(version);
     }
 }
--- a/crates/discovery-watch/tests/list_versions.rs
+++ b/crates/discovery-watch/tests/list_versions.rs
@@ -1,55 +1,71 @@
-//! Answers in any order, to polls that were made at any time: the list that is known is never older than the newest answer,
-//! and no newer one is left out.
+//! Which responses of discovery are applied when several polls are in progress and their responses arrive in
+//! any order: an older list never replaces a newer one, and no newer list is ignored.
 
 use quillpoint_discovery_watch::{ApplyScope, ListVersions, PollBasis};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
+/// Guards against a late response to an earlier poll that replaces the list of a later response, or a newer
+/// response that is ignored.
 #[test]
-fn answers_in_any_order_never_take_back_what_is_known() {
+fn responses_in_any_order_never_replace_a_newer_list() {
     for seed in 0..200 {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let mut versions = ListVersions::new(None);
-        let mut known = 0;
-        let mut newest = 1;
+        let mut applied_version = 0;
+        let mut newest_version = 1;
         let mut polls: Vec<PollBasis> = Vec::new();
         for step in 0..400 {
-            newest += rng.random_range(0..2);
+            newest_version += rng.random_range(0..2);
             match rng.random_range(0..3) {
                 0 if polls.len() < 4 => polls.push(versions.poll_basis()),
                 _ if !polls.is_empty() => {
                     let basis = polls.swap_remove(rng.random_range(0..polls.len()));
-                    // The list may have been written a while ago, but never before it was requested.
-                    let version = rng.random_range(basis.from_version.unwrap_or(1)..=newest);
+                    // The response may have been written some time ago, so it has any version from the
+                    // requested one on.
+                    let version = rng.random_range(basis.from_version.unwrap_or(1)..=newest_version);
                     match versions.apply_scope(basis, version) {
                         ApplyScope::All => {
-                            assert!(version >= known, "seed {seed}, step {step}: {version} after {known}");
+                            assert!(
+                                version >= applied_version,
+                                "seed {seed}, step {step}: {version} applied after {applied_version}"
+                            );
                             versions.record_applied(version);
-                            known = version;
+                            applied_version = version;
                         }
                         ApplyScope::Nothing => {
-                            assert!(version <= known, "seed {seed}, step {step}: {version} is newer")
+                            assert!(
+                                version <= applied_version,
+                                "seed {seed}, step {step}: {version} ignored after {applied_version}"
+                            )
+                        }
+                        ApplyScope::DrainingOnly => {
+                            panic!("seed {seed}, step {step}: the address has not changed")
                         }
-                        ApplyScope::DrainingOnly => panic!("seed {seed}: discovery has not moved"),
                     }
                 }
                 _ => {}
             }
         }
-        assert!(known > 100, "seed {seed}");
+        assert!(applied_version > 100, "seed {seed}: only version {applied_version} was applied");
     }
 }
 
+/// Guards against ignoring every response of a discovery that restarted and numbers its versions from the
+/// start again: all of them are lower than the version of the cached list.
 #[test]
-fn a_discovery_that_counts_versions_anew_is_believed() {
+fn a_lower_version_is_applied_if_nothing_was_applied_since_the_poll() {
     let mut versions = ListVersions::new(Some(40));
     assert_eq!(versions.apply_scope(versions.poll_basis(), 3), ApplyScope::All);
     versions.record_applied(3);
     assert_eq!(versions.poll_basis().from_version, Some(3));
 }
 
+/// Guards against a late response from an earlier address of discovery that replaces the list of the current
+/// address: versions of different addresses cannot be compared. Until the current address has responded, only
+/// draining and removed nodes are taken from such a response.
 #[test]
-fn an_earlier_address_only_tells_of_draining_until_the_present_one_has_answered() {
+fn a_response_from_an_earlier_address_applies_only_draining_nodes() {
     let mut versions = ListVersions::new(Some(40));
     let before = versions.poll_basis();
     versions.address_changed();
--- a/crates/discovery-watch/tests/propagation.rs
+++ b/crates/discovery-watch/tests/propagation.rs
@@ -1,4 +1,5 @@
-//! The watch before a discovery that comes and goes: a change of the list is known within the guaranteed time.
+//! The watch against a discovery that fails in different ways: the router knows a change of the list within
+//! the guaranteed time, without polling too often.
 
 use std::time::Duration;
 
@@ -12,67 +13,66 @@
     Duration::from_millis(ms)
 }
 
-/// What discovery does with polls.
+/// How discovery handles polls.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Behaviour {
-    Answers,
-    /// Connections are refused.
-    Refuses,
-    /// Connections never come up.
-    Drops,
-    /// Polls are accepted and never answered.
-    Mutes,
-    /// Answers begin and never end.
-    Stalls,
-    /// Answers break off, or say that there are too many callers.
-    Breaks,
+    Responds,
+    RefusesConnections,
+    /// Connections are never established.
+    DropsPackets,
+    /// Connections are accepted and requests get no response.
+    NeverResponds,
+    /// Responses have headers and their bodies never end.
+    StallsBodies,
+    /// Connections break before the end of the response, or the response rejects the poll for overload.
+    BreaksResponses,
 }
 
-/// The current poll, and what becomes of it by itself.
+/// The current poll as discovery handles it.
 #[derive(Clone, Copy)]
 struct Poll {
     phase: PollPhase,
     hold: Duration,
     phase_started: Duration,
-    /// It was connected while discovery answered, and falls silent all the same.
-    is_silent: bool,
-    /// When its next phase is reached.
+    /// The poll gets no response although discovery responds to other polls.
+    is_unanswered: bool,
+    /// When its current phase ends. `None` if that is not decided yet.
     next_phase_at: Option<Duration>,
 }
 
-/// What a step has made of the current poll.
+/// Whether the current poll continues after a step.
 enum Progress {
-    GoesOn(Poll),
+    Continues(Poll),
     Ended,
 }
 
-/// Discovery and one router, in steps of a millisecond.
+/// Discovery and one router, simulated in steps of a millisecond.
 struct World {
     now: Duration,
     behaviour: Behaviour,
-    /// Since when discovery can be reached without a break.
+    /// Since when discovery has been responding without interruption; `None` while it is failing.
     reachable_since: Option<Duration>,
     version: u64,
-    /// When the oldest change that is not known yet was made.
+    /// When the oldest change was made that the router does not know yet.
     changed_at: Duration,
     known_version: u64,
     poll: Option<Poll>,
     poll_starts: Vec<Duration>,
-    silent_watches: usize,
+    timed_out_watches: usize,
 }
 
 impl World {
     fn new() -> Self {
         Self {
             now: ms(0),
-            behaviour: Behaviour::Answers,
+            behaviour: Behaviour::Responds,
             reachable_since: Some(ms(0)),
             version: 1,
             changed_at: ms(0),
             known_version: 0,
             poll: None,
             poll_starts: Vec::new(),
-            silent_watches: 0,
+            timed_out_watches: 0,
         }
     }
 
@@ -82,47 +82,49 @@
 
     fn step(&mut self, watch: &mut DiscoveryWatch, rng: &mut ChaCha8Rng) {
         self.now += ms(1);
-        self.begin_poll(watch, rng);
+        self.start_poll(watch, rng);
         let Some(poll) = self.poll else { return };
-        let Progress::GoesOn(mut poll) = self.reach_next_phase(poll, watch) else {
+        let Progress::Continues(mut poll) = self.reach_next_phase(poll, watch) else {
             self.poll = None;
             return;
         };
-        // A phase takes up to a third of what a fresh poll is granted; the head of a watch waits for a change.
+        // Each of the three phases takes up to a third of the response time of a fresh poll; the headers of a
+        // watch wait for a change until the hold has passed.
         let is_held =
             poll.phase == PollPhase::Headers && self.is_known() && self.now < poll.phase_started + poll.hold;
-        let goes_on = !is_held && !poll.is_silent && self.behaviour == Behaviour::Answers;
-        if poll.next_phase_at.is_none() && goes_on {
-            let longest_phase = FRESH_POLL_RESPONSE_TIME.as_millis() as u64 / 3;
-            poll.next_phase_at = Some(self.now + ms(rng.random_range(0..longest_phase)));
+        let will_progress = !is_held && !poll.is_unanswered && self.behaviour == Behaviour::Responds;
+        if poll.next_phase_at.is_none() && will_progress {
+            let max_phase_ms = FRESH_POLL_RESPONSE_TIME.as_millis() as u64 / 3;
+            poll.next_phase_at = Some(self.now + ms(rng.random_range(0..max_phase_ms)));
         }
         self.poll = Some(poll);
         self.time_out(watch);
     }
 
-    fn begin_poll(&mut self, watch: &mut DiscoveryWatch, rng: &mut ChaCha8Rng) {
+    fn start_poll(&mut self, watch: &mut DiscoveryWatch, rng: &mut ChaCha8Rng) {
         let Some(hold) = watch.start_poll_if_due(self.now) else { return };
         self.poll_starts.push(self.now);
-        let is_silent = !hold.is_zero() && rng.random_bool(0.4);
+        let is_unanswered = !hold.is_zero() && rng.random_bool(0.4);
         let next_phase_at = Some(self.now + ms(rng.random_range(0..20)));
         let phase = PollPhase::Connect;
-        self.poll = Some(Poll { phase, hold, phase_started: self.now, is_silent, next_phase_at });
+        self.poll = Some(Poll { phase, hold, phase_started: self.now, is_unanswered, next_phase_at });
     }
 
-    /// What the poll comes to if its next phase is due, as discovery behaves by now.
+    /// Ends the current phase if that is due. The outcome depends on how discovery behaves now.
     fn reach_next_phase(&mut self, mut poll: Poll, watch: &mut DiscoveryWatch) -> Progress {
         if poll.next_phase_at.is_none_or(|at| at > self.now) {
-            return Progress::GoesOn(poll);
+            return Progress::Continues(poll);
         }
         poll.next_phase_at = None;
         let next = match (poll.phase, self.behaviour) {
-            (_, Behaviour::Refuses) | (PollPhase::Headers | PollPhase::Body, Behaviour::Breaks) => {
+            (_, Behaviour::RefusesConnections)
+            | (PollPhase::Headers | PollPhase::Body, Behaviour::BreaksResponses) => {
                 assert_eq!(watch.poll_failed(self.now), FailureKind::PollFailed);
                 return Progress::Ended;
             }
-            (PollPhase::Connect, Behaviour::Drops)
-            | (PollPhase::Headers, Behaviour::Drops | Behaviour::Mutes)
-            | (PollPhase::Body, Behaviour::Stalls) => return Progress::GoesOn(poll),
+            (PollPhase::Connect, Behaviour::DropsPackets)
+            | (PollPhase::Headers, Behaviour::DropsPackets | Behaviour::NeverResponds)
+            | (PollPhase::Body, Behaviour::StallsBodies) => return Progress::Continues(poll),
             (PollPhase::Connect, _) => PollPhase::Headers,
             (PollPhase::Headers, _) => PollPhase::Body,
             (PollPhase::Body, _) => {
@@ -135,35 +137,43 @@
         poll.phase = next;
         poll.phase_started = self.now;
         watch.phase_reached(self.now, next);
-        Progress::GoesOn(poll)
+        Progress::Continues(poll)
     }
 
     fn time_out(&mut self, watch: &mut DiscoveryWatch) {
         if watch.deadline().is_some_and(|deadline| deadline <= self.now) {
             self.poll = None;
             if watch.poll_failed(self.now) == FailureKind::WatchTimeout {
-                self.silent_watches += 1;
+                self.timed_out_watches += 1;
             }
         }
     }
 
-    /// Discovery behaves otherwise from now on.
+    /// Changes how discovery behaves from now on.
     fn change_behaviour(&mut self, rng: &mut ChaCha8Rng) {
         use Behaviour::*;
-        let all = [Answers, Answers, Refuses, Drops, Mutes, Stalls, Breaks];
+        let all = [
+            Responds,
+            Responds,
+            RefusesConnections,
+            DropsPackets,
+            NeverResponds,
+            StallsBodies,
+            BreaksResponses,
+        ];
         self.behaviour = all[rng.random_range(0..all.len())];
-        if self.behaviour != Answers {
+        if self.behaviour != Responds {
             self.reachable_since = None;
             return;
         }
-        // What was under way stays as it is; fresh polls are answered.
+        // A poll from before the recovery gets no response; later polls do.
         if let Some(poll) = self.poll.as_mut() {
-            poll.is_silent = true;
+            poll.is_unanswered = true;
         }
         self.reachable_since = self.reachable_since.or(Some(self.now));
     }
 
-    /// The list changes. A change while an earlier one is not known yet does not put that one off.
+    /// Changes the list. The router must know the oldest unknown change in time, however many follow it.
     fn change_list(&mut self) {
         if self.is_known() {
             self.changed_at = self.now;
@@ -172,8 +182,10 @@
     }
 }
 
+/// Guards against a sequence of failures after which the router learns of a change too late, and against
+/// retries that poll discovery in a busy loop. Discovery changes its behaviour and the list at random times.
 #[test]
-fn a_change_of_a_list_that_can_be_reached_is_known_within_six_seconds() {
+fn a_change_is_known_within_the_maximum_propagation_delay() {
     let mut steps_known = 0;
     for seed in 0..60 {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
@@ -195,21 +207,23 @@
                 let waited = world.now - reachable.max(world.changed_at);
                 assert!(
                     waited <= MAX_PROPAGATION_DELAY,
-                    "seed {seed} at {:?}: not known after {waited:?}",
+                    "seed {seed} at {:?}: the change is not known after {waited:?}",
                     world.now
                 );
             }
             steps_known += usize::from(world.is_known());
         }
         let densest = world.poll_starts.windows(40).map(|starts| starts[39] - starts[0]).min();
-        assert!(densest.is_none_or(|span| span > ms(4000)), "40 polls within {densest:?}");
-        assert!(world.silent_watches > 0, "seed {seed}");
+        assert!(densest.is_none_or(|span| span > ms(4000)), "seed {seed}: 40 polls within {densest:?}");
+        assert!(world.timed_out_watches > 0, "seed {seed}: no watch has timed out");
     }
     assert!(steps_known > 0);
 }
 
+/// Guards against retries in step: an overloaded discovery that rejects many routers at the same time must
+/// not get all their retries at the same time.
 #[test]
-fn routers_that_are_rejected_together_come_back_apart() {
+fn retries_of_routers_that_were_rejected_together_are_spread_over_the_backoff() {
     let mut retries = Vec::new();
     for seed in 0..300 {
         let mut watch = DiscoveryWatch::new(ms(10_000), WatchStart::Immediate, seed);
@@ -218,22 +232,28 @@
         retries.extend(watch.deadline());
     }
     retries.sort();
-    let by_tenth = (0..10).map(|tenth| {
+    let retries_by_tenth = (0..10).map(|tenth| {
         let (from, to) = (ms(1) + ms(50) * tenth, ms(1) + ms(50) * (tenth + 1));
         retries.iter().filter(|at| (from..to).contains(at)).count()
     });
     assert_eq!(retries.len(), 300);
-    assert!(by_tenth.max() < Some(60), "all over half a second, and not in step: {retries:?}");
+    assert!(retries_by_tenth.max() < Some(60), "not spread over half a second: {retries:?}");
 }
 
+/// Guards against a second poll while one is in progress, a poll that still waits for the old address of
+/// discovery, and a busy loop of polls when discovery responds immediately without changes.
 #[test]
-fn a_poll_is_not_begun_twice_and_a_new_address_ends_the_current_one() {
+fn a_poll_is_not_started_twice_and_a_new_address_replaces_it() {
     let mut watch = DiscoveryWatch::new(ms(1000), WatchStart::OnRequest, 7);
-    assert_eq!((watch.deadline(), watch.start_poll_if_due(ms(0))), (None, None), "the list is not requested");
+    assert_eq!(
+        (watch.deadline(), watch.start_poll_if_due(ms(0))),
+        (None, None),
+        "polled before the list was requested"
+    );
     watch.list_requested(ms(5));
     assert_eq!(watch.start_poll_if_due(ms(5)), Some(ms(0)));
     watch.list_requested(ms(6));
-    assert_eq!(watch.start_poll_if_due(ms(6)), None, "one is under way");
+    assert_eq!(watch.start_poll_if_due(ms(6)), None, "a poll is in progress");
     watch.phase_reached(ms(10), PollPhase::Headers);
     watch.phase_reached(ms(20), PollPhase::Body);
     watch.response_received(ms(30), true);
@@ -249,6 +269,6 @@
     assert_eq!(
         (watch.start_poll_if_due(ms(100)), watch.start_poll_if_due(ms(144)).is_some()),
         (None, true),
-        "nor does it spin"
+        "the next poll is due 100 ms after an empty response"
     );
 }
