--- a/crates/membership/src/fast_hash_map.rs
+++ b/crates/membership/src/fast_hash_map.rs
@@ -1,7 +1,7 @@
-//! The hash map for tables that are looked up thousands of times a second.
+//! The hash map of the tables that are looked up thousands of times a second.
 
 use std::collections::HashMap;
 
-/// A map with a fast hash that gives no protection against chosen keys: nodes come from the platform's own list. Nothing
-/// may depend on its order of iteration.
+/// A hash map with a fast hash function that is not protected against hash flooding: its keys come from the
+/// platform's endpoint list, not from clients. Nothing may depend on its iteration order.
 pub type FastHashMap<K, V> = HashMap<K, V, foldhash::fast::RandomState>;
--- a/crates/membership/src/fleet.rs
+++ b/crates/membership/src/fleet.rs
@@ -1,4 +1,4 @@
-//! A router as a member of its fleet: one method for each thing that can happen.
+//! A router as a member of its fleet: the state machine, with one method for each kind of input.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -13,16 +13,18 @@
 use crate::rendezvous::Candidate;
 use crate::sharded_tasks::{ShardedTasks, TaskCounts};
 
-/// The interval of periodic work.
+/// The interval at which [`Fleet::timer_fired`] is to be called.
 pub const TICK_INTERVAL: Duration = Duration::from_millis(20);
-/// The interval at which observations are sent, with few peers.
+/// The minimum interval at which observations are sent.
 const FLUSH_INTERVAL: Duration = TICK_INTERVAL;
-/// With many peers the interval is this for each of them, so that a router sends about a thousand messages a second.
+/// With many peers observations are sent at this interval times the number of peers, so that a router sends
+/// about a thousand messages per second.
 const FLUSH_INTERVAL_PER_PEER: Duration = Duration::from_millis(1);
-/// The most messages of a snapshot that go to one peer in a tick: more would overflow its receive buffer.
+/// The maximum number of snapshot messages that are sent to one peer per tick: more would overflow its
+/// receive buffer.
 const SNAPSHOT_MESSAGES_PER_TICK: usize = 8;
 
-/// The assignment of tasks that was last reported.
+/// The assignment of tasks, as reported by [`Event::TasksAssigned`].
 #[derive(Clone, Copy, PartialEq, Eq)]
 struct Assignment {
     counts: TaskCounts,
@@ -36,17 +38,17 @@
     tasks: ShardedTasks,
     observations: ObservationStore,
     params: FleetParams,
-    /// What is still to be sent of the snapshots for peers that have joined, the last batch first.
+    /// The batches of the snapshots that are still to be sent to peers that have joined, in reverse order.
     snapshots: BTreeMap<PeerName, Vec<Vec<Observation>>>,
     next_flush: Duration,
-    assignment: Assignment,
-    /// The nodes have changed since the tasks were last counted.
+    last_assignment: Assignment,
+    /// Whether the nodes have changed since the tasks were last counted.
     have_nodes_changed: bool,
 }
 
 impl<H: Host> Fleet<H> {
-    /// A router that joins its fleet. `own_record` has its name, incarnation and address; `seeds` are addresses where other
-    /// members may be found.
+    /// Creates a router that joins its fleet. `own_record` has its name, incarnation and address; `seeds` are
+    /// addresses of possible other members.
     pub fn new(
         host: H,
         own_record: MemberRecord,
@@ -64,14 +66,14 @@
             params,
             snapshots: BTreeMap::new(),
             next_flush: now,
-            assignment: Assignment { counts: TaskCounts { owned: 0, total: 0 }, routers: 0 },
+            last_assignment: Assignment { counts: TaskCounts { owned: 0, total: 0 }, routers: 0 },
             have_nodes_changed: true,
         };
         fleet.host.set_timer(Duration::ZERO);
         fleet
     }
 
-    /// Takes a message that is authentic and no replay.
+    /// Handles a message, which the caller has checked to be authentic and not a replay.
     pub fn message_arrived(&mut self, now: Duration, message: GossipMessage) {
         self.members.rejoin_after_pause(now, &mut self.host);
         let snapshot = self.members.message_arrived(now, &message, &mut self.host);
@@ -92,9 +94,9 @@
         let task = self.health_check_task(observation.node);
         let observed_at = now.saturating_sub(observation.age);
         match self.observations.record_from_peer(now, peer, observation) {
-            Assessment::Accepted(dated) => {
+            Assessment::Accepted(timestamped) => {
                 self.tasks.record_run(task, observed_at);
-                self.host.observation_received(dated);
+                self.host.observation_received(timestamped);
             }
             Assessment::Unconfirmed => {
                 self.tasks.record_run(task, observed_at);
@@ -104,7 +106,7 @@
         }
     }
 
-    /// Does the periodic work, and asks for the next call.
+    /// Does the periodic work, and requests the next call by [`Host::set_timer`].
     pub fn timer_fired(&mut self, now: Duration) {
         if self.members.rejoin_after_pause(now, &mut self.host) {
             self.snapshots.clear();
@@ -121,7 +123,7 @@
         self.host.set_timer(TICK_INTERVAL);
     }
 
-    /// Takes all nodes of the endpoint list, with the indexes of their zones.
+    /// Sets the nodes of the endpoint list, with the indexes of their zones.
     pub fn nodes_changed(&mut self, now: Duration, nodes: &BTreeMap<SocketAddr, u16>) {
         let addresses: BTreeSet<SocketAddr> = nodes.keys().copied().collect();
         self.observations.nodes_changed(&addresses);
@@ -133,40 +135,43 @@
         self.have_nodes_changed = true;
     }
 
-    /// Takes the seeds as configured from now on.
+    /// Replaces the seeds after a change of the configuration.
     pub fn seeds_changed(&mut self, now: Duration, seeds: Vec<SocketAddr>) {
         self.members.seeds_changed(now, seeds);
     }
 
-    /// Records what this router has observed of a node itself, by a health check or an attempt that it sent at `sent_at`.
+    /// Records this router's own observation of a node, made by a health check or an attempt that it sent at
+    /// `sent_at`.
     pub fn record_own_observation(&mut self, now: Duration, sent_at: Duration, observation: Observation) {
         let (node, failed) = (observation.node, observation.failed);
         if let Some(peer) = self.observations.record_own(now, sent_at, observation) {
             self.host.report_event(Event::PeerContradicted { peer, node });
         }
         if !failed {
-            // Any answer shows what a health check would.
+            // Any response of the node shows as much as a health check, which is therefore not needed now.
             self.tasks.record_run(self.health_check_task(node), now);
         }
     }
 
-    /// Whether this router may check a node now, out of turn. `only_own_run_helps` if no other router's check would do.
-    pub fn claim_health_check(&mut self, now: Duration, node: SocketAddr, only_own_run_helps: bool) -> bool {
+    /// Whether this router may check a node now, ahead of its schedule. If so, the check is recorded as
+    /// started. `needs_own_check` is set if a check by another router would not help.
+    pub fn claim_health_check(&mut self, now: Duration, node: SocketAddr, needs_own_check: bool) -> bool {
         let task = self.health_check_task(node);
-        self.tasks.claim(now, task, only_own_run_helps)
+        self.tasks.claim(now, task, needs_own_check)
     }
 
-    /// What peers have last observed of a node, unless it is too old.
+    /// The latest observation of a node by a peer, unless it is too old.
     pub fn latest_observation(&self, now: Duration, node: SocketAddr) -> Option<TimestampedObservation> {
         self.observations.latest_from_peers(now, node)
     }
 
-    /// Records that a task which the host was asked to run has ended.
+    /// Records the end of a task that was started by [`Host::run_task`].
     pub fn task_ended(&mut self, now: Duration, task: TaskId) {
         self.tasks.run_ended(now, task);
     }
 
-    /// Sends the last observations and announces that this router leaves. It runs no tasks from then on.
+    /// Sends the remaining observations and announces that this router leaves the fleet. It runs no more
+    /// tasks.
     pub fn leave(&mut self, now: Duration) {
         if self.members.own_record().state == MemberState::Left {
             return;
@@ -176,53 +181,54 @@
         self.tasks.candidates_changed(now, Vec::new());
     }
 
-    /// The members.
+    /// This router's view of the members.
     pub fn members(&self) -> &Membership {
         &self.members
     }
 
-    /// The tasks that the members divide.
+    /// The tasks that are divided among the members.
     pub fn tasks(&self) -> &ShardedTasks {
         &self.tasks
     }
 
-    /// The size of the tables of routers, nodes and tasks in bytes: by count and size of the entries, without the overhead of
-    /// the allocator.
+    /// The memory used by the tables of routers, nodes and tasks in bytes, computed from the count and size
+    /// of their entries, without the overhead of the allocator.
     pub fn state_bytes(&self) -> usize {
         self.members.state_bytes() + self.tasks.state_bytes() + self.observations.state_bytes()
     }
 
-    /// The task of checking this node.
+    /// The task that checks the health of this node.
     pub fn health_check_task(&self, node: SocketAddr) -> TaskId {
         TaskId { kind: self.params.health_check.kind, target: TaskTarget::Node(node) }
     }
 
-    /// Divides the tasks among the routers that may own some by now.
+    /// Divides the tasks among the routers that can own tasks now, and reports changes of the assignment.
     fn assign_tasks(&mut self, now: Duration) {
         let candidates = self.candidates();
         let routers = candidates.len();
-        let has_view_changed = self.tasks.candidates_changed(now, candidates);
+        let have_candidates_changed = self.tasks.candidates_changed(now, candidates);
         let have_nodes_changed = std::mem::take(&mut self.have_nodes_changed);
-        // There may be thousands of tasks: they are not counted at each tick.
-        if !has_view_changed && !have_nodes_changed {
+        // There may be thousands of tasks, so they are not counted on every tick.
+        if !have_candidates_changed && !have_nodes_changed {
             return;
         }
         let assignment = Assignment { counts: self.tasks.counts(), routers };
-        if self.assignment != assignment {
-            self.assignment = assignment;
+        if self.last_assignment != assignment {
+            self.last_assignment = assignment;
             let TaskCounts { owned, total } = assignment.counts;
             self.host.report_event(Event::TasksAssigned { owned, total, routers });
         }
     }
 
-    /// The routers that may own tasks; none while this one may not.
+    /// The routers that can own tasks. Empty while this router cannot own tasks itself.
     fn candidates(&self) -> Vec<Candidate> {
         if !self.members.may_own_tasks() {
             return Vec::new();
         }
         let peers = self.members.peers();
-        let owners = peers.filter(|record| matches!(record.state, MemberState::Up | MemberState::Suspect));
-        owners.chain([self.members.own_record()]).map(candidate).collect()
+        let candidate_peers =
+            peers.filter(|record| matches!(record.state, MemberState::Up | MemberState::Suspect));
+        candidate_peers.chain([self.members.own_record()]).map(candidate).collect()
     }
 
     fn flush_observations(&mut self, now: Duration) {
--- a/crates/membership/src/ids.rs
+++ b/crates/membership/src/ids.rs
@@ -1,40 +1,42 @@
-//! The identifiers of members, their versions, and tasks, each a type of its own.
+//! Identifiers of members, of versions of their records, and of tasks.
 
 use std::fmt;
 use std::net::SocketAddr;
 
 use serde::{Deserialize, Serialize};
 
-/// The longest name of a router. The sizes of datagrams are computed with it.
+/// The maximum length of a router's name. The sizes of datagrams are computed from it.
 pub const MAX_PEER_NAME_BYTES: usize = 32;
 
-/// The text is not the name of a router.
+/// The error of a text that is not a valid name of a router.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 #[error(
-    "a name has 1 to {MAX_PEER_NAME_BYTES} letters, digits, dots, dashes and underscores, found {found:?}"
+    "a member name must have 1 to {MAX_PEER_NAME_BYTES} letters, digits, dots, dashes or underscores, \
+     found {found:?}"
 )]
 pub struct InvalidPeerName {
-    /// The text that was given.
+    /// The invalid text.
     pub found: String,
 }
 
-/// The name of a router, which is the same after a restart. Names are ordered by their bytes.
+/// The name of a router, which stays the same across restarts. Names are ordered by their bytes.
 ///
-/// The bytes are stored in place: names are compared for each observation, where a heap allocation would cost more than
-/// the comparison.
+/// The bytes are stored inline, without a heap allocation: names are compared for each observation, and an
+/// allocation would cost more than the comparison.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct PeerName {
-    /// Zero from the end of the name on.
+    /// Padded with zeros after the end of the name.
     bytes: [u8; MAX_PEER_NAME_BYTES],
     length: u8,
 }
 
 impl PeerName {
-    /// The name with this text.
+    /// Creates a name from its text.
     ///
     /// # Errors
-    /// The text is empty, too long, or has other characters than ASCII letters, digits, dots, dashes and underscores.
+    /// The text is empty, is longer than [`MAX_PEER_NAME_BYTES`], or has characters other than ASCII letters,
+    /// digits, dots, dashes and underscores.
     pub fn new(name: &str) -> Result<Self, InvalidPeerName> {
         let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || b".-_".contains(&byte);
         if !(1..=MAX_PEER_NAME_BYTES).contains(&name.len()) || !name.bytes().all(is_allowed) {
@@ -47,7 +49,7 @@
 
     /// The text of the name.
     pub fn as_str(&self) -> &str {
-        // `new` has accepted ASCII alone.
+        // `new` accepts only ASCII, so the conversion cannot fail.
         str::from_utf8(&self.bytes[..usize::from(self.length)]).unwrap_or_default()
     }
 }
@@ -77,41 +79,43 @@
     }
 }
 
-/// One start of a router: microseconds of Unix time at that start, or more where a peer remembers a later one.
+/// Identifies one start of a router: the Unix time of the start in microseconds, or a higher number if peers
+/// know a later incarnation (after the clock went back).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Incarnation(pub u64);
 
-/// The version of a member's record: a later incarnation wins, and within one the later revision.
+/// The version of a member's record, ordered by incarnation, then by revision. The higher version takes
+/// precedence.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct MemberVersion {
-    /// The start of the router that the record is about.
+    /// The incarnation of the router that the record describes.
     pub incarnation: Incarnation,
-    /// Raised by the router itself each time it refutes a suspicion, joins again or leaves.
+    /// Incremented by the router itself each time it refutes a suspicion, joins again or leaves.
     pub revision: u32,
 }
 
-/// The number of a ping, chosen by the router that sent it.
+/// The sequence number of a ping, assigned by the router that sends it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct PingNumber(pub u32);
 
-/// A kind of sharded task. Routers that share tasks number the kinds alike.
+/// A kind of sharded task. All routers that share tasks must use the same numbers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TaskKind(pub u8);
 
-/// What a sharded task is about.
+/// What a sharded task is run on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum TaskTarget {
     /// One node.
     Node(SocketAddr),
-    /// The whole installation, as for a comparison of lists or a report.
+    /// The whole deployment, for tasks such as a comparison of endpoint lists or a report.
     Deployment,
 }
 
 /// A sharded task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TaskId {
-    /// What is done.
+    /// The kind of the task.
     pub kind: TaskKind,
-    /// What it is done to.
+    /// What the task is run on.
     pub target: TaskTarget,
 }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,9 +1,10 @@
-//! Membership of the routers of one installation: which of them are alive, which of them owns a periodic task, and the
-//! observations of nodes that they share by gossip.
+//! Membership of the routers of one deployment: which routers are alive, which router owns which periodic
+//! task, and the observations of nodes that the routers share by gossip.
 //!
-//! No I/O, no clock, no threads. [`Fleet`] has one method for each thing that can happen, and acts by calling its
-//! [`Host`]. Time is handed in as a [`Duration`](std::time::Duration) since a fixed moment, on a clock of the router's own
-//! that never goes back; randomness comes from the given seed. Start reading at `fleet.rs`; docs/duties.md gives the reasons.
+//! The crate does no I/O, has no clock and starts no threads. [`Fleet`] has one method for each kind of
+//! input, and acts by calling its [`Host`]. The caller passes in the current time as a
+//! [`Duration`](std::time::Duration) since a fixed instant, from a monotonic clock of the router; randomness
+//! comes from the given seed. Start reading at `fleet.rs`; docs/duties.md explains the design.
 
 #![warn(missing_docs)]
 
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -1,19 +1,21 @@
-//! Which routers are members: gossip with indirect pings, suspicion and refutation, after SWIM (Das, Gupta and Motivala,
-//! 2002), with incarnations that come from the clock and a join request that opens a session.
+//! Membership by gossip after SWIM (Das, Gupta and Motivala, 2002): indirect pings, suspicion and refutation.
+//! It differs from SWIM in that incarnations are taken from the clock, and in that a join request opens a
+//! session.
 //!
-//! Each period one peer is pinged; where no ack comes, some others are asked to ping it. Where that fails too it is suspect,
-//! and dead if it does not refute that in time. All of it travels as member records, a few piggybacked on each message.
+//! In each protocol period a router pings one peer. If it gets no ack, it asks some other peers to ping that
+//! peer. If that fails as well, the peer becomes suspect, and dead if it does not refute the suspicion in
+//! time. All this is disseminated as member records, of which a few are piggybacked on each message.
 //!
-//! [`Membership`] hands each event to the rules and owns the order in which they act:
+//! [`Membership`] passes each input to these modules, and determines the order in which they act:
 //!
-//! | module | owns |
+//! | module | responsibility |
 //! | --- | --- |
-//! | `peer_table` | the records of the peers, and which of two records holds |
-//! | `own_record` | this router's own record: refutation, and the conflict with a process of the same name |
+//! | `peer_table` | the records of the peers, and which of two records takes precedence |
+//! | `own_record` | this router's own record: refutation, and conflicts with another process of its name |
 //! | `join` | join requests and replies, seeds, reconnecting after a partition |
 //! | `failure_detector` | pings, indirect pings, suspicion and death |
-//! | `dissemination` | which records are piggybacked on a message |
-//! | `pause` | that the process has not run for a while |
+//! | `dissemination` | sending messages, and which records are piggybacked on them |
+//! | `pause` | detecting that the process was not running for a while |
 
 mod dissemination;
 mod failure_detector;
@@ -40,16 +42,16 @@
 use pause::PauseDetector;
 use peer_table::{MergeOutcome, PeerTable};
 
-/// Whether the sender of a message is to be sent a snapshot of the recent observations.
+/// Whether the sender of a message needs a snapshot of the recent observations.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ObservationSnapshot {
-    /// It has joined, or was not known as an active peer in this incarnation.
+    /// It has sent a join request, or was not known as an active peer with this incarnation.
     Due,
-    /// It has been sent what it needs, or is none that observations are shared with.
+    /// It receives observations already, or is not an active peer.
     NotDue,
 }
 
-/// One router's view of the members, and its part in keeping that up to date.
+/// One router's view of the members, and the protocol that keeps it up to date.
 pub struct Membership {
     own: OwnRecord,
     peers: PeerTable,
@@ -60,7 +62,8 @@
 }
 
 impl Membership {
-    /// A router that knows nobody and joins by its seeds. The state in `own_record` is ignored.
+    /// Creates a router that knows no peers and joins through its seeds. The state in `own_record` is
+    /// ignored.
     pub fn new(own_record: MemberRecord, seeds: Vec<SocketAddr>, rng_seed: u64, now: Duration) -> Self {
         Self {
             own: OwnRecord::new(own_record),
@@ -92,38 +95,39 @@
         self.peers.active()
     }
 
-    /// Whether the sender of this record is an active peer, in the incarnation that is known here.
+    /// Whether the sender of this record is known as an active peer with the same incarnation.
     pub fn is_current(&self, sender: &MemberRecord) -> bool {
         self.peers.get(&sender.name).is_some_and(|peer| {
             peer.record.version.incarnation == sender.version.incarnation && peer.record.state.is_active()
         })
     }
 
-    /// The size of the tables in bytes, without the overhead of the allocator.
+    /// The memory used by the tables in bytes, without the overhead of the allocator.
     pub fn state_bytes(&self) -> usize {
         self.peers.state_bytes() + self.detector.state_bytes()
     }
 
-    /// Takes the seeds as configured from now on.
+    /// Replaces the seeds after a change of the configuration.
     pub fn seeds_changed(&mut self, now: Duration, seeds: Vec<SocketAddr>) {
         self.join.seeds_changed(now, seeds);
     }
 
-    /// Announces to all peers that this router leaves. Its tasks are others' from then on.
+    /// Announces to all active peers that this router leaves, so that they take over its tasks.
     ///
-    /// A leave has no body of its own: the state `Left` in the sender's record is what counts.
+    /// There is no message body for leaving: the peers recognize it by the state `Left` in the sender's
+    /// record.
     pub fn leave(&mut self, host: &mut impl Host) {
         self.own.set_state(MemberState::Left);
         self.own.raise_revision();
         for name in self.active_peer_names() {
-            // Twice: one that is lost costs the others a detection.
+            // Sent twice: if the message is lost, the peer learns of the leave only by failure detection.
             for _ in 0..2 {
                 self.send_to(&name, GossipBody::JoinRequest, host);
             }
         }
     }
 
-    /// Takes a message whose sender is authentic.
+    /// Handles a message, which the caller has checked to be authentic.
     pub fn message_arrived(
         &mut self,
         now: Duration,
@@ -132,43 +136,50 @@
     ) -> ObservationSnapshot {
         let sender = &message.from;
         if sender.name == self.own.record().name {
-            self.own.namesake_spoke(sender, host);
+            self.own.same_name_message_received(sender, host);
             return ObservationSnapshot::NotDue;
         }
         if self.peers.knows_later_incarnation(sender) {
-            self.earlier_incarnation_spoke(now, message, host);
+            self.earlier_incarnation_message_received(now, message, host);
             return ObservationSnapshot::NotDue;
         }
         let was_current = self.is_current(sender);
         self.merge_records(now, message, host);
         let Some(state) = self.heard_from(now, &sender.name) else { return ObservationSnapshot::NotDue };
         if !state.is_active() {
-            self.inactive_peer_spoke(now, sender, host);
+            self.inactive_peer_message_received(now, sender, host);
             return ObservationSnapshot::NotDue;
         }
-        let has_joined = self.body_arrived(now, message, host);
-        if has_joined || !was_current { ObservationSnapshot::Due } else { ObservationSnapshot::NotDue }
+        let join_reply_sent = self.body_received(now, message, host);
+        if join_reply_sent || !was_current { ObservationSnapshot::Due } else { ObservationSnapshot::NotDue }
     }
 
-    /// Counts a message as the sender's sign of life. Returns the state of the sender, if it is recorded.
+    /// Records that the sender is alive. Returns its state, or `None` if it is not in the peer table.
     fn heard_from(&mut self, now: Duration, sender: &PeerName) -> Option<MemberState> {
         let state = self.peers.heard_from(now, sender)?;
         self.detector.heard_from(sender);
         Some(state)
     }
 
-    /// A peer spoke that is taken for dead or gone here. Where it takes itself for running, it does not know that yet.
-    fn inactive_peer_spoke(&mut self, now: Duration, sender: &MemberRecord, host: &mut impl Host) {
+    /// Handles a message of a peer that is recorded as dead or left. If the peer considers itself active, it
+    /// is sent this record, so that it can refute it.
+    fn inactive_peer_message_received(&mut self, now: Duration, sender: &MemberRecord, host: &mut impl Host) {
         if sender.state.is_active() {
-            self.answer_join_request(now, &sender.name, host);
+            self.reply_to_join_request(now, &sender.name, host);
         }
     }
 
-    /// The sender has been started again since, or its clock has gone back over a restart, or another process has its name.
-    /// In the last two cases it sends join requests, and must learn of the later incarnation.
-    fn earlier_incarnation_spoke(&mut self, now: Duration, message: &GossipMessage, host: &mut impl Host) {
+    /// Handles a message of a sender of which a later incarnation is known. Either the sender has restarted
+    /// since, or its clock went back during a restart, or another process has the same name. In the last two
+    /// cases it sends join requests, and must learn of the later incarnation.
+    fn earlier_incarnation_message_received(
+        &mut self,
+        now: Duration,
+        message: &GossipMessage,
+        host: &mut impl Host,
+    ) {
         let sender = &message.from;
-        if message.body != GossipBody::JoinRequest || !self.peers.may_answer_join(now, &sender.name) {
+        if message.body != GossipBody::JoinRequest || !self.peers.may_reply_to_join(now, &sender.name) {
             return;
         }
         let Some(known) = self.peers.get(&sender.name) else { return };
@@ -180,7 +191,7 @@
         self.merge(now, &message.from, host);
         for record in &message.records {
             if record.name == self.own.record().name {
-                self.own.gossip_arrived(record, host);
+                self.own.record_received(record, host);
             } else {
                 self.merge(now, record, host);
             }
@@ -188,28 +199,29 @@
     }
 
     fn merge(&mut self, now: Duration, record: &MemberRecord, host: &mut impl Host) {
-        if self.peers.merge(now, record, host) == MergeOutcome::WorseButOlder {
+        if self.peers.merge(now, record, host) == MergeOutcome::OlderButWorse {
             self.recheck(now, &record.name);
         }
     }
 
-    /// Handles the body of a message from an active peer. Says whether it was a join request that has been answered.
-    fn body_arrived(&mut self, now: Duration, message: &GossipMessage, host: &mut impl Host) -> bool {
+    /// Handles the body of a message from an active peer. Returns whether it was a join request that got a
+    /// reply.
+    fn body_received(&mut self, now: Duration, message: &GossipMessage, host: &mut impl Host) -> bool {
         let sender = &message.from.name;
         match &message.body {
-            GossipBody::JoinRequest => return self.answer_join_request(now, sender, host),
+            GossipBody::JoinRequest => return self.reply_to_join_request(now, sender, host),
             GossipBody::JoinReply => self.joined(false, host),
             GossipBody::Ping(number) => self.send_to(sender, GossipBody::Ack(*number), host),
-            GossipBody::Ack(number) => self.ack_arrived(now, *number, host),
+            GossipBody::Ack(number) => self.ack_received(now, *number, host),
             GossipBody::IndirectPing(number, target) => {
-                self.ping_on_behalf(now, sender, *number, target, host);
+                self.send_relayed_ping(now, sender, *number, target, host);
             }
             GossipBody::Observations(_) => {}
         }
         false
     }
 
-    /// The periodic work. It may come late.
+    /// Does the periodic work. The call may be delayed.
     pub fn tick(&mut self, now: Duration, host: &mut impl Host) {
         if self.own.record().state == MemberState::Left {
             return;
--- a/crates/membership/src/membership/dissemination.rs
+++ b/crates/membership/src/membership/dissemination.rs
@@ -9,7 +9,8 @@
 use crate::message::{GossipBody, GossipMessage, MAX_PIGGYBACKED_RECORDS, MemberRecord, MemberState};
 
 impl Membership {
-    /// Sends a message to a peer, with its own record if it has to refute that, and the records that have travelled least.
+    /// Sends a message to a peer. Piggybacks the receiver's own record if the receiver has to refute it, and
+    /// the records that have been sent least often.
     pub fn send_to(&mut self, name: &PeerName, body: GossipBody, host: &mut impl Host) {
         let Some(peer) = self.peers.get(name) else { return };
         let (to, receiver) = (peer.record.address, Some(peer.record.version.incarnation));
@@ -17,7 +18,7 @@
         if peer.record.state >= MemberState::Suspect {
             records.push(peer.record.clone());
         }
-        for other in self.least_travelled(name) {
+        for other in self.least_transmitted(name) {
             if let Some(peer) = self.peers.get_mut(&other) {
                 peer.transmissions_left -= 1;
                 records.push(peer.record.clone());
@@ -26,8 +27,9 @@
         self.send(to, receiver, body, records, host);
     }
 
-    /// The peers other than the receiver whose records have the most transmissions left, by name where they are equal.
-    fn least_travelled(&self, receiver: &PeerName) -> Vec<PeerName> {
+    /// The peers other than the receiver whose records have the most transmissions left. Ties are ordered by
+    /// name.
+    fn least_transmitted(&self, receiver: &PeerName) -> Vec<PeerName> {
         let mut changed: Vec<(Reverse<u32>, &PeerName)> = self
             .peers
             .iter()
@@ -38,7 +40,7 @@
         changed.into_iter().map(|(_, name)| name.clone()).take(MAX_PIGGYBACKED_RECORDS).collect()
     }
 
-    /// Sends a message to an address. `receiver` is the incarnation of the receiver, where it is known.
+    /// Sends a message to an address. `receiver` is the incarnation of the receiver, if it is known.
     pub(super) fn send(
         &self,
         to: SocketAddr,
@@ -50,7 +52,8 @@
         if to == self.own.record().address {
             return;
         }
-        // A displaced router only asks: what it says would be taken for the later process's.
+        // A displaced router sends only join requests: peers would attribute other messages to the later
+        // process of the same name.
         if self.own.is_displaced() && body != GossipBody::JoinRequest {
             return;
         }
--- a/crates/membership/src/membership/failure_detector.rs
+++ b/crates/membership/src/membership/failure_detector.rs
@@ -1,4 +1,5 @@
-//! Failure detection: pings, indirect pings by way of other peers, suspicion, and death where it is not refuted.
+//! Failure detection: pings, indirect pings through other peers, suspicion, and death if the suspicion is not
+//! refuted.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,40 +13,42 @@
 use crate::ids::{PeerName, PingNumber};
 use crate::message::{GossipBody, MemberState};
 
-/// The protocol period: peers are pinged in turn, one a period.
+/// The protocol period. In each period one peer is pinged.
 const PING_INTERVAL: Duration = Duration::from_millis(250);
-/// When other peers are asked to ping a peer that has not answered.
+/// How long after a ping without an ack other peers are asked for indirect pings.
 const INDIRECT_PING_AFTER: Duration = Duration::from_millis(100);
-/// How many peers are asked for an indirect ping.
+/// How many peers are asked for an indirect ping of the same target.
 const INDIRECT_PINGS: usize = 3;
-/// How long a suspect may take to refute the suspicion. It is multiplied by the floor of log2 of the number of routers, at
-/// least 1.
+/// How long a suspect has to refute the suspicion, per doubling of the number of routers: the timeout is this
+/// times the floor of log2 of that number, and at least this.
 const SUSPICION_TIMEOUT_PER_DOUBLING: Duration = Duration::from_millis(750);
-/// How often a suspect is pinged, each time with the record that it has to refute: with one ping a period, loss of a fifth
-/// of all datagrams makes running routers dead.
+/// The interval at which suspects are pinged, with the record that they have to refute. With only one ping
+/// per protocol period, running routers would be declared dead when a fifth of all datagrams are lost.
 const SUSPECT_PING_INTERVAL: Duration = Duration::from_millis(100);
-/// By how many routers a suspect is pinged in each interval, on average.
-const SUSPECT_PINGERS: f64 = 5.0;
+/// How many routers ping a suspect in each interval, on average.
+const ROUTERS_PINGING_A_SUSPECT: f64 = 5.0;
 
-/// A ping that awaits its ack.
+/// A ping without an ack so far.
 struct OutstandingPing {
     peer: PeerName,
     sent_at: Duration,
-    /// No indirect pings are to follow: they have been sent, or the peer is suspect already.
+    /// Whether no indirect pings are to be requested any more: they have been, or the peer is suspect
+    /// already.
     is_escalated: bool,
 }
 
-/// A ping made on behalf of another router.
+/// A ping sent on behalf of another router.
 struct RelayedPing {
     requester: PeerName,
-    /// The number under which the requester awaits the ack.
+    /// The number of the ack that the requester expects.
     requester_number: PingNumber,
     expires_at: Duration,
 }
 
-/// The pings of this router.
+/// The pings that this router sends.
 pub(super) struct FailureDetector {
-    /// Whom to ping next, the last one first. Shuffled when all have had their turn.
+    /// The peers that are still to be pinged in this round, in reverse order. Refilled in random order when
+    /// it is empty.
     ping_order: Vec<PeerName>,
     next_ping: Duration,
     outstanding: BTreeMap<PingNumber, OutstandingPing>,
@@ -64,14 +67,14 @@
         }
     }
 
-    /// Drops all pings: their acks may have come while the process did not run.
+    /// Drops all outstanding pings: their acks may have arrived while the process was not running.
     pub(super) fn restart(&mut self, now: Duration) {
         self.next_ping = now + PING_INTERVAL;
         self.outstanding.clear();
         self.relayed.clear();
     }
 
-    /// Any message is a sign of life, not only an ack.
+    /// Ends all outstanding pings of the peer: any message shows that it is alive, not only an ack.
     pub(super) fn heard_from(&mut self, name: &PeerName) {
         self.outstanding.retain(|_, ping| ping.peer != *name);
     }
@@ -85,8 +88,8 @@
         self.outstanding.iter().filter(|(_, ping)| condition(ping)).map(|(number, _)| *number).collect()
     }
 
-    /// Pings this peer next.
-    fn ping_soon(&mut self, name: &PeerName) {
+    /// Makes this peer the next one to be pinged.
+    fn move_to_front(&mut self, name: &PeerName) {
         if self.ping_order.last() != Some(name) {
             self.ping_order.retain(|other| other != name);
             self.ping_order.push(name.clone());
@@ -101,21 +104,21 @@
 }
 
 impl Membership {
-    /// The periodic part of failure detection.
+    /// Does the periodic work of failure detection.
     pub(super) fn detect_failures(&mut self, now: Duration, host: &mut impl Host) {
         self.detector.relayed.retain(|_, ping| ping.expires_at > now);
         self.request_indirect_pings(now, host);
-        self.suspect_unanswering(now, host);
+        self.suspect_unresponsive_peers(now, host);
         if now >= self.detector.next_ping {
             self.detector.next_ping = now + PING_INTERVAL;
             self.ping_next(now, host);
         }
         self.ping_suspects(now, host);
-        self.declare_unrefuted_dead(now, host);
-        self.peers.forget_long_gone(now);
+        self.declare_expired_suspects_dead(now, host);
+        self.peers.remove_long_inactive(now);
     }
 
-    /// Asks some other peers to ping each peer that has not answered directly.
+    /// Requests indirect pings of each peer that has not acknowledged a direct ping in time.
     fn request_indirect_pings(&mut self, now: Duration, host: &mut impl Host) {
         let is_due = |ping: &OutstandingPing| !ping.is_escalated && now >= ping.sent_at + INDIRECT_PING_AFTER;
         for number in self.detector.numbers_where(is_due) {
@@ -131,8 +134,9 @@
         }
     }
 
-    /// Suspects each peer that has answered neither a ping nor the indirect ones within a period.
-    fn suspect_unanswering(&mut self, now: Duration, host: &mut impl Host) {
+    /// Marks as suspect each peer that has acknowledged neither the direct ping nor the indirect pings within
+    /// a period.
+    fn suspect_unresponsive_peers(&mut self, now: Duration, host: &mut impl Host) {
         for number in self.detector.numbers_where(|ping| now >= ping.sent_at + PING_INTERVAL) {
             let Some(ping) = self.detector.outstanding.remove(&number) else { continue };
             let Some(peer) = self.peers.get(&ping.peer) else { continue };
@@ -143,13 +147,13 @@
     }
 
     fn ping_next(&mut self, now: Duration, host: &mut impl Host) {
-        if let Some(name) = self.next_in_turn() {
+        if let Some(name) = self.next_ping_target() {
             self.ping(now, &name, false, host);
         }
     }
 
-    /// The next active peer in turn. Each comes up once before the order is shuffled anew.
-    fn next_in_turn(&mut self) -> Option<PeerName> {
+    /// The next active peer to ping. Each peer is pinged once per round; each round has a new random order.
+    fn next_ping_target(&mut self) -> Option<PeerName> {
         loop {
             match self.detector.ping_order.pop() {
                 Some(name) if self.peers.is_active(&name) => return Some(name),
@@ -173,8 +177,8 @@
         self.send_to(name, GossipBody::Ping(number), host);
     }
 
-    /// Pings the target for another router, which awaits the ack under that number.
-    pub(super) fn ping_on_behalf(
+    /// Pings the target for another router, which expects an ack with the number `requester_number`.
+    pub(super) fn send_relayed_ping(
         &mut self,
         now: Duration,
         requester: &PeerName,
@@ -192,8 +196,8 @@
         self.send_to(target, GossipBody::Ping(number), host);
     }
 
-    /// An ack came, from the pinged peer or from one that was asked to ping it.
-    pub(super) fn ack_arrived(&mut self, now: Duration, number: PingNumber, host: &mut impl Host) {
+    /// Handles an ack, from the pinged peer or from a peer that was asked to ping it.
+    pub(super) fn ack_received(&mut self, now: Duration, number: PingNumber, host: &mut impl Host) {
         if let Some(ping) = self.detector.relayed.remove(&number) {
             self.send_to(&ping.requester, GossipBody::Ack(ping.requester_number), host);
         }
@@ -204,44 +208,47 @@
         }
     }
 
-    /// Pings suspects, each with the record that it has to refute.
+    /// Pings each suspect with the record that it has to refute.
     fn ping_suspects(&mut self, now: Duration, host: &mut impl Host) {
-        // This router pings and the suspect does not: as many routers ping it as there are active peers.
+        // The routers that ping a suspect are this one and all active peers except the suspect itself, so
+        // their number is that of the active peers.
         let pinging_routers = self.active_peers().count() as f64;
         let is_due = |peer: &Peer| {
-            peer.record.state == MemberState::Suspect && now >= peer.suspect_pinged + SUSPECT_PING_INTERVAL
+            peer.record.state == MemberState::Suspect && now >= peer.last_suspect_ping + SUSPECT_PING_INTERVAL
         };
         for name in self.peers.names_where(is_due) {
             if let Some(peer) = self.peers.get_mut(&name) {
-                peer.suspect_pinged = now;
+                peer.last_suspect_ping = now;
             }
-            if self.rng.random_bool((SUSPECT_PINGERS / pinging_routers).min(1.0)) {
+            if self.rng.random_bool((ROUTERS_PINGING_A_SUSPECT / pinging_routers).min(1.0)) {
                 self.ping(now, &name, true, host);
             }
         }
     }
 
-    /// Declares dead the suspects that have not refuted the suspicion in time.
-    fn declare_unrefuted_dead(&mut self, now: Duration, host: &mut impl Host) {
-        // The active peers, suspects among them, and this router: the suspicion and its refutation travel through all these.
+    /// Marks as dead each suspect that has not refuted the suspicion before the timeout.
+    fn declare_expired_suspects_dead(&mut self, now: Duration, host: &mut impl Host) {
+        // The active peers, including suspects, and this router: the suspicion and its refutation spread
+        // through all of them.
         let active_routers = self.active_peers().count() as u32 + 1;
         let timeout = SUSPICION_TIMEOUT_PER_DOUBLING * active_routers.max(2).ilog2().max(1);
-        let is_over =
+        let is_expired =
             |peer: &Peer| peer.record.state == MemberState::Suspect && now >= peer.state_since + timeout;
-        for name in self.peers.names_where(is_over) {
+        for name in self.peers.names_where(is_expired) {
             self.peers.set_state(now, &name, MemberState::Dead, host);
         }
     }
 
-    /// Others have a peer in a worse state by an older version. Either they have missed the newer one, which then travels
-    /// again; or the peer has died since, and is pinged next: at a hundred routers its turn would come 25 s later.
+    /// Handles the case that other routers have an older record of a peer with a worse state. Either they
+    /// have missed the newer record, which is then disseminated again, or the peer has died since. Then it is
+    /// pinged next: with a hundred routers it would otherwise be pinged up to 25 s later.
     pub(super) fn recheck(&mut self, now: Duration, name: &PeerName) {
         let transmissions = self.peers.transmissions();
         let Some(peer) = self.peers.get_mut(name) else { return };
         if peer.last_heard + PING_INTERVAL * 2 > now {
             peer.transmissions_left = transmissions;
         } else if peer.record.state < MemberState::Suspect {
-            self.detector.ping_soon(name);
+            self.detector.move_to_front(name);
         }
     }
 }
--- a/crates/membership/src/membership/join.rs
+++ b/crates/membership/src/membership/join.rs
@@ -1,4 +1,4 @@
-//! Join requests and replies, the seeds, and reconnecting to members that were lost.
+//! Join requests and replies, the seeds, and reconnecting to peers that were declared dead.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,11 +10,12 @@
 use crate::ids::PeerName;
 use crate::message::{GossipBody, MAX_JOIN_REPLY_RECORDS, MemberRecord, MemberState};
 
-/// How often a router that joins sends join requests.
+/// The interval at which a joining router sends join requests.
 const JOIN_REQUEST_INTERVAL: Duration = Duration::from_millis(50);
-/// A router that nobody answers is a member on its own after this.
+/// A router that gets no join reply within this time becomes a member without one.
 const JOIN_TIMEOUT: Duration = Duration::from_millis(400);
-/// How often a lost peer or a seed is sent a join request. This is what heals partitions.
+/// The interval at which a dead peer or a seed is sent a join request, so that the fleet merges again after a
+/// partition.
 const RECONNECT_INTERVAL: Duration = Duration::from_millis(500);
 
 pub(super) struct JoinProtocol {
@@ -41,7 +42,8 @@
 }
 
 impl Membership {
-    /// While this router joins: sends the join requests that are due, and ends the wait for a reply.
+    /// While this router is joining, sends the join requests that are due, and stops waiting for a reply
+    /// after the timeout.
     pub(super) fn continue_joining(&mut self, now: Duration, host: &mut impl Host) {
         if self.own.record().state != MemberState::Joining {
             return;
@@ -66,7 +68,7 @@
         }
     }
 
-    /// This router is a member from now on, `alone` if nobody has answered its join requests.
+    /// Makes this router a member, `alone` if no peer has replied to its join requests.
     pub(super) fn joined(&mut self, alone: bool, host: &mut impl Host) {
         if self.own.record().state == MemberState::Joining {
             self.own.set_state(MemberState::Up);
@@ -74,21 +76,22 @@
         }
     }
 
-    /// Sends the peer the whole view, unless it has just been sent one. Says whether it was sent.
-    pub(super) fn answer_join_request(
+    /// Sends the peer all member records, unless they have just been sent to it. Returns whether they were
+    /// sent.
+    pub(super) fn reply_to_join_request(
         &mut self,
         now: Duration,
         name: &PeerName,
         host: &mut impl Host,
     ) -> bool {
-        if !self.peers.may_answer_join(now, name) {
+        if !self.peers.may_reply_to_join(now, name) {
             return false;
         }
-        self.send_view(name, host);
+        self.send_member_records(name, host);
         true
     }
 
-    fn send_view(&mut self, name: &PeerName, host: &mut impl Host) {
+    fn send_member_records(&mut self, name: &PeerName, host: &mut impl Host) {
         let Some(peer) = self.peers.get(name) else { return };
         let (to, receiver) = (peer.record.address, Some(peer.record.version.incarnation));
         let own_record = peer.record.clone();
@@ -98,21 +101,21 @@
         if parts.is_empty() {
             parts.push(Vec::new());
         }
-        // The receiver learns in the first part what is said of it, and can refute it.
+        // The first part has the receiver's own record as known here, so that the receiver can refute it.
         parts[0].push(own_record);
         for part in parts {
             self.send(to, receiver, GossipBody::JoinReply, part, host);
         }
     }
 
-    /// Sends a join request to one lost peer or seed, chosen at random.
+    /// Sends a join request to one dead peer or unconnected seed, chosen at random.
     pub(super) fn reconnect_if_due(&mut self, now: Duration, host: &mut impl Host) {
         if now < self.join.next_reconnect {
             return;
         }
         self.join.next_reconnect = now + RECONNECT_INTERVAL;
         let connected: Vec<SocketAddr> = if self.own.is_displaced() {
-            // Everybody is asked whether the later process of this name is gone.
+            // Any peer may know that the other process of this name is gone, so no peer counts as connected.
             Vec::new()
         } else {
             self.active_peers().map(|record| record.address).collect()
--- a/crates/membership/src/membership/own_record.rs
+++ b/crates/membership/src/membership/own_record.rs
@@ -1,13 +1,14 @@
-//! This router's own record: it refutes what others wrongly say of it, and gives way to a later process of its name.
+//! This router's own record: refutes wrong records that peers have of this router, and detects another
+//! process of the same name with a later incarnation, which displaces this one.
 
 use crate::host::{Event, Host};
 use crate::ids::{Incarnation, MemberVersion};
 use crate::message::{MemberRecord, MemberState};
 
-/// The own record, and who else uses its name.
+/// The own record, and the record of another process of the same name.
 pub(super) struct OwnRecord {
     record: MemberRecord,
-    /// A later process with this router's name at another address.
+    /// The record of a process with this router's name at another address and with a later incarnation.
     displaced_by: Option<MemberRecord>,
 }
 
@@ -28,45 +29,47 @@
         self.record.state = state;
     }
 
-    /// Makes the own record newer than what has been said of this router so far.
+    /// Makes the own record newer than all records of this incarnation that have been sent so far.
     pub(super) fn raise_revision(&mut self) {
         self.record.version.revision += 1;
     }
 
-    /// A message came under the own name: from a later process elsewhere, or from an earlier one that still runs.
-    pub(super) fn namesake_spoke(&mut self, other: &MemberRecord, host: &mut impl Host) {
+    /// Handles a message from another process of the same name: one with a later incarnation at another
+    /// address, or one with an earlier incarnation that is still running.
+    pub(super) fn same_name_message_received(&mut self, other: &MemberRecord, host: &mut impl Host) {
         let is_later = other.version.incarnation > self.record.version.incarnation;
         if is_later && other.address != self.record.address {
-            self.give_way(other, host);
+            self.set_displaced(other, host);
         }
     }
 
-    /// A peer has this record of the own name.
-    pub(super) fn gossip_arrived(&mut self, record: &MemberRecord, host: &mut impl Host) {
+    /// Handles a record with this router's name that a peer has sent.
+    pub(super) fn record_received(&mut self, record: &MemberRecord, host: &mut impl Host) {
         if record.version.incarnation > self.record.version.incarnation {
-            self.later_incarnation_known(record, host);
-        } else if self.is_wrong_about_this_process(record) {
+            self.later_incarnation_received(record, host);
+        } else if self.must_be_refuted(record) {
             self.record.version.revision = record.version.revision;
             self.raise_revision();
             host.report_event(Event::SuspicionRefuted(record.state));
         }
     }
 
-    fn later_incarnation_known(&mut self, record: &MemberRecord, host: &mut impl Host) {
+    fn later_incarnation_received(&mut self, record: &MemberRecord, host: &mut impl Host) {
         if record.address == self.record.address {
-            // An earlier process here, by a clock that has gone back since. Nothing else runs at this address, so it is over.
-            self.exceed(record);
+            // The record is of an earlier process at this address, and the clock has gone back since. No
+            // other process can run at this address, so that process has ended.
+            self.advance_incarnation_past(record);
             host.report_event(Event::SuspicionRefuted(record.state));
         } else if record.state.is_active() {
-            self.give_way(record, host);
+            self.set_displaced(record, host);
         } else if self.displaced_by.as_ref().is_some_and(|other| other.version <= record.version) {
             self.displaced_by = None;
-            self.exceed(record);
+            self.advance_incarnation_past(record);
             host.report_event(Event::Restored);
         }
     }
 
-    fn is_wrong_about_this_process(&self, record: &MemberRecord) -> bool {
+    fn must_be_refuted(&self, record: &MemberRecord) -> bool {
         let own = &self.record;
         record.version.incarnation == own.version.incarnation
             && record.version.revision >= own.version.revision
@@ -74,17 +77,17 @@
             && record.state >= MemberState::Suspect
     }
 
-    /// Goes on as an incarnation above that of the record.
-    fn exceed(&mut self, record: &MemberRecord) {
+    /// Continues with an incarnation above that of the record.
+    fn advance_incarnation_past(&mut self, record: &MemberRecord) {
         let incarnation = Incarnation(record.version.incarnation.0 + 1);
         self.record.version = MemberVersion { incarnation, revision: 0 };
     }
 
-    fn give_way(&mut self, other: &MemberRecord, host: &mut impl Host) {
+    fn set_displaced(&mut self, other: &MemberRecord, host: &mut impl Host) {
         let previous = self.displaced_by.replace(other.clone());
-        let is_known =
+        let is_reported =
             previous.is_some_and(|previous| previous.version.incarnation == other.version.incarnation);
-        if !is_known {
+        if !is_reported {
             host.report_event(Event::Displaced(other.address));
         }
     }
--- a/crates/membership/src/membership/pause.rs
+++ b/crates/membership/src/membership/pause.rs
@@ -1,5 +1,5 @@
-//! Detects that the process has not run for a while. What it took for its own tasks is others' by then, so it joins again
-//! before it does anything.
+//! Detects that the process was not running for a while, for example because it was stopped. Other routers
+//! may have taken over its tasks by then, so it joins again before it does anything else.
 
 use std::time::Duration;
 
@@ -7,7 +7,8 @@
 use crate::host::{Event, Host};
 use crate::message::MemberState;
 
-/// A process that has not run for this long has been stopped. Its peers need longer to declare it dead.
+/// A process that was not running for this long is considered paused. Less than the time after which peers
+/// declare a router dead.
 const PAUSE_THRESHOLD: Duration = Duration::from_millis(800);
 
 pub(super) struct PauseDetector {
@@ -19,19 +20,19 @@
         Self { last_run: now }
     }
 
-    /// Records that the process runs now. How long it has not run before, if that is a pause.
-    fn ran(&mut self, now: Duration) -> Option<Duration> {
-        let idle = now.saturating_sub(self.last_run);
+    /// Records that the process is running now. Returns the time since the last call if that is a pause.
+    fn record_running(&mut self, now: Duration) -> Option<Duration> {
+        let elapsed = now.saturating_sub(self.last_run);
         self.last_run = now.max(self.last_run);
-        (idle >= PAUSE_THRESHOLD).then_some(idle)
+        (elapsed >= PAUSE_THRESHOLD).then_some(elapsed)
     }
 }
 
 impl Membership {
-    /// Joins again if the process has not run for a while, and says whether it has. Called where a message or the
-    /// timer arrives, at the latest a tick after the process runs again.
+    /// Joins again if the process was paused, and returns whether it was. Called on every message and every
+    /// call of the timer, so at the latest one tick after the process has resumed.
     pub fn rejoin_after_pause(&mut self, now: Duration, host: &mut impl Host) -> bool {
-        let Some(pause) = self.pause.ran(now) else { return false };
+        let Some(pause) = self.pause.record_running(now) else { return false };
         if self.own.record().state == MemberState::Left {
             return false;
         }
@@ -40,7 +41,7 @@
         self.own.raise_revision();
         self.join.restart(now);
         self.detector.restart(now);
-        self.peers.heard_from_all_active(now);
+        self.peers.mark_active_peers_heard(now);
         true
     }
 }
--- a/crates/membership/src/membership/peer_table.rs
+++ b/crates/membership/src/membership/peer_table.rs
@@ -1,4 +1,4 @@
-//! The records of the peers, and which of two records about a peer holds.
+//! The records of the peers, and which of two records of a peer takes precedence.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,46 +7,47 @@
 use crate::ids::PeerName;
 use crate::message::{MemberRecord, MemberState};
 
-/// The most peers that are recorded. A fleet with more routers is not fully known to any of them.
+/// The maximum number of peers in the table. In a fleet with more routers, none of them knows all.
 pub const MAX_PEERS: usize = 256;
-/// A peer that has been gone for this long is forgotten.
-const FORGET_AFTER: Duration = Duration::from_secs(600);
-/// The least time between two join replies to one name: a flood of requests is not answered with a flood.
+/// A peer that has been dead, or has left, for this long is removed from the table.
+const REMOVE_INACTIVE_AFTER: Duration = Duration::from_secs(600);
+/// The minimum time between two join replies to the same peer, so that a flood of requests does not cause a
+/// flood of replies.
 const JOIN_REPLY_INTERVAL: Duration = Duration::from_millis(40);
-/// With how many messages a changed record travels, for each doubling of the routers.
+/// How many messages a changed record is piggybacked on, per doubling of the number of routers.
 const TRANSMISSIONS_PER_DOUBLING: u32 = 4;
 
-/// A peer, with what the rules remember of it.
+/// A peer, with the state that the protocol keeps for it.
 pub(super) struct Peer {
     pub(super) record: MemberRecord,
-    /// When its state last changed, or when it last spoke as a suspect.
+    /// When its state last changed, or, for a suspect, when it last sent a message.
     pub(super) state_since: Duration,
-    /// When it last sent a message itself.
+    /// When this router last received a message from the peer, or an ack of an indirect ping of it.
     pub(super) last_heard: Duration,
-    /// With how many more messages its record travels.
+    /// How many more messages its record is piggybacked on.
     pub(super) transmissions_left: u32,
     /// When it was last sent a join reply.
-    join_answered: Duration,
-    /// When it was last due to be pinged as a suspect.
-    pub(super) suspect_pinged: Duration,
+    last_join_reply: Duration,
+    /// When a ping was last due to it as a suspect, whether or not this router sent it.
+    pub(super) last_suspect_ping: Duration,
 }
 
-/// What [`PeerTable::merge`] has made of a record.
+/// What [`PeerTable::merge`] has done with a record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum MergeOutcome {
-    /// It is recorded now.
+    /// It has replaced the known record, or is the first record of the peer.
     Applied,
-    /// What is known holds.
+    /// The known record takes precedence, or the peer is not to be recorded.
     Ignored,
-    /// What is known holds, but others have the peer in a worse state by an older version.
-    WorseButOlder,
+    /// The known record takes precedence, but the received one has an older version with a worse state.
+    OlderButWorse,
 }
 
-/// All peers by name.
+/// All known peers by name.
 #[derive(Default)]
 pub(super) struct PeerTable {
     peers: BTreeMap<PeerName, Peer>,
-    /// It has been reported that the table is full.
+    /// Whether [`Event::TooManyPeers`] has been reported since the table last had room.
     is_full_reported: bool,
 }
 
@@ -84,15 +85,16 @@
             .is_some_and(|peer| peer.record.version.incarnation > record.version.incarnation)
     }
 
-    /// The number of messages with which a changed record travels.
+    /// The number of messages that a changed record is piggybacked on.
     pub(super) fn transmissions(&self) -> u32 {
-        // Peers that are gone count as well, so that the number is rather too high than too low. The logarithm is that of one
-        // more than the routers.
+        // Inactive peers are counted as well: too many transmissions are better than too few. The logarithm
+        // is that of the number of routers plus one.
         let recorded_routers = self.peers.len() as u32 + 1;
         TRANSMISSIONS_PER_DOUBLING * (recorded_routers + 1).ilog2().max(1)
     }
 
-    /// The one place where a record of a peer is taken over, if it is newer, or worse in the same version.
+    /// Applies a record of a peer if it is newer than the known one, or has the same version and a worse
+    /// state. All records that are received go through this function.
     pub(super) fn merge(
         &mut self,
         now: Duration,
@@ -112,13 +114,14 @@
             return MergeOutcome::Applied;
         }
         if record.state > previous && record.version < known.record.version {
-            return MergeOutcome::WorseButOlder;
+            return MergeOutcome::OlderButWorse;
         }
         MergeOutcome::Ignored
     }
 
     fn insert(&mut self, now: Duration, record: &MemberRecord, host: &mut impl Host) -> MergeOutcome {
-        // A peer that is long gone need not be known, and a flood of names must not displace others.
+        // Inactive peers that are not known yet are not recorded, and a flood of names must not evict active
+        // peers.
         if !record.state.is_active() || !self.make_room(&record.name, host) {
             return MergeOutcome::Ignored;
         }
@@ -127,24 +130,26 @@
             state_since: now,
             last_heard: now,
             transmissions_left: 0,
-            join_answered: Duration::ZERO,
-            suspect_pinged: Duration::ZERO,
+            last_join_reply: Duration::ZERO,
+            last_suspect_ping: Duration::ZERO,
         };
         self.peers.insert(record.name.clone(), peer);
         self.record_changed(now, &record.name, None, host);
         MergeOutcome::Applied
     }
 
-    /// Whether there is room for one more peer. A peer that has been gone for the longest time makes room.
+    /// Makes room for one more peer, by removing the peer that has been inactive for the longest time if the
+    /// table is full. Returns whether there is room.
     fn make_room(&mut self, name: &PeerName, host: &mut impl Host) -> bool {
         if self.peers.len() < MAX_PEERS {
             self.is_full_reported = false;
             return true;
         }
-        let gone = self.peers.iter().filter(|(_, peer)| !peer.record.state.is_active());
-        let longest_gone = gone.min_by_key(|(_, peer)| peer.state_since).map(|(name, _)| name.clone());
-        if let Some(longest_gone) = longest_gone {
-            self.peers.remove(&longest_gone);
+        let inactive = self.peers.iter().filter(|(_, peer)| !peer.record.state.is_active());
+        let longest_inactive =
+            inactive.min_by_key(|(_, peer)| peer.state_since).map(|(name, _)| name.clone());
+        if let Some(longest_inactive) = longest_inactive {
+            self.peers.remove(&longest_inactive);
             return true;
         }
         if !self.is_full_reported {
@@ -154,7 +159,7 @@
         false
     }
 
-    /// Changes the state of a peer by what this router has found out itself.
+    /// Changes the state of a peer as detected by this router itself.
     pub(super) fn set_state(
         &mut self,
         now: Duration,
@@ -167,7 +172,7 @@
         self.record_changed(now, name, Some(previous), host);
     }
 
-    /// A record that has changed travels from here on.
+    /// Starts the dissemination of a changed record, and reports a change of the state.
     fn record_changed(
         &mut self,
         now: Duration,
@@ -185,20 +190,21 @@
         }
     }
 
-    /// Records that the peer has sent a message, and returns its state.
+    /// Records that the peer has sent a message, and returns its state. `None` if the peer is not known.
     pub(super) fn heard_from(&mut self, now: Duration, name: &PeerName) -> Option<MemberState> {
         let peer = self.peers.get_mut(name)?;
         peer.last_heard = now;
         if peer.record.state == MemberState::Suspect {
-            // It is running, so it has time to refute the suspicion.
+            // The peer is running, so its time to refute the suspicion starts again.
             peer.state_since = now;
         }
         Some(peer.record.state)
     }
 
-    /// Counts all active peers as heard now: nobody comes under suspicion for silence while this process did not run. Only
-    /// `last_heard` restarts; the time that a suspect has to refute its suspicion (`state_since`) does not.
-    pub(super) fn heard_from_all_active(&mut self, now: Duration) {
+    /// Treats all active peers as heard now, so that none is suspected because no message was received while
+    /// this process was not running. Only `last_heard` is set; the time that a suspect has to refute its
+    /// suspicion (`state_since`) does not start again.
+    pub(super) fn mark_active_peers_heard(&mut self, now: Duration) {
         for peer in self.peers.values_mut() {
             if peer.record.state.is_active() {
                 peer.last_heard = now;
@@ -206,18 +212,20 @@
         }
     }
 
-    /// Whether the peer may be sent a join reply now, which then counts as sent.
-    pub(super) fn may_answer_join(&mut self, now: Duration, name: &PeerName) -> bool {
+    /// Whether a join reply may be sent to the peer now. If so, the reply is recorded as sent.
+    pub(super) fn may_reply_to_join(&mut self, now: Duration, name: &PeerName) -> bool {
         let Some(peer) = self.peers.get_mut(name) else { return false };
-        if now < peer.join_answered + JOIN_REPLY_INTERVAL {
+        if now < peer.last_join_reply + JOIN_REPLY_INTERVAL {
             return false;
         }
-        peer.join_answered = now;
+        peer.last_join_reply = now;
         true
     }
 
-    pub(super) fn forget_long_gone(&mut self, now: Duration) {
-        self.peers.retain(|_, peer| peer.record.state.is_active() || now < peer.state_since + FORGET_AFTER);
+    pub(super) fn remove_long_inactive(&mut self, now: Duration) {
+        self.peers.retain(|_, peer| {
+            peer.record.state.is_active() || now < peer.state_since + REMOVE_INACTIVE_AFTER
+        });
     }
 
     pub(super) fn state_bytes(&self) -> usize {
--- a/crates/membership/src/message.rs
+++ b/crates/membership/src/message.rs
@@ -1,5 +1,5 @@
-//! The messages between members. Their bytes are the concern of `quillpoint-datagram`; postcard encodes fields and variants
-//! by their order here.
+//! The messages between members. `quillpoint-datagram` encodes them by postcard, in which the order of the
+//! fields and variants here is the wire format.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,89 +8,95 @@
 
 use crate::ids::{MemberVersion, PeerName, PingNumber};
 
-/// The most member records that are piggybacked on a message, beside the receiver's own.
+/// The maximum number of member records that are piggybacked on a message, in addition to the receiver's own.
 pub const MAX_PIGGYBACKED_RECORDS: usize = 4;
-/// The most member records in a join reply, beside the receiver's own. More do not fit a datagram.
+/// The maximum number of member records in a join reply, in addition to the receiver's own. More do not fit
+/// in a datagram.
 pub const MAX_JOIN_REPLY_RECORDS: usize = 10;
-/// The number of observations that fit a datagram whatever they hold, beside records with the longest names.
+/// This many observations fit in a datagram whatever their values are, together with piggybacked records of
+/// members with the longest names.
 pub const OBSERVATION_BATCH_SIZE: usize = 10;
-/// More observations go into a message while their encoded size is no larger: the rest of a datagram is left for a sender
-/// and records with the longest names.
+/// A message carries more observations as long as their encoded size does not exceed this. The rest of a
+/// datagram is reserved for the records of the sender and of other members, with the longest names.
 pub const MAX_OBSERVATION_BATCH_BYTES: usize = 680;
 
-/// The state of a member, in ascending order: of two records with the same version the one with the higher state holds.
+/// The state of a member, in ascending order. Of two records with the same version, the one with the higher
+/// state takes precedence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum MemberState {
-    /// It has started, and has no view of the fleet yet.
+    /// It has started, or resumed after a pause, and has no current view of the fleet yet.
     Joining,
     /// It is a member.
     Up,
-    /// It has not answered a ping, and can still refute the suspicion.
+    /// It has not acknowledged a ping, and can still refute the suspicion.
     Suspect,
-    /// It has announced that it leaves.
+    /// It has announced that it leaves the fleet.
     Left,
-    /// It has not refuted a suspicion in time.
+    /// It has not refuted a suspicion before the timeout.
     Dead,
 }
 
 impl MemberState {
-    /// Whether the member may be running: it is sent messages and counted among the routers.
+    /// Whether the member may be running. Messages are sent only to active members, and only they count as
+    /// routers of the fleet.
     pub fn is_active(self) -> bool {
         self <= Self::Suspect
     }
 }
 
-/// What is known of a member.
+/// What a router knows about a member.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberRecord {
     /// Its name.
     pub name: PeerName,
     /// The version of this record.
     pub version: MemberVersion,
-    /// Where its peers reach it.
+    /// The address at which its peers reach it.
     pub address: SocketAddr,
     /// The index of its zone in the deployment's settings.
     pub zone: u16,
-    /// Its share of the tasks, relative to that of the others. Zero for none.
+    /// Its share of the tasks, relative to those of the other members. With zero it owns none.
     pub weight: u8,
     /// Its state.
     pub state: MemberState,
 }
 
-/// What a router has observed of a node. Times are ages at the sending, so that clocks need not agree; log positions and
-/// starts are the node's own, on the deployment's clock.
+/// A router's observation of a node. The time of the observation is sent as an age, so that the routers'
+/// clocks need not be synchronized; the log position and the start time are reported by the node, on the
+/// deployment's clock.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Observation {
     /// The node.
     pub node: SocketAddr,
-    /// How long ago it was observed.
+    /// The time since the observation, as of the sending of the message.
     pub age: Duration,
-    /// Its log position: a time up to which all commits are applied there.
+    /// Its log position: the time up to which it has applied all commits.
     pub position: Option<Duration>,
-    /// Whether it said that it is the primary.
+    /// Whether it reported that it is the primary.
     pub primary: Option<bool>,
-    /// How many requests were queued there.
+    /// The number of requests that were queued at the node.
     pub waiting: Option<u32>,
-    /// When it started, where that is known.
+    /// When it started, if known.
     pub started: Option<Duration>,
-    /// A health check of it failed; all else is then empty.
+    /// Whether a health check of the node failed. All optional fields are then `None`.
     pub failed: bool,
 }
 
-/// What a message is for.
+/// The body of a message.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum GossipBody {
-    /// Asks for a join reply and for the recent observations. From a member that leaves, it carries the news of that.
+    /// Requests a join reply and the recent observations. A member that leaves announces it by a join
+    /// request, in which its own record has the state [`MemberState::Left`].
     JoinRequest,
-    /// Carries a part of the sender's view to a member that has sent a join request.
+    /// Carries a part of the sender's member records to a router that has sent a join request.
     JoinReply,
-    /// Asks for an ack with this number.
+    /// Requests an ack with this number.
     Ping(PingNumber),
-    /// Answers a ping.
+    /// Acknowledges the ping with this number.
     Ack(PingNumber),
-    /// Asks the receiver to ping this peer, and to forward the ack under this number.
+    /// Requests that the receiver pings this peer, and forwards the ack with this number.
     IndirectPing(PingNumber, PeerName),
-    /// What the sender has observed of nodes.
+    /// Observations of nodes.
     Observations(Vec<Observation>),
 }
 
@@ -99,18 +105,18 @@
 pub struct GossipMessage {
     /// The record of the sender.
     pub from: MemberRecord,
-    /// What the message is for.
+    /// The body of the message.
     pub body: GossipBody,
-    /// Piggybacked records of members.
+    /// The piggybacked records of members, which may include the receiver.
     pub records: Vec<MemberRecord>,
 }
 
 impl GossipMessage {
-    /// The message after a wait of this long in the receiver's socket: its observations are older by that.
-    pub fn aged_by(mut self, wait: Duration) -> Self {
+    /// Adds to the ages of the observations the time that the message has waited in the receiver's socket.
+    pub fn aged_by(mut self, socket_delay: Duration) -> Self {
         if let GossipBody::Observations(observations) = &mut self.body {
             for observation in observations {
-                observation.age = observation.age.saturating_add(wait);
+                observation.age = observation.age.saturating_add(socket_delay);
             }
         }
         self
@@ -118,15 +124,16 @@
 }
 
 impl Observation {
-    /// An upper bound of the encoded size in bytes. Postcard encodes a number in a byte for each seven bits.
+    /// An upper bound of the encoded size in bytes. Postcard encodes an integer as a varint, with seven bits
+    /// per byte.
     pub fn max_encoded_bytes(&self) -> usize {
-        let number = |value: u64| (64 - (value | 1).leading_zeros() as usize).div_ceil(7);
-        let duration = |value: Duration| number(value.as_secs()) + number(u64::from(value.subsec_nanos()));
+        let varint = |value: u64| (64 - (value | 1).leading_zeros() as usize).div_ceil(7);
+        let duration = |value: Duration| varint(value.as_secs()) + varint(u64::from(value.subsec_nanos()));
         let optional_duration = |value: Option<Duration>| 1 + value.map_or(0, duration);
         let ip_bytes = if self.node.is_ipv4() { 4 } else { 16 };
-        let node = 1 + ip_bytes + number(u64::from(self.node.port()));
+        let node = 1 + ip_bytes + varint(u64::from(self.node.port()));
         let primary = 2;
-        let waiting = 1 + self.waiting.map_or(0, |waiting| number(u64::from(waiting)));
+        let waiting = 1 + self.waiting.map_or(0, |waiting| varint(u64::from(waiting)));
         let failed = 1;
         node + duration(self.age)
             + optional_duration(self.position)
--- a/crates/membership/src/observation_store.rs
+++ b/crates/membership/src/observation_store.rs
@@ -1,9 +1,13 @@
-//! The observations of nodes: this router's own on their way to the peers, and what peers have sent.
+//! The observations of nodes: this router's own, which it sends to its peers, and those received from peers.
 //!
-//! What a peer's observation may do is decided here. A position in it lets a read try a replica, no more: the position in the
-//! answer then decides, in the `quillpoint` package. A role in it says where to look. A failure is a reason for a health
-//! check of one's own, and is believed only once several routers have failed by themselves. A peer that a node's own
-//! answer contradicts is not believed for a while.
+//! This module decides how far an observation by a peer is trusted:
+//!
+//! - A log position only allows a read to try a replica. Whether the read succeeds depends on the position in
+//!   the replica's response, which the `quillpoint` package checks.
+//! - A role only determines which node is tried as the primary.
+//! - A failure causes a health check by this router, and is accepted only after several routers have failed
+//!   independently.
+//! - If a node's response contradicts a peer, all observations by the peer are rejected for a while.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -13,45 +17,46 @@
 use crate::host::TimestampedObservation;
 use crate::ids::PeerName;
 use crate::message::{MAX_OBSERVATION_BATCH_BYTES, OBSERVATION_BATCH_SIZE, Observation};
-use crate::node_observations::{NodeObservations, TimedObservation};
+use crate::node_observations::{NodeObservations, StoredObservation};
 use crate::token_bucket::TokenBucket;
 
-/// An older observation is neither sent nor accepted.
+/// Older observations are neither sent nor accepted.
 pub const MAX_OBSERVATION_AGE: Duration = Duration::from_secs(10);
-/// About the bytes of an observation in a message.
+/// The approximate encoded size of an observation, by which the budgets are computed.
 pub const TYPICAL_OBSERVATION_BYTES: f64 = 40.0;
-/// About the bytes of a message without its observations.
+/// The approximate size of a message without its observations.
 const MESSAGE_OVERHEAD_BYTES: f64 = 160.0;
-/// How long a peer that a node has contradicted is not believed.
+/// How long observations by a peer are rejected after a node's response has contradicted it.
 const DISTRUST_PERIOD: Duration = Duration::from_secs(60);
-/// How many seconds of the budget can be saved up.
+/// The burst of the budget, in seconds at its rate.
 const BURST_SECONDS: f64 = 0.25;
 
-/// What a peer's observation is worth.
+/// Whether an observation by a peer is accepted.
 #[derive(Debug, PartialEq)]
 pub enum Assessment {
-    /// It is believed.
+    /// It is accepted.
     Accepted(TimestampedObservation),
-    /// A failure that no other router has met yet: a reason for a health check of one's own.
+    /// It is a failure that too few routers have reported so far. This router should check the node itself.
     Unconfirmed,
-    /// It is too old, of a node that is not listed, outweighed by a later answer, or from a peer that is not believed.
+    /// It is too old, concerns a node that is not listed, is a failure followed by a later successful
+    /// observation, or comes from a distrusted peer.
     Rejected,
 }
 
 /// The observations of all listed nodes.
 pub struct ObservationStore {
     own_name: PeerName,
-    /// Iterated only in the order of addresses.
+    /// Must be iterated in the order of addresses, since its own iteration order is arbitrary.
     nodes: FastHashMap<SocketAddr, NodeObservations>,
-    /// Nodes with an own observation that has not been sent.
+    /// The nodes for which this router has an own observation that has not been sent yet.
     unsent: BTreeSet<SocketAddr>,
-    /// Until when a peer is not believed.
+    /// Until when the observations by a peer are rejected.
     distrusted_until: BTreeMap<PeerName, Duration>,
     budget: TokenBucket,
 }
 
 impl ObservationStore {
-    /// No nodes, with a budget of so many bytes a second to all peers together.
+    /// Creates a store without nodes. The budget is in bytes per second to all peers together.
     pub fn new(own_name: PeerName, bytes_per_second: f64, now: Duration) -> Self {
         Self {
             own_name,
@@ -62,12 +67,12 @@
         }
     }
 
-    /// Changes the budget, in bytes a second to all peers together.
+    /// Changes the budget, in bytes per second to all peers together.
     pub fn set_budget(&mut self, bytes_per_second: f64) {
         self.budget.set_limits(bytes_per_second, bytes_per_second * BURST_SECONDS);
     }
 
-    /// Takes all listed nodes. Nothing is kept of any other.
+    /// Sets the listed nodes. The observations of all other nodes are removed.
     pub fn nodes_changed(&mut self, nodes: &BTreeSet<SocketAddr>) {
         self.nodes.retain(|node, _| nodes.contains(node));
         self.unsent.retain(|node| nodes.contains(node));
@@ -76,8 +81,9 @@
         }
     }
 
-    /// Records what this router has observed now, by a request sent at `sent_at`. Returns the peer that the node's answer
-    /// contradicts, if there is one. It is not believed for a while.
+    /// Records this router's own observation, made by a request sent at `sent_at`. Returns the peer whose
+    /// report the node's response contradicts, if any. The observations by that peer are rejected for a
+    /// while.
     pub fn record_own(
         &mut self,
         now: Duration,
@@ -91,7 +97,7 @@
         Some(peer)
     }
 
-    /// Records what a peer has observed, as far as it is to be believed.
+    /// Records an observation by a peer if it is accepted.
     pub fn record_from_peer(
         &mut self,
         now: Duration,
@@ -105,22 +111,22 @@
         self.distrusted_until.remove(peer);
         let Some(known) = self.nodes.get_mut(&observation.node) else { return Assessment::Rejected };
         let at = now.saturating_sub(observation.age);
-        known.record_from_peer(now, peer, TimedObservation { at, observation })
+        known.record_from_peer(now, peer, StoredObservation { at, observation })
     }
 
-    /// What peers have last observed of a node, unless it is too old.
+    /// The latest observation of a node by a peer, unless it is too old.
     pub fn latest_from_peers(&self, now: Duration, node: SocketAddr) -> Option<TimestampedObservation> {
         let latest = self.nodes.get(&node)?.latest_from_peers()?;
-        (now.saturating_sub(latest.at) <= MAX_OBSERVATION_AGE).then(|| latest.dated(now))
+        (now.saturating_sub(latest.at) <= MAX_OBSERVATION_AGE).then(|| latest.timestamped(now))
     }
 
-    /// Takes the own observations that are to be sent to so many peers now, the latest first, a batch for each message.
+    /// Returns the own observations to send to `peers` peers now, the latest first, one batch per message.
     ///
-    /// What the budget does not allow now stays, and is dropped when it is too old.
+    /// Observations that the budget does not allow now are kept until they are sent or too old.
     pub fn take_outgoing(&mut self, now: Duration, peers: usize) -> Vec<Vec<Observation>> {
         self.budget.refill(now);
         if peers == 0 {
-            // A peer that joins is sent a snapshot.
+            // A peer that joins later receives a snapshot.
             self.unsent.clear();
             return Vec::new();
         }
@@ -140,7 +146,8 @@
         batches.batches
     }
 
-    /// The nodes whose own observation is to be sent. Drops those that are too old.
+    /// The nodes whose own observations are to be sent, the latest first. Drops observations that are too
+    /// old.
     fn unsent_latest_first(&mut self, now: Duration) -> Vec<SocketAddr> {
         let mut unsent: Vec<(Duration, SocketAddr)> = Vec::new();
         self.unsent.retain(|node| {
@@ -153,18 +160,18 @@
         unsent.into_iter().map(|(_, node)| node).collect()
     }
 
-    /// All that is known and not too old, for a peer that joins, a batch for each message. Failures are left out: only a
-    /// router that has failed itself may say so.
+    /// The latest observations of all nodes that are not too old, for a peer that joins, one batch per
+    /// message. Failures are omitted: a router may report only failures of its own health checks.
     pub fn snapshot(&self, now: Duration) -> Vec<Vec<Observation>> {
         let mut nodes: Vec<SocketAddr> = self.nodes.keys().copied().collect();
         nodes.sort_unstable();
-        let latest = |node: &SocketAddr| self.nodes[node].latest_answer()?.aged(now);
+        let latest = |node: &SocketAddr| self.nodes[node].latest_success()?.aged(now);
         let batches =
             nodes.chunks(OBSERVATION_BATCH_SIZE).map(|nodes| nodes.iter().filter_map(latest).collect());
         batches.filter(|batch: &Vec<Observation>| !batch.is_empty()).collect()
     }
 
-    /// The size of the tables in bytes, without the overhead of the allocator.
+    /// The memory used by the tables in bytes, without the overhead of the allocator.
     pub fn state_bytes(&self) -> usize {
         let failures: usize = self.nodes.values().map(NodeObservations::failure_count).sum();
         self.nodes.len() * size_of::<(SocketAddr, NodeObservations)>()
@@ -172,23 +179,23 @@
             + (failures + self.distrusted_until.len()) * size_of::<(PeerName, Duration)>()
     }
 
-    /// The number of nodes.
+    /// The number of listed nodes.
     pub fn len(&self) -> usize {
         self.nodes.len()
     }
 
-    /// Whether there are no nodes.
+    /// Whether no nodes are listed.
     pub fn is_empty(&self) -> bool {
         self.nodes.is_empty()
     }
 }
 
-/// Observations packed into as few messages as hold them: a message costs its sender a system call for each peer, and each
-/// receiver another.
+/// Packs observations into as few messages as possible: each message costs its sender one system call per
+/// peer, and each receiver another.
 #[derive(Default)]
 struct Batches {
     batches: Vec<Vec<Observation>>,
-    /// What is left of the last batch.
+    /// The bytes that are left in the last batch.
     bytes_left: usize,
 }
 
--- a/crates/membership/src/scheduler.rs
+++ b/crates/membership/src/scheduler.rs
@@ -1,12 +1,12 @@
-//! Background jobs by priority, within a budget.
+//! A scheduler of background jobs with priorities and a budget.
 //!
-//! A job has a due time, a priority and a cost. Of the jobs that are due, the one with the highest priority runs first, and
-//! of equals the one that has been due longest. Costs are paid from a token bucket, which spreads out jobs that become due
-//! together.
+//! A job has a due time, a priority and a cost. Of the jobs that are due, the one with the highest priority
+//! runs first; of jobs with the same priority, the one that became due first. The costs are taken from a
+//! token bucket, which spreads out jobs that become due at the same time.
 //!
-//! Most jobs are postponed again and again before they are due, since another router has done them. A postponed job stays
-//! where it is queued and is queued anew when that time comes: thousands are postponed a second, and each would else cost
-//! a removal and an insertion.
+//! Most jobs are postponed repeatedly before they are due, because another router has run them. A postponed
+//! job is not moved in the queue at once, but only when its queued time is reached: thousands of jobs are
+//! postponed per second, and each move costs a removal and an insertion.
 
 use std::collections::BTreeSet;
 use std::hash::Hash;
@@ -30,24 +30,25 @@
 /// The queue that a job is in.
 #[derive(Clone, Copy, PartialEq)]
 enum Queue {
-    /// In `pending`, under this time, which is no later than the job's own.
+    /// The job is in `pending` with this time, which is not later than its due time.
     Pending(Duration),
-    /// In `ready`, under the job's own time.
+    /// The job is in `ready` with its due time.
     Ready,
 }
 
-/// A queue of jobs of type `J`, each of which is in it once.
+/// A queue of jobs of type `J`. Each job is in the queue at most once.
 pub struct Scheduler<J> {
     jobs: FastHashMap<J, Job>,
-    /// The jobs that are not ready, by a time before which they are not due.
+    /// The jobs that are not ready, ordered by a lower bound of their due times.
     pending: BTreeSet<(Duration, J)>,
-    /// The jobs whose time has come.
+    /// The jobs that are due and wait for the budget, in the order in which they run.
     ready: BTreeSet<(Priority, Duration, J)>,
     budget: TokenBucket,
 }
 
 impl<J: Copy + Ord + Hash> Scheduler<J> {
-    /// An empty queue with a budget of `rate` cost units a second, of which `burst` can be saved up.
+    /// Creates an empty queue with a budget of `rate` cost units per second and a burst of `burst` cost
+    /// units.
     pub fn new(rate: f64, burst: f64, now: Duration) -> Self {
         Self {
             jobs: FastHashMap::default(),
@@ -57,12 +58,12 @@
         }
     }
 
-    /// Changes the budget. What has been saved up stays, as far as the new burst allows.
+    /// Changes the budget. Tokens in the bucket are kept, up to the new burst.
     pub fn set_budget(&mut self, rate: f64, burst: f64) {
         self.budget.set_limits(rate, burst);
     }
 
-    /// Queues the job, or moves it to another time.
+    /// Adds the job to the queue, or changes its due time, priority and cost if it is queued already.
     pub fn schedule(&mut self, job: J, due: Duration, priority: Priority, cost: f64) {
         let entry = Job { due, priority, cost, queue: Queue::Pending(due) };
         let Some(known) = self.jobs.get_mut(&job) else {
@@ -81,7 +82,7 @@
         self.pending.insert((due, job));
     }
 
-    /// Removes the job, if it is there.
+    /// Removes the job if it is in the queue.
     pub fn remove(&mut self, job: J) {
         if let Some(entry) = self.jobs.remove(&job) {
             self.dequeue(job, entry);
@@ -95,13 +96,14 @@
         };
     }
 
-    /// Removes and returns the next job that may run now, if there is one that the budget allows.
+    /// Removes and returns the next job that is due, if the budget allows it.
     pub fn pop(&mut self, now: Duration) -> Option<J> {
         self.pop_unless_postponed(now, |_| None)
     }
 
-    /// As [`pop`](Self::pop), for an owner that postpones jobs without telling: `postponed_until` is asked for the later time
-    /// of a job, if it has one, once the job's queued time has come.
+    /// Like [`pop`](Self::pop), for an owner that postpones jobs without calling
+    /// [`schedule`](Self::schedule). When the queued time of a job is reached, `postponed_until` returns its
+    /// new due time, if it has one.
     pub fn pop_unless_postponed(
         &mut self,
         now: Duration,
@@ -111,9 +113,9 @@
         self.move_due_to_ready(now, &postponed_until);
         loop {
             let (_, _, job) = *self.ready.first()?;
-            // It may have been postponed while it waited for the budget.
-            if let Some(later) = postponed_until(job).filter(|later| *later > now) {
-                self.move_to_pending(job, later);
+            // The job may have been postponed while it waited for the budget.
+            if let Some(new_due) = postponed_until(job).filter(|new_due| *new_due > now) {
+                self.move_to_pending(job, new_due);
                 continue;
             }
             if !self.budget.try_take(self.jobs[&job].cost) {
@@ -149,19 +151,19 @@
         self.pending.insert((due, job));
     }
 
-    /// The size of the queue in bytes, without the overhead of the allocator.
+    /// The memory used by the queue in bytes, without the overhead of the allocator.
     pub fn state_bytes(&self) -> usize {
         self.jobs.len() * size_of::<(J, Job)>()
             + self.pending.len() * size_of::<(Duration, J)>()
             + self.ready.len() * size_of::<(Priority, Duration, J)>()
     }
 
-    /// The number of jobs.
+    /// The number of jobs in the queue.
     pub fn len(&self) -> usize {
         self.jobs.len()
     }
 
-    /// Whether there are no jobs.
+    /// Whether the queue has no jobs.
     pub fn is_empty(&self) -> bool {
         self.jobs.is_empty()
     }
--- a/crates/membership/tests/budgets.rs
+++ b/crates/membership/tests/budgets.rs
@@ -1,4 +1,5 @@
-//! The budgets of a member for health checks and for sending observations: fixed, or by the number of listed nodes.
+//! The budgets of a member for health checks and for sending observations: fixed, or growing with the number
+//! of listed nodes.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -17,7 +18,7 @@
 
 const NODES: u16 = 3000;
 const PERIOD: Duration = Duration::from_millis(150);
-/// The budgets of a member that is configured with none: a tenth of what the nodes take.
+/// The configured budgets: about a tenth of what the nodes take.
 const WORK_RATE: f64 = 2000.0;
 const GOSSIP_RATE: f64 = 80_000.0;
 
@@ -35,7 +36,7 @@
     MemberRecord { name: PeerName::new(name).unwrap(), version, address, zone: 0, weight: 1, state }
 }
 
-/// What the member has asked its host for since the last look.
+/// The calls of the host since they were last taken.
 #[derive(Default)]
 struct Effects {
     sent: Vec<GossipMessage>,
@@ -75,9 +76,9 @@
     }
 }
 
-/// How often each node was checked, and how many observations were sent, in two seconds of a member whose one peer answers
-/// its pings and does nothing else.
-fn two_seconds(budgets_grow_with_nodes: bool) -> (BTreeMap<SocketAddr, usize>, usize) {
+/// Returns how often each node was checked, and how many observations were sent, within two seconds by a
+/// member whose only peer acknowledges pings and does nothing else.
+fn run_for_two_seconds(budgets_grow_with_nodes: bool) -> (BTreeMap<SocketAddr, usize>, usize) {
     let params = params(budgets_grow_with_nodes);
     let effects = Rc::new(RefCell::new(Effects::default()));
     let own_record = record("r1", MemberState::Joining);
@@ -87,7 +88,7 @@
     let mut checks = BTreeMap::new();
     let mut observations_sent = 0;
     let mut now = ms(0);
-    let counted = ms(8000);
+    let counted_from = ms(8000);
     while now < ms(10_000) {
         now += TICK_INTERVAL;
         fleet.timer_fired(now);
@@ -110,7 +111,7 @@
             };
             fleet.task_ended(now, task);
             fleet.record_own_observation(now, now, observation);
-            if now > counted {
+            if now > counted_from {
                 *checks.entry(node).or_default() += 1;
             }
         }
@@ -124,7 +125,7 @@
                     };
                     fleet.message_arrived(now, ack);
                 }
-                GossipBody::Observations(observations) if now > counted => {
+                GossipBody::Observations(observations) if now > counted_from => {
                     observations_sent += observations.len()
                 }
                 _ => {}
@@ -134,25 +135,40 @@
     (checks, observations_sent)
 }
 
-/// Guards against a control instance with default budgets and more databases than those bear: the same ones were
-/// reported for good, since the latest go first, and no router followed it any more.
+/// Guards against a control instance with default budgets and more databases than these budgets suffice for:
+/// as the latest observations are sent first, always the same databases were reported, and no router followed
+/// the instance any more.
 #[test]
-fn budgets_that_grow_bear_all_the_nodes_there_are() {
-    let (checks, observations_sent) = two_seconds(true);
+fn budgets_that_grow_with_the_nodes_suffice_for_all_nodes() {
+    let (checks, observations_sent) = run_for_two_seconds(true);
     assert_eq!(checks.len(), usize::from(NODES));
-    // Each period is a tick longer at the most, and where the peer owns the task a takeover delay.
-    let least = (2000 / (2 * PERIOD + TICK_INTERVAL).as_millis()) as usize - 1;
-    assert!(checks.values().all(|count| *count >= least), "{:?} of {least}", checks.values().min());
+    // Checks are late by up to one tick, and by a takeover delay if the peer owns the task.
+    let min_count = (2000 / (2 * PERIOD + TICK_INTERVAL).as_millis()) as usize - 1;
+    assert!(
+        checks.values().all(|count| *count >= min_count),
+        "a node was checked only {:?} of {min_count} times",
+        checks.values().min()
+    );
     let observations_made: usize = checks.values().sum();
-    assert!(observations_sent * 100 >= observations_made * 97, "{observations_sent} of {observations_made}");
+    assert!(
+        observations_sent * 100 >= observations_made * 97,
+        "only {observations_sent} of {observations_made} observations were sent"
+    );
 }
 
+/// Guards against a member that exceeds its configured budgets because there are many nodes.
 #[test]
-fn budgets_that_are_fixed_hold_however_many_nodes_there_are() {
-    let (checks, observations_sent) = two_seconds(false);
+fn fixed_budgets_are_not_exceeded_with_many_nodes() {
+    let (checks, observations_sent) = run_for_two_seconds(false);
     let observations_made: usize = checks.values().sum();
-    // Two seconds of the budget, and what was saved up.
-    assert!(observations_made as f64 <= WORK_RATE * 2.1 + 1.0, "{observations_made}");
-    assert!(observations_sent as f64 * 40.0 <= GOSSIP_RATE * 2.25, "{observations_sent}");
-    assert!(observations_made as f64 >= WORK_RATE * 1.8, "{observations_made}: it is spent");
+    // The budget of two seconds and the burst.
+    assert!(observations_made as f64 <= WORK_RATE * 2.1 + 1.0, "{observations_made} checks were run");
+    assert!(
+        observations_sent as f64 * 40.0 <= GOSSIP_RATE * 2.25,
+        "{observations_sent} observations were sent"
+    );
+    assert!(
+        observations_made as f64 >= WORK_RATE * 1.8,
+        "the budget is not used up: {observations_made} checks were run"
+    );
 }
--- a/crates/membership/tests/handover.rs
+++ b/crates/membership/tests/handover.rs
@@ -1,8 +1,8 @@
-//! The takeover of one task among three routers, model-checked: the rule itself ([`due_at`]) and the ranks of
-//! rendezvous hashing, in every order in which messages arrive or are lost, routers die and come back, and
-//! views change. Time goes in ticks.
+//! Model checks of the takeover of one task among three routers. The model uses the takeover rule
+//! ([`due_at`]) and the ranks of rendezvous hashing, and covers every order in which messages arrive or are
+//! lost, routers die and restart, and member views change. Time passes in ticks.
 //!
-//! What holds, and for which faults, stands at each test; docs/duties.md has the table.
+//! Each test states the faults and what must hold under them; docs/duties.md has the table.
 
 use std::time::Duration;
 
@@ -17,30 +17,35 @@
 const PERIOD: u64 = 3;
 const TAKEOVER_DELAY: u64 = 2;
 const MIN_INTERVAL: u64 = 2;
-/// The run starts here, so that there is a time before it.
+/// The time at which the model starts. Not zero, so that a run before it can be represented.
 const START: u64 = 10;
 
-/// What may happen besides the passing of time and the arrival of messages.
+/// The faults that may occur, and the parameters of the model.
 #[derive(Clone, Copy)]
 struct Faults {
+    /// The number of messages that may be lost.
     losses: u8,
+    /// The number of times that a router may be killed.
     kills: u8,
-    /// Views that change to any set of routers that has the router itself in it.
+    /// The number of times that the view of a router may change, to any set of routers that includes the
+    /// router itself.
     wrong_views: u8,
-    /// The rule is broken on purpose: every router takes itself for the owner.
-    broken: bool,
-    ends: u64,
+    /// Breaks the takeover rule, to test the model: every router considers itself the owner.
+    ignores_ranks: bool,
+    /// The time at which the model ends.
+    ends_at: u64,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Router {
     alive: bool,
-    /// The routers that it takes for active, a bit for each.
+    /// The routers that this router considers active, one bit for each.
     view: u8,
     last_run: Option<u64>,
     last_started: Option<u64>,
-    due_since: u64,
-    process: u8,
+    first_due: u64,
+    /// The number of restarts.
+    restarts: u8,
 }
 
 /// One run of the task.
@@ -48,11 +53,11 @@
 struct TaskRun {
     at: u64,
     router: usize,
-    /// Which process of that router.
-    process: u8,
+    /// The number of restarts of the router before the run.
+    restarts: u8,
 }
 
-/// Tells a router that the task was run.
+/// Informs a router that the task was run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 struct Message {
     to: usize,
@@ -63,25 +68,28 @@
 struct World {
     now: u64,
     routers: [Router; ROUTERS],
-    /// Messages under way.
+    /// Messages in transit.
     messages: Vec<Message>,
-    /// The runs of the task, as far back as matters.
+    /// The runs of the task that the properties can depend on.
     runs: Vec<TaskRun>,
+    /// How many more messages may be lost.
     losses: u8,
+    /// How many more times a router may be killed.
     kills: u8,
+    /// How many more times a view may change.
     wrong_views: u8,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Step {
-    /// All due runs have been made and all messages have arrived: time goes on.
+    /// Time passes, when all due runs have been made and all messages have arrived or are lost.
     Tick,
     Run(usize),
     Arrive(usize),
     Lose(usize),
     Kill(usize),
-    Start(usize),
-    View(usize, u8),
+    Restart(usize),
+    ChangeView(usize, u8),
 }
 
 fn ticks(count: u64) -> Duration {
@@ -105,7 +113,7 @@
 }
 
 impl Faults {
-    /// When this router would run the task next.
+    /// When this router runs the task next.
     fn due(&self, world: &World, router: usize) -> Option<u64> {
         let own = world.routers[router];
         if !own.alive {
@@ -117,9 +125,9 @@
         let task = TaskId { kind: TaskKind(0), target: TaskTarget::Deployment };
         let inputs = TakeoverInputs {
             last_run: own.last_run.map(ticks),
-            due_since: ticks(own.due_since),
+            first_due: ticks(own.first_due),
             earliest_start: own.last_started.map_or(Duration::ZERO, |started| ticks(started + MIN_INTERVAL)),
-            rank: if self.broken { 0 } else { rank(task, 0, &name(router), &candidates)? },
+            rank: if self.ignores_ranks { 0 } else { rank(task, 0, &name(router), &candidates)? },
         };
         Some(due_at(&params(), inputs).as_secs())
     }
@@ -139,45 +147,45 @@
             view: 0b111,
             last_run: Some(START - 1),
             last_started: None,
-            due_since: START,
-            process: 0,
+            first_due: START,
+            restarts: 0,
         };
         vec![World {
             now: START,
             routers: [router; ROUTERS],
             messages: vec![],
-            runs: vec![TaskRun { at: START - 1, router: 0, process: u8::MAX }],
+            runs: vec![TaskRun { at: START - 1, router: 0, restarts: u8::MAX }],
             losses: self.losses,
             kills: self.kills,
             wrong_views: self.wrong_views,
         }]
     }
 
-    fn actions(&self, world: &World, steps: &mut Vec<Step>) {
+    fn actions(&self, world: &World, actions: &mut Vec<Step>) {
         let due: Vec<usize> = (0..ROUTERS).filter(|router| self.is_due(world, *router)).collect();
-        // A message takes less than a tick, and so does a run.
-        if due.is_empty() && world.messages.is_empty() && world.now < self.ends {
-            steps.push(Step::Tick);
+        // Messages and runs take less than a tick.
+        if due.is_empty() && world.messages.is_empty() && world.now < self.ends_at {
+            actions.push(Step::Tick);
         }
-        steps.extend(due.into_iter().map(Step::Run));
-        for place in 0..world.messages.len() {
-            steps.push(Step::Arrive(place));
+        actions.extend(due.into_iter().map(Step::Run));
+        for index in 0..world.messages.len() {
+            actions.push(Step::Arrive(index));
             if world.losses > 0 {
-                steps.push(Step::Lose(place));
+                actions.push(Step::Lose(index));
             }
         }
         for router in 0..ROUTERS {
             let alive = world.routers.iter().filter(|router| router.alive).count();
             if world.routers[router].alive && world.kills > 0 && alive > 1 {
-                steps.push(Step::Kill(router));
+                actions.push(Step::Kill(router));
             }
             if !world.routers[router].alive {
-                steps.push(Step::Start(router));
+                actions.push(Step::Restart(router));
             }
             if world.routers[router].alive && world.wrong_views > 0 {
                 let own = 1 << router;
                 let others = (0..8_u8).filter(|view| view & own != 0 && *view != world.routers[router].view);
-                steps.extend(others.map(|view| Step::View(router, view)));
+                actions.extend(others.map(|view| Step::ChangeView(router, view)));
             }
         }
     }
@@ -192,41 +200,42 @@
             }
             Step::Run(router) => {
                 let now = world.now;
-                let process = world.routers[router].process;
-                world.runs.push(TaskRun { at: now, router, process });
+                let restarts = world.routers[router].restarts;
+                world.runs.push(TaskRun { at: now, router, restarts });
                 world.routers[router].last_started = Some(now);
                 world.routers[router].last_run = Some(now);
                 let others = (0..ROUTERS).filter(|other| *other != router);
                 world.messages.extend(others.map(|to| Message { to, run_at: now }));
             }
-            Step::Arrive(place) => {
-                let Message { to, run_at } = world.messages.remove(place);
+            Step::Arrive(index) => {
+                let Message { to, run_at } = world.messages.remove(index);
                 let router = &mut world.routers[to];
                 if router.alive {
                     router.last_run = router.last_run.max(Some(run_at));
                 }
             }
-            Step::Lose(place) => {
-                world.messages.remove(place);
+            Step::Lose(index) => {
+                world.messages.remove(index);
                 world.losses -= 1;
             }
             Step::Kill(router) => {
                 world.routers[router].alive = false;
                 world.kills -= 1;
             }
-            Step::Start(router) => {
-                // It knows only what the snapshots of its peers say, and runs tasks when it has those.
+            Step::Restart(router) => {
+                // A restarted router knows only what the snapshots of its peers contain, and runs tasks after
+                // it has received them.
                 let alive = world.routers.iter().filter(|other| other.alive);
                 world.routers[router] = Router {
                     alive: true,
                     view: 0b111,
                     last_run: alive.filter_map(|other| other.last_run).max(),
                     last_started: None,
-                    due_since: world.now,
-                    process: world.routers[router].process + 1,
+                    first_due: world.now,
+                    restarts: world.routers[router].restarts + 1,
                 };
             }
-            Step::View(router, view) => {
+            Step::ChangeView(router, view) => {
                 world.routers[router].view = view;
                 world.wrong_views -= 1;
             }
@@ -238,27 +247,32 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("each router keeps its minimum interval", |_, world: &World| {
-                let mut runs = world.runs.clone();
-                runs.sort_by_key(|run| (run.router, run.process, run.at));
-                runs.windows(2).all(|pair| {
-                    let (earlier, later) = (pair[0], pair[1]);
-                    let is_same_process = (earlier.router, earlier.process) == (later.router, later.process);
-                    !is_same_process || earlier.at + MIN_INTERVAL <= later.at
-                })
-            }),
-            Property::always("one owner runs it in a period", |model: &Self, world: &World| {
-                most_runs_in_a_period(world) <= model.owners()
-            }),
             Property::always(
-                "nobody waits longer than all takeover delays",
+                "a process runs the task at most once per minimum interval",
+                |_, world: &World| {
+                    let mut runs = world.runs.clone();
+                    runs.sort_by_key(|run| (run.router, run.restarts, run.at));
+                    runs.windows(2).all(|pair| {
+                        let (earlier, later) = (pair[0], pair[1]);
+                        let is_same_process =
+                            (earlier.router, earlier.restarts) == (later.router, later.restarts);
+                        !is_same_process || earlier.at + MIN_INTERVAL <= later.at
+                    })
+                },
+            ),
+            Property::always(
+                "runs in a period stay within the limit for the faults",
+                |model: &Self, world: &World| most_runs_in_a_period(world) <= model.max_runs_in_a_period(),
+            ),
+            Property::always(
+                "the delay of a run stays within the limit for the faults",
                 |model: &Self, world: &World| {
                     let last = world.runs.iter().map(|run| run.at).max().unwrap_or(0);
-                    world.now <= last + PERIOD + model.most_takeovers() * TAKEOVER_DELAY
+                    world.now <= last + PERIOD + model.max_takeover_delays() * TAKEOVER_DELAY
                 },
             ),
-            Property::sometimes("it is done again and again", |model: &Self, world: &World| {
-                world.now == model.ends && world.runs.len() > 1
+            Property::sometimes("the task is run repeatedly until the end", |model: &Self, world: &World| {
+                world.now == model.ends_at && world.runs.len() > 1
             }),
         ]
     }
@@ -271,54 +285,66 @@
 }
 
 impl Faults {
-    /// How many runs there may be within one period.
-    fn owners(&self) -> usize {
-        // One lost message leaves one other uninformed; one wrong view makes one other the owner; one that starts
-        // before its last message has arrived anywhere does not know of its own run.
+    /// The maximum number of runs within one period.
+    fn max_runs_in_a_period(&self) -> usize {
+        // Without faults there is one run. A lost message leaves one router uninformed. A wrong view makes
+        // one more router the owner. A router that restarts before any peer has received its last message
+        // does not know of its own run.
         1 + usize::from(self.losses) + usize::from(self.wrong_views) + usize::from(self.kills)
     }
 
-    /// How many takeover delays pass at the most before somebody runs it: one for each dead router that precedes.
-    fn most_takeovers(&self) -> u64 {
+    /// The maximum number of takeover delays before a router runs the task: one for each dead router with a
+    /// lower rank, and two if a view is wrong.
+    fn max_takeover_delays(&self) -> u64 {
         u64::from(self.kills).min(ROUTERS as u64 - 1) + u64::from(self.wrong_views > 0) * 2
     }
 }
 
-fn holds(faults: Faults) -> usize {
+/// Asserts that all properties hold under the faults, and returns the number of distinct states of the model.
+fn check_model(faults: Faults) -> usize {
     let checker = faults.checker().threads(4).spawn_bfs().join();
     checker.assert_properties();
     checker.unique_state_count()
 }
 
-const NONE: Faults = Faults { losses: 0, kills: 0, wrong_views: 0, broken: false, ends: START + 12 };
+const NO_FAULTS: Faults =
+    Faults { losses: 0, kills: 0, wrong_views: 0, ignores_ranks: false, ends_at: START + 12 };
 
+/// Guards against duplicate or missed runs when all messages arrive.
 #[test]
-fn without_faults_one_owner_runs_the_task_once_a_period() {
-    assert!(holds(NONE) > 10);
+fn without_faults_the_task_is_run_once_per_period() {
+    assert!(check_model(NO_FAULTS) > 10);
 }
 
+/// Guards against a task that no router runs because its owner has died, and against duplicate runs after a
+/// restart.
 #[test]
-fn after_any_two_deaths_and_starts_one_owner_runs_the_task_and_the_next_ranks_take_over() {
-    assert!(holds(Faults { kills: 2, ends: START + 10, ..NONE }) > 500);
+fn the_next_ranks_take_over_after_any_two_deaths_and_restarts() {
+    assert!(check_model(Faults { kills: 2, ends_at: START + 10, ..NO_FAULTS }) > 500);
 }
 
+/// Guards against repeated duplicate runs after a router has missed the message about a run.
 #[test]
-fn a_lost_message_costs_one_run_too_many_at_the_most() {
-    assert!(holds(Faults { losses: 1, ends: START + 9, ..NONE }) > 50);
+fn a_lost_message_causes_at_most_one_extra_run_per_period() {
+    assert!(check_model(Faults { losses: 1, ends_at: START + 9, ..NO_FAULTS }) > 50);
 }
 
+/// Guards against a task that no router runs because a message was lost and a router has died.
 #[test]
-fn with_a_lost_message_and_a_death_it_is_still_taken_over() {
-    assert!(holds(Faults { losses: 1, kills: 1, ends: START + 8, ..NONE }) > 1000);
+fn the_task_is_taken_over_after_a_lost_message_and_a_death() {
+    assert!(check_model(Faults { losses: 1, kills: 1, ends_at: START + 8, ..NO_FAULTS }) > 1000);
 }
 
+/// Guards against duplicate or missing runs while the views of the routers differ, so that the routers
+/// disagree about the owner.
 #[test]
-fn a_view_that_is_wrong_in_any_way_costs_one_run_too_many_at_the_most() {
-    assert!(holds(Faults { wrong_views: 1, ends: START + 9, ..NONE }) > 500);
+fn any_single_wrong_view_causes_at_most_one_extra_run_per_period() {
+    assert!(check_model(Faults { wrong_views: 1, ends_at: START + 9, ..NO_FAULTS }) > 500);
 }
 
+/// Guards against a model that cannot fail: without ranks all routers run the task in the same period.
 #[test]
-fn a_rule_without_ranks_is_caught() {
-    let checker = Faults { broken: true, ..NONE }.checker().spawn_bfs().join();
-    assert!(checker.discovery("one owner runs it in a period").is_some());
+fn the_model_detects_a_takeover_rule_without_ranks() {
+    let checker = Faults { ignores_ranks: true, ..NO_FAULTS }.checker().spawn_bfs().join();
+    assert!(checker.discovery("runs in a period stay within the limit for the faults").is_some());
 }
--- a/crates/membership/tests/sharded_tasks.rs
+++ b/crates/membership/tests/sharded_tasks.rs
@@ -1,4 +1,5 @@
-//! When a router runs a task, owned or not, by what it knows of the runs of others.
+//! When a router runs a task that it owns or does not own, depending on what it knows about the runs by other
+//! routers.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -42,7 +43,7 @@
     }
 }
 
-/// Fifty tasks, as router 0 sees them.
+/// Fifty tasks from the point of view of router 0.
 fn tasks(routers: usize) -> ShardedTasks {
     let mut tasks = ShardedTasks::new(name(0), 1e6, 1e6, ms(0));
     let targets: BTreeMap<TaskTarget, u16> =
@@ -52,24 +53,28 @@
     tasks
 }
 
+/// Guards against requests that make every router check the same node, and against claims within the minimum
+/// interval.
 #[test]
-fn a_task_that_a_router_does_not_own_is_claimed_only_once_it_is_overdue() {
+fn a_task_of_another_router_is_claimed_only_when_it_is_overdue_or_needs_an_own_run() {
     let mut tasks = tasks(3);
     let all = candidates(3);
     let other = (0..50).find(|number| rank(task(*number), 0, &name(0), &all) == Some(2)).unwrap();
     tasks.record_run(task(other), ms(1000));
-    assert!(!tasks.claim(ms(1100), task(other), false), "its owner may be a little late");
+    assert!(!tasks.claim(ms(1100), task(other), false), "it is not overdue by the takeover delay yet");
     assert!(tasks.claim(ms(1150), task(other), false));
-    assert!(!tasks.claim(ms(1160), task(other), false), "it is running");
+    assert!(!tasks.claim(ms(1160), task(other), false), "it is running already");
     tasks.run_ended(ms(1170), task(other));
-    assert!(!tasks.claim(ms(1170), task(other), true), "its minimum interval holds whoever asks");
+    assert!(!tasks.claim(ms(1170), task(other), true), "its minimum interval has not passed");
     tasks.record_run(task(other), ms(1240));
     assert!(!tasks.claim(ms(1251), task(other), false));
-    assert!(tasks.claim(ms(1251), task(other), true), "no other run would help");
+    assert!(tasks.claim(ms(1251), task(other), true), "an own run is needed");
 }
 
+/// Guards against running a task that another router has just run, against taking it over too early or too
+/// late, and against an expedited run that is no longer needed.
 #[test]
-fn a_task_that_another_router_has_run_is_not_run_here_and_is_expedited_only_until_then() {
+fn a_run_by_another_router_postpones_the_task_and_cancels_an_expedited_run() {
     let mut tasks = tasks(3);
     let all = candidates(3);
     let at = |wanted| (0..50).find(|number| rank(task(*number), 0, &name(0), &all) == Some(wanted)).unwrap();
@@ -79,23 +84,28 @@
         all.iter().for_each(|id| tasks.run_ended(ms(now), *id));
         all
     };
-    // All that is due from the start.
+    // Runs everything that is due from the start.
     done(&mut tasks, 1000);
     for now in (1010..2000).step_by(10) {
-        // Others run both, the later one again and again.
+        // Other routers run both tasks in every step.
         tasks.record_run(own, ms(now));
         tasks.record_run(next, ms(now));
         let run = done(&mut tasks, now);
-        assert!(!run.contains(&own) && !run.contains(&next), "at {now}");
+        assert!(
+            !run.contains(&own) && !run.contains(&next),
+            "run at {now} although another router has just run it"
+        );
     }
-    // Nobody runs them any more: the own one is due after a period, the other a takeover delay later.
+    // Other routers stop running the tasks: the owned one is due after a period, the other one a takeover
+    // delay later.
     let first = |tasks: &mut ShardedTasks, id: TaskId, from: u64| {
         (from..from + 1000).step_by(10).find(|now| done(tasks, *now).contains(&id))
     };
     assert_eq!(first(&mut tasks, own, 2000), Some(2090));
     tasks.record_run(next, ms(3000));
     assert_eq!(first(&mut tasks, next, 3000), Some(3150));
-    // Expedited: at once, if the minimum interval allows it, but not once somebody has run it.
+    // An expedited task runs immediately if the minimum interval allows it, unless another router runs it
+    // first.
     tasks.record_run(next, ms(4000));
     tasks.expedite(ms(4020), next);
     assert_eq!(first(&mut tasks, next, 4020), Some(4020));
@@ -105,33 +115,39 @@
     assert_eq!(first(&mut tasks, next, 6030), Some(6180));
 }
 
+/// Guards against waiting for the initial phase of a task when a peer reports that its last run was long ago.
 #[test]
-fn a_task_that_was_last_run_long_ago_is_due_as_soon_as_that_is_known() {
+fn a_task_whose_last_run_was_long_ago_is_due_when_that_becomes_known() {
     let mut tasks = ShardedTasks::new(name(0), 1e6, 1e6, ms(10_000));
     let targets: BTreeMap<TaskTarget, u16> =
         (0..50).map(|number| (TaskTarget::Node(node(number)), 0)).collect();
     tasks.candidates_changed(ms(10_000), candidates(1));
-    // Tasks that nobody is known to have run are spread over a period.
+    // Tasks that no router is known to have run are spread over a period.
     tasks.targets_changed(ms(10_000), params(), &targets);
     let late = (0..50).map(task).filter(|id| phase(*id, &name(0)) > 0.5);
     let late: Vec<TaskId> = late.take(2).collect();
     tasks.record_run(late[0], ms(5000));
     tasks.record_run(late[1], ms(9990));
     let now: Vec<TaskId> = std::iter::from_fn(|| tasks.start_next(ms(10_010))).collect();
-    assert!(now.contains(&late[0]) && !now.contains(&late[1]), "{now:?}");
+    assert!(
+        now.contains(&late[0]) && !now.contains(&late[1]),
+        "only the task whose last run was long ago must run: {now:?}"
+    );
 }
 
+/// Guards against a task that is never run again because the host has not reported the end of its run.
 #[test]
-fn a_run_that_never_ends_is_started_again() {
+fn a_run_without_a_reported_end_is_started_again_after_the_maximum_duration() {
     let mut tasks = tasks(1);
     let started = std::iter::from_fn(|| tasks.start_next(ms(100))).count();
     assert_eq!(started, 50);
-    assert_eq!(tasks.start_next(ms(900)), None, "each may still be running");
+    assert_eq!(tasks.start_next(ms(900)), None, "the runs have not reached the maximum duration yet");
     assert_eq!(std::iter::from_fn(|| tasks.start_next(ms(1200))).count(), 50);
 }
 
+/// Guards against tasks that are still run for nodes that have been removed from the endpoint list.
 #[test]
-fn tasks_whose_subjects_are_gone_are_forgotten() {
+fn tasks_of_removed_targets_are_removed() {
     let mut tasks = tasks(1);
     tasks.targets_changed(ms(10), params(), &BTreeMap::from([(TaskTarget::Node(node(7)), 0)]));
     assert_eq!(tasks.counts(), TaskCounts { owned: 1, total: 1 });
--- a/crates/router/tests/feed.rs
+++ b/crates/router/tests/feed.rs
@@ -559,7 +559,11 @@
         assert!(good.status.success(), "{}", String::from_utf8_lossy(&good.stderr));
     }
     let cases = [
-        (router.replace("control c1", "control \"c 1\""), 0o600, "control c 1: a name has 1 to 32 letters"),
+        (
+            router.replace("control c1", "control \"c 1\""),
+            0o600,
+            "control c 1: a member name must have 1 to 32 letters",
+        ),
         (router.to_string(), 0o640, "subscribe keys"),
         (instance.to_string(), 0o640, "publish keys"),
         (
