--- a/crates/router/src/control_instance.rs
+++ b/crates/router/src/control_instance.rs
@@ -39,7 +39,7 @@
     }
 
     /// Counts the members of its fleet as long as the process runs.
-    pub async fn count_members(self: Rc<Self>) {
+    pub async fn run_member_count(self: Rc<Self>) {
         loop {
             if let Some(member) = self.member.get() {
                 let fleet = member.fleet();
@@ -90,7 +90,7 @@
         // A failure counts when several members have failed by themselves, which the fleet reports. The node may have
         // read its state as early as the request was sent, so the observation is dated then.
         if !failed {
-            let at = own.asked;
+            let at = own.requested_at;
             let dated = TimestampedObservation { node, at, position, primary, waiting, started, failed };
             self.publisher.observe(dated);
         }
--- a/crates/router/src/discovery.rs
+++ b/crates/router/src/discovery.rs
@@ -37,7 +37,7 @@
     /// The settings.
     pub deployment: &'a Deployment,
     /// The list that the router had last.
-    pub cached: &'a EndpointList,
+    pub cached_list: &'a EndpointList,
     /// Spreads the polls of routers.
     pub seed: u64,
     /// The clock of the router.
@@ -100,9 +100,9 @@
 impl DiscoveryClient {
     /// Waits for its sockets, and returns the client with the endpoints of the cached list.
     pub async fn new(params: DiscoveryParams<'_>) -> (Self, Vec<Endpoint>) {
-        let DiscoveryParams { address, deployment, cached, seed, clock, executor, descriptors } = params;
+        let DiscoveryParams { address, deployment, cached_list, seed, clock, executor, descriptors } = params;
         let mut parser = EndpointParser::new(deployment);
-        let endpoints = parser.apply(cached);
+        let endpoints = parser.apply(cached_list);
         let mut permits = Vec::new();
         for _ in 0..SOCKETS {
             permits.push(descriptors.acquire().await);
@@ -112,7 +112,7 @@
         let client = Self {
             address,
             parser,
-            versions: ListVersions::new((!endpoints.is_empty()).then_some(cached.version)),
+            versions: ListVersions::new((!endpoints.is_empty()).then_some(cached_list.version)),
             watch: DiscoveryWatch::new(deployment.poll_interval, start, seed),
             kept_connection: None,
             newest: None,
@@ -218,7 +218,7 @@
                 self.watch.late_response_received(self.clock.now())
             }
             Ok(_) => {}
-            Err(error) => log::debug!("poll {} of the endpoint list, late, failed: {error}", poll.number),
+            Err(error) => log::debug!("late endpoint list poll {} failed: {error}", poll.number),
         }
     }
 
@@ -234,7 +234,7 @@
             ApplyScope::Nothing => {
                 log::info!(
                     event = "endpoint_list_superseded", call = poll.number, version = list.version;
-                    "an answer with version {} of the endpoint list came behind a newer one", list.version
+                    "discarded endpoint list version {}: a newer version has already been applied", list.version
                 );
                 return Ok(false);
             }
@@ -280,7 +280,7 @@
         match self.watch.poll_failed(self.clock.now()) {
             FailureKind::WatchTimeout => log::warn!(
                 event = "endpoint_poll_failed", call = poll.number, waited_ms = waited_ms;
-                "the watch of the endpoint list has fallen silent"
+                "endpoint list watch timed out without an answer"
             ),
             FailureKind::PollFailed => log::warn!(
                 event = "endpoint_poll_failed", call = poll.number, waited_ms = waited_ms;
@@ -311,7 +311,7 @@
         {
             log::info!(
                 event = "endpoint_poll_abandoned", call = oldest.number, waited_ms = self.waited_ms(&oldest);
-                "a poll of the endpoint list was closed without an answer"
+                "endpoint list poll abandoned without an answer"
             );
         }
     }
