--- a/crates/discovery-watch/tests/propagation.rs
+++ b/crates/discovery-watch/tests/propagation.rs
@@ -258,7 +258,7 @@
     watch.phase_reached(ms(20), PollPhase::Body);
     watch.response_received(ms(30), true);
     let hold = watch.start_poll_if_due(ms(30)).unwrap();
-    assert!((ms(875)..=ms(1000)).contains(&hold), "{hold:?}");
+    assert!((ms(875)..=ms(1000)).contains(&hold), "the hold is {hold:?}");
     watch.address_changed(ms(40));
     assert_eq!(watch.start_poll_if_due(ms(40)), Some(ms(0)));
     watch.phase_reached(ms(41), PollPhase::Headers);
--- a/crates/membership/src/fleet.rs
+++ b/crates/membership/src/fleet.rs
@@ -85,12 +85,12 @@
             && self.members.is_current(&message.from)
         {
             for observation in observations {
-                self.peer_observed(now, &message.from.name, observation);
+                self.peer_observation_received(now, &message.from.name, observation);
             }
         }
     }
 
-    fn peer_observed(&mut self, now: Duration, peer: &PeerName, observation: Observation) {
+    fn peer_observation_received(&mut self, now: Duration, peer: &PeerName, observation: Observation) {
         let task = self.health_check_task(observation.node);
         let observed_at = now.saturating_sub(observation.age);
         match self.observations.record_from_peer(now, peer, observation) {
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -118,7 +118,7 @@
     /// record.
     pub fn leave(&mut self, host: &mut impl Host) {
         self.own.set_state(MemberState::Left);
-        self.own.raise_revision();
+        self.own.increment_revision();
         for name in self.active_peer_names() {
             // Sent twice: if the message is lost, the peer learns of the leave only by failure detection.
             for _ in 0..2 {
--- a/crates/membership/src/membership/failure_detector.rs
+++ b/crates/membership/src/membership/failure_detector.rs
@@ -20,7 +20,7 @@
 /// How many peers are asked for an indirect ping of the same target.
 const INDIRECT_PINGS: usize = 3;
 /// How long a suspect has to refute the suspicion, per doubling of the number of routers: the timeout is this
-/// times the floor of log2 of that number, and at least this.
+/// times the floor of log2 of that number, where the factor is at least 1.
 const SUSPICION_TIMEOUT_PER_DOUBLING: Duration = Duration::from_millis(750);
 /// The interval at which suspects are pinged, with the record that they have to refute. With only one ping
 /// per protocol period, running routers would be declared dead when a fifth of all datagrams are lost.
--- a/crates/membership/src/membership/own_record.rs
+++ b/crates/membership/src/membership/own_record.rs
@@ -30,7 +30,7 @@
     }
 
     /// Makes the own record newer than all records of this incarnation that have been sent so far.
-    pub(super) fn raise_revision(&mut self) {
+    pub(super) fn increment_revision(&mut self) {
         self.record.version.revision += 1;
     }
 
@@ -49,7 +49,7 @@
             self.later_incarnation_received(record, host);
         } else if self.must_be_refuted(record) {
             self.record.version.revision = record.version.revision;
-            self.raise_revision();
+            self.increment_revision();
             host.report_event(Event::SuspicionRefuted(record.state));
         }
     }
--- a/crates/membership/src/membership/pause.rs
+++ b/crates/membership/src/membership/pause.rs
@@ -38,7 +38,7 @@
         }
         host.report_event(Event::ProcessPaused(pause));
         self.own.set_state(MemberState::Joining);
-        self.own.raise_revision();
+        self.own.increment_revision();
         self.join.restart(now);
         self.detector.restart(now);
         self.peers.mark_active_peers_heard(now);
--- a/crates/membership/src/observation_store.rs
+++ b/crates/membership/src/observation_store.rs
@@ -90,9 +90,9 @@
         sent_at: Duration,
         observation: Observation,
     ) -> Option<PeerName> {
-        let known = self.nodes.get_mut(&observation.node)?;
+        let entry = self.nodes.get_mut(&observation.node)?;
         self.unsent.insert(observation.node);
-        let peer = known.record_own(now, sent_at, &self.own_name, observation)?;
+        let peer = entry.record_own(now, sent_at, &self.own_name, observation)?;
         self.distrusted_until.insert(peer.clone(), now + DISTRUST_PERIOD);
         Some(peer)
     }
@@ -109,9 +109,11 @@
             return Assessment::Rejected;
         }
         self.distrusted_until.remove(peer);
-        let Some(known) = self.nodes.get_mut(&observation.node) else { return Assessment::Rejected };
+        let Some(entry) = self.nodes.get_mut(&observation.node) else {
+            return Assessment::Rejected;
+        };
         let at = now.saturating_sub(observation.age);
-        known.record_from_peer(now, peer, StoredObservation { at, observation })
+        entry.record_from_peer(now, peer, StoredObservation { at, observation })
     }
 
     /// The latest observation of a node by a peer, unless it is too old.
--- a/crates/membership/src/rendezvous.rs
+++ b/crates/membership/src/rendezvous.rs
@@ -32,13 +32,13 @@
     f64::from(candidate.weight) * zone_factor / -uniform.ln()
 }
 
-/// The rank of the router `own_name` for the task: the number of candidates with a higher score. `None` if
-/// the router is not a candidate or has a weight of zero.
+/// The rank of the router `own_name` for the task: the number of candidates that precede it by score, or by
+/// name if the scores are equal. `None` if the router is not a candidate or has a weight of zero.
 pub fn rank(task: TaskId, zone: u16, own_name: &PeerName, candidates: &[Candidate]) -> Option<u32> {
     let own = candidates.iter().find(|candidate| candidate.name == *own_name && candidate.weight > 0)?;
-    let own_score = (score(task, zone, own), &own.name);
-    let has_higher_score = |other: &&Candidate| (score(task, zone, other), &other.name) > own_score;
-    Some(candidates.iter().filter(has_higher_score).count() as u32)
+    let own_sort_key = (score(task, zone, own), &own.name);
+    let precedes = |other: &&Candidate| (score(task, zone, other), &other.name) > own_sort_key;
+    Some(candidates.iter().filter(precedes).count() as u32)
 }
 
 /// The delay before a router first runs the task, as a fraction of the task's period from 0 to 1. It spreads
--- a/crates/membership/src/scheduler.rs
+++ b/crates/membership/src/scheduler.rs
@@ -66,18 +66,18 @@
     /// Adds the job to the queue, or changes its due time, priority and cost if it is queued already.
     pub fn schedule(&mut self, job: J, due: Duration, priority: Priority, cost: f64) {
         let entry = Job { due, priority, cost, queue: Queue::Pending(due) };
-        let Some(known) = self.jobs.get_mut(&job) else {
+        let Some(queued) = self.jobs.get_mut(&job) else {
             self.jobs.insert(job, entry);
             self.pending.insert((due, job));
             return;
         };
-        if let Queue::Pending(queued_at) = known.queue
+        if let Queue::Pending(queued_at) = queued.queue
             && queued_at <= due
         {
-            *known = Job { queue: known.queue, ..entry };
+            *queued = Job { queue: queued.queue, ..entry };
             return;
         }
-        let previous = std::mem::replace(known, entry);
+        let previous = std::mem::replace(queued, entry);
         self.dequeue(job, previous);
         self.pending.insert((due, job));
     }
--- a/crates/membership/tests/rendezvous.rs
+++ b/crates/membership/tests/rendezvous.rs
@@ -58,19 +58,22 @@
 /// weights.
 #[test]
 fn owners_are_preferably_in_the_zone_of_the_node_and_in_proportion_to_their_weights() {
-    let near = owners(&candidates(10), 1000)
+    let in_same_zone = owners(&candidates(10), 1000)
         .iter()
         .filter(|owner| owner.as_str().ends_with(['0', '2', '4', '6', '8']))
         .count();
-    assert!((700..900).contains(&near), "expected about four fifths in the same zone, found {near} of 1000");
+    assert!(
+        (700..900).contains(&in_same_zone),
+        "expected about four fifths in the same zone, found {in_same_zone} of 1000"
+    );
     let mut weighted = candidates(4);
     weighted.iter_mut().for_each(|candidate| candidate.zone = 0);
     weighted[1].weight = 3;
     weighted[2].weight = 0;
     let owners = owners(&weighted, 1000);
-    let of = |number: usize| owners.iter().filter(|owner| **owner == name(number)).count();
-    assert_eq!(of(2), 0, "a router with weight zero owns tasks");
-    assert!((500..700).contains(&of(1)), "expected about three fifths, found {} of 1000", of(1));
+    let owned_by = |number: usize| owners.iter().filter(|owner| **owner == name(number)).count();
+    assert_eq!(owned_by(2), 0, "a router with weight zero owns tasks");
+    assert!((500..700).contains(&owned_by(1)), "expected about three fifths, found {} of 1000", owned_by(1));
 }
 
 /// Guards against first runs in step: of all tasks of a router, or of the same task by several routers that
--- a/crates/membership/tests/sharded_tasks.rs
+++ b/crates/membership/tests/sharded_tasks.rs
@@ -77,20 +77,21 @@
 fn a_run_by_another_router_postpones_the_task_and_cancels_an_expedited_run() {
     let mut tasks = tasks(3);
     let all = candidates(3);
-    let at = |wanted| (0..50).find(|number| rank(task(*number), 0, &name(0), &all) == Some(wanted)).unwrap();
-    let (own, next) = (task(at(0)), task(at(1)));
-    let done = |tasks: &mut ShardedTasks, now: u64| -> Vec<TaskId> {
+    let with_rank =
+        |wanted| (0..50).find(|number| rank(task(*number), 0, &name(0), &all) == Some(wanted)).unwrap();
+    let (own, next) = (task(with_rank(0)), task(with_rank(1)));
+    let run_due = |tasks: &mut ShardedTasks, now: u64| -> Vec<TaskId> {
         let all: Vec<TaskId> = std::iter::from_fn(|| tasks.start_next(ms(now))).collect();
         all.iter().for_each(|id| tasks.run_ended(ms(now), *id));
         all
     };
     // Runs everything that is due from the start.
-    done(&mut tasks, 1000);
+    run_due(&mut tasks, 1000);
     for now in (1010..2000).step_by(10) {
         // Other routers run both tasks in every step.
         tasks.record_run(own, ms(now));
         tasks.record_run(next, ms(now));
-        let run = done(&mut tasks, now);
+        let run = run_due(&mut tasks, now);
         assert!(
             !run.contains(&own) && !run.contains(&next),
             "run at {now} although another router has just run it"
@@ -98,21 +99,21 @@
     }
     // Other routers stop running the tasks: the owned one is due after a period, the other one a takeover
     // delay later.
-    let first = |tasks: &mut ShardedTasks, id: TaskId, from: u64| {
-        (from..from + 1000).step_by(10).find(|now| done(tasks, *now).contains(&id))
+    let first_run = |tasks: &mut ShardedTasks, id: TaskId, from: u64| {
+        (from..from + 1000).step_by(10).find(|now| run_due(tasks, *now).contains(&id))
     };
-    assert_eq!(first(&mut tasks, own, 2000), Some(2090));
+    assert_eq!(first_run(&mut tasks, own, 2000), Some(2090));
     tasks.record_run(next, ms(3000));
-    assert_eq!(first(&mut tasks, next, 3000), Some(3150));
+    assert_eq!(first_run(&mut tasks, next, 3000), Some(3150));
     // An expedited task runs immediately if the minimum interval allows it, unless another router runs it
     // first.
     tasks.record_run(next, ms(4000));
     tasks.expedite(ms(4020), next);
-    assert_eq!(first(&mut tasks, next, 4020), Some(4020));
+    assert_eq!(first_run(&mut tasks, next, 4020), Some(4020));
     tasks.record_run(next, ms(6000));
     tasks.expedite(ms(6020), next);
     tasks.record_run(next, ms(6030));
-    assert_eq!(first(&mut tasks, next, 6030), Some(6180));
+    assert_eq!(first_run(&mut tasks, next, 6030), Some(6180));
 }
 
 /// Guards against waiting for the initial phase of a task when a peer reports that its last run was long ago.
