--- a/crates/simulator/src/lib.rs
+++ b/crates/simulator/src/lib.rs
@@ -1,8 +1,10 @@
-//! The simulator: decision packages as they are, in virtual time, at sizes that sockets do not reach.
+//! The simulator runs the product's own state machines (membership and observation feed) in virtual time, at fleet
+//! sizes that cannot be reached with real sockets.
 //!
-//! One seed decides all that happens in a run. [`world::World`] runs routers' fleets among emulated nodes on a
-//! network that loses, delays, doubles and parts; [`experiment`] describes runs, [`record`] keeps what came of them,
-//! [`plot`] draws it.
+//! Runs are deterministic: the seed determines everything that happens, except measured CPU time. [`world::World`]
+//! simulates a fleet of routers that probe emulated nodes over a network with loss, delay, duplication and
+//! partitions; [`feed_world::FeedWorld`] simulates control instances that publish observations to routers.
+//! [`experiment`] reads descriptions of runs, [`record`] stores their results, and [`plot`] draws them.
 
 pub mod command;
 pub mod detectors;
--- a/crates/simulator/src/main.rs
+++ b/crates/simulator/src/main.rs
@@ -1,4 +1,4 @@
-//! `quillpoint-simulator`: see [`quillpoint_simulator::command`].
+//! The `quillpoint-simulator` program; its commands are in [`quillpoint_simulator::command`].
 
 use std::process::ExitCode;
 
