--- a/crates/simulator/src/feed_world.rs
+++ b/crates/simulator/src/feed_world.rs
@@ -1,6 +1,6 @@
-//! Control instances and routers in virtual time: each control instance is a member of the fleet that divides the
-//! probing and a publisher, each router a subscriber. The packages are those of the program; the world keeps
-//! observations.
+//! Control instances, routers and nodes in virtual time. Each control instance is a member of the fleet that divides
+//! the probing of the nodes, and a publisher of the observation feed; each router is a subscriber. They run the
+//! product's own state machines. The world only emulates their surroundings and records what happens.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -25,135 +25,152 @@
 use crate::queue::EventQueue;
 use crate::world::{START_TIME, index_of, node_address};
 
-/// Head, receiver's start, number and hash of a datagram.
-const DATAGRAM: usize = 55;
-/// A node that does not answer lets a probe run into this.
-const PROBE_TIME_OUT: Duration = Duration::from_millis(250);
-/// So many datagrams wait for a process that has been stopped; the rest is lost, as in a socket's buffer.
-const BUFFER: usize = 256;
+/// Bytes that sealing adds to a message: header, incarnation of the receiver, sequence number and hash.
+const DATAGRAM_OVERHEAD_BYTES: usize = 55;
+/// A probe of a node that does not answer ends with this timeout.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(250);
+/// Number of datagrams that are buffered for a paused router; further ones are lost, as with a full socket buffer.
+const MAX_BUFFERED_DATAGRAMS: usize = 256;
 
-/// What a world is made of.
+/// Parameters of a [`FeedWorld`].
 #[derive(Clone, Debug)]
 pub struct FeedWorldParams {
+    /// Number of routers.
     pub routers: usize,
+    /// Number of control instances.
     pub control_instances: usize,
+    /// Number of nodes.
     pub nodes: usize,
+    /// Number of regions, to which routers, control instances and nodes are assigned in turn.
     pub regions: usize,
+    /// Quality of the network between all hosts.
     pub link_quality: LinkQuality,
-    /// Of the control instances' fleet.
+    /// Parameters of the control instances' fleet.
     pub fleet_params: FleetParams,
+    /// Rate limit of each control instance for sending snapshots to subscribers, in bytes per second.
     pub snapshot_bytes_per_s: f64,
-    /// How far behind every node's log position is.
+    /// How far the log position of every node lags behind.
     pub replication_lag: Duration,
+    /// Seed of all random decisions.
     pub seed: u64,
 }
 
-/// What a process asked for during one call.
+/// Calls that a process made to its host while it handled one event.
 #[derive(Default)]
-struct Wishes {
-    letters: Vec<(SocketAddr, Option<Incarnation>, GossipMessage)>,
-    said: Vec<(SocketAddr, Option<Incarnation>, Message)>,
-    fleet_wake: Option<Duration>,
-    feed_wake: Option<Duration>,
-    duties: Vec<TaskId>,
-    heard: Vec<TimestampedObservation>,
-    instances: Option<usize>,
+struct HostCalls {
+    gossip_messages: Vec<(SocketAddr, Option<Incarnation>, GossipMessage)>,
+    feed_messages: Vec<(SocketAddr, Option<Incarnation>, Message)>,
+    fleet_timer: Option<Duration>,
+    feed_timer: Option<Duration>,
+    tasks_to_run: Vec<TaskId>,
+    received_observations: Vec<TimestampedObservation>,
+    instance_count: Option<usize>,
 }
 
+/// Records the calls of a process; the world carries them out afterwards.
 #[derive(Clone, Default)]
-struct Desk(Rc<RefCell<Wishes>>);
+struct SimulatedHost(Rc<RefCell<HostCalls>>);
 
-impl Host for Desk {
-    fn send(&mut self, to: SocketAddr, session: Option<Incarnation>, letter: GossipMessage) {
-        self.0.borrow_mut().letters.push((to, session, letter));
+impl Host for SimulatedHost {
+    fn send(&mut self, to: SocketAddr, session: Option<Incarnation>, message: GossipMessage) {
+        self.0.borrow_mut().gossip_messages.push((to, session, message));
     }
-    fn set_timer(&mut self, after: Duration) {
-        self.0.borrow_mut().fleet_wake = Some(after);
+    fn set_timer(&mut self, delay: Duration) {
+        self.0.borrow_mut().fleet_timer = Some(delay);
     }
-    fn run_task(&mut self, duty: TaskId) {
-        self.0.borrow_mut().duties.push(duty);
+    fn run_task(&mut self, task: TaskId) {
+        self.0.borrow_mut().tasks_to_run.push(task);
     }
-    fn observation_received(&mut self, evidence: TimestampedObservation) {
-        self.0.borrow_mut().heard.push(evidence);
+    fn observation_received(&mut self, observation: TimestampedObservation) {
+        self.0.borrow_mut().received_observations.push(observation);
     }
     fn report_event(&mut self, event: Event) {
         if let Event::TasksAssigned { routers, .. } = event {
-            self.0.borrow_mut().instances = Some(routers);
+            self.0.borrow_mut().instance_count = Some(routers);
         }
     }
 }
 
-impl quillpoint_observation_feed::Host for Desk {
+impl quillpoint_observation_feed::Host for SimulatedHost {
     fn send(&mut self, to: SocketAddr, session: Option<Incarnation>, message: Message) {
-        self.0.borrow_mut().said.push((to, session, message));
+        self.0.borrow_mut().feed_messages.push((to, session, message));
     }
-    fn set_timer(&mut self, after: Duration) {
-        self.0.borrow_mut().feed_wake = Some(after);
+    fn set_timer(&mut self, delay: Duration) {
+        self.0.borrow_mut().feed_timer = Some(delay);
     }
     fn observation_changed(&mut self, _: FeedObservation) {}
     fn report_event(&mut self, _: quillpoint_observation_feed::Event) {}
 }
 
-/// What a process has cost.
+/// Counters of a control instance or a router, accumulated over all its processes.
 #[derive(Clone, Copy, Default, Debug)]
 pub struct ProcessStats {
+    /// Datagrams sent.
     pub sent: u64,
+    /// Bytes of the datagrams sent.
     pub sent_bytes: u64,
+    /// Datagrams received.
     pub received: u64,
+    /// Bytes of the datagrams received.
     pub received_bytes: u64,
-    /// Of these, what control instances said to each other, both ways.
+    /// Bytes sent to and received from other control instances; included in the totals above.
     pub gossip_bytes: u64,
-    /// Time that its calls took on this machine, which no seed decides.
+    /// Real time that the state machine's calls took on this machine. Not determined by the seed.
     pub cpu_time: Duration,
-    /// Bytes both ways in the second that is counted, and the most in any since the start.
-    second: (u64, u64),
+    /// The current second of virtual time, and the bytes sent and received in it so far.
+    current_second: (u64, u64),
+    /// Most bytes sent and received in any one second, since the start or since [`FeedWorld::reset_peaks`].
     pub peak_bytes_per_s: u64,
 }
 
 impl ProcessStats {
-    fn count(&mut self, now: Duration, bytes: usize, out: bool) {
+    fn count(&mut self, now: Duration, bytes: usize, outgoing: bool) {
         let bytes = bytes as u64;
-        let (messages, all) = if out {
+        let (messages, total_bytes) = if outgoing {
             (&mut self.sent, &mut self.sent_bytes)
         } else {
             (&mut self.received, &mut self.received_bytes)
         };
-        (*messages, *all) = (*messages + 1, *all + bytes);
-        if self.second.0 != now.as_secs() {
-            self.second = (now.as_secs(), 0);
+        (*messages, *total_bytes) = (*messages + 1, *total_bytes + bytes);
+        if self.current_second.0 != now.as_secs() {
+            self.current_second = (now.as_secs(), 0);
         }
-        self.second.1 += bytes;
-        self.peak_bytes_per_s = self.peak_bytes_per_s.max(self.second.1);
+        self.current_second.1 += bytes;
+        self.peak_bytes_per_s = self.peak_bytes_per_s.max(self.current_second.1);
     }
 }
 
+/// A process of a control instance.
 struct Instance {
-    fleet: Fleet<Desk>,
-    publisher: Publisher<Desk>,
-    desk: Desk,
+    fleet: Fleet<SimulatedHost>,
+    publisher: Publisher<SimulatedHost>,
+    host: SimulatedHost,
     start: Incarnation,
 }
 
+/// A running or paused process of a router.
 struct Router {
-    subscriber: Subscriber<Desk>,
-    desk: Desk,
+    subscriber: Subscriber<SimulatedHost>,
+    host: SimulatedHost,
     start: Incarnation,
-    stopped: bool,
-    waiting: VecDeque<Parcel>,
+    paused: bool,
+    /// Datagrams that arrived while the process was paused.
+    buffered: VecDeque<FeedDatagram>,
+    /// Whether its timer fired while the process was paused.
     timer_due: bool,
 }
 
-/// A place with the process that runs there. `life` grows with each, so that what was meant for an earlier one is
-/// dropped.
-struct Seat<P> {
+/// A control instance or a router with its current process, if any. `generation` increases whenever a process starts
+/// or is killed, so that events scheduled for an earlier process are dropped.
+struct ProcessSlot<P> {
     process: Option<P>,
-    life: u64,
-    costs: ProcessStats,
+    generation: u64,
+    stats: ProcessStats,
 }
 
-impl<P> Default for Seat<P> {
+impl<P> Default for ProcessSlot<P> {
     fn default() -> Self {
-        Self { process: None, life: 0, costs: ProcessStats::default() }
+        Self { process: None, generation: 0, stats: ProcessStats::default() }
     }
 }
 
@@ -161,13 +178,13 @@
     up: bool,
     primary: bool,
     probes: u64,
-    /// When a probe first saw its present role.
-    seen: Option<Duration>,
+    /// When a probe first reported its current role.
+    role_seen_at: Option<Duration>,
 }
 
-/// A message under way, with the bytes of its datagram.
+/// A message of the observation feed in transit, with its sender and the size of its datagram in bytes.
 #[derive(Clone)]
-struct Parcel {
+struct FeedDatagram {
     from: PeerName,
     address: SocketAddr,
     start: Incarnation,
@@ -175,106 +192,141 @@
     bytes: usize,
 }
 
-enum Due {
-    FleetTimer { place: usize, life: u64 },
-    FeedTimer { place: usize, life: u64 },
-    GossipMessage { place: usize, life: u64, letter: GossipMessage, bytes: usize },
-    ProbeEnded { place: usize, life: u64, duty: TaskId, asked: Duration, found: Option<(Duration, bool)> },
-    ToControl { place: usize, life: u64, parcel: Parcel },
-    ToRouter { place: usize, life: u64, parcel: Parcel },
-    RouterTimer { place: usize, life: u64 },
+/// An event in the queue for the process of a control instance or of a router.
+enum ScheduledEvent {
+    FleetTimer {
+        index: usize,
+        generation: u64,
+    },
+    FeedTimer {
+        index: usize,
+        generation: u64,
+    },
+    GossipMessage {
+        index: usize,
+        generation: u64,
+        message: GossipMessage,
+        bytes: usize,
+    },
+    ProbeEnded {
+        index: usize,
+        generation: u64,
+        task: TaskId,
+        asked_at: Duration,
+        result: Option<(Duration, bool)>,
+    },
+    MessageToControl {
+        index: usize,
+        generation: u64,
+        datagram: FeedDatagram,
+    },
+    MessageToRouter {
+        index: usize,
+        generation: u64,
+        datagram: FeedDatagram,
+    },
+    RouterTimer {
+        index: usize,
+        generation: u64,
+    },
 }
 
+/// Control instances, routers and nodes, and the network between them.
 pub struct FeedWorld {
+    /// Current virtual time.
     pub now: Duration,
-    shape: FeedWorldParams,
+    params: FeedWorldParams,
     network: Network,
-    /// Nothing passes between regions.
+    /// Whether the regions are partitioned from each other: while true, no message or probe crosses between them.
     pub partitioned: bool,
-    chance: ChaCha8Rng,
-    queue: EventQueue<Due>,
-    control: Vec<Seat<Instance>>,
-    routers: Vec<Seat<Router>>,
+    rng: ChaCha8Rng,
+    queue: EventQueue<ScheduledEvent>,
+    control: Vec<ProcessSlot<Instance>>,
+    routers: Vec<ProcessSlot<Router>>,
     nodes: Vec<Node>,
     keys: Keyring,
     sealer: Sealer,
 }
 
-fn control_address(place: usize) -> SocketAddr {
-    SocketAddr::from(([10, 4, 0, place as u8], 7400))
+fn control_address(index: usize) -> SocketAddr {
+    SocketAddr::from(([10, 4, 0, index as u8], 7400))
 }
-fn router_address(place: usize) -> SocketAddr {
-    SocketAddr::from(([10, 5, (place / 250) as u8, (place % 250) as u8], 7500))
+fn router_address(index: usize) -> SocketAddr {
+    SocketAddr::from(([10, 5, (index / 250) as u8, (index % 250) as u8], 7500))
 }
-fn control_name(place: usize) -> PeerName {
-    PeerName::new(&format!("control-{place}")).expect("a good name")
+fn control_name(index: usize) -> PeerName {
+    PeerName::new(&format!("control-{index}")).expect("a valid peer name")
 }
-fn router_name(place: usize) -> PeerName {
-    PeerName::new(&format!("r{place}")).expect("a good name")
+fn router_name(index: usize) -> PeerName {
+    PeerName::new(&format!("r{index}")).expect("a valid peer name")
 }
 
 impl FeedWorld {
-    pub fn new(shape: FeedWorldParams) -> Self {
-        let node = |place: usize| Node { up: true, primary: place.is_multiple_of(3), probes: 0, seen: None };
+    /// Creates the world and starts all control instances and routers.
+    pub fn new(params: FeedWorldParams) -> Self {
+        let node =
+            |index: usize| Node { up: true, primary: index.is_multiple_of(3), probes: 0, role_seen_at: None };
         let mut world = Self {
             now: START_TIME,
-            network: Network::new(shape.link_quality),
+            network: Network::new(params.link_quality),
             partitioned: false,
-            chance: ChaCha8Rng::seed_from_u64(shape.seed),
+            rng: ChaCha8Rng::seed_from_u64(params.seed),
             queue: EventQueue::default(),
-            control: (0..shape.control_instances).map(|_| Seat::default()).collect(),
-            routers: (0..shape.routers).map(|_| Seat::default()).collect(),
-            nodes: (0..shape.nodes).map(node).collect(),
-            keys: Keyring::parse(&"ab".repeat(32)).expect("64 digits"),
+            control: (0..params.control_instances).map(|_| ProcessSlot::default()).collect(),
+            routers: (0..params.routers).map(|_| ProcessSlot::default()).collect(),
+            nodes: (0..params.nodes).map(node).collect(),
+            keys: Keyring::parse(&"ab".repeat(32)).expect("64 hex digits are a valid key"),
             sealer: Sealer::default(),
-            shape,
+            params,
         };
-        (0..world.control.len()).for_each(|place| world.start_control(place));
-        (0..world.routers.len()).for_each(|place| world.start_router(place));
+        (0..world.control.len()).for_each(|index| world.start_control(index));
+        (0..world.routers.len()).for_each(|index| world.start_router(index));
         world
     }
 
-    fn region(&self, place: usize) -> usize {
-        place % self.shape.regions
+    fn region(&self, index: usize) -> usize {
+        index % self.params.regions
     }
 
-    fn apart(&self, one: usize, other: usize) -> bool {
-        self.partitioned && self.region(one) != self.region(other)
+    fn partitioned_from(&self, left: usize, right: usize) -> bool {
+        self.partitioned && self.region(left) != self.region(right)
     }
 
-    pub fn start_control(&mut self, place: usize) {
-        let (now, desk) = (self.now, Desk::default());
+    /// Starts a process of a control instance.
+    pub fn start_control(&mut self, index: usize) {
+        let (now, host) = (self.now, SimulatedHost::default());
         let start = Incarnation(now.as_micros() as u64);
-        let me = MemberRecord {
-            name: control_name(place),
+        let own_record = MemberRecord {
+            name: control_name(index),
             version: MemberVersion { incarnation: start, revision: 0 },
-            address: control_address(place),
-            zone: self.region(place) as u16,
+            address: control_address(index),
+            zone: self.region(index) as u16,
             weight: 1,
             state: MemberState::Joining,
         };
         let seeds = (0..self.control.len().min(3)).map(control_address).collect();
-        let seed = self.shape.seed ^ ((place as u64) << 40) ^ self.control[place].life;
-        let mut fleet = Fleet::new(desk.clone(), me, seeds, self.shape.fleet_params, seed, now);
+        let seed = self.params.seed ^ ((index as u64) << 40) ^ self.control[index].generation;
+        let mut fleet = Fleet::new(host.clone(), own_record, seeds, self.params.fleet_params, seed, now);
         let zones: BTreeMap<SocketAddr, u16> =
             (0..self.nodes.len()).map(|node| (node_address(node), self.region(node) as u16)).collect();
         fleet.nodes_changed(now, &zones);
-        let plan = publisher::PublisherParams {
-            health_check_period: self.shape.fleet_params.health_check.period,
+        let params = publisher::PublisherParams {
+            health_check_period: self.params.fleet_params.health_check.period,
             digest_interval: Duration::from_millis(100),
-            snapshot_bytes_per_second: self.shape.snapshot_bytes_per_s,
+            snapshot_bytes_per_second: self.params.snapshot_bytes_per_s,
             max_subscribers: 100_000,
         };
-        let mut publisher = Publisher::new(desk.clone(), plan, seed ^ 1, now);
+        let mut publisher = Publisher::new(host.clone(), params, seed ^ 1, now);
         publisher.nodes_changed(now, &zones.into_keys().collect());
-        self.control[place].life += 1;
-        self.control[place].process = Some(Instance { fleet, publisher, desk, start });
-        self.carry_control(place);
+        self.control[index].generation += 1;
+        self.control[index].process = Some(Instance { fleet, publisher, host, start });
+        self.process_control_calls(index);
     }
 
-    pub fn start_router(&mut self, place: usize) {
-        let (now, desk) = (self.now, Desk::default());
-        let region = |place: usize| Some(format!("region-{}", place % self.shape.regions));
+    /// Starts a process of a router.
+    pub fn start_router(&mut self, index: usize) {
+        let (now, host) = (self.now, SimulatedHost::default());
+        let region = |index: usize| Some(format!("region-{}", index % self.params.regions));
         let control = (0..self.control.len())
             .map(|other| ControlInstance {
                 name: control_name(other),
@@ -282,94 +334,105 @@
                 region: region(other),
             })
             .collect();
-        let plan = subscriber::SubscriberParams {
-            region: region(place),
+        let params = subscriber::SubscriberParams {
+            region: region(index),
             digest_interval: Duration::from_millis(100),
-            health_check_period: self.shape.fleet_params.health_check.period,
-            router_count: self.shape.routers as u32,
+            health_check_period: self.params.fleet_params.health_check.period,
+            router_count: self.params.routers as u32,
         };
-        let seed = self.shape.seed ^ ((place as u64) << 20) ^ self.routers[place].life;
-        let mut subscriber = Subscriber::new(desk.clone(), router_name(place), plan, control, seed, now);
+        let seed = self.params.seed ^ ((index as u64) << 20) ^ self.routers[index].generation;
+        let mut subscriber = Subscriber::new(host.clone(), router_name(index), params, control, seed, now);
         let nodes: BTreeSet<SocketAddr> = (0..self.nodes.len()).map(node_address).collect();
         subscriber.nodes_changed(now, &nodes);
-        self.routers[place].life += 1;
-        self.routers[place].process = Some(Router {
+        self.routers[index].generation += 1;
+        self.routers[index].process = Some(Router {
             subscriber,
-            desk,
+            host,
             start: Incarnation(now.as_micros() as u64),
-            stopped: false,
-            waiting: VecDeque::new(),
+            paused: false,
+            buffered: VecDeque::new(),
             timer_due: false,
         });
-        self.carry_router(place);
+        self.process_router_calls(index);
     }
 
-    pub fn kill_control(&mut self, place: usize) {
-        self.control[place].process = None;
-        self.control[place].life += 1;
+    /// Kills a control instance, as by SIGKILL.
+    pub fn kill_control(&mut self, index: usize) {
+        self.control[index].process = None;
+        self.control[index].generation += 1;
     }
 
-    pub fn kill_router(&mut self, place: usize) {
-        self.routers[place].process = None;
-        self.routers[place].life += 1;
+    /// Kills a router, as by SIGKILL.
+    pub fn kill_router(&mut self, index: usize) {
+        self.routers[index].process = None;
+        self.routers[index].generation += 1;
     }
 
-    pub fn pause_router(&mut self, place: usize) {
-        self.routers[place].process.iter_mut().for_each(|process| process.stopped = true);
+    /// Pauses a router, as by SIGSTOP.
+    pub fn pause_router(&mut self, index: usize) {
+        self.routers[index].process.iter_mut().for_each(|process| process.paused = true);
     }
 
-    pub fn resume_router(&mut self, place: usize) {
-        let Some(process) = &mut self.routers[place].process else { return };
-        process.stopped = false;
-        let (waiting, timer) = (std::mem::take(&mut process.waiting), std::mem::take(&mut process.timer_due));
-        let life = self.routers[place].life;
-        waiting.into_iter().for_each(|parcel| self.router_message(place, parcel));
+    /// Resumes a paused router, as by SIGCONT, and delivers the buffered datagrams and its timer.
+    pub fn resume_router(&mut self, index: usize) {
+        let Some(process) = &mut self.routers[index].process else { return };
+        process.paused = false;
+        let (buffered, timer) =
+            (std::mem::take(&mut process.buffered), std::mem::take(&mut process.timer_due));
+        let generation = self.routers[index].generation;
+        buffered.into_iter().for_each(|datagram| self.deliver_to_router(index, datagram));
         if timer {
-            self.queue.schedule(self.now, Due::RouterTimer { place, life });
+            self.queue.schedule(self.now, ScheduledEvent::RouterTimer { index, generation });
         }
     }
 
+    /// Sets whether a node answers probes.
     pub fn set_node_up(&mut self, node: usize, up: bool) {
         self.nodes[node].up = up;
     }
 
-    /// Another of its group leads from now on.
+    /// Sets whether a node is a primary, and forgets when its role was last reported.
     pub fn set_primary(&mut self, node: usize, primary: bool) {
-        (self.nodes[node].primary, self.nodes[node].seen) = (primary, None);
+        (self.nodes[node].primary, self.nodes[node].role_seen_at) = (primary, None);
     }
 
-    /// When a probe first saw the node in its present role.
+    /// When a probe first reported the current role of a node.
     pub fn role_seen_at(&self, node: usize) -> Option<Duration> {
-        self.nodes[node].seen
+        self.nodes[node].role_seen_at
     }
 
+    /// Number of probes that nodes have answered.
     pub fn probe_count(&self) -> u64 {
         self.nodes.iter().map(|node| node.probes).sum()
     }
 
-    pub fn control_stats(&self, place: usize) -> ProcessStats {
-        self.control[place].costs
+    /// The counters of a control instance.
+    pub fn control_stats(&self, index: usize) -> ProcessStats {
+        self.control[index].stats
     }
 
-    pub fn router_stats(&self, place: usize) -> ProcessStats {
-        self.routers[place].costs
+    /// The counters of a router.
+    pub fn router_stats(&self, index: usize) -> ProcessStats {
+        self.routers[index].stats
     }
 
-    /// From now on the most in any second is noted anew.
+    /// Resets the peak bytes per second of all control instances and routers.
     pub fn reset_peaks(&mut self) {
         self.control
             .iter_mut()
-            .for_each(|seat| (seat.costs.second, seat.costs.peak_bytes_per_s) = ((0, 0), 0));
+            .for_each(|slot| (slot.stats.current_second, slot.stats.peak_bytes_per_s) = ((0, 0), 0));
         self.routers
             .iter_mut()
-            .for_each(|seat| (seat.costs.second, seat.costs.peak_bytes_per_s) = ((0, 0), 0));
+            .for_each(|slot| (slot.stats.current_second, slot.stats.peak_bytes_per_s) = ((0, 0), 0));
     }
 
+    /// What a router knows about a node through the feed.
     pub fn observation(&self, router: usize, node: usize) -> Option<FeedObservation> {
         let process = self.routers[router].process.as_ref()?;
         process.subscriber.observation(node_address(node))
     }
 
+    /// The subscriber of a router, unless the router is killed.
     pub fn subscriber(
         &self,
         router: usize,
@@ -377,256 +440,306 @@
         self.routers[router].process.as_ref().map(|process| &process.subscriber)
     }
 
+    /// The publisher of a control instance, unless the instance is killed.
     pub fn publisher(
         &self,
-        place: usize,
+        index: usize,
     ) -> Option<&Publisher<impl quillpoint_observation_feed::Host + use<>>> {
-        self.control[place].process.as_ref().map(|process| &process.publisher)
+        self.control[index].process.as_ref().map(|process| &process.publisher)
     }
 
-    /// Whether all routers that run are told of all nodes, by one control instance or another.
+    /// Whether every running router follows control instances that together publish all nodes.
     pub fn all_subscribers_complete(&self) -> bool {
-        self.routers.iter().flat_map(|seat| &seat.process).all(|process| process.subscriber.is_complete())
+        self.routers.iter().flat_map(|slot| &slot.process).all(|process| process.subscriber.is_complete())
     }
 
+    /// Runs all events that are due until then, and advances virtual time to it.
     pub fn run_until(&mut self, until: Duration) {
         while self.queue.next_time().is_some_and(|at| at <= until) {
-            let Some((at, due)) = self.queue.pop() else { break };
+            let Some((at, scheduled)) = self.queue.pop() else { break };
             self.now = self.now.max(at);
-            self.step(due);
+            self.step(scheduled);
         }
         self.now = until;
     }
 
-    fn step(&mut self, due: Due) {
+    fn step(&mut self, scheduled: ScheduledEvent) {
         let now = self.now;
-        match due {
-            Due::FleetTimer { place, life } => {
-                self.call(place, life, |instance| instance.fleet.timer_fired(now));
+        match scheduled {
+            ScheduledEvent::FleetTimer { index, generation } => {
+                self.with_instance(index, generation, |instance| instance.fleet.timer_fired(now));
             }
-            Due::FeedTimer { place, life } => {
-                self.call(place, life, |instance| instance.publisher.timer_fired(now));
+            ScheduledEvent::FeedTimer { index, generation } => {
+                self.with_instance(index, generation, |instance| instance.publisher.timer_fired(now));
             }
-            Due::GossipMessage { place, life, letter, bytes } => {
-                self.control[place].costs.count(now, bytes, false);
-                self.control[place].costs.gossip_bytes += bytes as u64;
-                self.call(place, life, |instance| instance.fleet.message_arrived(now, letter));
+            ScheduledEvent::GossipMessage { index, generation, message, bytes } => {
+                self.control[index].stats.count(now, bytes, false);
+                self.control[index].stats.gossip_bytes += bytes as u64;
+                self.with_instance(index, generation, |instance| {
+                    instance.fleet.message_arrived(now, message)
+                });
             }
-            Due::ProbeEnded { place, life, duty, asked, found } => {
-                self.call(place, life, |instance| probe_ended(instance, now, duty, asked, found));
+            ScheduledEvent::ProbeEnded { index, generation, task, asked_at, result } => {
+                self.with_instance(index, generation, |instance| {
+                    probe_ended(instance, now, task, asked_at, result)
+                });
             }
-            Due::ToControl { place, life, parcel } => {
-                self.control[place].costs.count(now, parcel.bytes, false);
-                let Parcel { from, address, start, message, .. } = parcel;
+            ScheduledEvent::MessageToControl { index, generation, datagram } => {
+                self.control[index].stats.count(now, datagram.bytes, false);
+                let FeedDatagram { from, address, start, message, .. } = datagram;
                 let message = Rc::unwrap_or_clone(message);
-                self.call(place, life, |instance| {
+                self.with_instance(index, generation, |instance| {
                     instance.publisher.message_arrived(now, address, &from, start, message);
                 });
             }
-            Due::ToRouter { place, life, parcel } if self.routers[place].life == life => {
-                self.router_message(place, parcel);
+            ScheduledEvent::MessageToRouter { index, generation, datagram }
+                if self.routers[index].generation == generation =>
+            {
+                self.deliver_to_router(index, datagram);
             }
-            Due::RouterTimer { place, life } if self.routers[place].life == life => {
-                let Some(process) = &mut self.routers[place].process else { return };
-                if process.stopped {
+            ScheduledEvent::RouterTimer { index, generation }
+                if self.routers[index].generation == generation =>
+            {
+                let Some(process) = &mut self.routers[index].process else { return };
+                if process.paused {
                     process.timer_due = true;
                     return;
                 }
-                let began = Instant::now();
+                let started_at = Instant::now();
                 process.subscriber.timer_fired(now);
-                self.routers[place].costs.cpu_time += began.elapsed();
-                self.carry_router(place);
+                self.routers[index].stats.cpu_time += started_at.elapsed();
+                self.process_router_calls(index);
             }
-            Due::ToRouter { .. } | Due::RouterTimer { .. } => {}
+            ScheduledEvent::MessageToRouter { .. } | ScheduledEvent::RouterTimer { .. } => {}
         }
     }
 
-    /// Calls a control instance, unless it is another process by now, and does what it asks for.
-    fn call(&mut self, place: usize, life: u64, what: impl FnOnce(&mut Instance)) {
-        let seat = &mut self.control[place];
-        let Some(process) = seat.process.as_mut().filter(|_| seat.life == life) else { return };
-        let began = Instant::now();
-        what(process);
-        seat.costs.cpu_time += began.elapsed();
-        self.carry_control(place);
+    /// Lets a control instance handle an event and carries out its host calls. Does nothing if the event was scheduled
+    /// for an earlier process.
+    fn with_instance(&mut self, index: usize, generation: u64, handler: impl FnOnce(&mut Instance)) {
+        let slot = &mut self.control[index];
+        let Some(process) = slot.process.as_mut().filter(|_| slot.generation == generation) else { return };
+        let started_at = Instant::now();
+        handler(process);
+        slot.stats.cpu_time += started_at.elapsed();
+        self.process_control_calls(index);
     }
 
-    fn router_message(&mut self, place: usize, parcel: Parcel) {
-        let seat = &mut self.routers[place];
-        let Some(process) = &mut seat.process else { return };
-        if process.stopped {
-            if process.waiting.len() < BUFFER {
-                process.waiting.push_back(parcel);
+    fn deliver_to_router(&mut self, index: usize, datagram: FeedDatagram) {
+        let slot = &mut self.routers[index];
+        let Some(process) = &mut slot.process else { return };
+        if process.paused {
+            if process.buffered.len() < MAX_BUFFERED_DATAGRAMS {
+                process.buffered.push_back(datagram);
             }
             return;
         }
-        seat.costs.count(self.now, parcel.bytes, false);
-        let Parcel { from, start, message, .. } = parcel;
-        // It is decoded anew at each receiver, which is no decision: copied before the time is taken.
+        slot.stats.count(self.now, datagram.bytes, false);
+        let FeedDatagram { from, start, message, .. } = datagram;
+        // Real receivers each decode their own copy. Decoding is not part of the measured CPU time, so the message is
+        // copied before the timer starts.
         let message = Rc::unwrap_or_clone(message);
-        let began = Instant::now();
+        let started_at = Instant::now();
         process.subscriber.message_arrived(self.now, &from, start, message);
-        seat.costs.cpu_time += began.elapsed();
-        self.carry_router(place);
-    }
-
-    /// Does what a control instance asked for.
-    fn carry_control(&mut self, place: usize) {
-        let (now, seat) = (self.now, &mut self.control[place]);
-        let Some(process) = &mut seat.process else { return };
-        let (wishes, start) = (std::mem::take(&mut *process.desk.0.borrow_mut()), process.start);
-        let life = seat.life;
-        let began = Instant::now();
-        for evidence in wishes.heard {
-            process.publisher.observe(now, evidence);
+        slot.stats.cpu_time += started_at.elapsed();
+        self.process_router_calls(index);
+    }
+
+    /// Carries out the calls that a control instance made to its host.
+    fn process_control_calls(&mut self, index: usize) {
+        let (now, slot) = (self.now, &mut self.control[index]);
+        let Some(process) = &mut slot.process else { return };
+        let (calls, start) = (std::mem::take(&mut *process.host.0.borrow_mut()), process.start);
+        let generation = slot.generation;
+        let started_at = Instant::now();
+        for observation in calls.received_observations {
+            process.publisher.observe(now, observation);
         }
-        if let Some(instances) = wishes.instances {
-            process.publisher.instance_count_changed(instances);
+        if let Some(count) = calls.instance_count {
+            process.publisher.instance_count_changed(count);
         }
-        seat.costs.cpu_time += began.elapsed();
-        if let Some(after) = wishes.fleet_wake {
-            self.queue.schedule(now + after, Due::FleetTimer { place, life });
+        slot.stats.cpu_time += started_at.elapsed();
+        if let Some(delay) = calls.fleet_timer {
+            self.queue.schedule(now + delay, ScheduledEvent::FleetTimer { index, generation });
         }
-        if let Some(after) = wishes.feed_wake {
-            self.queue.schedule(now + after, Due::FeedTimer { place, life });
+        if let Some(delay) = calls.feed_timer {
+            self.queue.schedule(now + delay, ScheduledEvent::FeedTimer { index, generation });
         }
-        for (to, session, letter) in wishes.letters {
-            self.post_letter(place, to, session, letter);
+        for (to, session, message) in calls.gossip_messages {
+            self.send_gossip(index, to, session, message);
         }
-        // The same digest goes to many: it is kept and counted once.
+        // The same digest goes to many subscribers: its message is stored, and its size computed, only once.
         let mut last: Option<(Rc<Message>, usize)> = None;
-        for (to, session, message) in wishes.said {
-            let same = last.take().filter(|(same, _)| **same == message);
-            let (message, bytes) = same.unwrap_or_else(|| {
-                let bytes = length(&control_name(place), start, &message);
+        for (to, session, message) in calls.feed_messages {
+            let reused = last.take().filter(|(previous, _)| **previous == message);
+            let (message, bytes) = reused.unwrap_or_else(|| {
+                let bytes = datagram_bytes(&control_name(index), start, &message);
                 (Rc::new(message), bytes)
             });
             last = Some((Rc::clone(&message), bytes));
-            let parcel =
-                Parcel { from: control_name(place), address: control_address(place), start, message, bytes };
-            self.post_to_router(place, to, session, parcel);
+            let datagram = FeedDatagram {
+                from: control_name(index),
+                address: control_address(index),
+                start,
+                message,
+                bytes,
+            };
+            self.send_to_router(index, to, session, datagram);
         }
-        for duty in wishes.duties {
-            self.probe(place, duty);
+        for task in calls.tasks_to_run {
+            self.probe(index, task);
         }
     }
 
-    fn post_letter(
+    fn send_gossip(
         &mut self,
-        place: usize,
+        index: usize,
         to: SocketAddr,
         session: Option<Incarnation>,
-        letter: GossipMessage,
+        message: GossipMessage,
     ) {
-        let bytes = self.sealer.seal(&self.keys, session, &letter).expect("letters fit").len();
-        self.control[place].costs.count(self.now, bytes, true);
-        self.control[place].costs.gossip_bytes += bytes as u64;
+        let bytes = self
+            .sealer
+            .seal(&self.keys, session, &message)
+            .expect("a gossip message fits into a datagram")
+            .len();
+        self.control[index].stats.count(self.now, bytes, true);
+        self.control[index].stats.gossip_bytes += bytes as u64;
         let Some(other) = (0..self.control.len()).find(|other| control_address(*other) == to) else { return };
         let Some(process) = &self.control[other].process else { return };
         let current = process.fleet.members().own_record().version.incarnation;
-        let taken = session.map_or(letter.body == GossipBody::JoinRequest, |session| {
+        let accepted = session.map_or(message.body == GossipBody::JoinRequest, |session| {
             session == process.start || session == current
         });
-        if !taken || self.apart(place, other) {
+        if !accepted || self.partitioned_from(index, other) {
             return;
         }
-        let life = self.control[other].life;
-        for after in self.network.delivery_delays(&mut self.chance, HostId(place), HostId(other)) {
-            let letter = letter.clone();
-            self.queue.schedule(self.now + after, Due::GossipMessage { place: other, life, letter, bytes });
+        let generation = self.control[other].generation;
+        for delay in self.network.delivery_delays(&mut self.rng, HostId(index), HostId(other)) {
+            let message = message.clone();
+            self.queue.schedule(
+                self.now + delay,
+                ScheduledEvent::GossipMessage { index: other, generation, message, bytes },
+            );
         }
     }
 
-    fn post_to_router(&mut self, place: usize, to: SocketAddr, session: Option<Incarnation>, parcel: Parcel) {
-        self.control[place].costs.count(self.now, parcel.bytes, true);
+    fn send_to_router(
+        &mut self,
+        index: usize,
+        to: SocketAddr,
+        session: Option<Incarnation>,
+        datagram: FeedDatagram,
+    ) {
+        self.control[index].stats.count(self.now, datagram.bytes, true);
         let SocketAddr::V4(address) = to else { return };
         let [_, _, high, low] = address.ip().octets();
         let router = usize::from(high) * 250 + usize::from(low);
         let Some(process) = &self.routers[router].process else { return };
-        if session != Some(process.start) || self.apart(place, router) {
+        if session != Some(process.start) || self.partitioned_from(index, router) {
             return;
         }
-        let life = self.routers[router].life;
-        let seat = HostId(self.control.len() + router);
-        for after in self.network.delivery_delays(&mut self.chance, HostId(place), seat) {
-            let parcel = parcel.clone();
-            self.queue.schedule(self.now + after, Due::ToRouter { place: router, life, parcel });
+        let generation = self.routers[router].generation;
+        let receiver_host = HostId(self.control.len() + router);
+        for delay in self.network.delivery_delays(&mut self.rng, HostId(index), receiver_host) {
+            let datagram = datagram.clone();
+            self.queue.schedule(
+                self.now + delay,
+                ScheduledEvent::MessageToRouter { index: router, generation, datagram },
+            );
         }
     }
 
-    fn carry_router(&mut self, place: usize) {
-        let Some(process) = &self.routers[place].process else { return };
-        let (wishes, start) = (std::mem::take(&mut *process.desk.0.borrow_mut()), process.start);
-        let life = self.routers[place].life;
-        if let Some(after) = wishes.feed_wake {
-            self.queue.schedule(self.now + after, Due::RouterTimer { place, life });
+    fn process_router_calls(&mut self, index: usize) {
+        let Some(process) = &self.routers[index].process else { return };
+        let (calls, start) = (std::mem::take(&mut *process.host.0.borrow_mut()), process.start);
+        let generation = self.routers[index].generation;
+        if let Some(delay) = calls.feed_timer {
+            self.queue.schedule(self.now + delay, ScheduledEvent::RouterTimer { index, generation });
         }
-        for (to, session, message) in wishes.said {
-            let from = router_name(place);
-            let bytes = length(&from, start, &message);
-            self.routers[place].costs.count(self.now, bytes, true);
-            let asks = message == Message::Subscribe;
-            let Some(by) = (0..self.control.len()).find(|by| control_address(*by) == to) else { continue };
-            let Some(process) = &self.control[by].process else { continue };
-            let meant = if asks { session.is_none() } else { session == Some(process.start) };
-            if !meant || self.apart(by, place) {
+        for (to, session, message) in calls.feed_messages {
+            let from = router_name(index);
+            let bytes = datagram_bytes(&from, start, &message);
+            self.routers[index].stats.count(self.now, bytes, true);
+            let is_subscribe = message == Message::Subscribe;
+            let Some(receiver) = (0..self.control.len()).find(|receiver| control_address(*receiver) == to)
+            else {
+                continue;
+            };
+            let Some(process) = &self.control[receiver].process else { continue };
+            let accepted = if is_subscribe { session.is_none() } else { session == Some(process.start) };
+            if !accepted || self.partitioned_from(receiver, index) {
                 continue;
             }
-            let life = self.control[by].life;
-            let parcel =
-                Parcel { from, address: router_address(place), start, message: Rc::new(message), bytes };
-            let seat = HostId(self.control.len() + place);
-            for after in self.network.delivery_delays(&mut self.chance, seat, HostId(by)) {
-                let parcel = parcel.clone();
-                self.queue.schedule(self.now + after, Due::ToControl { place: by, life, parcel });
+            let generation = self.control[receiver].generation;
+            let datagram = FeedDatagram {
+                from,
+                address: router_address(index),
+                start,
+                message: Rc::new(message),
+                bytes,
+            };
+            let sender_host = HostId(self.control.len() + index);
+            for delay in self.network.delivery_delays(&mut self.rng, sender_host, HostId(receiver)) {
+                let datagram = datagram.clone();
+                self.queue.schedule(
+                    self.now + delay,
+                    ScheduledEvent::MessageToControl { index: receiver, generation, datagram },
+                );
             }
         }
     }
 
-    fn probe(&mut self, place: usize, duty: TaskId) {
-        let TaskTarget::Node(address) = duty.target else { return };
-        let (node, asked, life) = (index_of(address), self.now, self.control[place].life);
-        let there = self.network.random_delay(&mut self.chance);
-        let back = self.network.random_delay(&mut self.chance);
-        let apart = self.apart(place, node);
+    fn probe(&mut self, index: usize, task: TaskId) {
+        let TaskTarget::Node(address) = task.target else { return };
+        let (node, asked_at, generation) = (index_of(address), self.now, self.control[index].generation);
+        let delay_to_node = self.network.random_delay(&mut self.rng);
+        let delay_to_prober = self.network.random_delay(&mut self.rng);
+        let partitioned = self.partitioned_from(index, node);
         let state = &mut self.nodes[node];
-        if !state.up || apart {
-            let due = Due::ProbeEnded { place, life, duty, asked, found: None };
-            self.queue.schedule(asked + PROBE_TIME_OUT, due);
+        if !state.up || partitioned {
+            let scheduled = ScheduledEvent::ProbeEnded { index, generation, task, asked_at, result: None };
+            self.queue.schedule(asked_at + PROBE_TIMEOUT, scheduled);
             return;
         }
         state.probes += 1;
-        state.seen.get_or_insert(asked + there + back);
-        let found = Some(((asked + there).saturating_sub(self.shape.replication_lag), state.primary));
-        self.queue.schedule(asked + there + back, Due::ProbeEnded { place, life, duty, asked, found });
+        state.role_seen_at.get_or_insert(asked_at + delay_to_node + delay_to_prober);
+        let result =
+            Some(((asked_at + delay_to_node).saturating_sub(self.params.replication_lag), state.primary));
+        self.queue.schedule(
+            asked_at + delay_to_node + delay_to_prober,
+            ScheduledEvent::ProbeEnded { index, generation, task, asked_at, result },
+        );
     }
 }
 
 fn probe_ended(
     instance: &mut Instance,
     now: Duration,
-    duty: TaskId,
-    asked: Duration,
-    found: Option<(Duration, bool)>,
+    task: TaskId,
+    asked_at: Duration,
+    result: Option<(Duration, bool)>,
 ) {
-    instance.fleet.task_ended(now, duty);
-    let TaskTarget::Node(node) = duty.target else { return };
-    let (position, primary) = (found.map(|(position, _)| position), found.map(|(_, primary)| primary));
-    let (age, failed, waiting, started) = (Duration::ZERO, found.is_none(), None, None);
+    instance.fleet.task_ended(now, task);
+    let TaskTarget::Node(node) = task.target else { return };
+    let (position, primary) = (result.map(|(position, _)| position), result.map(|(_, primary)| primary));
+    let (age, failed, waiting, started) = (Duration::ZERO, result.is_none(), None, None);
     instance.fleet.record_own_observation(
         now,
-        asked,
+        asked_at,
         Observation { node, age, position, primary, waiting, started, failed },
     );
-    // An own failure is one voice; the fleet tells of it when there are two.
+    // A failed probe of this instance alone is not published. The fleet reports the failure, as an observation, when a
+    // second member has confirmed it.
     if !failed {
-        let evidence = TimestampedObservation { node, at: now, position, primary, waiting, started, failed };
-        instance.publisher.observe(now, evidence);
+        let observation =
+            TimestampedObservation { node, at: now, position, primary, waiting, started, failed };
+        instance.publisher.observe(now, observation);
     }
 }
 
-/// The bytes of a datagram.
-fn length(from: &PeerName, start: Incarnation, message: &Message) -> usize {
+/// Size in bytes of the datagram that carries a message.
+fn datagram_bytes(from: &PeerName, start: Incarnation, message: &Message) -> usize {
     let envelope = Envelope { from: from.clone(), incarnation: start, message: message.clone() };
-    postcard::to_stdvec(&envelope).expect("messages have a form").len() + DATAGRAM
+    postcard::to_stdvec(&envelope).expect("every feed message can be encoded").len() + DATAGRAM_OVERHEAD_BYTES
 }
