--- a/crates/simulator/src/command.rs
+++ b/crates/simulator/src/command.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! The command line of `quillpoint-simulator`.
 
 use std::io::Write;
 use std::path::{Path, PathBuf};
@@ -14,7 +14,7 @@
 use crate::{detectors, feed_run, plot, record};
 
 const HELP: &str = "\
-quillpoint-simulator: fleets of routers in virtual time
+quillpoint-simulator: simulates fleets of routers in virtual time
 
 Usage: quillpoint-simulator run FILE [--record FILE]
        quillpoint-simulator check FILE
@@ -25,19 +25,21 @@
                            [--fault restart|stop|cut|control|control-all] [--record FILE]
        quillpoint-simulator schema
 
-  run        plays an experiment; with --record each run is added to that file as a line of JSON
-  check      says what is wrong with an experiment's file
-  plot       draws one figure of a record against another as SVG, a line for shared and one for alone
-  detectors  compares ways to know who is there, at 3, 30 and 100 routers and 0 to 40% loss
-  feed       plays control instances that tell routers by exception, at one size; with --record the run is added to that
-             file as a line of the scale run's form
-  schema     prints the form of an experiment's file
+  run        simulates all runs of an experiment file; --record appends each run to a file as a line of JSON
+  check      checks an experiment file and prints the number of its runs
+  plot       plots one figure of a record against another as SVG, with one line for runs in which routers
+             share the probing and one for runs in which each router probes alone
+  detectors  compares failure detectors (heartbeats, gossip, leases) at 3, 30 and 100 routers and 0 to 40%
+             loss; --record writes the results to a file as lines of JSON
+  feed       simulates control instances that publish observations to routers; --record appends the run to a
+             file as a line in the form of measure/scale
+  schema     prints the JSON schema of experiment files
 ";
 
-/// The status for a fault of the command line or of a file.
-const MISUSED: u8 = 2;
+/// Exit status when the command line or a file is invalid.
+const EXIT_USAGE_ERROR: u8 = 2;
 
-/// What is wrong with the command line, or with a file that it names.
+/// Why a command failed.
 #[derive(Debug, thiserror::Error)]
 enum CommandError {
     #[error(transparent)]
@@ -48,7 +50,7 @@
     UnknownCommand(String),
     #[error("plot: expected --x, --y and --to, found {0}")]
     IncompletePlot(String),
-    #[error("{}: expected a figure of each run, found no {figure}", record.display())]
+    #[error("{}: expected the numeric figure {figure} in every run, found a run without it", record.display())]
     NoFigure { record: PathBuf, figure: String },
     #[error(transparent)]
     Experiment(#[from] ExperimentError),
@@ -62,9 +64,11 @@
     Json(#[from] serde_json::Error),
 }
 
+/// The parsed command line.
 #[derive(Default)]
-struct Words {
-    deed: Vec<String>,
+struct Arguments {
+    /// The command and its file, if any.
+    command: Vec<String>,
     record: Option<PathBuf>,
     x: Option<String>,
     y: Option<String>,
@@ -73,84 +77,88 @@
     feed: feed_run::FeedRunParams,
 }
 
-pub fn run(words: Parser) -> ExitCode {
-    let words = match read(words) {
-        Ok(Some(words)) => words,
+/// Runs the command that the arguments name. Errors go to standard error.
+pub fn run(parser: Parser) -> ExitCode {
+    let arguments = match parse_arguments(parser) {
+        Ok(Some(arguments)) => arguments,
         Ok(None) => {
             print!("{HELP}");
             return ExitCode::SUCCESS;
         }
         Err(error) => {
             eprintln!("quillpoint-simulator: {error}; see quillpoint-simulator --help");
-            return ExitCode::from(MISUSED);
+            return ExitCode::from(EXIT_USAGE_ERROR);
         }
     };
-    match obey(&words) {
+    match execute(&arguments) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("quillpoint-simulator: {error}");
-            ExitCode::from(MISUSED)
+            ExitCode::from(EXIT_USAGE_ERROR)
         }
     }
 }
 
-fn read(mut words: Parser) -> Result<Option<Words>, CommandError> {
-    let mut told = Words::default();
-    while let Some(word) = words.next()? {
-        match word {
+/// Parses the command line. `None` if help was requested or there are no arguments.
+fn parse_arguments(mut parser: Parser) -> Result<Option<Arguments>, CommandError> {
+    let mut arguments = Arguments::default();
+    while let Some(argument) = parser.next()? {
+        match argument {
             Short('h') | Long("help") => return Ok(None),
-            Long("record") => told.record = Some(words.value()?.into()),
-            Long("x") => told.x = Some(words.value()?.string()?),
-            Long("y") => told.y = Some(words.value()?.string()?),
-            Long("to") => told.to = Some(words.value()?.into()),
-            Long("title") => told.title = Some(words.value()?.string()?),
-            Long("routers") => told.feed.routers = words.value()?.parse()?,
-            Long("nodes") => told.feed.nodes = words.value()?.parse()?,
-            Long("control") => told.feed.control_instances = words.value()?.parse()?,
-            Long("regions") => told.feed.regions = words.value()?.parse()?,
+            Long("record") => arguments.record = Some(parser.value()?.into()),
+            Long("x") => arguments.x = Some(parser.value()?.string()?),
+            Long("y") => arguments.y = Some(parser.value()?.string()?),
+            Long("to") => arguments.to = Some(parser.value()?.into()),
+            Long("title") => arguments.title = Some(parser.value()?.string()?),
+            Long("routers") => arguments.feed.routers = parser.value()?.parse()?,
+            Long("nodes") => arguments.feed.nodes = parser.value()?.parse()?,
+            Long("control") => arguments.feed.control_instances = parser.value()?.parse()?,
+            Long("regions") => arguments.feed.regions = parser.value()?.parse()?,
             Long("period-ms") => {
-                told.feed.health_check_period = Duration::from_millis(words.value()?.parse::<u64>()?.max(1));
+                arguments.feed.health_check_period =
+                    Duration::from_millis(parser.value()?.parse::<u64>()?.max(1));
             }
-            Long("copy-rate") => told.feed.snapshot_bytes_per_s = words.value()?.parse()?,
-            Long("seconds") => told.feed.seconds = words.value()?.parse::<f64>()?.clamp(0.1, 3600.0),
-            Long("seed") => told.feed.seed = words.value()?.parse()?,
-            Long("memory-mb") => told.feed.memory_mb = words.value()?.parse()?,
+            Long("copy-rate") => arguments.feed.snapshot_bytes_per_s = parser.value()?.parse()?,
+            Long("seconds") => arguments.feed.seconds = parser.value()?.parse::<f64>()?.clamp(0.1, 3600.0),
+            Long("seed") => arguments.feed.seed = parser.value()?.parse()?,
+            Long("memory-mb") => arguments.feed.memory_mb = parser.value()?.parse()?,
             Long("fault") => {
-                let name = words.value()?.string()?;
+                let name = parser.value()?.string()?;
                 let fault = feed_run::FeedFault::from_name(&name);
-                told.feed.fault = Some(fault.ok_or(CommandError::UnknownFault(name))?);
+                arguments.feed.fault = Some(fault.ok_or(CommandError::UnknownFault(name))?);
             }
-            Value(word) if told.deed.len() < 2 => told.deed.push(word.string()?),
+            Value(value) if arguments.command.len() < 2 => arguments.command.push(value.string()?),
             other => return Err(other.unexpected().into()),
         }
     }
-    Ok(if told.deed.is_empty() { None } else { Some(told) })
+    Ok(if arguments.command.is_empty() { None } else { Some(arguments) })
 }
 
-fn obey(words: &Words) -> Result<(), CommandError> {
-    let deed: Vec<&str> = words.deed.iter().map(String::as_str).collect();
-    match deed.as_slice() {
+fn execute(arguments: &Arguments) -> Result<(), CommandError> {
+    let command: Vec<&str> = arguments.command.iter().map(String::as_str).collect();
+    match command.as_slice() {
         ["schema"] => println!("{}", serde_json::to_string_pretty(&experiment::schema())?),
         ["check", file] => {
             let experiment = Experiment::read(Path::new(file))?;
             println!("{}: {} runs", experiment.name, experiment.runs().len());
         }
-        ["run", file] => simulate(&Experiment::read(Path::new(file))?, words.record.as_deref())?,
-        ["detectors"] => compare(words.record.as_deref())?,
-        ["feed"] => feed(&words.feed, words.record.as_deref())?,
-        ["plot", file] => draw(Path::new(file), words)?,
+        ["run", file] => run_experiment(&Experiment::read(Path::new(file))?, arguments.record.as_deref())?,
+        ["detectors"] => compare_detectors(arguments.record.as_deref())?,
+        ["feed"] => run_feed(&arguments.feed, arguments.record.as_deref())?,
+        ["plot", file] => draw_plot(Path::new(file), arguments)?,
         other => return Err(CommandError::UnknownCommand(other.join(" "))),
     }
     Ok(())
 }
 
-fn simulate(experiment: &Experiment, to: Option<&Path>) -> std::io::Result<()> {
+fn run_experiment(experiment: &Experiment, to: Option<&Path>) -> std::io::Result<()> {
     let runs = experiment.runs();
-    for (number, shape) in (1..).zip(&runs) {
-        let run = experiment.simulate(shape);
+    for (run_number, params) in (1..).zip(&runs) {
+        let run = experiment.simulate(params);
         println!(
-            "{number}/{}: {} routers, {} nodes, {}: {:.2} probes a node and second, gap p99 {:.3} s, max {:.3} s, \
-             evidence p99 {:.3} s, {:.0} datagrams and {:.0} bytes a router and second, {:.1}% of a core",
+            "{run_number}/{}: {} routers, {} nodes, {}: {:.2} probes per node and second, \
+             gap p99 {:.3} s, max {:.3} s, observation age p99 {:.3} s, \
+             {:.0} datagrams and {:.0} bytes per router and second, {:.1}% of a core",
             runs.len(),
             run.routers,
             run.nodes,
@@ -170,26 +178,27 @@
     Ok(())
 }
 
-fn feed(sizes: &feed_run::FeedRunParams, to: Option<&Path>) -> Result<(), CommandError> {
-    let outcome = sizes.simulate()?;
+fn run_feed(params: &feed_run::FeedRunParams, to: Option<&Path>) -> Result<(), CommandError> {
+    let outcome = params.simulate()?;
     println!(
         "{} routers, {} nodes, {} control instances, {}:",
-        sizes.routers,
-        sizes.nodes,
-        sizes.control_instances,
-        sizes.fault.map_or("calm", feed_run::FeedFault::name)
+        params.routers,
+        params.nodes,
+        params.control_instances,
+        params.fault.map_or("calm", feed_run::FeedFault::name)
     );
-    outcome.figures.iter().for_each(|(name, is)| println!("  {name} {is:.4}"));
+    outcome.figures.iter().for_each(|(name, value)| println!("  {name} {value:.4}"));
     if let Some(path) = to {
         outcome.append(path)?;
     }
     Ok(())
 }
 
-fn compare(to: Option<&Path>) -> std::io::Result<()> {
+fn compare_detectors(to: Option<&Path>) -> std::io::Result<()> {
     let mut file = to.map(std::fs::File::create).transpose()?;
     println!(
-        "| way | routers | loss | datagrams a router and second (busiest) | detected, half (last) | false deaths a router and hour |"
+        "| detector | routers | loss | datagrams per router and second (busiest) | detection time median (max) \
+         | false deaths per router and hour |"
     );
     println!("| --- | --- | --- | --- | --- | --- |");
     for routers in [3, 30, 100] {
@@ -215,9 +224,9 @@
     Ok(())
 }
 
-fn draw(file: &Path, words: &Words) -> Result<(), CommandError> {
-    let (Some(x), Some(y), Some(to)) = (&words.x, &words.y, &words.to) else {
-        return Err(CommandError::IncompletePlot(given_plot_options(words)));
+fn draw_plot(file: &Path, arguments: &Arguments) -> Result<(), CommandError> {
+    let (Some(x), Some(y), Some(to)) = (&arguments.x, &arguments.y, &arguments.to) else {
+        return Err(CommandError::IncompletePlot(describe_given_plot_options(arguments)));
     };
     let runs = record::read(file)?;
     let figure = |run: &record::Run, name: &str| {
@@ -226,23 +235,24 @@
     };
     let mut lines = Vec::new();
     for (shared, name) in [(true, "shared"), (false, "each alone")] {
-        // The mean over seeds.
+        // Each point is the mean over all runs with the same x value, such as different seeds.
         let mut sums = std::collections::BTreeMap::<u64, (f64, f64)>::new();
         for run in runs.iter().filter(|run| run.shared == shared) {
             let sum = sums.entry(figure(run, x)?.to_bits()).or_default();
             *sum = (sum.0 + figure(run, y)?, sum.1 + 1.0);
         }
-        let points = sums.into_iter().map(|(at, (sum, count))| (f64::from_bits(at), sum / count)).collect();
+        let points = sums.into_iter().map(|(x, (sum, count))| (f64::from_bits(x), sum / count)).collect();
         lines.push(Line { name: name.to_string(), points });
     }
     lines.retain(|line| !line.points.is_empty());
-    let title = words.title.clone().unwrap_or_else(|| format!("{y} by {x}"));
+    let title = arguments.title.clone().unwrap_or_else(|| format!("{y} by {x}"));
     plot::write_svg(to, &Axes { title: &title, x, y }, &lines)?;
     Ok(())
 }
 
-fn given_plot_options(words: &Words) -> String {
-    let given = [("--x", words.x.is_some()), ("--y", words.y.is_some()), ("--to", words.to.is_some())];
+fn describe_given_plot_options(arguments: &Arguments) -> String {
+    let given =
+        [("--x", arguments.x.is_some()), ("--y", arguments.y.is_some()), ("--to", arguments.to.is_some())];
     let given: Vec<&str> =
         given.into_iter().filter(|(_, is_given)| *is_given).map(|(name, _)| name).collect();
     if given.is_empty() { "none of them".to_string() } else { format!("only {}", given.join(" and ")) }
--- a/crates/simulator/src/detectors.rs
+++ b/crates/simulator/src/detectors.rs
@@ -1,6 +1,6 @@
-//! Compares three failure detectors for the members of a fleet: all-to-all heartbeats, gossip, and leases granted by a
-//! leader that a majority has elected. Gossip runs the product's membership code; heartbeats and leases are simple
-//! models that exist only in this file and advance one heartbeat interval at a time.
+//! Compares three failure detectors for the members of a fleet: all-to-all heartbeats, gossip, and leases
+//! granted by a leader that a majority has elected. Gossip runs the product's membership code; heartbeats and
+//! leases are simple models that exist only in this file and advance one heartbeat interval at a time.
 
 use std::time::Duration;
 
@@ -51,8 +51,8 @@
     vec![heartbeats(routers, loss, seed), gossip(routers, loss, seed), lease(routers, loss, seed)]
 }
 
-/// All-to-all heartbeats: every router sends to every other, and declares a peer dead after too many consecutive
-/// missed heartbeats.
+/// All-to-all heartbeats: every router sends to every other, and declares a peer dead after too many
+/// consecutive missed heartbeats.
 fn heartbeats(routers: usize, loss: f64, seed: u64) -> DetectorResult {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let rounds = (RUN_SECONDS / HEARTBEAT_INTERVAL.as_secs_f64()) as u32;
@@ -64,8 +64,9 @@
             false_deaths += u64::from(missed[pair] == MISSED_HEARTBEATS_LIMIT);
         }
     }
-    // A router fails: each of the others detects it when its count of missed heartbeats reaches the limit. The count
-    // starts at the last heartbeat that arrived, so heartbeats lost just before the failure shorten the detection.
+    // A router fails: each of the others detects it when its count of missed heartbeats reaches the limit.
+    // The count starts at the last heartbeat that arrived, so heartbeats lost just before the failure shorten
+    // the detection.
     let mut detection_times: Vec<f64> = (1..routers)
         .map(|_| {
             let mut lost_heartbeats = 0;
@@ -84,8 +85,8 @@
     detector_result("heartbeats", routers, loss, seed, (rate, rate), &detection_times, false_deaths)
 }
 
-/// Leases: every follower asks the leader once per interval to renew its lease, and loses its tasks when the lease
-/// expires.
+/// Leases: every follower asks the leader once per interval to renew its lease, and loses its tasks when the
+/// lease expires.
 fn lease(routers: usize, loss: f64, seed: u64) -> DetectorResult {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let rounds = (RUN_SECONDS / HEARTBEAT_INTERVAL.as_secs_f64()) as u32;
@@ -99,11 +100,12 @@
             renewed += usize::from(*missed_renewals < MISSED_HEARTBEATS_LIMIT);
             false_deaths += u64::from(*missed_renewals == MISSED_HEARTBEATS_LIMIT);
         }
-        // A leader that does not renew the leases of a majority loses its leadership, which counts as one false death.
+        // A leader that does not renew the leases of a majority loses its leadership, which counts as one
+        // false death.
         false_deaths += u64::from(renewed * 2 <= routers);
     }
-    // The leader detects a follower's failure when the lease expires. The leader's own failure is detected after its
-    // lease has expired and another leader has been elected.
+    // The leader detects a follower's failure when the lease expires. The leader's own failure is detected
+    // after its lease has expired and another leader has been elected.
     let lease_s = HEARTBEAT_INTERVAL.as_secs_f64() * f64::from(MISSED_HEARTBEATS_LIMIT);
     let mut detection_times: Vec<f64> =
         (1..routers).map(|_| lease_s - rng.random_range(0.0..HEARTBEAT_INTERVAL.as_secs_f64())).collect();
--- a/crates/simulator/src/experiment.rs
+++ b/crates/simulator/src/experiment.rs
@@ -1,4 +1,5 @@
-//! Experiment files, which describe simulated runs (fleet sizes, network, faults and seeds), and the runs themselves.
+//! Experiment files, which describe simulated runs (fleet sizes, network, faults and seeds), and the runs
+//! themselves.
 
 use std::path::Path;
 use std::time::Duration;
@@ -287,7 +288,8 @@
     }
 }
 
-/// Records how old the newest observation of a node is at a router, for an evenly spaced sample of routers and nodes.
+/// Records how old the newest observation of a node is at a router, for an evenly spaced sample of routers
+/// and nodes.
 fn record_ages(world: &World, ages: &mut Histogram<u64>) {
     let sample = |count: usize| (0..count).step_by(count.div_ceil(MAX_SAMPLED));
     for router in sample(world.routers()).filter(|router| world.is_running(*router)) {
--- a/crates/simulator/src/feed_world.rs
+++ b/crates/simulator/src/feed_world.rs
@@ -1,6 +1,7 @@
-//! Control instances, routers and nodes in virtual time. Each control instance is a member of the fleet that divides
-//! the probing of the nodes, and a publisher of the observation feed; each router is a subscriber. They run the
-//! product's own state machines. The world only emulates their surroundings and records what happens.
+//! Control instances, routers and nodes in virtual time. Each control instance is a member of the fleet that
+//! divides the probing of the nodes, and a publisher of the observation feed; each router is a subscriber.
+//! They run the product's own state machines. The world only emulates their surroundings and records what
+//! happens.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -29,7 +30,8 @@
 const DATAGRAM_OVERHEAD_BYTES: usize = 55;
 /// A probe of a node that does not answer ends with this timeout.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(250);
-/// Number of datagrams that are buffered for a paused router; further ones are lost, as with a full socket buffer.
+/// Number of datagrams that are buffered for a paused router; further ones are lost, as with a full socket
+/// buffer.
 const MAX_BUFFERED_DATAGRAMS: usize = 256;
 
 /// Parameters of a [`FeedWorld`].
@@ -160,8 +162,8 @@
     timer_due: bool,
 }
 
-/// A control instance or a router with its current process, if any. `generation` increases whenever a process starts
-/// or is killed, so that events scheduled for an earlier process are dropped.
+/// A control instance or a router with its current process, if any. `generation` increases whenever a process
+/// starts or is killed, so that events scheduled for an earlier process are dropped.
 struct ProcessSlot<P> {
     process: Option<P>,
     generation: u64,
@@ -237,7 +239,8 @@
     pub now: Duration,
     params: FeedWorldParams,
     network: Network,
-    /// Whether the regions are partitioned from each other: while true, no message or probe crosses between them.
+    /// Whether the regions are partitioned from each other: while true, no message or probe crosses between
+    /// them.
     pub partitioned: bool,
     rng: ChaCha8Rng,
     queue: EventQueue<ScheduledEvent>,
@@ -448,7 +451,7 @@
         self.control[index].process.as_ref().map(|process| &process.publisher)
     }
 
-    /// Whether every running router follows control instances that together publish all nodes.
+    /// Whether every running router receives digests for every partition from some control instance.
     pub fn all_subscribers_complete(&self) -> bool {
         self.routers.iter().flat_map(|slot| &slot.process).all(|process| process.subscriber.is_complete())
     }
@@ -514,8 +517,8 @@
         }
     }
 
-    /// Lets a control instance handle an event and carries out its host calls. Does nothing if the event was scheduled
-    /// for an earlier process.
+    /// Lets a control instance handle an event and carries out its host calls. Does nothing if the event was
+    /// scheduled for an earlier process.
     fn with_instance(&mut self, index: usize, generation: u64, handler: impl FnOnce(&mut Instance)) {
         let slot = &mut self.control[index];
         let Some(process) = slot.process.as_mut().filter(|_| slot.generation == generation) else { return };
@@ -536,8 +539,8 @@
         }
         slot.stats.count(self.now, datagram.bytes, false);
         let FeedDatagram { from, start, message, .. } = datagram;
-        // Real receivers each decode their own copy. Decoding is not part of the measured CPU time, so the message is
-        // copied before the timer starts.
+        // Real receivers each decode their own copy. Decoding is not part of the measured CPU time, so the
+        // message is copied before the timer starts.
         let message = Rc::unwrap_or_clone(message);
         let started_at = Instant::now();
         process.subscriber.message_arrived(self.now, &from, start, message);
@@ -729,8 +732,8 @@
         asked_at,
         Observation { node, age, position, primary, waiting, started, failed },
     );
-    // A failed probe of this instance alone is not published. The fleet reports the failure, as an observation, when a
-    // second member has confirmed it.
+    // A failed probe of this instance alone is not published. The fleet reports the failure, as an
+    // observation, when a second member has confirmed it.
     if !failed {
         let observation =
             TimestampedObservation { node, at: now, position, primary, waiting, started, failed };
--- a/crates/simulator/src/network.rs
+++ b/crates/simulator/src/network.rs
@@ -1,5 +1,5 @@
-//! An emulated datagram network between simulated hosts. Datagrams can be lost, delayed (and therefore reordered) or
-//! duplicated, and a path can be cut in one direction or in both.
+//! An emulated datagram network between simulated hosts. Datagrams can be lost, delayed (and therefore
+//! reordered) or duplicated, and a path can be cut in one direction or in both.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -79,7 +79,8 @@
         self.path_loss.clear();
     }
 
-    /// Returns the delay of each copy of a datagram that arrives: empty if it is lost, two entries if it is duplicated.
+    /// Returns the delay of each copy of a datagram that arrives: empty if it is lost, two entries if it is
+    /// duplicated.
     pub fn delivery_delays(&self, rng: &mut ChaCha8Rng, from: HostId, to: HostId) -> Vec<Duration> {
         let loss = self.path_loss.get(&(from, to)).copied().unwrap_or(0.0).max(self.link_quality.loss);
         if loss > 0.0 && rng.random_bool(loss.min(1.0)) {
--- a/crates/simulator/src/queue.rs
+++ b/crates/simulator/src/queue.rs
@@ -1,5 +1,5 @@
-//! The queue of scheduled events in virtual time. Events that are due at the same time run in the order in which they
-//! were scheduled.
+//! The queue of scheduled events in virtual time. Events that are due at the same time run in the order in
+//! which they were scheduled.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
--- a/crates/simulator/src/record.rs
+++ b/crates/simulator/src/record.rs
@@ -41,8 +41,8 @@
     pub datagrams_per_router_s: f64,
     /// Bytes that a router sent per second, the mean over all routers.
     pub bytes_per_router_s: f64,
-    /// Fraction of one CPU core that a router's state machine used on the machine that ran the simulation. Not
-    /// determined by the seed.
+    /// Fraction of one CPU core that a router's state machine used on the machine that ran the simulation.
+    /// Not determined by the seed.
     pub cpu_part: f64,
     /// How often a running router was declared dead by another.
     pub false_deaths: u64,
@@ -77,7 +77,8 @@
 /// Reads all runs of a record file.
 ///
 /// # Errors
-/// The file cannot be read, or a line does not parse as a [`Run`]; the error names the file and the line number.
+/// The file cannot be read, or a line does not parse as a [`Run`]; the error names the file and the line
+/// number.
 pub fn read(path: &Path) -> std::io::Result<Vec<Run>> {
     let mut runs = Vec::new();
     for (line_number, line) in (1..).zip(BufReader::new(std::fs::File::open(path)?).lines()) {
--- a/crates/simulator/src/world.rs
+++ b/crates/simulator/src/world.rs
@@ -1,6 +1,7 @@
-//! A fleet of routers and the nodes that they probe, in virtual time. The routers run the product's membership code.
-//! The world only emulates their surroundings and records what happens for the tests: which router probed which node
-//! when, what was sent between routers, and when each router last got an observation of each node.
+//! A fleet of routers and the nodes that they probe, in virtual time. The routers run the product's
+//! membership code. The world only emulates their surroundings and records what happens for the tests: which
+//! router probed which node when, what was sent between routers, and when each router last got an observation
+//! of each node.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, VecDeque};
@@ -25,7 +26,8 @@
 
 /// Start of virtual time; far enough from zero that a clock can be set back without underflow.
 pub const START_TIME: Duration = Duration::from_secs(1_000_000);
-/// Number of datagrams that are buffered for a paused router; further ones are lost, as with a full socket buffer.
+/// Number of datagrams that are buffered for a paused router; further ones are lost, as with a full socket
+/// buffer.
 const MAX_BUFFERED_DATAGRAMS: usize = 256;
 /// A probe of a node that is down ends with this timeout.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(250);
@@ -51,8 +53,8 @@
     pub seed: u64,
 }
 
-/// Fleet parameters for a probe period, a takeover delay and a minimum interval between probes of a node by one
-/// router. The budgets are fixed.
+/// Fleet parameters for a probe period, a takeover delay and a minimum interval between probes of a node by
+/// one router. The budgets are fixed.
 pub fn fleet_params(period: Duration, takeover_grace: Duration, interval_floor: Duration) -> FleetParams {
     let probe = TaskParams {
         kind: TaskKind(0),
@@ -129,16 +131,19 @@
 
 struct Router {
     process: Option<Process>,
-    /// Increases whenever the process starts or ends, so that events scheduled for an earlier process are dropped.
+    /// Increases whenever the process starts or ends, so that events scheduled for an earlier process are
+    /// dropped.
     generation: u64,
-    /// How far its clock is ahead of virtual time, and how far behind; the clock is virtual time + ahead - behind.
+    /// How far its clock is ahead of virtual time, and how far behind; the clock is virtual time + ahead -
+    /// behind.
     clock_ahead: Duration,
     clock_behind: Duration,
     stats: RouterStats,
     events: Vec<(Duration, Event)>,
     /// When the newest observation of each node was made, in virtual time.
     last_observation_at: BTreeMap<usize, Duration>,
-    /// Number in the name that the router uses: its own index, unless a fault made it use another router's name.
+    /// Number in the name that the router uses: its own index, unless a fault made it use another router's
+    /// name.
     name: usize,
 }
 
@@ -243,8 +248,8 @@
         self.now + self.routers[index].clock_ahead - self.routers[index].clock_behind
     }
 
-    /// Sets how far a router's clock is ahead of virtual time and behind it. Takes effect at once: set it before the
-    /// router's next start, not while it runs.
+    /// Sets how far a router's clock is ahead of virtual time and behind it. Takes effect at once: set it
+    /// before the router's next start, not while it runs.
     pub fn set_clock_skew(&mut self, index: usize, clock_ahead: Duration, clock_behind: Duration) {
         (self.routers[index].clock_ahead, self.routers[index].clock_behind) = (clock_ahead, clock_behind);
     }
@@ -511,8 +516,8 @@
             let to = index_of(to);
             let Some(other) = self.routers.get(to) else { continue };
             let own_start = other.process.as_ref().map(|process| process.start);
-            // As the datagram package does, rejects a message that is sealed for another incarnation of the receiver.
-            // A message without a session must be a join request.
+            // As the datagram package does, rejects a message that is sealed for another incarnation of the
+            // receiver. A message without a session must be a join request.
             let accepted = session.is_none_or(|session| {
                 own_start == Some(session)
                     || other.process.as_ref().is_some_and(|process| {
