--- a/crates/simulator/src/feed_run.rs
+++ b/crates/simulator/src/feed_run.rs
@@ -454,8 +454,8 @@
             "sizes": {
                 "mode": "feed", "routers": params.routers, "real": 0, "hollow_processes": 0,
                 "control": params.control_instances, "databases": params.nodes, "connections": 0,
-                "statements": 0.0, "changes": 0.0, "period_s": params.health_check_period.as_secs_f64(), "seed": params.seed,
-                "seconds": params.seconds,
+                "statements": 0.0, "changes": 0.0, "period_s": params.health_check_period.as_secs_f64(),
+                "seed": params.seed, "seconds": params.seconds,
             },
             "figures": self.figures,
             "bounds": [],
--- a/crates/simulator/tests/experiments.rs
+++ b/crates/simulator/tests/experiments.rs
@@ -1,4 +1,4 @@
-//! Experiments as files: what is refused and where, and that a seed decides all.
+//! Experiment files: validation with the location of the error, determinism, and the records of runs.
 
 use std::path::Path;
 
@@ -15,59 +15,71 @@
     Experiment::parse("small.json", SMALL).unwrap()
 }
 
-fn fault(of: &str, by: &str) -> String {
-    assert!(SMALL.contains(of));
-    Experiment::parse("small.json", &SMALL.replacen(of, by, 1)).unwrap_err().to_string()
+fn parse_error_after_replacing(original: &str, replacement: &str) -> String {
+    assert!(SMALL.contains(original));
+    Experiment::parse("small.json", &SMALL.replacen(original, replacement, 1)).unwrap_err().to_string()
 }
 
 #[test]
-fn every_combination_is_a_run() {
+fn every_combination_of_parameters_is_a_run() {
     let runs = small().runs();
     assert_eq!(runs.len(), 2 * 2 * 2);
     assert!(runs.iter().all(|run| run.nodes == 4 && run.zones == 2));
 }
 
+/// Guards against non-determinism: with the same seed, everything but the measured CPU time must be the same.
 #[test]
-fn a_seed_decides_all_but_the_machines_own_time() {
+fn a_seed_determines_everything_except_cpu_time() {
     let experiment = small();
-    for shape in experiment.runs() {
-        let timeless = |run: Run| Run { cpu_part: 0.0, ..run };
-        assert_eq!(timeless(experiment.simulate(&shape)), timeless(experiment.simulate(&shape)));
+    for params in experiment.runs() {
+        let without_cpu_time = |run: Run| Run { cpu_part: 0.0, ..run };
+        assert_eq!(
+            without_cpu_time(experiment.simulate(&params)),
+            without_cpu_time(experiment.simulate(&params))
+        );
     }
     let runs = experiment.runs();
-    let differ = |run: Run| (run.probes_per_node_s, run.gap_max_s, run.datagrams_per_router_s);
+    let seed_dependent_figures =
+        |run: Run| (run.probes_per_node_s, run.gap_max_s, run.datagrams_per_router_s);
     assert_ne!(
-        differ(experiment.simulate(&runs[0])),
-        differ(experiment.simulate(&runs[1])),
-        "another seed, another run"
+        seed_dependent_figures(experiment.simulate(&runs[0])),
+        seed_dependent_figures(experiment.simulate(&runs[1])),
+        "expected different results for different seeds"
     );
 }
 
+/// Guards against errors that do not say where in the file the invalid value is.
 #[test]
-fn a_fault_of_the_file_names_its_place() {
-    assert!(fault("\"routers\": [2, 3]", "\"routers\": [2, 0]").contains("at /routers/1"));
-    assert!(fault("\"loss\": 0.1", "\"loss\": 1.5").contains("at /network/loss"));
-    assert!(fault("\"span_s\": 4", "\"span_s\": \"long\"").contains("at /span_s"));
-    assert!(fault("\"nodes\": [4], ", "").contains("nodes"));
-    assert!(fault("\"name\"", "\"nmae\": 1, \"name\"").contains("nmae"));
-    assert!(fault("\"heal\"", "\"heel\"").contains("at /faults/1/what"));
+fn an_invalid_value_is_reported_with_its_location() {
+    assert!(
+        parse_error_after_replacing("\"routers\": [2, 3]", "\"routers\": [2, 0]").contains("at /routers/1")
+    );
+    assert!(parse_error_after_replacing("\"loss\": 0.1", "\"loss\": 1.5").contains("at /network/loss"));
+    assert!(parse_error_after_replacing("\"span_s\": 4", "\"span_s\": \"long\"").contains("at /span_s"));
+    assert!(parse_error_after_replacing("\"nodes\": [4], ", "").contains("nodes"));
+    assert!(parse_error_after_replacing("\"name\"", "\"nmae\": 1, \"name\"").contains("nmae"));
+    assert!(parse_error_after_replacing("\"heal\"", "\"heel\"").contains("at /faults/1/what"));
     assert!(Experiment::parse("x", "{").unwrap_err().to_string().starts_with("x: "));
 }
 
+/// Guards against a change of the format that leaves the repository's own experiment files invalid.
 #[test]
-fn the_experiments_of_this_repository_are_in_order() {
-    let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../experiments");
-    let files: Vec<_> = std::fs::read_dir(folder).unwrap().map(|entry| entry.unwrap().path()).collect();
+fn all_experiment_files_of_the_repository_are_valid() {
+    let experiments_dir = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../experiments");
+    let files: Vec<_> =
+        std::fs::read_dir(experiments_dir).unwrap().map(|entry| entry.unwrap().path()).collect();
     assert!(files.len() >= 3);
     files.iter().for_each(|file| _ = Experiment::read(file).unwrap());
 }
 
+/// Guards against records that lose values when written, and against errors that do not name the invalid
+/// line.
 #[test]
-fn a_record_reads_as_it_was_written_and_a_bad_line_is_named() {
+fn records_round_trip_and_an_invalid_line_is_reported_with_its_number() {
     let path = Path::new(env!("CARGO_TARGET_TMPDIR")).join("record.jsonl");
     _ = std::fs::remove_file(&path);
     let experiment = small();
-    let runs: Vec<Run> = experiment.runs().iter().take(2).map(|shape| experiment.simulate(shape)).collect();
+    let runs: Vec<Run> = experiment.runs().iter().take(2).map(|params| experiment.simulate(params)).collect();
     runs.iter().for_each(|run| record::append(&path, run).unwrap());
     assert_eq!(record::read(&path).unwrap(), runs);
     std::fs::write(&path, "{}\n").unwrap();
--- a/crates/simulator/tests/old_records.rs
+++ b/crates/simulator/tests/old_records.rs
@@ -1,4 +1,5 @@
-//! Records that earlier versions wrote are read as they stand, and written again with the same names and values.
+//! Records written by earlier versions must be readable without changes, and be written with the same names
+//! and values.
 
 use std::path::{Path, PathBuf};
 
@@ -14,8 +15,9 @@
     text.lines().map(|line| serde_json::from_str(line).unwrap()).collect()
 }
 
+/// Guards against renamed or lost fields in the records of experiments.
 #[test]
-fn runs_of_experiments_are_written_as_they_were_read() {
+fn records_of_experiments_round_trip_unchanged() {
     for name in ["duties-kills.jsonl", "duties-large.jsonl", "duties-size.jsonl"] {
         let path = measurements().join(name);
         let runs: Vec<Run> = record::read(&path).unwrap();
@@ -25,16 +27,19 @@
     }
 }
 
+/// Guards against renamed or lost fields in the records of detector comparisons.
 #[test]
-fn comparisons_of_detectors_keep_the_names_of_their_figures() {
-    let old = lines(&measurements().join("detectors.jsonl"));
+fn records_of_detector_comparisons_keep_their_field_names() {
+    let old_rows = lines(&measurements().join("detectors.jsonl"));
     let rows = quillpoint_simulator::detectors::compare(3, 0.0, 1);
     let written: Vec<Json> = rows.iter().map(|row| serde_json::to_value(row).unwrap()).collect();
     assert!(!written.is_empty());
     for row in &written {
-        let names = |row: &Json| row.as_object().unwrap().keys().cloned().collect::<Vec<_>>();
-        let same_way = old.iter().find(|line| line["way"] == row["way"]);
-        let same_way = same_way.unwrap_or_else(|| panic!("no way {} in the record", row["way"]));
-        assert_eq!(names(row), names(same_way));
+        let field_names = |row: &Json| row.as_object().unwrap().keys().cloned().collect::<Vec<_>>();
+        let old_row = old_rows.iter().find(|line| line["way"] == row["way"]);
+        let old_row = old_row.unwrap_or_else(|| {
+            panic!("detectors.jsonl: expected a line with way {}, found none", row["way"])
+        });
+        assert_eq!(field_names(row), field_names(old_row));
     }
 }
