--- a/crates/simulator/src/command.rs
+++ b/crates/simulator/src/command.rs
@@ -69,9 +69,12 @@
 struct Arguments {
     /// The command and its file, if any.
     command: Vec<String>,
+    /// The file to write results to.
     record: Option<PathBuf>,
+    /// Names of the figures on the axes of a plot.
     x: Option<String>,
     y: Option<String>,
+    /// The SVG file to write a plot to.
     to: Option<PathBuf>,
     title: Option<String>,
     feed: feed_run::FeedRunParams,
--- a/crates/simulator/src/feed_run.rs
+++ b/crates/simulator/src/feed_run.rs
@@ -19,7 +19,7 @@
 const CACHED_NODE_BYTES: usize = 160;
 /// How often the ages of observations are sampled.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(50);
-/// At most this many routers and this many nodes are sampled.
+/// Samples cover at most this many routers and at most this many nodes.
 const MAX_SAMPLED: usize = 40;
 /// How long a run waits for a settled state; after that it continues with the state that it has reached.
 const SETTLE_TIMEOUT: Duration = Duration::from_secs(120);
@@ -298,8 +298,8 @@
             (after - before).as_secs_f64() / count as f64 / seconds
         };
         let mean_bytes = |bytes: usize, count: usize| bytes as f64 / count as f64;
-        let state_bytes = (0..self.params.routers).flat_map(|index| self.world.subscriber(index));
-        let state_bytes = state_bytes.map(|subscriber| subscriber.state_bytes()).sum();
+        let subscribers = (0..self.params.routers).flat_map(|index| self.world.subscriber(index));
+        let state_bytes = subscribers.map(|subscriber| subscriber.state_bytes()).sum();
         self.figures.extend([
             ("router_bytes_in_s", router(routers_after.received_bytes, routers.received_bytes)),
             ("router_bytes_out_s", router(routers_after.sent_bytes, routers.sent_bytes)),
@@ -400,8 +400,8 @@
             (self.router_stats().peak_bytes_per_s, self.control_stats().peak_bytes_per_s);
         self.figures.insert("peak_router_bytes_s", routers as f64);
         self.figures.insert("peak_control_bytes_s", control as f64);
-        let max_bytes = (0..self.params.routers).flat_map(|index| self.world.subscriber(index));
-        let max_bytes = max_bytes.map(|subscriber| subscriber.state_bytes()).max().unwrap_or_default();
+        let subscribers = (0..self.params.routers).flat_map(|index| self.world.subscriber(index));
+        let max_bytes = subscribers.map(|subscriber| subscriber.state_bytes()).max().unwrap_or_default();
         self.figures.insert("peak_router_state_bytes", max_bytes as f64);
     }
 
--- a/crates/simulator/tests/fleet.rs
+++ b/crates/simulator/tests/fleet.rs
@@ -11,8 +11,11 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
+/// Probe period of each node.
 const PERIOD: Duration = Duration::from_millis(250);
+/// How long a probe may be overdue before the next router in line takes it over.
 const TAKEOVER_DELAY: Duration = Duration::from_millis(250);
+/// Minimum time between two probes of a node by the same router.
 const MIN_PROBE_INTERVAL: Duration = PERIOD;
 /// Besides takeover delays, a probe may be late by a timer tick, a network delay, and an observation that
 /// waits to be sent.
@@ -39,7 +42,9 @@
 /// Checks the time between probes of each node by each router.
 #[derive(Default)]
 struct ProbeRateCheck {
+    /// Number of probes of each node that have been checked.
     checked_probes: BTreeMap<usize, usize>,
+    /// Time of the last checked probe by node and router.
     last_probe_at: BTreeMap<(usize, usize), Duration>,
 }
 
