--- a/crates/simulator/src/feed_run.rs
+++ b/crates/simulator/src/feed_run.rs
@@ -167,7 +167,7 @@
     fn world_params(&self) -> FeedWorldParams {
         let mut fleet_params =
             fleet_params(self.health_check_period, self.health_check_period, self.health_check_period);
-        // As the control instances of the program do.
+        // The program's control instances use the same setting.
         fleet_params.budgets_grow_with_nodes = true;
         FeedWorldParams {
             routers: self.routers,
@@ -234,8 +234,8 @@
         sum((0..self.params.control_instances).map(|index| self.world.control_stats(index)))
     }
 
-    /// Runs until all subscribers receive digests for every partition and no snapshot is pending, for 7 s on
-    /// end.
+    /// Runs until all subscribers receive digests for every partition and no snapshot is pending for 7 s in a
+    /// row, or until [`SETTLE_TIMEOUT`].
     fn settle(&mut self) {
         let is_busy = |world: &FeedWorld| {
             !world.all_subscribers_complete()
