--- a/crates/testbed/src/scale/hollow_process.rs
+++ b/crates/testbed/src/scale/hollow_process.rs
@@ -278,14 +278,19 @@
             report.state_bytes += router.state_bytes() as f64 / self.routers.len() as f64;
         }
         let mut times = histogram();
-        report.known = self.promotions.iter().map(|promotion| self.known(*promotion, &mut times)).collect();
+        report.known =
+            self.promotions.iter().map(|promotion| self.promotion_report(*promotion, &mut times)).collect();
         report.known_times = value_counts(&times);
         report
     }
 
     /// Adds to `times` how long each router took to learn of the promotion of a database, and summarizes
     /// them.
-    fn known(&self, (node, at_us): (SocketAddr, u64), times: &mut Histogram<u64>) -> PromotionReport {
+    fn promotion_report(
+        &self,
+        (node, at_us): (SocketAddr, u64),
+        times: &mut Histogram<u64>,
+    ) -> PromotionReport {
         let (mut seen_by, mut unknown) = (BTreeMap::new(), 0);
         for router in &self.routers {
             match router
--- a/crates/testbed/src/scale/run/window.rs
+++ b/crates/testbed/src/scale/run/window.rs
@@ -73,7 +73,8 @@
     /// counters when the window begins and before them when it ends.
     pub(super) fn snapshot(&mut self, begins: bool) -> std::io::Result<Snapshot> {
         let mut cpu = self.cpu();
-        let asked: Vec<usize> = self.real.iter().chain(&self.control).map(Member::request_counters).collect();
+        let requested: Vec<usize> =
+            self.real.iter().chain(&self.control).map(Member::request_counters).collect();
         let hollow_processes =
             self.command_hollow(if begins { &StandInCommand::Mark } else { &StandInCommand::Count })?;
         let mode = self.sizes.mode;
@@ -81,7 +82,7 @@
             .real
             .iter()
             .chain(&self.control)
-            .zip(asked)
+            .zip(requested)
             .map(
                 |(member, index)| {
                     if member.is_running() { member.counters(index, mode) } else { Ok(Counters::default()) }
@@ -90,9 +91,9 @@
             .collect::<Result<_, _>>()?;
         let (real, control) = counters.split_at(self.real.len());
         let mut database_processes = Vec::new();
-        for report in &mut self.database_processes {
-            let index = report.send(&StandInCommand::Count)?;
-            database_processes.push(report.report(index)?);
+        for process in &mut self.database_processes {
+            let index = process.send(&StandInCommand::Count)?;
+            database_processes.push(process.report(index)?);
         }
         if begins {
             cpu = self.cpu();
--- a/crates/testbed/tests/bounds.rs
+++ b/crates/testbed/tests/bounds.rs
@@ -112,8 +112,9 @@
     let once = figures(&[("router_bytes_in_s", 900.0), ("router_bytes_out_s", 100.0)]);
     let more = |bytes: f64| figures(&[("router_bytes_in_s", bytes - 100.0), ("router_bytes_out_s", 100.0)]);
     let double = Sizes { databases: 1000, ..sizes() };
-    let held =
-        |bytes| twice_the_databases((&sizes(), &once), (&double, &more(bytes))).expect("comparable runs").held;
+    let held = |bytes| {
+        twice_the_databases((&sizes(), &once), (&double, &more(bytes))).expect("comparable runs").held
+    };
     assert!(held(1300.0));
     assert!(!held(1301.0));
     // No other size may differ.
