--- a/crates/testbed/src/duties/figures.rs
+++ b/crates/testbed/src/duties/figures.rs
@@ -57,9 +57,9 @@
     pub ok: u64,
     /// RPCs that were rejected with nothing run.
     pub pushed_back: u64,
-    /// RPCs that ended without a known outcome.
+    /// RPCs that ended in any other error.
     pub aborted: u64,
-    /// RPCs whose connection broke while their router was down.
+    /// RPCs whose connection broke while their router was down or being stopped.
     pub cut: u64,
     /// RPCs without an answer in time, or whose connection broke while their router was up.
     pub lost: u64,
