--- a/crates/testbed/src/duties/gap_plot.rs
+++ b/crates/testbed/src/duties/gap_plot.rs
@@ -1,4 +1,4 @@
-//! The drawing of `measure/duties --plot`.
+//! The plot of `measure/duties --plot`.
 
 use std::path::{Path, PathBuf};
 use std::time::Duration;
@@ -6,11 +6,11 @@
 use plotters::drawing::DrawingAreaErrorKind;
 use plotters::prelude::*;
 
-use super::LONGEST_GAP;
+use super::MAX_GAP_S;
 use super::bench::Bench;
 use crate::now;
 
-/// A plot that cannot be drawn.
+/// A plot that could not be written.
 #[derive(Debug, thiserror::Error)]
 #[error("{}: expected to write a plot, {error}", path.display())]
 pub struct PlotError {
@@ -18,10 +18,10 @@
     error: DrawingAreaErrorKind<std::io::Error>,
 }
 
-/// The longest time that ended in each second in which nothing told any router of some node, and when kills were.
+/// Plots, for each second, the longest gap of any node that ended in it, and marks the kills.
 ///
 /// # Errors
-/// The file cannot be drawn.
+/// The file cannot be written.
 pub fn plot(path: &Path, bench: &Bench, from: Duration, kills: &[Duration]) -> Result<(), PlotError> {
     draw(path, bench, from, kills).map_err(|error| PlotError { path: path.to_path_buf(), error })
 }
@@ -46,11 +46,11 @@
     let root = SVGBackend::new(path, (760, 360)).into_drawing_area();
     root.fill(&WHITE)?;
     let mut chart = ChartBuilder::on(&root)
-        .caption("Three routers, one killed again and again: longest gap of any node", ("sans-serif", 16))
+        .caption("Three routers, killed one at a time: longest gap of any node", ("sans-serif", 16))
         .margin(12)
         .x_label_area_size(36)
         .y_label_area_size(56)
-        .build_cartesian_2d(0.0..seconds as f64 + 1.0, 0.0..LONGEST_GAP * 1.1)?;
+        .build_cartesian_2d(0.0..seconds as f64 + 1.0, 0.0..MAX_GAP_S * 1.1)?;
     chart
         .configure_mesh()
         .x_desc("seconds")
@@ -64,7 +64,7 @@
         .legend(|(x, y)| PathElement::new(vec![(x, y), (x + 20, y)], BLACK.stroke_width(2)));
     let marks = kills.iter().map(|at| Cross::new(((*at - from).as_secs_f64(), 0.02), 4, BLACK.mix(0.6)));
     chart.draw_series(marks)?.label("a kill").legend(|(x, y)| Cross::new((x + 10, y), 4, BLACK.mix(0.6)));
-    let bound = [(0.0, LONGEST_GAP), (seconds as f64 + 1.0, LONGEST_GAP)];
+    let bound = [(0.0, MAX_GAP_S), (seconds as f64 + 1.0, MAX_GAP_S)];
     chart
         .draw_series(DashedLineSeries::new(bound, 6, 4, BLACK.stroke_width(1)))?
         .label("the bound")
--- a/crates/testbed/src/scale/databases.rs
+++ b/crates/testbed/src/scale/databases.rs
@@ -1,5 +1,6 @@
-//! Stand-in databases by the thousand on one thread: each listens on an address of its own, answers a router's
-//! startup, its probes and its statements, and counts them. Roles change by order.
+//! Thousands of stand-in databases on one thread. Each listens on an address of its own, answers the startup,
+//! the health checks and the statements of routers, and counts them. Commands change which ones are
+//! primaries.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
@@ -14,7 +15,7 @@
 use quillpoint_router::pg::{self, FrontendMessage, ProtocolViolation, StartupPacket};
 
 use crate::now;
-use crate::scale::orders::{DatabasesPlan, DatabasesReport, Order};
+use crate::scale::commands::{DatabasesPlan, DatabasesReport, StandInCommand};
 use crate::store::{parameter, row};
 
 struct Databases {
@@ -26,14 +27,14 @@
     promoted_us: Cell<u64>,
 }
 
-/// Serves until the orders end. `said` is called with each report.
+/// Serves until the command channel closes. Calls `on_report` with each report.
 ///
 /// # Errors
-/// An address cannot be had.
+/// An address cannot be bound.
 pub async fn serve(
     plan: DatabasesPlan,
-    orders: async_channel::Receiver<Order>,
-    mut said: impl FnMut(&DatabasesReport),
+    commands: async_channel::Receiver<StandInCommand>,
+    mut on_report: impl FnMut(&DatabasesReport),
     executor: Rc<LocalExecutor<'static>>,
 ) -> io::Result<()> {
     let databases = Rc::new(Databases {
@@ -53,27 +54,27 @@
                     Ok((stream, _)) => {
                         spawner.spawn(Rc::clone(&databases).session(address, stream)).detach();
                     }
-                    // Out of descriptors, say: others may give some back.
+                    // Typically out of file descriptors: wait for other sessions to close some.
                     Err(_) => _ = Timer::after(Duration::from_millis(10)).await,
                 }
             }
         };
         executor.spawn(accept).detach();
     }
-    said(&databases.report());
-    while let Ok(order) = orders.recv().await {
-        if let Order::Promote { rises, falls } = order {
+    on_report(&databases.report());
+    while let Ok(command) = commands.recv().await {
+        if let StandInCommand::Promote { new_primary, old_primary } = command {
             let primaries = &mut *databases.primaries.borrow_mut();
-            primaries.remove(&falls);
-            primaries.insert(rises);
+            primaries.remove(&old_primary);
+            primaries.insert(new_primary);
             databases.promoted_us.set(now().as_micros() as u64);
         }
-        said(&databases.report());
+        on_report(&databases.report());
     }
     Ok(())
 }
 
-fn add(count: &Cell<u64>) {
+fn increment(count: &Cell<u64>) {
     count.set(count.get() + 1);
 }
 
@@ -88,10 +89,12 @@
     }
 
     async fn session(self: Rc<Self>, address: SocketAddr, mut stream: Async<TcpStream>) {
-        add(&self.connections);
+        increment(&self.connections);
         _ = stream.get_ref().set_nodelay(true);
         let mut unread = Vec::new();
-        if next(&mut stream, &mut unread, pg::decode_startup_packet).await != Some(StartupPacket::Startup) {
+        if next_message(&mut stream, &mut unread, pg::decode_startup_packet).await
+            != Some(StartupPacket::Startup)
+        {
             return;
         }
         let mut out = Vec::new();
@@ -100,7 +103,7 @@
             return;
         }
         while let Some(FrontendMessage::Query(text)) =
-            next(&mut stream, &mut unread, pg::decode_frontend_message).await
+            next_message(&mut stream, &mut unread, pg::decode_frontend_message).await
         {
             let out = self.answer(address, &text);
             if stream.write_all(&out).await.is_err() {
@@ -115,10 +118,10 @@
         let load = format!("x0={:.6},x1={}", position.as_secs_f64(), u8::from(primary));
         let mut out = Vec::new();
         if text == b"SHOW load" {
-            add(&self.probes);
+            increment(&self.probes);
             pg::encode_result(&mut out, &row(load.as_bytes()));
         } else {
-            add(&self.statements);
+            increment(&self.statements);
             let writes = text.windows(6).any(|word| word == b"INSERT");
             match writes && !primary {
                 true => pg::encode_error(&mut out, false, "25006", "this is a replica", None),
@@ -133,8 +136,8 @@
     }
 }
 
-/// The next whole message; `None` at the end, and for what is none.
-pub async fn next<T>(
+/// Reads the next complete message; `None` at the end of the stream or if the message is invalid.
+pub async fn next_message<T>(
     stream: &mut Async<TcpStream>,
     unread: &mut Vec<u8>,
     decode: impl Fn(&[u8]) -> Result<Option<(T, usize)>, ProtocolViolation>,
@@ -144,10 +147,10 @@
             unread.drain(..taken);
             return Some(message);
         }
-        let mut piece = [0; 1024];
-        match stream.read(&mut piece).await {
+        let mut chunk = [0; 1024];
+        match stream.read(&mut chunk).await {
             Ok(0) | Err(_) => return None,
-            Ok(count) => unread.extend(&piece[..count]),
+            Ok(count) => unread.extend(&chunk[..count]),
         }
     }
 }
