--- a/crates/memory-budget/src/budget.rs
+++ b/crates/memory-budget/src/budget.rs
@@ -219,7 +219,7 @@
     }
 
     /// Whether the level calls for the action by now. Whether it is carried out is the caller's part.
-    pub fn calls_for(&self, action: ReclaimAction) -> bool {
-        self.level >= action.begins_at()
+    pub fn is_active(&self, action: ReclaimAction) -> bool {
+        self.level >= action.activation_level()
     }
 }
--- a/crates/memory-budget/src/lib.rs
+++ b/crates/memory-budget/src/lib.rs
@@ -14,4 +14,4 @@
 pub use budget::{BudgetExceeded, ExceededLimit, MemoryBudget, Quota, QuotaError, Rejections};
 pub use category::Category;
 pub use pressure::{PressureLevel, ReclaimAction};
-pub use transfer::{MinimumRate, Patience, TransferProgress};
+pub use transfer::{MinimumRate, TimeoutScale, TransferProgress};
--- a/crates/memory-budget/src/pressure.rs
+++ b/crates/memory-budget/src/pressure.rs
@@ -45,7 +45,7 @@
     StopAccepting,
     /// To reject new RPCs with Retry-After.
     RejectRpcs,
-    /// To disconnect the slowest readers: they are waited for with [`Patience::Reduced`](crate::Patience).
+    /// To disconnect the slowest readers: they are waited for with [`TimeoutScale::Reduced`](crate::TimeoutScale).
     DisconnectSlowReaders,
 }
 
@@ -61,7 +61,7 @@
     ];
 
     /// The level from which the action is called for.
-    pub fn begins_at(self) -> PressureLevel {
+    pub fn activation_level(self) -> PressureLevel {
         match self {
             Self::StopReadAhead | Self::CloseIdleConnections | Self::ShrinkBuffers => PressureLevel::Elevated,
             Self::StopAccepting | Self::RejectRpcs => PressureLevel::High,
--- a/crates/memory-budget/src/transfer.rs
+++ b/crates/memory-budget/src/transfer.rs
@@ -14,15 +14,15 @@
 
 /// How long a peer that stalls is waited for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Patience {
+pub enum TimeoutScale {
     /// The stall timeout.
-    Usual,
+    Full,
     /// A fraction of the stall timeout, as memory is short.
     Reduced,
 }
 
-/// With reduced patience, the stall timeout is divided by this.
-const REDUCED_PATIENCE_DIVISOR: u32 = 4;
+/// With [`TimeoutScale::Reduced`], the stall timeout is divided by this.
+const REDUCED_TIMEOUT_DIVISOR: u32 = 4;
 
 /// One transfer, from its beginning on. Times are on any clock that only goes forward.
 #[derive(Clone, Copy, Debug)]
@@ -49,10 +49,10 @@
 
     /// Until when the peer is waited for if nothing more moves. What has moved has earned it the time that it takes at
     /// the minimum rate.
-    pub fn deadline(&self, patience: Patience) -> Duration {
-        let stall_timeout = match patience {
-            Patience::Usual => self.rate.stall_timeout,
-            Patience::Reduced => self.rate.stall_timeout / REDUCED_PATIENCE_DIVISOR,
+    pub fn deadline(&self, timeout_scale: TimeoutScale) -> Duration {
+        let stall_timeout = match timeout_scale {
+            TimeoutScale::Full => self.rate.stall_timeout,
+            TimeoutScale::Reduced => self.rate.stall_timeout / REDUCED_TIMEOUT_DIVISOR,
         };
         let earned = Duration::from_secs_f64(self.bytes as f64 / self.rate.bytes_per_second.max(1) as f64);
         (self.started + stall_timeout + earned).min(self.last_moved + stall_timeout)
--- a/crates/memory-budget/tests/budget.rs
+++ b/crates/memory-budget/tests/budget.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use quillpoint_memory_budget::{
-    BudgetExceeded, Category, ExceededLimit, MemoryBudget, MinimumRate, Patience, PressureLevel, Quota,
-    QuotaError, ReclaimAction, Rejections, TransferProgress,
+    BudgetExceeded, Category, ExceededLimit, MemoryBudget, MinimumRate, PressureLevel, Quota, QuotaError,
+    ReclaimAction, Rejections, TimeoutScale, TransferProgress,
 };
 
 const KIB: u64 = 1024;
@@ -105,13 +105,13 @@
     assert!(
         ReclaimAction::ALL
             .windows(2)
-            .all(|pair| pair[0] < pair[1] && pair[0].begins_at() <= pair[1].begins_at())
+            .all(|pair| pair[0] < pair[1] && pair[0].activation_level() <= pair[1].activation_level())
     );
     let mut budget = budget();
-    assert!(ReclaimAction::ALL.iter().all(|action| !budget.calls_for(*action)));
+    assert!(ReclaimAction::ALL.iter().all(|action| !budget.is_active(*action)));
     budget.resize(Category::Responses, 0, 60 * KIB).unwrap();
     let asked: Vec<ReclaimAction> =
-        ReclaimAction::ALL.into_iter().filter(|action| budget.calls_for(*action)).collect();
+        ReclaimAction::ALL.into_iter().filter(|action| budget.is_active(*action)).collect();
     assert_eq!(asked, ReclaimAction::ALL[..5], "high, and not critical");
 }
 
@@ -154,23 +154,23 @@
     // 1,500 bytes a second for a minute: there is always time left.
     let mut honest = TransferProgress::new(rate, second);
     for at in 2..60 {
-        assert!(honest.deadline(Patience::Usual) > second * at);
+        assert!(honest.deadline(TimeoutScale::Full) > second * at);
         honest.record(second * at, 1500);
     }
     // One byte a second: moving all the time, it is over soon after what it had to begin with.
     let mut trickles = TransferProgress::new(rate, second);
     let over = (2..60).find(|at| {
-        let over = trickles.deadline(Patience::Usual) <= second * *at;
+        let over = trickles.deadline(TimeoutScale::Full) <= second * *at;
         trickles.record(second * *at, 1);
         over
     });
     assert_eq!(over, Some(4));
     // Nothing moves; and no burst earns time to stand still.
     let mut stalls = TransferProgress::new(rate, second);
-    assert_eq!(stalls.deadline(Patience::Usual), second * 3);
+    assert_eq!(stalls.deadline(TimeoutScale::Full), second * 3);
     stalls.record(second * 2, 1_000_000);
-    assert_eq!(stalls.deadline(Patience::Usual), second * 4);
-    assert_eq!(stalls.deadline(Patience::Reduced), second * 2 + second / 2, "memory is full");
+    assert_eq!(stalls.deadline(TimeoutScale::Full), second * 4);
+    assert_eq!(stalls.deadline(TimeoutScale::Reduced), second * 2 + second / 2, "memory is full");
 }
 
 #[test]
--- a/crates/router/src/client/response_writer.rs
+++ b/crates/router/src/client/response_writer.rs
@@ -7,7 +7,7 @@
 use async_io::Async;
 use futures_lite::FutureExt;
 use quillpoint::host::Outcome;
-use quillpoint_memory_budget::{Category, MinimumRate, Patience, ReclaimAction, TransferProgress};
+use quillpoint_memory_budget::{Category, MinimumRate, ReclaimAction, TimeoutScale, TransferProgress};
 
 use super::ClientSessions;
 use super::receive::timed_out;
@@ -29,7 +29,7 @@
 impl ClientSessions {
     /// Whether memory is so short that slow readers are disconnected.
     pub(super) fn is_memory_critical(&self) -> bool {
-        self.budget.read(|budget| budget.calls_for(ReclaimAction::DisconnectSlowReaders))
+        self.budget.read(|budget| budget.is_active(ReclaimAction::DisconnectSlowReaders))
     }
 
     /// A response with the end that each response to a query has.
@@ -63,8 +63,9 @@
     let EncodedResponse { bytes, memory: _memory } = response;
     let mut remaining = &bytes[..];
     while !remaining.is_empty() {
-        let patience = if clients.is_memory_critical() { Patience::Reduced } else { Patience::Usual };
-        let timeout = timed_out(started + progress.deadline(patience));
+        let timeout_scale =
+            if clients.is_memory_critical() { TimeoutScale::Reduced } else { TimeoutScale::Full };
+        let timeout = timed_out(started + progress.deadline(timeout_scale));
         let written = async { Ok(socket::write(&stream, remaining).await?) };
         let count = written.or(timeout).await?;
         if count == 0 {
