--- a/crates/conf/src/conf.rs
+++ b/crates/conf/src/conf.rs
@@ -108,9 +108,9 @@
     }
 
     /// A directive that takes one of a few words, or a name.
-    pub fn word(&self, section: &str, title: &str, name: &str) -> Option<&str> {
+    pub fn text(&self, section: &str, title: &str, name: &str) -> Option<&str> {
         match self.find(section, title, name)? {
-            Value::Word(word) => Some(word),
+            Value::Text(text) => Some(text),
             _ => None,
         }
     }
--- a/crates/conf/src/directives.rs
+++ b/crates/conf/src/directives.rs
@@ -17,11 +17,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DefaultValue {
     /// The value that this word stands for.
-    Word(&'static str),
+    Text(&'static str),
     /// Nothing: the directive must be written in each of its sections.
     Required,
     /// Nothing, and the directive has no value.
-    Absent,
+    Optional,
 }
 
 /// One directive.
--- a/crates/conf/src/draft.rs
+++ b/crates/conf/src/draft.rs
@@ -171,12 +171,12 @@
             return;
         }
         match directive.default {
-            DefaultValue::Absent => {}
+            DefaultValue::Optional => {}
             DefaultValue::Required => {
                 let subject = Subject::new(&section.location, directive.name);
                 self.report(subject, directive.kind.expected(), "nothing");
             }
-            DefaultValue::Word(word) => {
+            DefaultValue::Text(word) => {
                 // The table's own tests see to it that each default is of its kind.
                 if let Some(value) = directive.kind.parse(word) {
                     self.values.insert(key, WrittenValue { value, location: section.location.clone() });
--- a/crates/conf/src/reference.rs
+++ b/crates/conf/src/reference.rs
@@ -60,9 +60,9 @@
     );
     for directive in directives::directives_of(section) {
         let default = match directive.default {
-            DefaultValue::Word(word) => format!("`{word}`"),
+            DefaultValue::Text(word) => format!("`{word}`"),
             DefaultValue::Required => "must be said".to_string(),
-            DefaultValue::Absent => "none".to_string(),
+            DefaultValue::Optional => "none".to_string(),
         };
         let takes_effect = match directive.takes_effect {
             TakesEffect::OnReload => "on SIGHUP",
--- a/crates/conf/src/value.rs
+++ b/crates/conf/src/value.rs
@@ -37,7 +37,7 @@
     /// Relative to the file that has it.
     Path,
     /// One of these.
-    Word(&'static [&'static str]),
+    OneOf(&'static [&'static str]),
     /// Any one word of 1 to 64 letters.
     Name,
 }
@@ -55,8 +55,8 @@
     Address(SocketAddr),
     /// Of [`Kind::Path`].
     Path(PathBuf),
-    /// Of [`Kind::Word`] or [`Kind::Name`].
-    Word(String),
+    /// Of [`Kind::OneOf`] or [`Kind::Name`].
+    Text(String),
 }
 
 impl Kind {
@@ -72,7 +72,7 @@
             Self::Count { min, max } => format!("a whole number from {min} to {max}"),
             Self::Address => "an address and a port, as 127.0.0.1:7400".to_string(),
             Self::Path => "a path".to_string(),
-            Self::Word(words) => format!("one of: {}", words.join(", ")),
+            Self::OneOf(words) => format!("one of: {}", words.join(", ")),
             Self::Name => "a name of 1 to 64 letters".to_string(),
         }
     }
@@ -94,8 +94,8 @@
             }
             Self::Address => word.parse().ok().map(Value::Address),
             Self::Path => (!word.is_empty()).then(|| Value::Path(PathBuf::from(word))),
-            Self::Word(words) => words.contains(&word).then(|| Value::Word(word.to_string())),
-            Self::Name => is_name(word).then(|| Value::Word(word.to_string())),
+            Self::OneOf(words) => words.contains(&word).then(|| Value::Text(word.to_string())),
+            Self::Name => is_name(word).then(|| Value::Text(word.to_string())),
         }
     }
 }
@@ -160,7 +160,7 @@
             Self::Count(count) => write!(f, "{count}"),
             Self::Address(address) => write!(f, "{address}"),
             Self::Path(path) => write!(f, "{}", path.display()),
-            Self::Word(word) => f.write_str(word),
+            Self::Text(text) => f.write_str(text),
         }
     }
 }
--- a/crates/conf/tests/conf.rs
+++ b/crates/conf/tests/conf.rs
@@ -30,7 +30,7 @@
 fn an_empty_file_holds_defaults_and_no_fleet() {
     let conf = one("# nothing\n\n").unwrap();
     assert!(!conf.has_section("fleet"));
-    assert_eq!(conf.word("", "", "log"), Some("text"));
+    assert_eq!(conf.text("", "", "log"), Some("text"));
     assert_eq!(conf.duration("duty", "probe", "longest"), Some(Duration::from_secs(2)));
     assert_eq!(conf.duration("duty", "probe", "every"), None, "the deployment decides");
     assert_eq!(conf.path("", "", "platform"), None);
@@ -141,7 +141,7 @@
     let router = one(&[SUBSCRIBE, CONTROL].concat()).unwrap();
     assert!(!router.has_section("fleet") && !router.has_section("publish"));
     assert_eq!(router.address("control", "c1", "address"), Some("127.0.0.1:7500".parse().unwrap()));
-    assert_eq!(router.word("subscribe", "", "region"), None);
+    assert_eq!(router.text("subscribe", "", "region"), None);
     // Where control instances are, and the keys, hold at once; whether it follows any, from the next start on.
     let elsewhere =
         one(&[SUBSCRIBE, &CONTROL.replace("7500", "7501"), "control c2 {\n address 127.0.0.1:1\n}"].concat());
@@ -198,7 +198,7 @@
 #[test]
 fn every_default_is_of_its_kind_and_every_section_is_known() {
     for directive in DIRECTIVES {
-        if let DefaultValue::Word(word) = directive.default {
+        if let DefaultValue::Text(word) = directive.default {
             let value = directive.kind.parse(word).unwrap_or_else(|| panic!("{}: {word}", directive.name));
             assert_eq!(value.to_string(), word, "{}", directive.name);
         }
--- a/crates/router/src/command.rs
+++ b/crates/router/src/command.rs
@@ -87,7 +87,7 @@
 fn read_config(files: &ConfigFiles) -> Result<RuntimeConfig, RuntimeConfigError> {
     // How to log is said in quillpoint.conf, and reading the rest may have something to log.
     let conf = runtime_config::read_conf(files)?;
-    let format = match conf.as_ref().and_then(|conf| conf.word("", "", "log")) {
+    let format = match conf.as_ref().and_then(|conf| conf.text("", "", "log")) {
         Some("json") => LogFormat::Json,
         _ => LogFormat::Text,
     };
--- a/crates/router/src/roles.rs
+++ b/crates/router/src/roles.rs
@@ -89,7 +89,7 @@
 /// The index of the configured zone among the deployment's; the first where none is configured.
 fn zone_index(conf: &Conf, startup: &StartupOptions) -> Result<usize, RoleError> {
     let zones = &startup.deployment.zones;
-    let Some(configured) = conf.word("fleet", "", "zone") else { return Ok(0) };
+    let Some(configured) = conf.text("fleet", "", "zone") else { return Ok(0) };
     zones
         .iter()
         .position(|known| known == configured)
@@ -136,7 +136,7 @@
         listen,
         keys: key_file::read(conf, section)?,
         params: SubscriberParams {
-            region: conf.word(section, "", "region").map(str::to_string),
+            region: conf.text(section, "", "region").map(str::to_string),
             digest_interval: DIGEST_INTERVAL,
             health_check_period: default_health_check_period(startup),
             router_count: routers as u32,
@@ -153,7 +153,7 @@
     let section = "control";
     let address =
         conf.address(section, name, "address").ok_or(RoleError::Missing { section, directive: "address" })?;
-    let region = conf.word(section, name, "region").map(str::to_string);
+    let region = conf.text(section, name, "region").map(str::to_string);
     let name = PeerName::new(name)
         .map_err(|error| RoleError::InvalidControlName { name: name.to_string(), error })?;
     Ok(ControlInstance { name, address, region })
