--- a/crates/adapter/src/batch.rs
+++ b/crates/adapter/src/batch.rs
@@ -87,7 +87,7 @@
 
     fn process_message(&mut self, now: Duration, message: &WireMessage) -> Result<(), WireError> {
         match message.name {
-            "BATCH" | "ENTRY" => Err(misplaced(message, "an event")),
+            "BATCH" | "ENTRY" => Err(unexpected_message(message, "an event")),
             "MANIFEST" => self.begin_list(message),
             _ => self.process_event(now, message),
         }
@@ -137,9 +137,9 @@
 }
 
 fn expect(message: &WireMessage, name: &'static str) -> Result<(), WireError> {
-    if message.name == name { Ok(()) } else { Err(misplaced(message, name)) }
+    if message.name == name { Ok(()) } else { Err(unexpected_message(message, name)) }
 }
 
-fn misplaced(message: &WireMessage, expected: &'static str) -> WireError {
-    WireError::Misplaced { found: message.name.to_string(), expected }
+fn unexpected_message(message: &WireMessage, expected: &'static str) -> WireError {
+    WireError::UnexpectedMessage { found: message.name.to_string(), expected }
 }
--- a/crates/adapter/src/error.rs
+++ b/crates/adapter/src/error.rs
@@ -10,7 +10,7 @@
     UnknownMessage(String),
     /// A message of the wire in a place where another is due.
     #[error("'{found}' stands where {expected} is due")]
-    Misplaced {
+    UnexpectedMessage {
         /// The message that was found.
         found: String,
         /// What the format wants in its place.
@@ -34,7 +34,7 @@
     },
     /// A part of a line that is no field.
     #[error("'{0}' is not of the form name=value")]
-    InvalidForm(String),
+    InvalidFieldSyntax(String),
     /// The settings of an instance that starts.
     #[error(transparent)]
     Settings(#[from] SettingsError),
--- a/crates/adapter/src/message.rs
+++ b/crates/adapter/src/message.rs
@@ -25,10 +25,10 @@
         let (name, mut rest) = line.split_once(' ').unwrap_or((line, ""));
         let mut fields = Vec::with_capacity(12);
         while !rest.is_empty() {
-            let invalid_form = || WireError::InvalidForm(rest.to_string());
-            let (field, after) = rest.split_once('=').ok_or_else(invalid_form)?;
+            let invalid_syntax = || WireError::InvalidFieldSyntax(rest.to_string());
+            let (field, after) = rest.split_once('=').ok_or_else(invalid_syntax)?;
             if field.is_empty() || field.contains(' ') {
-                return Err(invalid_form());
+                return Err(invalid_syntax());
             }
             let (value, next) = match field {
                 SETTINGS_FIELD => (after, ""),
--- a/crates/datagram/src/open.rs
+++ b/crates/datagram/src/open.rs
@@ -89,7 +89,7 @@
             return Err(OpenError::OtherSession);
         }
         let payload: P = decode(&signed[HEADER_BYTES..])?;
-        if !names_receiver && !payload.is_request() {
+        if !names_receiver && !payload.may_omit_receiver() {
             return Err(OpenError::OtherSession);
         }
         if !self.senders.accept(&payload, header.sequence) {
--- a/crates/datagram/src/payload.rs
+++ b/crates/datagram/src/payload.rs
@@ -23,7 +23,7 @@
     /// Whom it is from.
     fn sender(&self) -> Sender<'_>;
     /// Whether it does no more than ask, so that it may leave the receiver's incarnation open.
-    fn is_request(&self) -> bool;
+    fn may_omit_receiver(&self) -> bool;
 }
 
 /// Between members of a fleet.
@@ -35,7 +35,7 @@
         Sender { name: &self.from.name, incarnation: self.from.version.incarnation }
     }
 
-    fn is_request(&self) -> bool {
+    fn may_omit_receiver(&self) -> bool {
         self.body == GossipBody::JoinRequest
     }
 }
@@ -49,7 +49,7 @@
         Sender { name: &self.from, incarnation: self.incarnation }
     }
 
-    fn is_request(&self) -> bool {
+    fn may_omit_receiver(&self) -> bool {
         self.message == Message::Subscribe
     }
 }
--- a/crates/datagram/src/senders.rs
+++ b/crates/datagram/src/senders.rs
@@ -42,7 +42,7 @@
         {
             if known.1 > key.1 {
                 // No window is turned back for it, and membership drops all but a join request.
-                return payload.is_request();
+                return payload.may_omit_receiver();
             }
             self.states.remove(&known);
         }
