--- a/crates/datagram/src/keys.rs
+++ b/crates/datagram/src/keys.rs
@@ -1,17 +1,18 @@
-//! The keys that processes of one installation share.
+//! The secret keys that the processes of one installation share.
 //!
-//! A key file has one key a line, as 64 hexadecimal digits; `#` begins a comment. The first key seals datagrams,
-//! any opens them. Two at once serve a change of keys: add the new one below on all processes, then swap the lines on
-//! all, then drop the old one.
+//! A key file has one key per line, written as 64 hexadecimal digits; `#` starts a comment. Datagrams are
+//! sealed with the first key and opened with any key in the file. Two keys allow rotation without downtime:
+//! add the new key as the second line on all processes, then swap the lines on all of them, then remove the
+//! old key.
 
 use std::fmt;
 
-/// A key file may have so many keys at once.
+/// The maximum number of keys in a key file.
 pub const MAX_KEYS: usize = 2;
-/// The length of a key.
+/// The length of a secret key in bytes.
 pub const KEY_BYTES: usize = blake3::KEY_LEN;
 
-/// Names a key on the wire without giving it away.
+/// Identifies a key on the wire. It is derived from the key, which it does not reveal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct KeyId(pub [u8; 4]);
 
@@ -21,33 +22,34 @@
     }
 }
 
-/// What is wrong with a key file. Lines count from 1.
+/// Why a key file was rejected. Lines are numbered from 1. The content of a line is never included, as it may
+/// be a secret.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub enum KeyFileError {
-    /// A line that is neither a key nor empty.
+    /// A line is neither a key, nor empty, nor a comment.
     #[error("line {line}: expected a key of 64 hexadecimal digits")]
     InvalidKey {
-        /// The line at fault.
+        /// The number of that line.
         line: usize,
     },
-    /// A key that an earlier line has.
-    #[error("line {line}: this key stands here twice")]
+    /// A key repeats that of an earlier line.
+    #[error("line {line}: expected each key once, found a key that an earlier line has")]
     DuplicateKey {
-        /// The second of the two lines.
+        /// The number of the later line.
         line: usize,
     },
-    /// More than [`MAX_KEYS`].
-    #[error("line {line}: expected no more than {MAX_KEYS} keys")]
+    /// The file has more than [`MAX_KEYS`] keys.
+    #[error("line {line}: expected at most {MAX_KEYS} keys, found another")]
     TooManyKeys {
-        /// The first line too many.
+        /// The number of the line with the first key beyond the limit.
         line: usize,
     },
-    /// No key at all.
-    #[error("expected at least one key")]
+    /// The file has no key.
+    #[error("expected at least one key, found none")]
     NoKey,
 }
 
-/// A secret and its name.
+/// A secret key and its public id.
 #[derive(Clone, PartialEq)]
 pub(crate) struct Key {
     pub id: KeyId,
@@ -66,7 +68,8 @@
     }
 }
 
-/// What seals and opens datagrams: at least one key. It is never printed.
+/// The keys that seal and open datagrams; there is at least one. `Debug` prints only the key ids, never a
+/// secret.
 #[derive(Clone, PartialEq)]
 pub struct Keyring(Vec<Key>);
 
@@ -77,10 +80,10 @@
 }
 
 impl Keyring {
-    /// Reads the content of a key file.
+    /// Parses the content of a key file.
     ///
     /// # Errors
-    /// The line at fault, and what was expected there; never its content.
+    /// Returns the first invalid line's number and what was expected there, but never its content.
     pub fn parse(text: &str) -> Result<Self, KeyFileError> {
         let mut keys: Vec<Key> = Vec::new();
         for (line, content) in (1..).zip(text.lines()) {
@@ -89,7 +92,7 @@
                 continue;
             }
             let secret = blake3::Hash::from_hex(digits).map_err(|_| KeyFileError::InvalidKey { line })?;
-            if keys.iter().any(|known| known.secret == *secret.as_bytes()) {
+            if keys.iter().any(|other| other.secret == *secret.as_bytes()) {
                 return Err(KeyFileError::DuplicateKey { line });
             }
             if keys.len() == MAX_KEYS {
@@ -100,12 +103,12 @@
         if keys.is_empty() { Err(KeyFileError::NoKey) } else { Ok(Self(keys)) }
     }
 
-    /// The keys' names, the one that seals first.
+    /// The ids of the keys, in the order of the file: the sealing key is the first.
     pub fn ids(&self) -> impl Iterator<Item = KeyId> {
         self.0.iter().map(|key| key.id)
     }
 
-    pub(crate) fn newest(&self) -> &Key {
+    pub(crate) fn sealing_key(&self) -> &Key {
         &self.0[0]
     }
 
--- a/crates/datagram/src/lib.rs
+++ b/crates/datagram/src/lib.rs
@@ -1,22 +1,23 @@
-//! What processes of an installation tell each other, as datagrams: versioned, bounded, authenticated, each taken once.
+//! The datagrams that the processes of an installation exchange. They are versioned, authenticated, limited
+//! in length and protected against replay.
 //!
-//! A datagram is a header, the [`Payload`] in postcard's format, and a keyed BLAKE3 hash over both:
+//! A datagram consists of a header, the [`Payload`] encoded by postcard, and a keyed BLAKE3 hash over both:
 //!
-//! | bytes | what |
+//! | bytes | content |
 //! | --- | --- |
 //! | 1 | `Q` |
 //! | 1 | the kind: `P` for gossip between members of a fleet, `F` for the observation feed |
-//! | 1 | version, 1 |
-//! | 4 | which key |
-//! | 8 | the receiver's incarnation, as the sender knows it; 0 where it does not |
-//! | 8 | the sender's sequence number, growing |
+//! | 1 | the version of the format, currently 1 |
+//! | 4 | the id of the key |
+//! | 8 | the receiver's incarnation, or 0 if the sender does not know it |
+//! | 8 | the sender's sequence number, which increases with each datagram |
 //! | .. | the payload |
 //! | 32 | the hash |
 //!
-//! Numbers are in network order. A datagram is taken only by the process it was sent to: its header names that
-//! process's incarnation, so what was recorded before a restart is worth nothing after it. Only a join or subscribe
-//! request, which does no more than ask, may leave the incarnation open. Each sequence number of one incarnation of a
-//! sender is taken once.
+//! Numbers are in network byte order. The header names the incarnation of the receiving process, and other
+//! processes reject the datagram; so datagrams recorded before a restart of the receiver cannot be replayed
+//! after it. Only a join or subscribe request, which does nothing but ask for a reply, may leave the
+//! incarnation open. Each sequence number of one incarnation of a sender is accepted once.
 
 #![warn(missing_docs)]
 
--- a/crates/datagram/src/open.rs
+++ b/crates/datagram/src/open.rs
@@ -1,4 +1,4 @@
-//! Datagrams to payloads.
+//! Verifies and decodes incoming datagrams.
 
 use std::marker::PhantomData;
 
@@ -11,47 +11,48 @@
 use crate::payload::Payload;
 use crate::senders::Senders;
 
-/// All that may stand in the place of the kind.
+/// The kinds of datagram that exist, one for each type of payload.
 const KINDS: [u8; 2] = [GossipMessage::KIND, Envelope::KIND];
-/// A member of a fleet keeps windows of so many others, twice as many as it keeps peers.
+/// The number of senders for which a fleet member keeps replay windows: twice its maximum number of peers.
 const MAX_FLEET_SENDERS: usize = 2 * MAX_PEERS;
 
-/// Why a datagram was not taken. The names of the variants are the kinds that the log counts by.
+/// Why a datagram was rejected. The log counts rejections by the names of these variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, thiserror::Error)]
 pub enum OpenError {
-    /// Too short to be a datagram of ours.
-    #[error("shorter than a head and a hash")]
+    /// Shorter than a header and a hash.
+    #[error("shorter than a header and a hash")]
     Truncated,
     /// Longer than [`MAX_DATAGRAM_BYTES`].
     #[error("longer than {MAX_DATAGRAM_BYTES} bytes")]
     TooLong,
-    /// It does not begin as a datagram of ours.
-    #[error("not one of ours")]
+    /// The first two bytes are not those of this protocol.
+    #[error("expected the magic byte and a known kind, found other bytes")]
     Foreign,
-    /// Of a kind that belongs on another socket.
-    #[error("of another kind, for another socket of ours")]
+    /// The kind is known, but belongs on another socket.
+    #[error("of a kind that is received on another socket")]
     OtherKind,
-    /// In another version of the format.
-    #[error("of another version")]
+    /// The version of the format is not supported.
+    #[error("unsupported version of the datagram format")]
     Version,
-    /// Its key is not in the keyring.
-    #[error("under a key that is not known here")]
+    /// The header names a key that is not in the key ring.
+    #[error("sealed with a key that is not in the key ring")]
     UnknownKey,
-    /// The hash does not match: changed on the way, or by someone without the key.
-    #[error("its hash is wrong")]
+    /// The hash does not match: the datagram was altered in transit, or its sender does not have the key.
+    #[error("hash mismatch: altered in transit, or sealed without the key")]
     Forged,
-    /// For another incarnation of this process, or for any where its payload has to name one.
-    #[error("for another start of this router")]
+    /// The receiver is another incarnation of this process, or is left open although the payload must name
+    /// it.
+    #[error("addressed to another incarnation of this process, or to none")]
     OtherSession,
-    /// Its hash is right, and its payload is of no known form.
-    #[error("its payload cannot be read")]
+    /// The hash matches, but the payload cannot be decoded.
+    #[error("authentic, but its payload cannot be decoded")]
     Garbled,
-    /// Its sequence number was taken before, or lies behind the replay window.
-    #[error("taken before, or too old to tell")]
+    /// The sequence number was accepted before, or is older than the replay window.
+    #[error("replayed, or older than the replay window")]
     Replayed,
 }
 
-/// Opens what arrives of one kind, and takes nothing twice.
+/// Opens datagrams of one kind and accepts each of them once.
 pub struct Opener<P = GossipMessage> {
     senders: Senders,
     payload: PhantomData<P>,
@@ -64,32 +65,34 @@
 }
 
 impl<P: Payload> Opener<P> {
-    /// Replay windows are kept of so many senders; with more, the one that has been silent longest is forgotten.
+    /// An opener with replay windows for up to `max_senders` senders. When another one appears, the sender
+    /// that has been silent longest is dropped.
     pub fn new(max_senders: usize) -> Self {
         Self { senders: Senders::new(max_senders), payload: PhantomData }
     }
 
-    /// The payload of a datagram that arrived at the process whose incarnation is `own`.
+    /// Verifies a datagram that arrived at the process whose incarnation is `own`, and returns its payload.
     ///
     /// # Errors
-    /// Why it is not taken. Nothing is changed then, but for a replay, which counts as a sign of life of its sender.
+    /// The datagram is rejected. The state does not change then, except that a replay counts as activity of
+    /// its sender when senders are dropped.
     pub fn open(&mut self, keys: &Keyring, own: Incarnation, bytes: &[u8]) -> Result<P, OpenError> {
-        check_first_bytes(bytes)?;
-        let (signed, hash) = bytes.split_at(bytes.len() - HASH_BYTES);
-        let header = Header::parse(signed);
+        check_framing(bytes)?;
+        let (authenticated, hash) = bytes.split_at(bytes.len() - HASH_BYTES);
+        let header = Header::parse(authenticated);
         if header.kind != P::KIND {
             return Err(OpenError::OtherKind);
         }
         if header.version != VERSION {
             return Err(OpenError::Version);
         }
-        verify(keys, header.key, signed, hash)?;
-        let names_receiver = header.receiver == own;
-        if !names_receiver && header.receiver != Incarnation::default() {
+        verify(keys, header.key_id, authenticated, hash)?;
+        let names_this_process = header.receiver == own;
+        if !names_this_process && header.receiver != Incarnation::default() {
             return Err(OpenError::OtherSession);
         }
-        let payload: P = decode(&signed[HEADER_BYTES..])?;
-        if !names_receiver && !payload.may_omit_receiver() {
+        let payload: P = decode(&authenticated[HEADER_BYTES..])?;
+        if !names_this_process && !payload.may_omit_receiver() {
             return Err(OpenError::OtherSession);
         }
         if !self.senders.accept(&payload, header.sequence) {
@@ -99,8 +102,8 @@
     }
 }
 
-/// The cheapest checks first: a flood of what is not ours costs next to nothing.
-fn check_first_bytes(bytes: &[u8]) -> Result<(), OpenError> {
+/// The checks that need no hash. They come first, so that a flood of foreign datagrams costs almost no CPU.
+fn check_framing(bytes: &[u8]) -> Result<(), OpenError> {
     if bytes.len() > MAX_DATAGRAM_BYTES {
         return Err(OpenError::TooLong);
     }
@@ -118,14 +121,14 @@
     Ok(())
 }
 
-fn verify(keys: &Keyring, id: KeyId, signed: &[u8], hash: &[u8]) -> Result<(), OpenError> {
+fn verify(keys: &Keyring, id: KeyId, authenticated: &[u8], hash: &[u8]) -> Result<(), OpenError> {
     let key = keys.find(id).ok_or(OpenError::UnknownKey)?;
-    // The comparison of hashes takes the same time wherever they differ.
-    let matches = <[u8; HASH_BYTES]>::try_from(hash).is_ok_and(|hash| key.hash(signed) == hash);
+    // Hashes are compared in constant time, so that the timing does not reveal where they differ.
+    let matches = <[u8; HASH_BYTES]>::try_from(hash).is_ok_and(|hash| key.hash(authenticated) == hash);
     if matches { Ok(()) } else { Err(OpenError::Forged) }
 }
 
-/// What is allocated is bounded by the datagram's length.
+/// Decodes a payload that fills `bytes` exactly. The memory it allocates is bounded by the datagram's length.
 fn decode<P: Payload>(bytes: &[u8]) -> Result<P, OpenError> {
     match postcard::take_from_bytes(bytes) {
         Ok((payload, [])) => Ok(payload),
--- a/crates/datagram/src/payload.rs
+++ b/crates/datagram/src/payload.rs
@@ -1,32 +1,35 @@
-//! What a datagram can carry, and what must be known of it to take it or not.
+//! The messages that datagrams carry, and the properties of them that replay protection depends on.
 
 use quillpoint_membership::{GossipBody, GossipMessage, Incarnation, PeerName};
 use quillpoint_observation_feed::{Envelope, Message};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// The process that a payload is from.
+/// The process that sent a payload.
 pub struct Sender<'a> {
-    /// The same after a restart.
+    /// Its name, which stays the same across restarts.
     pub name: &'a PeerName,
-    /// Which start of that process.
+    /// Identifies the run of that process: a restart begins a new incarnation.
     pub incarnation: Incarnation,
 }
 
-/// A message that datagrams of one kind carry.
+/// A type of message that is sent in datagrams of a kind of its own.
 pub trait Payload: Serialize + DeserializeOwned {
-    /// The second byte of the header, under the hash, so that nothing can pass for a payload of another kind.
+    /// The kind, which is the second byte of the header. The hash covers it, so that a payload cannot be
+    /// passed off as one of another kind.
     const KIND: u8;
-    /// Whether a sender's later incarnation ends what its earlier ones sent. Where it does not, each incarnation has a
-    /// window of its own, so that a sender whose clock went back over a restart is heard.
+    /// Whether a later incarnation of a sender invalidates the datagrams of its earlier ones. If not, each
+    /// incarnation has its own replay window, so that a sender is still accepted if its clock went back
+    /// across a restart and its new incarnation is therefore lower.
     const LATEST_INCARNATION_ONLY: bool;
-    /// Whom it is from.
+    /// The process that sent it.
     fn sender(&self) -> Sender<'_>;
-    /// Whether it does no more than ask, so that it may leave the receiver's incarnation open.
+    /// Whether the datagram may leave the receiver's incarnation open. This is so only for the first message
+    /// to a process whose incarnation is not known yet, which does nothing but ask for a reply.
     fn may_omit_receiver(&self) -> bool;
 }
 
-/// Between members of a fleet.
+/// Gossip between the members of a fleet.
 impl Payload for GossipMessage {
     const KIND: u8 = b'P';
     const LATEST_INCARNATION_ONLY: bool = true;
@@ -40,7 +43,7 @@
     }
 }
 
-/// Between a control instance and a router.
+/// The observation feed between a control instance and a router.
 impl Payload for Envelope {
     const KIND: u8 = b'F';
     const LATEST_INCARNATION_ONLY: bool = false;
--- a/crates/datagram/src/seal.rs
+++ b/crates/datagram/src/seal.rs
@@ -1,4 +1,4 @@
-//! Payloads to datagrams.
+//! Encodes and authenticates outgoing datagrams.
 
 use quillpoint_membership::Incarnation;
 
@@ -6,31 +6,33 @@
 use crate::keys::Keyring;
 use crate::payload::Payload;
 
-/// Why a payload cannot be sent.
+/// Why a payload cannot be sent as a datagram.
 #[derive(Debug, thiserror::Error)]
 pub enum SealError {
-    /// The payload does not fit [`MAX_DATAGRAM_BYTES`].
-    #[error("it would fill {bytes} bytes, more than a datagram has")]
+    /// With this payload the datagram would exceed [`MAX_DATAGRAM_BYTES`].
+    #[error("expected a datagram of at most {MAX_DATAGRAM_BYTES} bytes, found {bytes} bytes")]
     TooLong {
-        /// The length of the datagram that it would take.
+        /// The length that the datagram would have.
         bytes: usize,
     },
-    /// The payload has a form that postcard does not write.
-    #[error("its payload cannot be encoded: {0}")]
+    /// Postcard cannot encode the payload.
+    #[error("cannot encode the payload: {0}")]
     Encoding(#[from] postcard::Error),
 }
 
-/// Seals payloads for others. Its datagrams have a sequence of their own, so each socket has its own sealer.
+/// Seals payloads for other processes. It numbers the datagrams that it seals, so each socket needs its own
+/// sealer.
 #[derive(Default)]
 pub struct Sealer {
     last_sequence: u64,
 }
 
 impl Sealer {
-    /// The datagram for a process with this incarnation; `None` where the incarnation is not known.
+    /// Builds the datagram for the process whose incarnation is `receiver`, or for one whose incarnation is
+    /// not known yet if `None`.
     ///
     /// # Errors
-    /// A payload that does not fit a datagram.
+    /// The payload cannot be encoded or does not fit into a datagram.
     pub fn seal<P: Payload>(
         &mut self,
         keys: &Keyring,
@@ -38,11 +40,11 @@
         payload: &P,
     ) -> Result<Vec<u8>, SealError> {
         self.last_sequence += 1;
-        let key = keys.newest();
+        let key = keys.sealing_key();
         let header = Header {
             kind: P::KIND,
             version: VERSION,
-            key: key.id,
+            key_id: key.id,
             receiver: receiver.unwrap_or_default(),
             sequence: self.last_sequence,
         };
