--- a/crates/datagram/tests/datagrams.rs
+++ b/crates/datagram/tests/datagrams.rs
@@ -1,4 +1,5 @@
-//! What is taken and what is refused, by kind; nothing that arrives may panic or pass twice.
+//! Which gossip datagrams are accepted and with which error the others are rejected. No input may cause a
+//! panic or be accepted twice.
 
 use quickcheck::{Gen, QuickCheck};
 use quillpoint_datagram::keys::{KeyFileError, Keyring};
@@ -39,7 +40,7 @@
 }
 
 #[test]
-fn a_message_passes_once() {
+fn a_replayed_datagram_is_rejected() {
     let (keys, mut sealer, mut opener) = (keys("a"), Sealer::default(), Opener::default());
     let bytes = sealer.seal(&keys, Some(OWN), &ping()).unwrap();
     assert_eq!(opener.open(&keys, OWN, &bytes), Ok(ping()));
@@ -49,9 +50,9 @@
 #[test]
 fn the_largest_messages_fit_a_datagram() {
     let name = "n".repeat(MAX_PEER_NAME_BYTES);
-    let card = member_record(&name, u64::MAX);
-    let news = Observation {
-        node: card.address,
+    let record = member_record(&name, u64::MAX);
+    let observation = Observation {
+        node: record.address,
         age: Duration::new(10, 999_999_999),
         position: Some(Duration::new(1 << 34, 999_999_999)),
         primary: Some(true),
@@ -59,77 +60,78 @@
         started: Some(Duration::new(1 << 34, 999_999_999)),
         failed: true,
     };
-    let along = GossipMessage {
-        from: card.clone(),
-        body: GossipBody::Observations(vec![news; OBSERVATION_BATCH_SIZE]),
-        records: vec![card.clone(); MAX_PIGGYBACKED_RECORDS + 1],
+    let observations = GossipMessage {
+        from: record.clone(),
+        body: GossipBody::Observations(vec![observation; OBSERVATION_BATCH_SIZE]),
+        records: vec![record.clone(); MAX_PIGGYBACKED_RECORDS + 1],
     };
-    let whole = GossipMessage {
-        from: card.clone(),
+    let join_reply = GossipMessage {
+        from: record.clone(),
         body: GossipBody::JoinReply,
-        records: vec![card; MAX_JOIN_REPLY_RECORDS + 1],
+        records: vec![record; MAX_JOIN_REPLY_RECORDS + 1],
     };
-    for message in [along, whole] {
+    for message in [observations, join_reply] {
         assert!(Sealer::default().seal(&keys("a"), Some(OWN), &message).unwrap().len() <= MAX_DATAGRAM_BYTES);
     }
 }
 
 #[test]
-fn each_bad_kind_is_refused_as_what_it_is() {
-    let (ours, theirs) = (keys("a"), keys("b"));
+fn each_invalid_datagram_is_rejected_with_its_own_error_and_changes_no_window() {
+    let (own_keys, other_keys) = (keys("a"), keys("b"));
     let mut sealer = Sealer::default();
-    let good = sealer.seal(&ours, Some(OWN), &ping()).unwrap();
+    let valid = sealer.seal(&own_keys, Some(OWN), &ping()).unwrap();
     let mut opener = Opener::default();
-    let mut open = |bytes: &[u8]| opener.open(&ours, OWN, bytes).unwrap_err();
+    let mut open = |bytes: &[u8]| opener.open(&own_keys, OWN, bytes).unwrap_err();
     assert_eq!(open(b""), OpenError::Truncated);
     assert_eq!(open(b"Q"), OpenError::Truncated);
-    assert_eq!(open(&good[..40]), OpenError::Truncated);
-    assert_eq!(open(&good[..good.len() - 1]), OpenError::Forged);
+    assert_eq!(open(&valid[..40]), OpenError::Truncated);
+    assert_eq!(open(&valid[..valid.len() - 1]), OpenError::Forged);
     assert_eq!(open(b"GET / HTTP/1.1"), OpenError::Foreign);
-    assert_eq!(open(&[good.clone(), vec![0; MAX_DATAGRAM_BYTES]].concat()), OpenError::TooLong);
-    let mut later = good.clone();
-    later[2] = 2;
-    assert_eq!(open(&later), OpenError::Version);
-    assert_eq!(open(&sealer.seal(&theirs, Some(OWN), &ping()).unwrap()), OpenError::UnknownKey);
-    let other = sealer.seal(&ours, Some(Incarnation(78)), &ping()).unwrap();
-    assert_eq!(open(&other), OpenError::OtherSession);
-    // Even a join request, which may leave the start open, may not name another.
-    let other = sealer.seal(&ours, Some(Incarnation(78)), &gossip(GossipBody::JoinRequest)).unwrap();
-    assert_eq!(open(&other), OpenError::OtherSession);
-    let unknown = sealer.seal(&ours, None, &ping()).unwrap();
-    assert_eq!(open(&unknown), OpenError::OtherSession, "only a join request may leave it open");
-    // Of all these, none changed the window.
-    assert!(opener.open(&ours, OWN, &good).is_ok());
+    assert_eq!(open(&[valid.clone(), vec![0; MAX_DATAGRAM_BYTES]].concat()), OpenError::TooLong);
+    let mut later_version = valid.clone();
+    later_version[2] = 2;
+    assert_eq!(open(&later_version), OpenError::Version);
+    assert_eq!(open(&sealer.seal(&other_keys, Some(OWN), &ping()).unwrap()), OpenError::UnknownKey);
+    let misaddressed = sealer.seal(&own_keys, Some(Incarnation(78)), &ping()).unwrap();
+    assert_eq!(open(&misaddressed), OpenError::OtherSession);
+    // A join request may leave the receiver's incarnation open, but may not name another one.
+    let misaddressed =
+        sealer.seal(&own_keys, Some(Incarnation(78)), &gossip(GossipBody::JoinRequest)).unwrap();
+    assert_eq!(open(&misaddressed), OpenError::OtherSession);
+    let unaddressed = sealer.seal(&own_keys, None, &ping()).unwrap();
+    assert_eq!(open(&unaddressed), OpenError::OtherSession, "only a join request may omit the receiver");
+    // The datagram that was sealed first is still accepted: none of the rejected ones moved the window.
+    assert!(opener.open(&own_keys, OWN, &valid).is_ok());
 }
 
 #[test]
-fn no_flipped_bit_and_no_cut_passes() {
+fn a_datagram_with_any_bit_flipped_or_truncated_at_any_length_is_rejected() {
     let keys = keys("a");
-    let good = Sealer::default().seal(&keys, Some(OWN), &ping()).unwrap();
-    for bit in 0..good.len() * 8 {
-        let mut bytes = good.clone();
+    let valid = Sealer::default().seal(&keys, Some(OWN), &ping()).unwrap();
+    for bit in 0..valid.len() * 8 {
+        let mut bytes = valid.clone();
         bytes[bit / 8] ^= 1 << (bit % 8);
-        assert!(Opener::default().open(&keys, OWN, &bytes).is_err(), "bit {bit}");
+        assert!(Opener::default().open(&keys, OWN, &bytes).is_err(), "accepted with bit {bit} flipped");
     }
-    assert!((0..good.len()).all(|cut| Opener::default().open(&keys, OWN, &good[..cut]).is_err()));
+    assert!((0..valid.len()).all(|length| Opener::default().open(&keys, OWN, &valid[..length]).is_err()));
 }
 
 #[test]
-fn noise_never_panics_even_under_a_good_hash() {
-    fn noise(bytes: Vec<u8>) -> bool {
+fn random_bytes_never_cause_a_panic_even_with_a_valid_hash() {
+    fn unauthenticated(bytes: Vec<u8>) -> bool {
         Opener::default().open(&keys("a"), OWN, &bytes).is_err()
     }
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(1500, 1))
         .tests(2000)
-        .quickcheck(noise as fn(Vec<u8>) -> bool);
-    // What a holder of the key sends is not trusted to be well formed: any bytes in place of the payload.
-    fn sealed(mut noise: Vec<u8>) -> bool {
+        .quickcheck(unauthenticated as fn(Vec<u8>) -> bool);
+    // A sender that has the key may still send a malformed payload.
+    fn sealed(mut payload: Vec<u8>) -> bool {
         let key = [0xaa; 32];
         let keys = keys("a");
-        let head = Sealer::default().seal(&keys, Some(OWN), &ping()).unwrap()[..23].to_vec();
-        noise.truncate(1000);
-        let mut bytes = [head, noise].concat();
+        let header = Sealer::default().seal(&keys, Some(OWN), &ping()).unwrap()[..23].to_vec();
+        payload.truncate(1000);
+        let mut bytes = [header, payload].concat();
         bytes.extend(blake3::keyed_hash(&key, &bytes).as_bytes());
         matches!(
             Opener::default().open(&keys, OWN, &bytes),
@@ -143,24 +145,24 @@
 }
 
 #[test]
-fn messages_out_of_order_pass_within_the_window() {
+fn reordered_datagrams_are_accepted_within_the_replay_window_only() {
     let (keys, mut sealer, mut opener) = (keys("a"), Sealer::default(), Opener::default());
-    let all: Vec<Vec<u8>> = (0..600).map(|_| sealer.seal(&keys, Some(OWN), &ping()).unwrap()).collect();
-    assert!(opener.open(&keys, OWN, &all[300]).is_ok());
-    assert!((45..300).rev().all(|at| opener.open(&keys, OWN, &all[at]).is_ok()));
-    assert_eq!(opener.open(&keys, OWN, &all[44]), Err(OpenError::Replayed), "too old to tell");
-    assert!(opener.open(&keys, OWN, &all[599]).is_ok());
-    assert_eq!(opener.open(&keys, OWN, &all[300]), Err(OpenError::Replayed));
-    assert!(opener.open(&keys, OWN, &all[400]).is_ok(), "a leap clears what it passes");
-    assert_eq!(opener.open(&keys, OWN, &all[400]), Err(OpenError::Replayed));
+    let datagrams: Vec<Vec<u8>> = (0..600).map(|_| sealer.seal(&keys, Some(OWN), &ping()).unwrap()).collect();
+    assert!(opener.open(&keys, OWN, &datagrams[300]).is_ok());
+    assert!((45..300).rev().all(|number| opener.open(&keys, OWN, &datagrams[number]).is_ok()));
+    assert_eq!(opener.open(&keys, OWN, &datagrams[44]), Err(OpenError::Replayed), "older than the window");
+    assert!(opener.open(&keys, OWN, &datagrams[599]).is_ok());
+    assert_eq!(opener.open(&keys, OWN, &datagrams[300]), Err(OpenError::Replayed));
+    assert!(opener.open(&keys, OWN, &datagrams[400]).is_ok(), "numbers that were skipped are new");
+    assert_eq!(opener.open(&keys, OWN, &datagrams[400]), Err(OpenError::Replayed));
 }
 
 #[test]
-fn what_was_recorded_before_a_restart_is_worth_nothing_after_it() {
+fn datagrams_recorded_before_a_restart_are_rejected_after_it() {
     let (keys, mut sealer) = (keys("a"), Sealer::default());
     let old = sealer.seal(&keys, Some(OWN), &ping()).unwrap();
     assert_eq!(Opener::default().open(&keys, Incarnation(78), &old), Err(OpenError::OtherSession));
-    // An earlier start of the sender turns no window back.
+    // A datagram of the sender's earlier incarnation must not reset the window of its later one.
     let mut opener = Opener::default();
     let new = GossipMessage { from: member_record("n1", 6), ..ping() };
     assert!(opener.open(&keys, OWN, &Sealer::default().seal(&keys, Some(OWN), &new).unwrap()).is_ok());
@@ -175,44 +177,45 @@
 }
 
 #[test]
-fn two_keys_serve_a_change_of_keys() {
+fn keys_can_be_rotated_without_rejected_datagrams() {
     let (old, both, swapped, new) = (keys("a"), keys("a b"), keys("b a"), keys("b"));
     let mut sealer = Sealer::default();
-    let mut passes = |from: &Keyring, to: &Keyring| {
+    let mut accepted = |from: &Keyring, to: &Keyring| {
         let bytes = sealer.seal(from, Some(OWN), &ping()).unwrap();
         Opener::default().open(to, OWN, &bytes).is_ok()
     };
-    for (one, other) in [(&old, &both), (&both, &swapped), (&swapped, &new)] {
-        assert!(passes(one, other) && passes(other, one), "each step of the change");
+    // While a step is rolled out, processes before and after it must accept each other's datagrams.
+    for (before, after) in [(&old, &both), (&both, &swapped), (&swapped, &new)] {
+        assert!(accepted(before, after) && accepted(after, before), "{before:?} and {after:?}");
     }
-    assert!(!passes(&old, &new));
+    assert!(!accepted(&old, &new));
 }
 
 #[test]
-fn windows_of_ever_new_senders_are_bounded() {
+fn the_number_of_replay_windows_is_bounded_when_new_senders_keep_appearing() {
     let (keys, mut sealer, mut opener) = (keys("a"), Sealer::default(), Opener::default());
-    let join = |place: u64| GossipMessage {
-        from: member_record(&format!("n{place}"), 5),
+    let join = |index: u64| GossipMessage {
+        from: member_record(&format!("n{index}"), 5),
         ..gossip(GossipBody::JoinRequest)
     };
     let first = sealer.seal(&keys, None, &join(0)).unwrap();
     assert!(opener.open(&keys, OWN, &first).is_ok());
-    for place in 1..600 {
-        let bytes = sealer.seal(&keys, None, &join(place)).unwrap();
+    for index in 1..600 {
+        let bytes = sealer.seal(&keys, None, &join(index)).unwrap();
         assert!(opener.open(&keys, OWN, &bytes).is_ok());
     }
-    // The silent one was forgotten, so its join request counts anew; the last one is remembered.
+    // The first sender was silent longest and was dropped, so its join request is accepted a second time.
     assert!(opener.open(&keys, OWN, &first).is_ok());
 }
 
 #[test]
-fn a_key_file_names_the_line_at_fault_and_not_the_key() {
-    let line = |text: &str| Keyring::parse(text).unwrap_err();
+fn key_file_errors_name_the_line_and_debug_output_does_not_leak_the_key() {
+    let error = |text: &str| Keyring::parse(text).unwrap_err();
     let [a, b, c] = ["a", "b", "c"].map(|digit| digit.repeat(64));
-    assert_eq!(line("# none\n\n"), KeyFileError::NoKey);
-    assert_eq!(line(&format!("# one\n{a}\nshort")), KeyFileError::InvalidKey { line: 3 });
-    assert_eq!(line(&format!("{a}\n{a}")), KeyFileError::DuplicateKey { line: 2 });
-    assert_eq!(line(&format!("{a}\n{b}\n{c}")), KeyFileError::TooManyKeys { line: 3 });
-    let ring = Keyring::parse(&format!("{a} # the old one")).unwrap();
-    assert!(!format!("{ring:?}").contains("aaaa"));
+    assert_eq!(error("# none\n\n"), KeyFileError::NoKey);
+    assert_eq!(error(&format!("# one\n{a}\nshort")), KeyFileError::InvalidKey { line: 3 });
+    assert_eq!(error(&format!("{a}\n{a}")), KeyFileError::DuplicateKey { line: 2 });
+    assert_eq!(error(&format!("{a}\n{b}\n{c}")), KeyFileError::TooManyKeys { line: 3 });
+    let keyring = Keyring::parse(&format!("{a} # the old one")).unwrap();
+    assert!(!format!("{keyring:?}").contains("aaaa"));
 }
--- a/crates/datagram/tests/envelopes.rs
+++ b/crates/datagram/tests/envelopes.rs
@@ -1,4 +1,5 @@
-//! The same for what control instances and routers say to each other, and that neither kind passes for the other.
+//! Which datagrams of the observation feed are accepted and with which error the others are rejected. Gossip
+//! must not be accepted as a feed message, nor the reverse.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -23,8 +24,8 @@
     Keyring::parse(&digit.repeat(64)).unwrap()
 }
 
-fn envelope(from: &str, start: u64, message: Message) -> Envelope {
-    Envelope { from: PeerName::new(from).unwrap(), incarnation: Incarnation(start), message }
+fn envelope(from: &str, incarnation: u64, message: Message) -> Envelope {
+    Envelope { from: PeerName::new(from).unwrap(), incarnation: Incarnation(incarnation), message }
 }
 
 fn entry(started: Option<Duration>) -> Entry {
@@ -46,29 +47,29 @@
     })
 }
 
-fn taken(opener: &mut Opener<Envelope>, bytes: &[u8]) -> Result<Envelope, OpenError> {
+fn open(opener: &mut Opener<Envelope>, bytes: &[u8]) -> Result<Envelope, OpenError> {
     opener.open(&keys("a"), OWN, bytes)
 }
 
 #[test]
-fn an_envelope_passes_once() {
+fn a_replayed_envelope_is_rejected() {
     let (mut sealer, mut opener) = (Sealer::default(), Opener::new(4));
     let sent = envelope("c1", 5, digest(2));
     let bytes = sealer.seal(&keys("a"), Some(OWN), &sent).unwrap();
-    assert_eq!(taken(&mut opener, &bytes), Ok(sent));
-    assert_eq!(taken(&mut opener, &bytes), Err(OpenError::Replayed));
+    assert_eq!(open(&mut opener, &bytes), Ok(sent));
+    assert_eq!(open(&mut opener, &bytes), Err(OpenError::Replayed));
 }
 
 #[test]
 fn the_largest_envelopes_fit_a_datagram() {
     let name = "n".repeat(MAX_PEER_NAME_BYTES);
-    // As much as is reckoned to go along, of addresses of either length.
+    // Fill each message as far as the size estimates allow, with addresses of either length.
     for node in ["[2001:db8:ffff:ffff:ffff:ffff:ffff:ffff]:65535", "255.255.255.255:65535", "1.1.1.1:1"] {
         let node: SocketAddr = node.parse().unwrap();
         for started in [None, LONG_AGO] {
             let (partition, revision, entry) = (PartitionId(63), Revision(u32::MAX), entry(started));
             let chunk = |groups| SnapshotChunk { partition, revision, index: 126, chunk_count: 127, groups };
-            // One entry that holds for many, or as many entries that hold for one each.
+            // One entry shared by many nodes, or a separate entry for each node.
             let fits = |chunk: &SnapshotChunk| encoded_size::chunk(chunk) <= encoded_size::MAX_PAYLOAD_BYTES;
             let many = |count| chunk(vec![(entry, vec![node; count])]);
             let single = |count| chunk(vec![(entry, vec![node]); count]);
@@ -98,23 +99,27 @@
 }
 
 #[test]
-fn forged_cut_and_misdirected_ones_are_refused_as_what_they_are() {
+fn forged_truncated_and_misaddressed_envelopes_are_rejected_with_their_own_error() {
     let mut sealer = Sealer::default();
     let sent = envelope("c1", 5, digest(1));
-    let good = sealer.seal(&keys("a"), Some(OWN), &sent).unwrap();
+    let valid = sealer.seal(&keys("a"), Some(OWN), &sent).unwrap();
     let mut opener = Opener::new(4);
-    let of_others = sealer.seal(&keys("b"), Some(OWN), &sent).unwrap();
-    assert_eq!(taken(&mut opener, &of_others), Err(OpenError::UnknownKey));
-    // The id of a key is no secret: whoever writes it into a datagram has no key by that.
-    let mut forged = of_others;
-    forged[3..7].copy_from_slice(&good[3..7]);
-    assert_eq!(taken(&mut opener, &forged), Err(OpenError::Forged));
-    for session in [Some(Incarnation(78)), None] {
-        let bytes = sealer.seal(&keys("a"), session, &sent).unwrap();
-        assert_eq!(taken(&mut opener, &bytes), Err(OpenError::OtherSession), "only asking may leave it open");
+    let other_key = sealer.seal(&keys("b"), Some(OWN), &sent).unwrap();
+    assert_eq!(open(&mut opener, &other_key), Err(OpenError::UnknownKey));
+    // The id of a key is not secret, so knowing it must not be enough to forge a datagram.
+    let mut forged = other_key;
+    forged[3..7].copy_from_slice(&valid[3..7]);
+    assert_eq!(open(&mut opener, &forged), Err(OpenError::Forged));
+    for receiver in [Some(Incarnation(78)), None] {
+        let bytes = sealer.seal(&keys("a"), receiver, &sent).unwrap();
+        assert_eq!(
+            open(&mut opener, &bytes),
+            Err(OpenError::OtherSession),
+            "only a subscribe request may omit the receiver"
+        );
     }
-    let asking = sealer.seal(&keys("a"), None, &envelope("r1", 5, Message::Subscribe)).unwrap();
-    assert!(taken(&mut opener, &asking).is_ok());
+    let subscribe = sealer.seal(&keys("a"), None, &envelope("r1", 5, Message::Subscribe)).unwrap();
+    assert!(open(&mut opener, &subscribe).is_ok());
     for message in [
         Message::Pull(vec![PartitionId(1)]),
         Message::Unsubscribe,
@@ -122,20 +127,20 @@
         Message::SubscriptionRejected,
     ] {
         let bytes = sealer.seal(&keys("a"), None, &envelope("r1", 5, message)).unwrap();
-        assert_eq!(taken(&mut opener, &bytes), Err(OpenError::OtherSession));
+        assert_eq!(open(&mut opener, &bytes), Err(OpenError::OtherSession));
     }
-    for bit in 0..good.len() * 8 {
-        let mut bytes = good.clone();
+    for bit in 0..valid.len() * 8 {
+        let mut bytes = valid.clone();
         bytes[bit / 8] ^= 1 << (bit % 8);
-        assert!(taken(&mut opener, &bytes).is_err(), "bit {bit}");
+        assert!(open(&mut opener, &bytes).is_err(), "accepted with bit {bit} flipped");
     }
-    assert!((0..good.len()).all(|cut| taken(&mut opener, &good[..cut]).is_err()));
-    assert_eq!(taken(&mut opener, &good), Ok(sent), "none of them changed the window");
+    assert!((0..valid.len()).all(|length| open(&mut opener, &valid[..length]).is_err()));
+    assert_eq!(open(&mut opener, &valid), Ok(sent), "a rejected datagram changed the window");
 }
 
 #[test]
-fn neither_kind_passes_for_the_other() {
-    let card = MemberRecord {
+fn gossip_and_feed_datagrams_are_rejected_by_the_opener_of_the_other_kind() {
+    let record = MemberRecord {
         name: PeerName::new("c1").unwrap(),
         version: MemberVersion { incarnation: Incarnation(5), revision: 0 },
         address: "127.0.0.1:1".parse().unwrap(),
@@ -143,65 +148,65 @@
         weight: 1,
         state: MemberState::Up,
     };
-    let message = GossipMessage { from: card, body: GossipBody::JoinRequest, records: Vec::new() };
+    let message = GossipMessage { from: record, body: GossipBody::JoinRequest, records: Vec::new() };
     let (mut sealer, keys) = (Sealer::default(), keys("a"));
     let mut gossip = sealer.seal(&keys, None, &message).unwrap();
-    let mut asking = sealer.seal(&keys, None, &envelope("r1", 5, Message::Subscribe)).unwrap();
+    let mut subscribe = sealer.seal(&keys, None, &envelope("r1", 5, Message::Subscribe)).unwrap();
     assert_eq!(Opener::<Envelope>::new(4).open(&keys, OWN, &gossip), Err(OpenError::OtherKind));
-    assert_eq!(Opener::<GossipMessage>::default().open(&keys, OWN, &asking), Err(OpenError::OtherKind));
-    // Nor by another word in its header.
-    (gossip[1], asking[1]) = (asking[1], gossip[1]);
+    assert_eq!(Opener::<GossipMessage>::default().open(&keys, OWN, &subscribe), Err(OpenError::OtherKind));
+    // Changing the kind in the header does not help, as the hash covers it.
+    (gossip[1], subscribe[1]) = (subscribe[1], gossip[1]);
     assert_eq!(Opener::<Envelope>::new(4).open(&keys, OWN, &gossip), Err(OpenError::Forged));
-    assert_eq!(Opener::<GossipMessage>::default().open(&keys, OWN, &asking), Err(OpenError::Forged));
+    assert_eq!(Opener::<GossipMessage>::default().open(&keys, OWN, &subscribe), Err(OpenError::Forged));
 }
 
 #[test]
-fn a_sender_whose_clock_went_back_over_a_restart_is_heard_and_its_old_words_are_not_again() {
+fn a_sender_whose_clock_went_back_across_a_restart_is_accepted_and_its_old_datagrams_are_not() {
     let (keys, mut opener) = (keys("a"), Opener::<Envelope>::new(4));
-    let sealed = |sealer: &mut Sealer, start| {
-        sealer.seal(&keys, Some(OWN), &envelope("c1", start, digest(0))).unwrap()
+    let sealed = |sealer: &mut Sealer, incarnation| {
+        sealer.seal(&keys, Some(OWN), &envelope("c1", incarnation, digest(0))).unwrap()
     };
     let old = sealed(&mut Sealer::default(), 9);
     assert!(opener.open(&keys, OWN, &old).is_ok());
-    let mut after = Sealer::default();
+    let mut restarted = Sealer::default();
     for _ in 0..3 {
-        assert!(opener.open(&keys, OWN, &sealed(&mut after, 4)).is_ok());
+        assert!(opener.open(&keys, OWN, &sealed(&mut restarted, 4)).is_ok());
         assert_eq!(opener.open(&keys, OWN, &old), Err(OpenError::Replayed));
     }
 }
 
 #[test]
-fn windows_are_bounded_as_their_owner_says() {
+fn an_opener_keeps_replay_windows_for_the_configured_number_of_senders() {
     let (keys, mut sealer) = (keys("a"), Sealer::default());
-    let mut asking = |place: usize| {
-        sealer.seal(&keys, None, &envelope(&format!("r{place}"), 5, Message::Subscribe)).unwrap()
+    let mut subscribe = |index: usize| {
+        sealer.seal(&keys, None, &envelope(&format!("r{index}"), 5, Message::Subscribe)).unwrap()
     };
-    for most in [1, 3, 2000] {
-        let mut opener = Opener::<Envelope>::new(most);
-        let first = asking(0);
+    for max_senders in [1, 3, 2000] {
+        let mut opener = Opener::<Envelope>::new(max_senders);
+        let first = subscribe(0);
         assert!(opener.open(&keys, OWN, &first).is_ok());
-        let others: Vec<_> = (1..most).map(&mut asking).collect();
+        let others: Vec<_> = (1..max_senders).map(&mut subscribe).collect();
         assert!(others.iter().all(|bytes| opener.open(&keys, OWN, bytes).is_ok()));
-        let again = others.last().unwrap_or(&first);
-        assert_eq!(opener.open(&keys, OWN, again), Err(OpenError::Replayed));
+        let last = others.last().unwrap_or(&first);
+        assert_eq!(opener.open(&keys, OWN, last), Err(OpenError::Replayed));
         assert_eq!(
             opener.open(&keys, OWN, &first),
             Err(OpenError::Replayed),
-            "all of so many are remembered"
+            "a sender was dropped although {max_senders} fit"
         );
-        // One more, and whoever has been silent longest is forgotten.
-        let more: Vec<_> = (most..=most * 2).map(&mut asking).collect();
+        // With more senders than fit, the one that has been silent longest is dropped.
+        let more: Vec<_> = (max_senders..=max_senders * 2).map(&mut subscribe).collect();
         assert!(more.iter().all(|bytes| opener.open(&keys, OWN, bytes).is_ok()));
         assert!(opener.open(&keys, OWN, &first).is_ok());
     }
 }
 
 #[test]
-fn noise_under_a_good_hash_never_panics() {
-    fn sealed(mut noise: Vec<u8>) -> bool {
-        let head = Sealer::default().seal(&keys("a"), Some(OWN), &envelope("c1", 5, digest(0))).unwrap();
-        noise.truncate(1000);
-        let mut bytes = [head[..23].to_vec(), noise].concat();
+fn a_random_payload_with_a_valid_hash_never_causes_a_panic() {
+    fn sealed(mut payload: Vec<u8>) -> bool {
+        let header = Sealer::default().seal(&keys("a"), Some(OWN), &envelope("c1", 5, digest(0))).unwrap();
+        payload.truncate(1000);
+        let mut bytes = [header[..23].to_vec(), payload].concat();
         bytes.extend(blake3::keyed_hash(&[0xaa; 32], &bytes).as_bytes());
         matches!(
             Opener::<Envelope>::new(4).open(&keys("a"), OWN, &bytes),
--- a/crates/datagram/tests/gossip_size.rs
+++ b/crates/datagram/tests/gossip_size.rs
@@ -1,4 +1,5 @@
-//! Gossip messages with as many observations as there is room for: by count and by bytes, of addresses of either length.
+//! Gossip messages are filled with observations up to a limit by count and one by bytes. These tests guard
+//! against messages that do not fit a datagram, with node addresses of either length (IPv4 and IPv6).
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -16,7 +17,7 @@
 
 const LONG_AGO: Option<Duration> = Some(Duration::new(1 << 34, 999_999_999));
 
-/// The longest or the shortest that is sent.
+/// The longest or the shortest encoding of an observation.
 fn observation(node: SocketAddr, long: bool) -> Observation {
     let (position, started) = if long { (LONG_AGO, LONG_AGO) } else { (None, None) };
     let waiting = long.then_some(u32::MAX);
@@ -40,26 +41,30 @@
 }
 
 fn sealed_bytes(observations: Vec<Observation>) -> usize {
-    let card = member_record("[2001:db8:ffff:ffff:ffff:ffff:ffff:ffff]:65535".parse().unwrap());
-    let cards = vec![card.clone(); MAX_PIGGYBACKED_RECORDS + 1];
-    let message = GossipMessage { from: card, body: GossipBody::Observations(observations), records: cards };
+    let record = member_record("[2001:db8:ffff:ffff:ffff:ffff:ffff:ffff]:65535".parse().unwrap());
+    let piggybacked = vec![record.clone(); MAX_PIGGYBACKED_RECORDS + 1];
+    let message =
+        GossipMessage { from: record, body: GossipBody::Observations(observations), records: piggybacked };
     Sealer::default().seal(&keys(), Some(Incarnation(1)), &message).map_or(usize::MAX, |bytes| bytes.len())
 }
 
 #[test]
-fn an_observation_takes_no_more_bytes_than_are_reckoned() {
+fn an_encoded_observation_is_no_longer_than_its_estimate() {
     let empty = sealed_bytes(Vec::new());
     for node in ["[2001:db8:ffff:ffff:ffff:ffff:ffff:ffff]:65535", "255.255.255.255:65535", "1.1.1.1:1"] {
         for long in [true, false] {
             let observation = observation(node.parse().unwrap(), long);
             let bytes = observation.max_encoded_bytes();
-            assert!(sealed_bytes(vec![observation]) - empty <= bytes && bytes < 70, "{node}: {bytes}");
+            assert!(
+                sealed_bytes(vec![observation]) - empty <= bytes && bytes < 70,
+                "{node}: estimated as {bytes} bytes"
+            );
         }
     }
 }
 
 #[test]
-fn observations_fill_messages_that_fit_a_datagram_beside_the_longest_records() {
+fn full_batches_of_observations_fit_a_datagram_together_with_the_longest_records() {
     for v4 in [true, false] {
         for long in [true, false] {
             let node = |port: u16| match v4 {
@@ -71,7 +76,7 @@
             store.nodes_changed(&(0..200).map(node).collect());
             (0..200).for_each(|port| _ = store.record_own(now, now, observation(node(port), long)));
             let batches = store.take_outgoing(now, 3);
-            assert_eq!(batches.concat().len(), 200, "all of them, each once");
+            assert_eq!(batches.concat().len(), 200, "expected each observation once");
             for batch in &batches {
                 assert!(
                     batch.iter().map(Observation::max_encoded_bytes).sum::<usize>()
@@ -79,8 +84,13 @@
                 );
                 assert!(sealed_bytes(batch.clone()) <= MAX_DATAGRAM_BYTES);
             }
-            // All but the last are full, so that there are fewer of them than of ten each.
-            assert!(batches.len() < 200 / OBSERVATION_BATCH_SIZE || (!v4 && long), "{}", batches.len());
+            // All batches but the last are filled by bytes, so there are fewer than with ten observations in
+            // each.
+            assert!(
+                batches.len() < 200 / OBSERVATION_BATCH_SIZE || (!v4 && long),
+                "expected batches filled by bytes, found {} batches",
+                batches.len()
+            );
         }
     }
 }
--- a/crates/datagram/tests/old_datagrams.rs
+++ b/crates/datagram/tests/old_datagrams.rs
@@ -1,5 +1,5 @@
-//! Datagrams that an earlier version sealed, byte for byte: this version seals the same and opens them, so that versions
-//! can be mixed while a fleet is upgraded.
+//! Datagrams as an earlier release sealed them. This release must produce the same bytes and must open them,
+//! as a fleet runs both releases during a rolling upgrade.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -54,7 +54,7 @@
 const CHUNK: &str = "514601123c69bb000000000000004d0000000000000005026331050409040103030100010900000101000a010001b92a0000\
     0100000002005c89c4558f00c86b53b1efc745a08579466b2cf24196a35e509bc45450d94186";
 
-const FULL: &str = "514601123c69bb000000000000004d0000000000000006026331050510e8ea7ccc12d5fd5873d1ecbf2c5f09cdb9f2b4aa91\
+const SUBSCRIPTION_REJECTED: &str = "514601123c69bb000000000000004d0000000000000006026331050510e8ea7ccc12d5fd5873d1ecbf2c5f09cdb9f2b4aa91\
     26de6f3ce513f2460fda";
 
 const LEAVING: &str = "514601123c69bb000000000000004d000000000000000702633105061b25a31422d8203b2ff1b422e779bb67e91c523a7c4b\
@@ -75,14 +75,15 @@
     (0..hex.len()).step_by(2).map(|at| u8::from_str_radix(&hex[at..at + 2], 16).unwrap()).collect()
 }
 
-/// A payload, the receiver that its datagram names, and the datagram as an earlier version sealed it.
+/// A payload, the receiver that its datagram names, and the datagram from the earlier release in hexadecimal
+/// digits.
 struct Sealed<P> {
     payload: P,
     receiver: Option<Incarnation>,
     old: &'static str,
 }
 
-/// `datagrams` are in the order in which one sealer sealed them.
+/// Checks datagrams in the order in which one sealer sealed them, which determines their sequence numbers.
 fn check<P: Payload + PartialEq + std::fmt::Debug>(datagrams: &[Sealed<P>]) {
     let mut sealer = Sealer::default();
     let mut opener = Opener::<P>::new(4);
@@ -117,7 +118,7 @@
 }
 
 #[test]
-fn gossip_is_sealed_and_opened_as_before() {
+fn gossip_datagrams_are_compatible_with_the_earlier_release() {
     let observation = Observation {
         node: "[2001:db8::1]:5433".parse().unwrap(),
         age: Duration::from_millis(250),
@@ -149,7 +150,7 @@
 }
 
 #[test]
-fn messages_of_the_feed_are_sealed_and_opened_as_before() {
+fn feed_datagrams_are_compatible_with_the_earlier_release() {
     let node: SocketAddr = "10.1.0.1:5433".parse().unwrap();
     let seen = Entry {
         primary: Some(false),
@@ -188,7 +189,7 @@
         feed(Message::Pull(vec![PartitionId(1), PartitionId(63)]), PULL),
         feed(Message::Digest(digest), DIGEST),
         feed(Message::Chunk(chunk), CHUNK),
-        feed(Message::SubscriptionRejected, FULL),
+        feed(Message::SubscriptionRejected, SUBSCRIPTION_REJECTED),
         feed(Message::Leaving, LEAVING),
         feed(Message::Renew, RENEW),
     ]);
