--- a/crates/memory-budget/src/budget.rs
+++ b/crates/memory-budget/src/budget.rs
@@ -1,46 +1,47 @@
-//! The budget: the one place where bytes are admitted, and given back.
+//! The budget, in which all memory use is reserved and released.
 
 use crate::category::Category;
 use crate::pressure::{PressureLevel, ReclaimAction};
 
 const CATEGORIES: usize = Category::ALL.len();
 
-/// What one category may hold, in bytes.
+/// How much memory one category may use, in bytes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Quota {
-    /// Guaranteed to it: no other category can borrow these bytes.
+    /// Bytes reserved for the category, which no other category can borrow.
     pub guaranteed: u64,
-    /// The most that it may hold, borrowed bytes included.
+    /// The maximum that it may use, including borrowed bytes.
     pub limit: u64,
 }
 
-/// Why quotas cannot be kept.
+/// Why quotas are invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum QuotaError {
-    /// A quota contradicts itself.
+    /// A quota guarantees more bytes than its limit allows.
     #[error("{}: expected a guarantee of at most its limit of {} bytes, found {} bytes", .category.name(), .quota.limit, .quota.guaranteed)]
     GuaranteeExceedsLimit {
         /// The category of the quota.
         category: Category,
-        /// The quota as it was given.
+        /// The invalid quota.
         quota: Quota,
     },
-    /// The quotas together guarantee more than there is.
+    /// The sum of all guarantees exceeds the size of the budget.
     #[error("expected guarantees of at most {total} bytes together, found {guaranteed} bytes")]
     Oversubscribed {
-        /// The sum of all guarantees.
+        /// The sum of all guarantees in bytes.
         guaranteed: u64,
-        /// The size of the budget.
+        /// The size of the budget in bytes.
         total: u64,
     },
 }
 
-/// Which limit a request went beyond.
+/// The limit that a request would exceed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExceededLimit {
-    /// The category holds all that it may.
+    /// The limit of the category's own quota.
     Quota,
-    /// The category may hold more, but nothing is left to borrow.
+    /// The size of the common pool: the category's quota would allow the request, but too little is left to
+    /// borrow.
     Pool,
 }
 
@@ -53,33 +54,33 @@
     }
 }
 
-/// There is no room for the bytes. The text reaches clients of the router.
+/// A request for memory was rejected. The text of this error is sent to clients of the router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("no room for {}: {}", .category.name(), .limit.reason())]
 pub struct BudgetExceeded {
-    /// The category that asked.
+    /// The category of the request.
     pub category: Category,
-    /// The limit that stands in the way.
+    /// The limit that the request would exceed.
     pub limit: ExceededLimit,
 }
 
-/// How often a category was rejected since the start.
+/// The number of rejected requests of a category since the budget was created.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Rejections {
-    /// At its own quota.
+    /// Requests that would have exceeded the category's own quota.
     pub by_quota: u64,
-    /// For want of anything to borrow.
+    /// Requests for which too little was left in the pool.
     pub by_pool: u64,
 }
 
 impl Rejections {
-    /// All of them.
+    /// The number of rejected requests for either reason.
     pub fn total(self) -> u64 {
         self.by_quota + self.by_pool
     }
 }
 
-/// What one category holds.
+/// The memory use of one category, in bytes.
 #[derive(Clone, Copy, Debug, Default)]
 struct Usage {
     quota: Quota,
@@ -89,38 +90,38 @@
 }
 
 impl Usage {
-    /// How much of this many bytes is borrowed.
+    /// How many of `bytes` are beyond the guarantee and therefore borrowed from the pool.
     fn borrowed_of(&self, bytes: u64) -> u64 {
         bytes.saturating_sub(self.quota.guaranteed)
     }
 }
 
-/// What a change would come to, in bytes.
+/// The effect of a request if it is granted, in bytes.
 #[derive(Clone, Copy)]
 struct Change {
-    /// What the category would hold.
+    /// The resulting use of the category.
     used: u64,
-    /// What all categories together would have borrowed.
+    /// The resulting sum of what all categories borrow.
     borrowed: u64,
 }
 
-/// The budget of a process.
+/// The memory budget of a process.
 #[derive(Clone, Debug)]
 pub struct MemoryBudget {
-    /// By [`Category::index`].
+    /// Indexed by [`Category::index`].
     usage: [Usage; CATEGORIES],
-    /// Bytes that are guaranteed to no category.
+    /// The size of the pool: all bytes that are not guaranteed to a category.
     pool: u64,
-    /// Bytes of the pool that are borrowed; more than the pool where bytes were charged beyond it.
+    /// Bytes that are borrowed from the pool. [`MemoryBudget::charge`] can make this exceed `pool`.
     borrowed: u64,
     level: PressureLevel,
 }
 
 impl MemoryBudget {
-    /// A budget of `total` bytes. A category that is not named may hold nothing.
+    /// Creates a budget of `total` bytes. A category without a quota may use none of them.
     ///
     /// # Errors
-    /// Quotas contradict themselves or each other.
+    /// A guarantee exceeds its quota's limit, or all guarantees together exceed `total`.
     pub fn new(total: u64, quotas: &[(Category, Quota)]) -> Result<Self, QuotaError> {
         let mut usage = [Usage::default(); CATEGORIES];
         let mut guaranteed: u64 = 0;
@@ -135,10 +136,11 @@
         Ok(Self { usage, pool, borrowed: 0, level: PressureLevel::Normal })
     }
 
-    /// Changes what one owner holds for a category, from `from` bytes to `to`. Fewer bytes are always taken.
+    /// Changes the size of one reservation of a category from `from` bytes to `to` bytes. Shrinking it always
+    /// succeeds.
     ///
     /// # Errors
-    /// There is no room; nothing has changed then but the count of rejections.
+    /// The request would exceed a limit. Then only the count of rejections has changed.
     pub fn resize(&mut self, category: Category, from: u64, to: u64) -> Result<(), BudgetExceeded> {
         let change = self.change(category, from, to);
         if to > from
@@ -155,8 +157,9 @@
         Ok(())
     }
 
-    /// As [`Self::resize`], for what must go on whatever is held, as a final response: it is never rejected, and what it
-    /// takes beyond the pool makes others' requests be rejected.
+    /// Like [`Self::resize`], but never rejected. For memory that is needed regardless of the budget, such as
+    /// that of a final response. While more than the pool is borrowed, requests that would borrow more are
+    /// rejected.
     pub fn charge(&mut self, category: Category, from: u64, to: u64) {
         let change = self.change(category, from, to);
         self.apply(category, change);
@@ -164,18 +167,19 @@
 
     fn change(&self, category: Category, from: u64, to: u64) -> Change {
         let usage = &self.usage[category.index()];
-        // An owner gives back what it was given, so that this never goes below zero.
+        // A reservation releases no more than it was granted, so the subtraction does not saturate.
         let used = usage.used.saturating_sub(from).saturating_add(to);
         let borrowed_by_others = self.borrowed.saturating_sub(usage.borrowed_of(usage.used));
         Change { used, borrowed: borrowed_by_others.saturating_add(usage.borrowed_of(used)) }
     }
 
-    /// The limit that a change to more bytes goes beyond.
+    /// The limit, if any, that a change exceeds which increases the category's use.
     fn exceeded_limit(&self, category: Category, change: Change) -> Option<ExceededLimit> {
         if change.used > self.usage[category.index()].quota.limit {
             return Some(ExceededLimit::Quota);
         }
-        // What is guaranteed is there even when others have been charged past the pool.
+        // A request within the guarantee borrows nothing, so it is granted even if other categories were
+        // charged beyond the pool.
         let borrows_more = change.borrowed > self.borrowed;
         if change.borrowed > self.pool && borrows_more { Some(ExceededLimit::Pool) } else { None }
     }
@@ -188,37 +192,37 @@
         self.level = self.level.next(self.borrowed, self.pool);
     }
 
-    /// Bytes that are held.
+    /// The bytes that the category uses.
     pub fn used(&self, category: Category) -> u64 {
         self.usage[category.index()].used
     }
 
-    /// The most bytes that were ever held.
+    /// The maximum number of bytes that the category has used at one time since the budget was created.
     pub fn peak(&self, category: Category) -> u64 {
         self.usage[category.index()].peak
     }
 
-    /// How often the category was rejected since the start.
+    /// The number of rejected requests of the category since the budget was created.
     pub fn rejections(&self, category: Category) -> Rejections {
         self.usage[category.index()].rejections
     }
 
-    /// What the category may hold.
+    /// The quota of the category.
     pub fn quota(&self, category: Category) -> Quota {
         self.usage[category.index()].quota
     }
 
-    /// Bytes that all categories hold together.
+    /// The bytes that all categories use together.
     pub fn total_used(&self) -> u64 {
         self.usage.iter().map(|usage| usage.used).sum()
     }
 
-    /// How short memory is.
+    /// The current memory pressure.
     pub fn level(&self) -> PressureLevel {
         self.level
     }
 
-    /// Whether the level calls for the action by now. Whether it is carried out is the caller's part.
+    /// Whether the current pressure level asks for the action. Carrying it out is up to the caller.
     pub fn is_active(&self, action: ReclaimAction) -> bool {
         self.level >= action.activation_level()
     }
--- a/crates/memory-budget/src/category.rs
+++ b/crates/memory-budget/src/category.rs
@@ -1,25 +1,27 @@
-//! What memory is held for.
+//! The categories of memory use.
 
-/// What memory is held for: the leaves of a tree, in which the part of a name before the dot is the branch.
+/// A use of memory that is accounted on its own. In a category's name, the part before the dot is the group
+/// that it belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Category {
-    /// Messages of clients that have not arrived completely, and what is read ahead.
+    /// Client messages that have not arrived completely, and bytes that were read ahead of the current
+    /// message.
     IncomingMessages,
-    /// Statements of RPCs under way.
+    /// Statements of RPCs that are being processed.
     Statements,
-    /// Responses of nodes that have not gone on to their clients completely.
+    /// Responses from nodes that have not been forwarded to their clients completely.
     Responses,
-    /// What is being written to clients: responses that have been given and not been read.
+    /// Final responses that are being written to clients and that the clients have not read yet.
     ResponseWrites,
-    /// Pending RPCs: what the decisions and the command queues keep of each.
+    /// State of pending RPCs in the routing core and in the command queues.
     PendingRpcs,
-    /// Sessions of clients.
+    /// Client sessions.
     ClientConnections,
     /// Connections to nodes.
     NodeConnections,
     /// The endpoint list, the state of the nodes, session tokens and request ids.
     NodeState,
-    /// Members of the fleet, assigned tasks and gossip.
+    /// Fleet members, assigned tasks and gossip.
     Membership,
 }
 
@@ -37,12 +39,12 @@
         Self::Membership,
     ];
 
-    /// Its place in tables of all categories.
+    /// The position of this category in [`Category::ALL`] and in tables of all categories.
     pub(crate) fn index(self) -> usize {
         self as usize
     }
 
-    /// The stable name, for logs and error messages.
+    /// The name in logs and error messages. It does not change between releases.
     pub fn name(self) -> &'static str {
         match self {
             Self::IncomingMessages => "buffers.coming",
--- a/crates/memory-budget/src/lib.rs
+++ b/crates/memory-budget/src/lib.rs
@@ -1,8 +1,12 @@
-//! A memory budget by category. [`MemoryBudget`] decides what may be held for what: each category has guaranteed bytes,
-//! may borrow from a common pool up to its limit, and is rejected beyond. No I/O, no clock, no allocation after the start.
+//! A memory budget that is divided into categories. [`MemoryBudget`] decides whether a category may use more
+//! memory: each one has a number of guaranteed bytes and may borrow further bytes from a common pool, up to
+//! its limit. Requests beyond that are rejected. The budget does no I/O, reads no clock and allocates nothing
+//! after its creation.
 //!
-//! Why a pool with guarantees: fixed partitions refuse while memory lies idle, and a single sum lets one category crowd
-//! out the rest. Here a category always gets what is guaranteed to it, and the rest goes to whoever asks first.
+//! The pool exists because fixed partitions would reject requests while memory of other partitions is unused.
+//! The guarantees exist because with a single total one category could use up the memory of all others. So a
+//! category always gets its guaranteed bytes, and the remaining ones go to whichever category requests them
+//! first.
 
 #![warn(missing_docs)]
 
--- a/crates/memory-budget/src/pressure.rs
+++ b/crates/memory-budget/src/pressure.rs
@@ -1,20 +1,21 @@
-//! How short memory is, in levels, and what may be reclaimed at each. A level is left only well below where it was entered,
-//! so that what swings about a threshold does not switch with it.
+//! Levels of memory pressure, and the actions that may reclaim memory at each. Levels have hysteresis: the
+//! threshold for leaving a level is well below the one for entering it, so that usage close to a threshold
+//! does not switch the level back and forth.
 
-/// How short memory is, by the part of the common pool that is borrowed.
+/// The memory pressure, determined by the percentage of the common pool that is borrowed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum PressureLevel {
-    /// Nothing need be reclaimed.
+    /// No memory needs to be reclaimed.
     Normal,
-    /// What costs clients nothing may be reclaimed.
+    /// Memory may be reclaimed in ways that clients do not notice.
     Elevated,
     /// New load may be shed.
     High,
-    /// Slow readers may be disconnected.
+    /// Clients that read slowly may be disconnected.
     Critical,
 }
 
-/// Percentages of the pool between which a level is held.
+/// The thresholds of a level, as percentages of the pool that are borrowed.
 #[derive(Clone, Copy)]
 struct Thresholds {
     level: PressureLevel,
@@ -24,33 +25,35 @@
     leave_percent: u64,
 }
 
-/// The highest level first.
+/// The thresholds of all levels above [`PressureLevel::Normal`], the highest level first.
 const THRESHOLDS: [Thresholds; 3] = [
     Thresholds { level: PressureLevel::Critical, enter_percent: 95, leave_percent: 85 },
     Thresholds { level: PressureLevel::High, enter_percent: 80, leave_percent: 70 },
     Thresholds { level: PressureLevel::Elevated, enter_percent: 60, leave_percent: 50 },
 ];
 
-/// What may be done to reclaim memory, in order. Of these the router carries out `DisconnectSlowReaders` alone
-/// (client/response_writer.rs); what else sheds load is the quotas. docs/memory.md has the state.
+/// Actions that reclaim memory, in the order of their activation. The router carries out
+/// `DisconnectSlowReaders` only (client/response_writer.rs); apart from that, the quotas alone shed load.
+/// docs/memory.md has the status of each.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ReclaimAction {
-    /// To read clients no further than their present message.
+    /// Read no further than the end of a client's current message.
     StopReadAhead,
-    /// To close idle connections, the longest idle first.
+    /// Close idle connections, those idle for the longest time first.
     CloseIdleConnections,
-    /// To free buffers that have grown when they are empty.
+    /// Free grown buffers once they are empty.
     ShrinkBuffers,
-    /// To accept no new connections.
+    /// Accept no new connections.
     StopAccepting,
-    /// To reject new RPCs with Retry-After.
+    /// Reject new RPCs with Retry-After.
     RejectRpcs,
-    /// To disconnect the slowest readers: they are waited for with [`TimeoutScale::Reduced`](crate::TimeoutScale).
+    /// Disconnect the clients that read most slowly, by applying
+    /// [`TimeoutScale::Reduced`](crate::TimeoutScale::Reduced) to all of them.
     DisconnectSlowReaders,
 }
 
 impl ReclaimAction {
-    /// All actions, in the order in which they are called for.
+    /// All actions, in the order of their activation.
     pub const ALL: [Self; 6] = [
         Self::StopReadAhead,
         Self::CloseIdleConnections,
@@ -60,7 +63,7 @@
         Self::DisconnectSlowReaders,
     ];
 
-    /// The level from which the action is called for.
+    /// The lowest level at which the action is active.
     pub fn activation_level(self) -> PressureLevel {
         match self {
             Self::StopReadAhead | Self::CloseIdleConnections | Self::ShrinkBuffers => PressureLevel::Elevated,
@@ -71,20 +74,20 @@
 }
 
 impl PressureLevel {
-    /// The level that follows this one when this many bytes of the pool are borrowed.
+    /// The level that follows the current one if `borrowed_bytes` of the pool are borrowed.
     pub fn next(self, borrowed_bytes: u64, pool_bytes: u64) -> Self {
         let percent = percentage(borrowed_bytes, pool_bytes);
-        let holds = |thresholds: &Thresholds| {
-            let is_held = self >= thresholds.level;
-            let threshold = if is_held { thresholds.leave_percent } else { thresholds.enter_percent };
+        let is_reached = |thresholds: &Thresholds| {
+            let was_reached = self >= thresholds.level;
+            let threshold = if was_reached { thresholds.leave_percent } else { thresholds.enter_percent };
             percent >= threshold
         };
-        let highest = THRESHOLDS.iter().find(|thresholds| holds(thresholds));
+        let highest = THRESHOLDS.iter().find(|thresholds| is_reached(thresholds));
         highest.map_or(Self::Normal, |thresholds| thresholds.level)
     }
 }
 
-/// Without a pool nobody borrows, and each category stands for itself.
+/// Zero if there is no pool: then nothing can be borrowed and the quotas alone limit each category.
 fn percentage(bytes: u64, pool_bytes: u64) -> u64 {
     if pool_bytes == 0 {
         return 0;
--- a/crates/memory-budget/src/transfer.rs
+++ b/crates/memory-budget/src/transfer.rs
@@ -1,60 +1,64 @@
-//! Whether a peer that takes or sends bytes slowly is still waited for: by its progress, and not by a fixed time, so
-//! that an honest peer on a slow connection is served and one that trickles is not.
+//! Timeouts for peers that read or send slowly. They depend on the progress of the transfer instead of a
+//! fixed total time, so that a peer on a slow connection is served, while one that only trickles bytes to
+//! keep its connection open is disconnected.
 
 use std::time::Duration;
 
-/// What is asked of a peer.
+/// The progress that a peer must make.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct MinimumRate {
-    /// The longest time in which nothing moves; also what it has before its rate counts.
+    /// The maximum time without progress. It is also the grace period at the start of a transfer, before the
+    /// rate is enforced.
     pub stall_timeout: Duration,
-    /// The mean rate that it must keep up.
+    /// The minimum mean rate since the start of the transfer.
     pub bytes_per_second: u64,
 }
 
-/// How long a peer that stalls is waited for.
+/// How much of the stall timeout applies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TimeoutScale {
-    /// The stall timeout.
+    /// The whole stall timeout.
     Full,
-    /// A fraction of the stall timeout, as memory is short.
+    /// A fraction of the stall timeout, for use while memory is short.
     Reduced,
 }
 
-/// With [`TimeoutScale::Reduced`], the stall timeout is divided by this.
+/// [`TimeoutScale::Reduced`] divides the stall timeout by this.
 const REDUCED_TIMEOUT_DIVISOR: u32 = 4;
 
-/// One transfer, from its beginning on. Times are on any clock that only goes forward.
+/// The progress of one transfer. Times are measured from any fixed point on a monotonic clock.
 #[derive(Clone, Copy, Debug)]
 pub struct TransferProgress {
     rate: MinimumRate,
     started: Duration,
-    last_moved: Duration,
+    last_progress: Duration,
     bytes: u64,
 }
 
 impl TransferProgress {
-    /// A transfer that begins now.
+    /// A transfer that starts at `now`.
     pub fn new(rate: MinimumRate, now: Duration) -> Self {
-        Self { rate, started: now, last_moved: now, bytes: 0 }
+        Self { rate, started: now, last_progress: now, bytes: 0 }
     }
 
-    /// So many bytes more have been taken, or have arrived.
+    /// Records that the peer has read or sent `bytes` more bytes.
     pub fn record(&mut self, now: Duration, bytes: u64) {
         if bytes > 0 {
-            self.last_moved = now;
+            self.last_progress = now;
             self.bytes = self.bytes.saturating_add(bytes);
         }
     }
 
-    /// Until when the peer is waited for if nothing more moves. What has moved has earned it the time that it takes at
-    /// the minimum rate.
+    /// When the transfer times out if there is no further progress: when the stall timeout has passed since
+    /// the last progress, or when the mean rate after the grace period falls below the minimum, whichever is
+    /// earlier.
     pub fn deadline(&self, timeout_scale: TimeoutScale) -> Duration {
         let stall_timeout = match timeout_scale {
             TimeoutScale::Full => self.rate.stall_timeout,
             TimeoutScale::Reduced => self.rate.stall_timeout / REDUCED_TIMEOUT_DIVISOR,
         };
-        let earned = Duration::from_secs_f64(self.bytes as f64 / self.rate.bytes_per_second.max(1) as f64);
-        (self.started + stall_timeout + earned).min(self.last_moved + stall_timeout)
+        let time_at_minimum_rate =
+            Duration::from_secs_f64(self.bytes as f64 / self.rate.bytes_per_second.max(1) as f64);
+        (self.started + stall_timeout + time_at_minimum_rate).min(self.last_progress + stall_timeout)
     }
 }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,7 +1,8 @@
-//! The platform's settings as the flat map that the decisions read, and the fields of its load reports.
+//! Converts the platform's JSON settings to the flat map that the routing core reads, and the fields of the
+//! platform's load reports to [`LoadReport`](quillpoint::host::LoadReport).
 //!
-//! This is the one place where the platform's names become the terms of docs/glossary.md. Names change here, units
-//! become types, and nothing is judged or filled in.
+//! The names of these settings are mapped to quillpoint's own terms (docs/glossary.md) here and nowhere else,
+//! and numbers with a unit become typed values. Values are neither validated nor completed by defaults.
 
 #![warn(missing_docs)]
 
@@ -15,56 +16,59 @@
 
 pub use crate::load_report::set_report_field;
 
-/// Keys that end so hold milliseconds.
+/// The suffix of JSON keys whose values are in milliseconds.
 const MILLISECONDS_SUFFIX: &str = "Ms";
 
-/// A text that is not the platform's settings.
+/// Why a text cannot be parsed as the platform's settings.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
-    /// The text is not JSON; the error names its line and column.
-    #[error("the settings cannot be read: {0}")]
+    /// The text is not valid JSON. The inner error has the line and column.
+    #[error("the settings cannot be read: expected JSON, {0}")]
     InvalidJson(#[from] serde_json::Error),
 }
 
-/// The settings that stand in a text of their own.
+/// Parses a JSON text that consists of the settings alone.
 ///
 /// # Errors
-/// A text that is not JSON.
+/// The text is not valid JSON.
 pub fn parse_settings(text: &str) -> Result<ValueMap, SettingsError> {
     Ok(settings_from_json(&serde_json::from_str(text)?))
 }
 
-/// The settings that stand within a larger object.
+/// Converts settings that are already parsed, such as a part of a larger JSON object.
 ///
-/// A value's path joins terms and list indices by dots: `methods.0.deadline`. Keys without a term are skipped.
+/// Each value gets a path of terms and list indices, joined by dots: `methods.0.deadline`. JSON keys that
+/// have no corresponding term are skipped.
 pub fn settings_from_json(tree: &Json) -> ValueMap {
     let mut settings = ValueMap::default();
     insert_values(tree, &SettingPath::default(), &mut settings);
     settings
 }
 
-/// Milliseconds to a duration, to the microsecond in which the platform counts. What is below zero becomes zero.
+/// Converts milliseconds to a duration, rounded to microseconds, which is the platform's resolution. A
+/// negative number becomes zero.
 pub fn duration_from_ms(ms: f64) -> Duration {
     Duration::from_micros((ms * 1000.0).round().max(0.0) as u64)
 }
 
-/// The path of a setting, and what its keys say of the value.
+/// The path of a setting, and what its keys determine about the value.
 #[derive(Default)]
 struct SettingPath {
     /// Terms and list indices, joined by dots.
     path: String,
-    /// The last name in the path that is no index of a list.
+    /// The last term in the path. An index does not change it: the elements of a list have the term of the
+    /// list.
     term: &'static str,
     in_milliseconds: bool,
 }
 
 impl SettingPath {
-    fn of_key(&self, key: &str, term: &'static str) -> Self {
+    fn child(&self, key: &str, term: &'static str) -> Self {
         let in_milliseconds = key.ends_with(MILLISECONDS_SUFFIX);
         Self { path: self.path_to(term), term, in_milliseconds }
     }
 
-    fn of_index(&self, index: usize) -> Self {
+    fn element(&self, index: usize) -> Self {
         Self { path: self.path_to(&index.to_string()), ..*self }
     }
 
@@ -78,13 +82,13 @@
         Json::Object(members) => {
             for (key, member) in members {
                 if let Some((_, term)) = names::KEYS.iter().find(|(json, _)| json == key) {
-                    insert_values(member, &setting.of_key(key, term), settings);
+                    insert_values(member, &setting.child(key, term), settings);
                 }
             }
         }
         Json::Array(elements) => {
             for (index, element) in elements.iter().enumerate() {
-                insert_values(element, &setting.of_index(index), settings);
+                insert_values(element, &setting.element(index), settings);
             }
         }
         leaf => {
@@ -106,12 +110,12 @@
                 Value::Number(number)
             })
         }
-        Json::String(text) => Some(Value::Text(term_of_word(setting.term, text).to_string())),
+        Json::String(text) => Some(Value::Text(term_of_value(setting.term, text).to_string())),
         Json::Null | Json::Object(_) | Json::Array(_) => None,
     }
 }
 
-fn term_of_word<'a>(setting: &str, json: &'a str) -> &'a str {
-    let known = names::WORDS.iter().find(|word| word.setting == setting && word.json == json);
-    known.map_or(json, |word| word.term)
+fn term_of_value<'a>(setting: &str, json: &'a str) -> &'a str {
+    let known = names::VALUES.iter().find(|value| value.setting == setting && value.json == json);
+    known.map_or(json, |value| value.term)
 }
--- a/crates/settings/src/load_report.rs
+++ b/crates/settings/src/load_report.rs
@@ -1,4 +1,4 @@
-//! The fields of load reports, by the platform's names.
+//! Reads the fields of load reports by the platform's names.
 
 use std::time::Duration;
 
@@ -6,9 +6,10 @@
 
 use crate::duration_from_ms;
 
-/// Sets the field that has this name on the simulator's wire or in a node's answers; skips other names.
+/// Sets the field of a load report that the platform calls `name`. A field can have two names: one in the
+/// protocol of the simulator and one in the responses of nodes. Unknown names are ignored.
 ///
-/// A log position is given in seconds after `origin`.
+/// Log positions are in seconds since `origin`.
 pub fn set_report_field(report: &mut LoadReport, name: &str, value: f64, origin: Duration) {
     match name {
         "x0" => report.position = Some(origin + duration_from_ms(value * 1000.0)),
--- a/crates/settings/src/names.rs
+++ b/crates/settings/src/names.rs
@@ -1,7 +1,7 @@
-//! The platform's names and the terms they become.
+//! The platform's names and the terms that replace them.
 
-/// A JSON key, and the term that stands for it in a setting's path. A key that is not here is skipped.
-/// The key alone decides, wherever it stands in the tree.
+/// The JSON keys that are read, each with the term that replaces it in the path of a setting. Other keys are
+/// skipped. A key is replaced by the same term wherever it occurs in the tree.
 pub const KEYS: &[(&str, &str)] = &[
     ("AimStretch", "latency_objective_per_work"),
     ("Allowed", "allowed"),
@@ -72,26 +72,27 @@
     ("WriteMarks", "session_tokens"),
 ];
 
-/// A word that the JSON has as a value, and the term that stands for it.
-pub struct Word {
-    /// The last name in the path of the settings that can have this value.
+/// A string that the platform uses as a value, and the term that replaces it.
+pub struct NamedValue {
+    /// The last term in the path of the settings that can have this value.
     pub setting: &'static str,
+    /// The platform's name of the value.
     pub json: &'static str,
     pub term: &'static str,
 }
 
-/// A word that is not here is its own term.
-pub const WORDS: &[Word] = &[
-    Word { setting: "idempotency", json: "free", term: "idempotent" },
-    Word { setting: "idempotency", json: "guarded", term: "keyed" },
-    Word { setting: "idempotency", json: "single_shot", term: "non_idempotent" },
-    Word { setting: "idempotency_scope", json: "cell", term: "replica_set" },
-    Word { setting: "consistency", json: "update", term: "write" },
-    Word { setting: "consistency", json: "latest", term: "fresh" },
-    Word { setting: "consistency", json: "own_writes", term: "session" },
-    Word { setting: "consistency", json: "recent", term: "bounded" },
-    Word { setting: "consistency", json: "loose", term: "any" },
-    Word { setting: "session_tokens", json: "client", term: "carried" },
-    Word { setting: "session_tokens", json: "router", term: "remembered" },
-    Word { setting: "priority_weight_by", json: "request", term: "rpc" },
+/// The values that are replaced. Other strings are used unchanged.
+pub const VALUES: &[NamedValue] = &[
+    NamedValue { setting: "idempotency", json: "free", term: "idempotent" },
+    NamedValue { setting: "idempotency", json: "guarded", term: "keyed" },
+    NamedValue { setting: "idempotency", json: "single_shot", term: "non_idempotent" },
+    NamedValue { setting: "idempotency_scope", json: "cell", term: "replica_set" },
+    NamedValue { setting: "consistency", json: "update", term: "write" },
+    NamedValue { setting: "consistency", json: "latest", term: "fresh" },
+    NamedValue { setting: "consistency", json: "own_writes", term: "session" },
+    NamedValue { setting: "consistency", json: "recent", term: "bounded" },
+    NamedValue { setting: "consistency", json: "loose", term: "any" },
+    NamedValue { setting: "session_tokens", json: "client", term: "carried" },
+    NamedValue { setting: "session_tokens", json: "router", term: "remembered" },
+    NamedValue { setting: "priority_weight_by", json: "request", term: "rpc" },
 ];
--- a/crates/settings/tests/platform_names.rs
+++ b/crates/settings/tests/platform_names.rs
@@ -1,11 +1,12 @@
-//! The platform's settings, with every name that is read, become the terms that the decisions read.
+//! The platform's names in settings and load reports are mapped to the terms that the routing core reads.
 
 use std::time::Duration;
 
 use quillpoint::host::{LoadReport, Value, ValueMap};
 use quillpoint_settings::{duration_from_ms, parse_settings, set_report_field, settings_from_json};
 
-/// Every key that has a term, and some that have none: `Family`, `Layer`, `Notes`, `Stream`, `Tenants`.
+/// Settings with every key that has a term, and with some that have none and must be skipped: `Family`,
+/// `Layer`, `Notes`, `Stream`, `Tenants`.
 const PLATFORM: &str = r#"{
 "Allowed": {"Cancelling": true, "ConnIdleMs": 31000.0, "ConnectTimeoutMs": 251.5, "CpuUsPerRequest": 0.0,
     "CpuUsPerS": 400000, "MaxAttempts": 6, "MaxRetryAfterMs": 900.0, "MayDuplicate": false, "MostHeld": 15000,
@@ -31,6 +32,7 @@
 "Tariffs": {"Connection": 0.1, "CrossZone": 0.04, "Handshake": 0.2, "LateFail": 0.05, "Probe": 0.02, "Waste": 0.17},
 "Tenants": [{"QuotaRps": 5.0}], "Weights": "rough", "WorthBy": "request"}"#;
 
+/// The converted settings of [`PLATFORM`], as [`formatted`] prints them.
 const TERMS: &str = r#"allowed.attempts = 6
 allowed.cancel = true
 allowed.connect_timeout = 251.5ms
@@ -108,7 +110,7 @@
 zones.1 = "east"
 "#;
 
-fn shown(settings: &ValueMap) -> String {
+fn formatted(settings: &ValueMap) -> String {
     let line = |(name, value): (&String, &Value)| match value {
         Value::Bool(flag) => format!("{name} = {flag}\n"),
         Value::Number(number) => format!("{name} = {number}\n"),
@@ -119,28 +121,28 @@
 }
 
 #[test]
-fn every_name_of_the_platform_becomes_its_term() {
+fn every_platform_name_is_mapped_to_its_term() {
     let settings = parse_settings(PLATFORM).unwrap();
-    assert_eq!(shown(&settings), TERMS);
-    let within = serde_json::from_str(&format!(r#"{{"settings": {PLATFORM}}}"#)).unwrap();
-    let within: &serde_json::Value = &within;
-    assert_eq!(settings_from_json(&within["settings"]).0, settings.0);
+    assert_eq!(formatted(&settings), TERMS);
+    let larger_object = serde_json::from_str(&format!(r#"{{"settings": {PLATFORM}}}"#)).unwrap();
+    let larger_object: &serde_json::Value = &larger_object;
+    assert_eq!(settings_from_json(&larger_object["settings"]).0, settings.0);
     let remembered = PLATFORM.replace(r#""WriteMarks": "client""#, r#""WriteMarks": "router""#);
     assert_eq!(parse_settings(&remembered).unwrap().text("replication.session_tokens"), "remembered");
 }
 
 #[test]
-fn a_text_that_is_no_json_is_an_error_with_its_place() {
+fn invalid_json_is_reported_with_its_line() {
     let error = parse_settings("{\"Classes\":").unwrap_err().to_string();
     assert!(error.starts_with("the settings cannot be read: ") && error.contains("line 1"), "{error}");
 }
 
 #[test]
-fn reports_are_read_by_both_of_their_names_and_times_are_never_negative() {
+fn load_report_fields_are_read_by_either_name_and_negative_times_become_zero() {
     let origin = Duration::from_secs(4000);
-    let values = [("x0", 1.5), ("x1", 1.0), ("inflight", 3.0), ("queue", 4.0), ("cpu", 0.5)];
+    let fields = [("x0", 1.5), ("x1", 1.0), ("inflight", 3.0), ("queue", 4.0), ("cpu", 0.5)];
     let mut report = LoadReport::default();
-    values.iter().for_each(|(name, value)| set_report_field(&mut report, name, *value, origin));
+    fields.iter().for_each(|(name, value)| set_report_field(&mut report, name, *value, origin));
     let mut simulated = LoadReport::default();
     for (name, value) in [("x0", 1.5), ("x1", 0.3), ("active", 3.0), ("waiting", 4.0)] {
         set_report_field(&mut simulated, name, value, origin);
