--- a/crates/adapter/src/action.rs
+++ b/crates/adapter/src/action.rs
@@ -1,4 +1,4 @@
-//! What the decisions do, as lines of the reply.
+//! Writes the actions of a router as lines of the reply.
 
 use std::any::Any;
 use std::cell::RefCell;
@@ -8,10 +8,10 @@
 
 use quillpoint::host::{Host, NodeId, RpcId};
 
-/// The lines that all instances have added to the reply of the batch under way.
+/// The reply to the current batch, which all instances append their lines to.
 pub type Reply = Rc<RefCell<String>>;
 
-/// Writes one instance's actions.
+/// Writes the actions of one instance to the reply.
 pub struct ActionWriter {
     instance: u64,
     reply: Reply,
@@ -22,8 +22,8 @@
         Self { instance, reply: Rc::clone(reply) }
     }
 
-    /// Says that this instance has panicked.
-    pub fn report_failure(&self, panic: &(dyn Any + Send)) {
+    /// Reports that this instance has panicked.
+    pub fn report_panic(&self, panic: &(dyn Any + Send)) {
         let owned = panic.downcast_ref::<String>().map(String::as_str);
         let text = owned.or(panic.downcast_ref::<&str>().copied()).unwrap_or("panic without a text");
         self.write_line(format_args!("BAIL_OUT Who={} ReasonText={}", self.instance, on_one_line(text)));
@@ -31,7 +31,7 @@
 
     fn write_line(&self, line: fmt::Arguments) {
         let mut reply = self.reply.borrow_mut();
-        writeln!(reply, "{line}").expect("a string takes all that is written to it");
+        writeln!(reply, "{line}").expect("writing to a String cannot fail");
     }
 }
 
@@ -72,7 +72,8 @@
     }
 
     fn set_timer(&mut self, after: Duration) {
-        // Rounded up to the wire's microsecond: a timer that fired early would find nothing due.
+        // Rounded up to the protocol's resolution of a microsecond: a timer that fires too early would find
+        // nothing due.
         let after_ms = after.as_nanos().div_ceil(1000) as f64 / 1000.0;
         self.write_line(format_args!("NOTIFY_ME Who={} Handle=due FromNowMs={after_ms:.3}", self.instance));
     }
@@ -82,7 +83,7 @@
     }
 }
 
-/// Milliseconds, to the wire's microsecond.
+/// Milliseconds, rounded down to the protocol's resolution of a microsecond.
 fn as_ms(duration: Duration) -> f64 {
     duration.as_micros() as f64 / 1000.0
 }
--- a/crates/adapter/src/batch.rs
+++ b/crates/adapter/src/batch.rs
@@ -1,4 +1,4 @@
-//! The wire's framing: batches of events in, a reply for each.
+//! The framing of the protocol: the input consists of batches of messages, each of which gets one reply.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,36 +12,37 @@
 /// The last line of a reply.
 const END_OF_REPLY: &str = "EOR\n";
 
-/// An endpoint list whose entries are still to come.
+/// An endpoint list of which some entries have not been read yet.
 #[derive(Clone, Copy)]
 struct PartialList {
     number: u64,
-    entries_due: usize,
+    missing_entries: usize,
 }
 
 impl PartialList {
-    /// `None` for a list that has all its entries.
-    fn of(number: u64, entries_due: usize) -> Option<Self> {
-        (entries_due > 0).then_some(Self { number, entries_due })
+    /// `None` if the list is complete.
+    fn new(number: u64, missing_entries: usize) -> Option<Self> {
+        (missing_entries > 0).then_some(Self { number, missing_entries })
     }
 }
 
-/// All instances of one process, and how far the input has been read.
+/// All router instances of this process, and the position in the input.
 #[derive(Default)]
 pub struct BatchProcessor {
     instances: BTreeMap<u64, Instance>,
     lists: EndpointLists,
     partial_list: Option<PartialList>,
-    /// The clock of the batch that is being read.
+    /// The time of the batch that is being read; `None` between batches.
     now: Option<Duration>,
     reply: Reply,
 }
 
 impl BatchProcessor {
-    /// Takes one line without its line end, and returns the reply after the last line of a batch.
+    /// Processes one line, given without its line terminator. Returns the reply after the last line of a
+    /// batch.
     ///
     /// # Errors
-    /// What is wrong with the line. The input cannot be read on from there.
+    /// The line is invalid. The processor cannot continue with the input after that.
     pub fn process_line(&mut self, line: &str) -> Result<Option<String>, WireError> {
         if line.is_empty() {
             return Ok(None);
@@ -56,10 +57,10 @@
         Ok(None)
     }
 
-    /// Checks that the input may end here.
+    /// Checks that the input may end at the current position.
     ///
     /// # Errors
-    /// A batch that has begun and not ended.
+    /// A batch has not been completed.
     pub fn end_of_input(&self) -> Result<(), WireError> {
         if self.now.is_some() { Err(WireError::Truncated) } else { Ok(()) }
     }
@@ -81,7 +82,7 @@
         expect(message, "ENTRY")?;
         let endpoint = event::endpoint(message)?;
         self.lists.entry(list.number).or_default().push(endpoint);
-        self.partial_list = PartialList::of(list.number, list.entries_due - 1);
+        self.partial_list = PartialList::new(list.number, list.missing_entries - 1);
         Ok(())
     }
 
@@ -95,9 +96,9 @@
 
     fn begin_list(&mut self, message: &WireMessage) -> Result<(), WireError> {
         let number = message.required("Sheet")?;
-        let entries = message.required("MembersList")?;
+        let entry_count = message.required("MembersList")?;
         self.lists.insert(number, Vec::new());
-        self.partial_list = PartialList::of(number, entries);
+        self.partial_list = PartialList::new(number, entry_count);
         Ok(())
     }
 
@@ -115,7 +116,7 @@
         let instance = self.instances.get_mut(&id).ok_or(WireError::UnknownInstance(id))?;
         let Some(event) = instance.read_event(kind, message, &self.lists)? else { return Ok(()) };
         if let Err(panic) = instance.handle(now, event) {
-            self.report_failure(id, &panic);
+            self.report_panic(id, &panic);
         }
         Ok(())
     }
@@ -126,13 +127,13 @@
             Ok(instance) => {
                 self.instances.insert(id, instance);
             }
-            Err(panic) => self.report_failure(id, &panic),
+            Err(panic) => self.report_panic(id, &panic),
         }
         Ok(())
     }
 
-    fn report_failure(&self, id: u64, panic: &Panic) {
-        ActionWriter::new(id, &self.reply).report_failure(panic.as_ref());
+    fn report_panic(&self, id: u64, panic: &Panic) {
+        ActionWriter::new(id, &self.reply).report_panic(panic.as_ref());
     }
 }
 
--- a/crates/adapter/src/error.rs
+++ b/crates/adapter/src/error.rs
@@ -1,50 +1,50 @@
-//! What is wrong with the input.
+//! Errors in the input.
 
 use quillpoint_settings::SettingsError;
 
-/// A line of the input that breaks the wire's format, or names what has not been set up.
+/// A line of the input violates the protocol, or refers to an instance or list that does not exist.
 #[derive(Debug, thiserror::Error)]
 pub enum WireError {
-    /// The line's first word names no message.
-    #[error("'{0}' is not a message of the wire")]
+    /// The first word of the line is not the name of a message.
+    #[error("expected the name of a message, found '{0}'")]
     UnknownMessage(String),
-    /// A message of the wire in a place where another is due.
-    #[error("'{found}' stands where {expected} is due")]
+    /// A message at a position where the protocol requires another one.
+    #[error("expected {expected}, found '{found}'")]
     UnexpectedMessage {
-        /// The message that was found.
+        /// The name of the message that was found.
         found: String,
-        /// What the format wants in its place.
+        /// The message that the protocol requires.
         expected: &'static str,
     },
-    /// A message without a field that it must have.
+    /// A required field is missing.
     #[error("{message} lacks the field {field}")]
     MissingField {
-        /// The message.
+        /// The name of the message.
         message: String,
-        /// The field that is absent.
+        /// The name of the missing field.
         field: &'static str,
     },
-    /// A field whose value is not of its type.
-    #[error("the field {field}={value} cannot be read")]
+    /// The value of a field is not of the field's type.
+    #[error("the field {field} has the invalid value '{value}'")]
     InvalidField {
-        /// The field's name.
+        /// The name of the field.
         field: String,
-        /// Its value as it was found.
+        /// The invalid value.
         value: String,
     },
-    /// A part of a line that is no field.
-    #[error("'{0}' is not of the form name=value")]
+    /// A part of the line is not a field.
+    #[error("expected name=value, found '{0}'")]
     InvalidFieldSyntax(String),
-    /// The settings of an instance that starts.
+    /// The settings of an instance to be started are invalid.
     #[error(transparent)]
     Settings(#[from] SettingsError),
     /// An event for an instance that is not running.
     #[error("instance {0} has not been started")]
     UnknownInstance(u64),
-    /// An event that names an endpoint list which no earlier line has defined.
-    #[error("list {0} has not been set up")]
+    /// An event refers to an endpoint list that no earlier line has defined.
+    #[error("endpoint list {0} has not been defined")]
     UnknownList(u64),
-    /// The input ended after a batch's first line and before its last.
-    #[error("the input ends inside a batch")]
+    /// The input ended within a batch.
+    #[error("expected FLUSH, found the end of the input inside a batch")]
     Truncated,
 }
--- a/crates/adapter/src/event.rs
+++ b/crates/adapter/src/event.rs
@@ -1,4 +1,5 @@
-//! Messages to the events of the decisions. The wire's words for outcomes, statuses and updates end here.
+//! Converts messages to events for a router. The protocol's names of outcomes, statuses and kinds of updates
+//! are converted to quillpoint's types here.
 
 use std::time::Duration;
 
@@ -11,7 +12,7 @@
 use crate::WireError;
 use crate::message::WireMessage;
 
-/// The messages of a batch that are meant for one instance.
+/// The kinds of messages that are addressed to one instance.
 #[derive(Clone, Copy)]
 pub enum EventKind {
     InstanceStarted,
@@ -22,13 +23,14 @@
     HealthCheckEnded,
     ClientDisconnected,
     TimerFired,
-    /// Streams, which no class allows here, and messages between instances, which none sends.
+    /// Messages about streams, which no class of RPCs here permits, and messages from other instances, which
+    /// no instance sends.
     Ignored,
 }
 
 impl EventKind {
     /// # Errors
-    /// A name that is no message of the wire.
+    /// The protocol has no message of this name.
     pub fn of(message_name: &str) -> Result<Self, WireError> {
         Ok(match message_name {
             "POWER_ON" => Self::InstanceStarted,
@@ -45,7 +47,7 @@
     }
 }
 
-/// What happened to a running instance, in the decisions' own types.
+/// An event for a running instance, in the types of the routing core.
 pub enum Event<'a> {
     EndpointsChanged { update: EndpointUpdate, endpoints: &'a [Endpoint] },
     EndpointPollFailed,
@@ -57,7 +59,7 @@
 }
 
 impl Event<'_> {
-    /// Calls the decision that the event is for.
+    /// Calls the router's method for this event.
     pub fn deliver<H: Host>(self, router: &mut Router<H>, now: Duration) {
         match self {
             Self::EndpointsChanged { update, endpoints } => {
@@ -75,7 +77,7 @@
     }
 }
 
-/// `None` for an update that failed.
+/// The kind of an endpoint list update, or `None` if polling for it failed.
 pub fn endpoint_update(message: &WireMessage) -> Result<Option<EndpointUpdate>, WireError> {
     match message.required_text("Form")? {
         "delta" => Ok(Some(EndpointUpdate::Delta)),
@@ -99,7 +101,7 @@
     })
 }
 
-/// Log positions count from `origin`.
+/// Parses the end of an attempt. Log positions in the message are relative to `origin`.
 pub fn attempt_end(
     message: &WireMessage,
     origin: Duration,
@@ -119,7 +121,8 @@
     })
 }
 
-/// What an answer says of its node: a role in the two lowest bits, a log position in milliseconds above them.
+/// What a response reports about its node: the role in the two lowest bits, and the log position in
+/// milliseconds in the bits above them.
 struct Stamp(u64);
 
 impl Stamp {
--- a/crates/adapter/src/instance.rs
+++ b/crates/adapter/src/instance.rs
@@ -1,4 +1,4 @@
-//! One instance: its decisions, and what is needed to read the events that are meant for it.
+//! One router instance, and the parts of its settings that are needed to parse its events.
 
 use std::any::Any;
 use std::collections::BTreeMap;
@@ -14,21 +14,21 @@
 use crate::event::{self, Event, EventKind};
 use crate::message::WireMessage;
 
-/// The endpoint lists that events name by number.
+/// Endpoint lists by the number by which events refer to them.
 pub type EndpointLists = BTreeMap<u64, Vec<Endpoint>>;
 
-/// What the decisions panicked with.
+/// The payload of a panic in the routing core.
 pub type Panic = Box<dyn Any + Send>;
 
 pub struct Instance {
     router: Router<ActionWriter>,
-    /// The time from which log positions count.
+    /// The time that log positions are relative to.
     origin: Duration,
-    /// The names of a load report's values, in their order on the wire.
+    /// The names of the values in a load report, in the order of the values.
     report_fields: Vec<String>,
 }
 
-/// What an instance starts with.
+/// The parameters for starting an instance.
 pub struct StartParams {
     seed: u64,
     settings: ValueMap,
@@ -36,7 +36,7 @@
 
 impl StartParams {
     /// # Errors
-    /// A field that is missing, or settings that cannot be read.
+    /// A field is missing, or the settings cannot be parsed.
     pub fn read(message: &WireMessage) -> Result<Self, WireError> {
         let seed = message.required("Nonce64")?;
         let settings = parse_settings(message.required_text("BootInfo")?)?;
@@ -46,7 +46,7 @@
 
 impl Instance {
     /// # Errors
-    /// The panic of decisions that cannot start.
+    /// The panic of a router that could not be created from the parameters.
     pub fn start(now: Duration, params: StartParams, actions: ActionWriter) -> Result<Self, Panic> {
         let StartParams { seed, settings } = params;
         let origin = settings.duration("replication.origin").unwrap_or_default();
@@ -55,10 +55,10 @@
         Ok(Self { router, origin, report_fields })
     }
 
-    /// The event that a message stands for; `None` if nothing follows from it.
+    /// Converts a message to an event; `None` for a message that the router does not handle.
     ///
     /// # Errors
-    /// A field that is missing or not of its type, or a list that has not been set up.
+    /// A field is missing or invalid, or refers to an endpoint list that has not been defined.
     pub fn read_event<'a>(
         &self,
         kind: EventKind,
@@ -84,7 +84,7 @@
     }
 
     /// # Errors
-    /// The decisions' panic. The instance stays as the panic has left it.
+    /// The panic of the router. The state of the instance remains as it was at the panic.
     pub fn handle(&mut self, now: Duration, event: Event) -> Result<(), Panic> {
         catch_unwind(AssertUnwindSafe(|| event.deliver(&mut self.router, now)))
     }
@@ -104,7 +104,7 @@
 }
 
 fn report_fields(settings: &ValueMap) -> Vec<String> {
-    let field = |place: usize| settings.text(&format!("reports.fields.{place}")).to_string();
+    let field = |index: usize| settings.text(&format!("reports.fields.{index}")).to_string();
     (0..).map(field).take_while(|name| !name.is_empty()).collect()
 }
 
--- a/crates/adapter/src/lib.rs
+++ b/crates/adapter/src/lib.rs
@@ -1,7 +1,8 @@
-//! The decisions on the simulator's wire: its lines to events, and actions to lines.
+//! Connects the routing core ([`quillpoint::Router`]) to a simulator's line protocol: lines of input become
+//! events of a router, and its actions become lines of output.
 //!
-//! `message` reads one line, `event` turns a message into an event of the decisions, `action` writes what they do,
-//! `instance` is one router, and `batch` frames all of it. The wire's own names stay within these files.
+//! `message` parses one line, `event` converts a message to an event, `action` writes the actions, `instance`
+//! is one router, and `batch` does the framing. The names of the protocol are used only in this crate.
 
 #![warn(missing_docs)]
 
--- a/crates/adapter/src/main.rs
+++ b/crates/adapter/src/main.rs
@@ -1,11 +1,12 @@
-//! Reads batches of events on standard input, lets a router decide for each instance, and replies.
+//! Reads batches of events from standard input, passes each to the router instance it is for, and writes the
+//! replies to standard output.
 
 use std::io::{self, BufRead, Write};
 use std::process::ExitCode;
 
 use quillpoint_adapter::{BatchProcessor, WireError};
 
-/// Why the program ends before its input does.
+/// Why the program stops early.
 #[derive(Debug, thiserror::Error)]
 enum ServeError {
     #[error("{0}")]
@@ -17,7 +18,8 @@
 }
 
 fn main() -> ExitCode {
-    // A panic is told on the wire, as its instance's last word; the default message would only repeat it.
+    // A panic is reported in the reply, as the last line of its instance; the default message would only
+    // repeat it.
     std::panic::set_hook(Box::new(|_| {}));
     match serve(&mut io::stdin().lock(), &mut io::stdout().lock()) {
         Ok(()) => ExitCode::SUCCESS,
--- a/crates/adapter/src/message.rs
+++ b/crates/adapter/src/message.rs
@@ -1,4 +1,5 @@
-//! One line of the input: the message's name, and its fields by name. It knows the types of values, and no message.
+//! Parses one line of the input into a message name and named fields, and converts values to types. Which
+//! messages and fields exist is defined elsewhere.
 
 use std::net::SocketAddr;
 use std::str::FromStr;
@@ -12,7 +13,7 @@
 /// The one field whose value may contain spaces: it runs to the end of the line.
 const SETTINGS_FIELD: &str = "BootInfo";
 
-/// A message and its fields, in the order of the line.
+/// The name of a message and its fields, in the order of the line.
 pub struct WireMessage<'a> {
     pub name: &'a str,
     fields: Vec<(&'a str, &'a str)>,
@@ -20,7 +21,7 @@
 
 impl<'a> WireMessage<'a> {
     /// # Errors
-    /// A part of the line that is not of the form `name=value`.
+    /// A part of the line after the name does not have the form `name=value`.
     pub fn parse(line: &'a str) -> Result<Self, WireError> {
         let (name, mut rest) = line.split_once(' ').unwrap_or((line, ""));
         let mut fields = Vec::with_capacity(12);
@@ -48,7 +49,7 @@
         self.text(field).ok_or_else(|| self.missing_field(field))
     }
 
-    /// A value in the form that Rust's own parser for the type reads.
+    /// The field's value parsed with [`FromStr`], or `None` if the field is absent.
     pub fn parsed<T: FromStr>(&self, field: &str) -> Result<Option<T>, WireError> {
         self.parsed_with(field, |text| text.parse().ok())
     }
@@ -57,7 +58,8 @@
         self.parsed(field)?.ok_or_else(|| self.missing_field(field))
     }
 
-    /// The field's value, if the field is there; `parse` answers `None` for what is not of the type.
+    /// The field's value parsed with `parse`, or `None` if the field is absent. `parse` returns `None` for an
+    /// invalid value.
     pub fn parsed_with<T>(
         &self,
         field: &str,
@@ -88,7 +90,7 @@
         self.duration(field)?.ok_or_else(|| self.missing_field(field))
     }
 
-    /// A bool that is false where the field is absent.
+    /// A boolean field, which is false if it is absent.
     pub fn flag(&self, field: &str) -> Result<bool, WireError> {
         let parse = |text| match text {
             "1" => Some(true),
