--- a/crates/conf/src/conf.rs
+++ b/crates/conf/src/conf.rs
@@ -1,4 +1,4 @@
-//! A configuration that is in order, and what can be asked of it.
+//! A valid configuration and the access to its values.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -11,13 +11,14 @@
 /// One section of a configuration.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct SectionId {
-    /// Empty for what stands outside of sections.
+    /// Empty for directives outside of sections.
     pub name: &'static str,
-    /// Empty where the section has none.
+    /// Empty if the section has no title.
     pub title: String,
 }
 
 impl SectionId {
+    /// The id under which directives outside of sections are stored.
     pub fn outside() -> Self {
         Self { name: "", title: String::new() }
     }
@@ -27,7 +28,7 @@
     }
 }
 
-/// One directive of one section of a configuration.
+/// A directive in a section of a configuration.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct DirectiveKey {
     pub section: SectionId,
@@ -35,10 +36,10 @@
 }
 
 impl DirectiveKey {
-    /// The words that are not empty: `section title directive`.
-    fn words(&self) -> String {
-        let words = [self.section.name, &self.section.title, self.directive];
-        words.into_iter().flat_map(str::split_whitespace).collect::<Vec<_>>().join(" ")
+    /// The names as `section title directive`, without those that are empty.
+    fn path(&self) -> String {
+        let names = [self.section.name, &self.section.title, self.directive];
+        names.into_iter().flat_map(str::split_whitespace).collect::<Vec<_>>().join(" ")
     }
 
     fn takes_effect_on_restart(&self) -> bool {
@@ -47,35 +48,35 @@
     }
 }
 
-/// A configuration that is in order, defaults filled in.
+/// A valid configuration, including defaults.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Conf {
     values: BTreeMap<DirectiveKey, Value>,
-    /// In the order in which they stand.
+    /// The sections in the order of the file.
     sections: Vec<SectionId>,
 }
 
-/// A value is found by its section's name and title, both empty outside of sections, and its directive's name. It is
-/// `None` where the directive is not written and has no default.
+/// Values are looked up by the name and title of the section, which are both empty outside of sections, and
+/// by the name of the directive. The result is `None` if the directive is not configured and has no default.
 ///
 /// # Panics
-/// The methods panic for a directive that the table does not have.
+/// The methods panic if the table does not have the directive.
 impl Conf {
     pub(crate) fn new(values: BTreeMap<DirectiveKey, Value>, sections: Vec<SectionId>) -> Self {
         Self { values, sections }
     }
 
-    /// Whether a section of this name stands.
+    /// Whether the configuration has a section of this name.
     pub fn has_section(&self, name: &str) -> bool {
         self.sections.iter().any(|section| section.name == name)
     }
 
-    /// Titles of the sections of this name, in the order in which they stand.
+    /// The titles of the sections of this name, in the order of the file.
     pub fn titles<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a str> {
         self.sections.iter().filter(move |section| section.name == name).map(|section| section.title.as_str())
     }
 
-    /// A directive that takes a time.
+    /// The value of a directive that takes a duration.
     pub fn duration(&self, section: &str, title: &str, name: &str) -> Option<Duration> {
         match self.find(section, title, name)? {
             Value::Duration(duration) => Some(*duration),
@@ -83,7 +84,7 @@
         }
     }
 
-    /// A directive that takes a number, or a size in bytes.
+    /// The value of a directive that takes a number or a size; a size is in bytes.
     pub fn count(&self, section: &str, title: &str, name: &str) -> Option<u64> {
         match self.find(section, title, name)? {
             Value::Count(number) | Value::Size(number) => Some(*number),
@@ -91,7 +92,7 @@
         }
     }
 
-    /// A directive that takes an address and a port.
+    /// The value of a directive that takes an address and a port.
     pub fn address(&self, section: &str, title: &str, name: &str) -> Option<SocketAddr> {
         match self.find(section, title, name)? {
             Value::Address(address) => Some(*address),
@@ -99,7 +100,8 @@
         }
     }
 
-    /// A directive that takes a path, which is relative to the working directory or absolute.
+    /// The value of a directive that takes a path. The path is absolute, or relative to the working
+    /// directory.
     pub fn path(&self, section: &str, title: &str, name: &str) -> Option<&Path> {
         match self.find(section, title, name)? {
             Value::Path(path) => Some(path),
@@ -107,7 +109,7 @@
         }
     }
 
-    /// A directive that takes one of a few words, or a name.
+    /// The value of a directive that takes a name or one of a set of words.
     pub fn text(&self, section: &str, title: &str, name: &str) -> Option<&str> {
         match self.find(section, title, name)? {
             Value::Text(text) => Some(text),
@@ -117,19 +119,21 @@
 
     fn find(&self, section: &str, title: &str, name: &str) -> Option<&Value> {
         let directive = directives::directive(section, name);
-        // A name that is not in the table is a fault of the program, which its tests find.
-        let directive = directive.unwrap_or_else(|| panic!("no directive {section} {name}"));
+        // A name that is not in the table is a bug of the program, which its tests find.
+        let directive = directive
+            .unwrap_or_else(|| panic!("expected a directive of the table, found {section:?} {name:?}"));
         let section = SectionId { name: directive.section, title: title.to_string() };
         self.values.get(&section.key(directive))
     }
 
-    /// What differs in the other and takes effect only on a restart, as `section title directive`.
+    /// The differences from `other` that take effect only after a restart: directives as `section title
+    /// directive`, and untitled sections that were added or removed, by their name.
     pub fn restart_required(&self, other: &Self) -> Vec<String> {
         let keys = self.values.keys().chain(other.values.keys());
         let mut changes: Vec<String> = keys
             .filter(|key| key.takes_effect_on_restart())
             .filter(|key| self.values.get(*key) != other.values.get(*key))
-            .map(DirectiveKey::words)
+            .map(DirectiveKey::path)
             .collect();
         let untitled = SECTIONS.iter().filter(|section| section.title == TitleRule::Untitled);
         let added_or_removed =
@@ -140,12 +144,12 @@
         changes
     }
 
-    /// The text of a file that says the same, defaults included.
+    /// The configuration as the text of a file that has the same values, with defaults written out.
     pub fn to_text(&self) -> String {
         let mut text = self.lines(&SectionId::outside(), "");
         for section in &self.sections {
-            let head = [section.name, &section.title].join(" ");
-            text.push_str(&format!("{} {{\n{}}}\n", head.trim_end(), self.lines(section, "    ")));
+            let header = [section.name, &section.title].join(" ");
+            text.push_str(&format!("{} {{\n{}}}\n", header.trim_end(), self.lines(section, "    ")));
         }
         text
     }
@@ -160,7 +164,7 @@
 }
 
 fn quoted_if_needed(text: &str) -> String {
-    let is_plain = |letter: char| !letter.is_whitespace() && !"\"\\{}#".contains(letter);
+    let is_plain = |character: char| !character.is_whitespace() && !"\"\\{}#".contains(character);
     if !text.is_empty() && text.chars().all(is_plain) {
         return text.to_string();
     }
--- a/crates/conf/src/directives.rs
+++ b/crates/conf/src/directives.rs
@@ -1,4 +1,4 @@
-//! What is known of a directive: its section, kind, bounds, default, and when a change takes effect.
+//! The properties of directives and sections: kind of value, bounds, default, and when a change takes effect.
 
 use crate::value::Kind;
 
@@ -7,79 +7,80 @@
 /// When a change of a directive takes effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TakesEffect {
-    /// On SIGHUP.
+    /// On a reload, which SIGHUP triggers.
     OnReload,
-    /// At the next start of the process.
+    /// Only after a restart of the process.
     OnRestart,
 }
 
-/// What holds where a directive is not written.
+/// What applies if a directive is not configured.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DefaultValue {
-    /// The value that this word stands for.
+    /// A default value, in the form in which it would be written in the file.
     Text(&'static str),
-    /// Nothing: the directive must be written in each of its sections.
+    /// There is no default: the directive must be configured in each of its sections.
     Required,
-    /// Nothing, and the directive has no value.
+    /// There is no default, and the directive can be without a value.
     Optional,
 }
 
-/// One directive.
+/// The definition of a directive.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Directive {
-    /// Empty for what stands outside of sections.
+    /// The name of its section, or empty for a directive outside of sections.
     pub section: &'static str,
-    /// The word that begins its line.
+    /// The first word of its line.
     pub name: &'static str,
-    /// What its value has to be.
+    /// The kind of value that it takes.
     pub kind: Kind,
-    /// What holds where it is not written.
+    /// What applies if it is not configured.
     pub default: DefaultValue,
-    /// When a change of it takes effect.
+    /// When a change of its value takes effect.
     pub takes_effect: TakesEffect,
-    /// What it sets, for the operators' page.
+    /// The description on the operators' page.
     pub description: &'static str,
 }
 
-/// What a section's title may be.
+/// The titles that a section may have.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TitleRule {
-    /// It has none, and may stand once.
+    /// The section has no title and may occur once.
     Untitled,
-    /// One of these, each once; those that are not written have the defaults of their directives.
+    /// One of these titles, each at most once. For a title that does not occur, the defaults of the
+    /// directives apply.
     OneOf(&'static [&'static str]),
-    /// Any name, each once.
+    /// Any name, each at most once.
     AnyName,
 }
 
-/// One section.
+/// The definition of a section.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Section {
-    /// The word that begins it.
+    /// The first word of its opening line.
     pub name: &'static str,
-    /// What may follow the name.
+    /// The titles that may follow the name.
     pub title: TitleRule,
-    /// How many of this name a configuration may have.
+    /// The maximum number of sections of this name in a configuration.
     pub max_count: usize,
-    /// Sections without which it may not stand.
+    /// The names of sections that the configuration must have as well.
     pub requires: &'static [&'static str],
-    /// Sections beside which it may not stand.
+    /// The names of sections that the configuration must not have as well.
     pub conflicts: &'static [&'static str],
-    /// What it is for, for the operators' page.
+    /// The description on the operators' page.
     pub description: &'static str,
 }
 
-/// The section of this name, if there is one.
+/// Looks up the definition of a section by its name.
 pub fn section(name: &str) -> Option<&'static Section> {
     SECTIONS.iter().find(|section| section.name == name)
 }
 
-/// The directive of this name in this section, if there is one.
+/// Looks up the definition of a directive by the names of its section and of itself.
 pub fn directive(section: &str, name: &str) -> Option<&'static Directive> {
     DIRECTIVES.iter().find(|directive| directive.section == section && directive.name == name)
 }
 
-/// All directives of a section, in the order of the table.
+/// The definitions of all directives of a section, in the order of the table.
 pub fn directives_of(section: &str) -> impl Iterator<Item = &'static Directive> {
     DIRECTIVES.iter().filter(move |directive| directive.section == section)
 }
--- a/crates/conf/src/draft.rs
+++ b/crates/conf/src/draft.rs
@@ -1,4 +1,4 @@
-//! What the files have said so far, checked against the table of directives.
+//! Collects sections and values while the files are read, and checks them against the table of directives.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::Path;
@@ -10,7 +10,7 @@
 use crate::reader::SourceLine;
 use crate::value::{Value, is_name};
 
-/// More errors tell nothing new.
+/// The maximum number of errors that are reported; further ones are unlikely to help.
 const MAX_ERRORS: usize = 50;
 
 /// The directive or section that an error is about.
@@ -36,13 +36,14 @@
     location: Location,
 }
 
-/// Sections and directives in the order of the lines, and what was wrong with them.
+/// The sections and values that have been read, and the errors found in them.
 #[derive(Default)]
 pub(crate) struct Draft {
     errors: Vec<ConfError>,
     values: BTreeMap<DirectiveKey, WrittenValue>,
-    /// Written, but at fault: that they are missing would be one error too many.
+    /// Directives whose values were reported as invalid. They must not be reported as missing as well.
     invalid: BTreeSet<DirectiveKey>,
+    /// In the order of the lines.
     sections: Vec<WrittenSection>,
 }
 
@@ -55,7 +56,7 @@
         }
     }
 
-    /// Adds a section; `None` if it is at fault.
+    /// Adds a section. `None` if it is invalid, which is reported.
     pub fn add_section(&mut self, name: &Word, titles: &[Word], location: &Location) -> Option<SectionId> {
         let Some(section) = directives::section(&name.text) else {
             let known: Vec<&str> = SECTIONS.iter().map(|section| section.name).collect();
@@ -71,31 +72,31 @@
             return None;
         };
         let id = SectionId { name: section.name, title };
-        if let Some(before) = self.sections.iter().find(|written| written.id == id) {
-            let expected = format!("it once, and it stands at {}", before.location);
+        if let Some(first) = self.sections.iter().find(|written| written.id == id) {
+            let expected = format!("it only once (first at {})", first.location);
             self.report(subject, expected, id.title);
             return None;
         }
         if self.sections.iter().filter(|written| written.id.name == id.name).count() >= section.max_count {
-            self.report(subject, format!("no more than {}", section.max_count), id.title);
+            self.report(subject, format!("at most {} sections of this name", section.max_count), id.title);
             return None;
         }
         self.sections.push(WrittenSection { id: id.clone(), location: location.clone() });
         Some(id)
     }
 
-    /// Sets a directive in a section that stands, or outside of sections.
+    /// Sets the value of a directive in a valid section or outside of sections. An error is reported.
     pub fn set(&mut self, section: &SectionId, name: &Word, arguments: &[Word], line: &SourceLine) {
         let location = line.at(name.column);
         let Some(directive) = directives::directive(section.name, &name.text) else {
             let subject = Subject::new(&location, &name.text);
-            return self.report(subject, known_directives(section), "another");
+            return self.report(subject, known_directives(section), "an unknown one");
         };
         let key = section.key(directive);
         self.invalid.insert(key.clone());
         let subject = Subject::new(&location, directive.name);
         let [argument] = arguments else {
-            let found = format!("{} words", arguments.len());
+            let found = format!("{} values", arguments.len());
             return self.report(subject, directive.kind.expected(), found);
         };
         let Some(mut value) = directive.kind.parse(&argument.text) else {
@@ -105,25 +106,25 @@
         if let Value::Path(path) = &value {
             value = Value::Path(line.resolve(path));
         }
-        if let Some(before) = self.values.get(&key) {
-            let expected = format!("it once, and it stands at {}", before.location);
+        if let Some(first) = self.values.get(&key) {
+            let expected = format!("it only once (first at {})", first.location);
             return self.report(subject, expected, &argument.text);
         }
         self.invalid.remove(&key);
         self.values.insert(key, WrittenValue { value, location });
     }
 
-    /// Fills in defaults, and asks for what must be written.
+    /// Applies defaults, checks that all required directives are configured, and returns the configuration.
     ///
     /// # Errors
-    /// All that was reported.
+    /// All errors that were reported.
     pub fn finish(mut self, path: &Path) -> Result<Conf, Vec<ConfError>> {
         self.add_implied_sections(path);
         self.check_combinations();
         let outside = WrittenSection { id: SectionId::outside(), location: Location::of_file(path) };
         for section in [outside].into_iter().chain(self.sections.clone()) {
             for directive in directives::directives_of(section.id.name) {
-                self.fill_in(directive, &section);
+                self.apply_default(directive, &section);
             }
         }
         if !self.errors.is_empty() {
@@ -134,7 +135,8 @@
         Ok(Conf::new(values, sections))
     }
 
-    /// Sections of a fixed set of titles stand with their defaults where they are not written.
+    /// Adds the sections with titles of a fixed set that are not written, so that their directives get
+    /// defaults.
     fn add_implied_sections(&mut self, path: &Path) {
         for section in SECTIONS {
             let TitleRule::OneOf(titles) = section.title else { continue };
@@ -147,13 +149,13 @@
         }
     }
 
-    /// Reports sections that stand without one they require, or beside one they conflict with.
+    /// Reports sections that lack a section they require, or that conflict with another section.
     fn check_combinations(&mut self) {
         for written in self.sections.clone() {
             let Some(section) = directives::section(written.id.name) else { continue };
-            let stands = |name: &str| self.sections.iter().any(|other| other.id.name == name);
-            let missing = section.requires.iter().find(|other| !stands(other));
-            let conflicting = section.conflicts.iter().find(|other| stands(other));
+            let is_present = |name: &str| self.sections.iter().any(|other| other.id.name == name);
+            let missing = section.requires.iter().find(|other| !is_present(other));
+            let conflicting = section.conflicts.iter().find(|other| is_present(other));
             if let Some(other) = missing {
                 let subject = Subject::new(&written.location, section.name);
                 self.report(subject, format!("a section {other} beside it"), "none");
@@ -165,7 +167,7 @@
         }
     }
 
-    fn fill_in(&mut self, directive: &Directive, section: &WrittenSection) {
+    fn apply_default(&mut self, directive: &Directive, section: &WrittenSection) {
         let key = section.id.key(directive);
         if self.values.contains_key(&key) || self.invalid.contains(&key) {
             return;
@@ -176,9 +178,9 @@
                 let subject = Subject::new(&section.location, directive.name);
                 self.report(subject, directive.kind.expected(), "nothing");
             }
-            DefaultValue::Text(word) => {
-                // The table's own tests see to it that each default is of its kind.
-                if let Some(value) = directive.kind.parse(word) {
+            DefaultValue::Text(text) => {
+                // A test checks that each default in the table parses.
+                if let Some(value) = directive.kind.parse(text) {
                     self.values.insert(key, WrittenValue { value, location: section.location.clone() });
                 }
             }
@@ -186,7 +188,7 @@
     }
 }
 
-/// The title that stands, if it is one that the section may have.
+/// The title of a section, or `None` if it may not have this title.
 fn title_of(section: &Section, titles: &[Word]) -> Option<String> {
     match (section.title, titles) {
         (TitleRule::Untitled, []) => Some(String::new()),
@@ -202,12 +204,12 @@
     match section.title {
         TitleRule::Untitled => "no title".to_string(),
         TitleRule::OneOf(titles) => format!("one of: {}", titles.join(", ")),
-        TitleRule::AnyName => "one name of 1 to 64 letters".to_string(),
+        TitleRule::AnyName => "one name of 1 to 64 characters".to_string(),
     }
 }
 
 fn known_directives(section: &SectionId) -> String {
     let known: Vec<&str> = directives::directives_of(section.name).map(|directive| directive.name).collect();
-    let place = if section.name.is_empty() { "outside of sections" } else { section.name };
-    format!("a directive known {place}: {}", known.join(", "))
+    let place = if section.name.is_empty() { "the top level" } else { section.name };
+    format!("a directive of {place}: {}", known.join(", "))
 }
--- a/crates/conf/src/error.rs
+++ b/crates/conf/src/error.rs
@@ -1,16 +1,16 @@
-//! What is wrong with a configuration, and where.
+//! Errors in a configuration, with their locations.
 
 use std::fmt;
 use std::path::{Path, PathBuf};
 
-/// A place in a file, for people.
+/// A position in a file. It is displayed as `file:line:column`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Location {
-    /// The file, by the path under which it was read.
+    /// The path by which the file was read.
     pub file: PathBuf,
-    /// Counts from 1; 0 stands for the whole file.
+    /// The line number from 1, or 0 for the file as a whole.
     pub line: usize,
-    /// Counts characters from 1; 0 stands for the whole line.
+    /// The column in characters from 1, or 0 for the line as a whole.
     pub column: usize,
 }
 
@@ -26,16 +26,16 @@
     }
 }
 
-/// One thing that is wrong.
+/// One error in a configuration.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{location}: {subject}: expected {expected}, found {found}")]
 pub struct ConfError {
-    /// Where it was found.
+    /// The location of the error.
     pub location: Location,
-    /// The directive or section at fault.
+    /// The invalid directive or section.
     pub subject: String,
-    /// What may stand there, in words.
+    /// A description of what is valid at the location.
     pub expected: String,
-    /// What stands there.
+    /// What was found instead.
     pub found: String,
 }
--- a/crates/conf/src/grammar.rs
+++ b/crates/conf/src/grammar.rs
@@ -1,4 +1,4 @@
-//! The text of one line to its words. What the words mean is settled elsewhere.
+//! Parses one line into words. Whether they name known sections and directives is checked elsewhere.
 //!
 //! ```text
 //! line    = [ word *( blank word ) [ blank "{" ] / "}" ] [ "#" comment ]
@@ -14,7 +14,7 @@
 
 type Input<'a> = LocatingSlice<&'a str>;
 
-/// A word, and the column at which it starts, from 1 on.
+/// A word and the column at which it starts, counted from 1.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Word {
     pub text: String,
@@ -24,12 +24,12 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Line {
     Empty,
-    /// A directive's name and what follows it.
+    /// The name of a directive and the words after it.
     Directive {
         name: Word,
         arguments: Vec<Word>,
     },
-    /// A section's name and what stands between it and the opening brace.
+    /// The name of a section and the words between it and the opening brace.
     SectionStart {
         name: Word,
         titles: Vec<Word>,
@@ -39,25 +39,29 @@
     },
 }
 
-/// The column from which on a text is no line, from 1 on.
+/// A line that does not match the grammar. The column, counted from 1, is that of the first unexpected
+/// character.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SyntaxError {
     pub column: usize,
 }
 
+/// Parses the text of one line.
+///
 /// # Errors
-/// A text that is no line, with the column of the first character that has no place in it.
+/// The text does not match the grammar.
 pub fn parse_line(text: &str) -> Result<Line, SyntaxError> {
     let mut input = LocatingSlice::new(text);
     let parsed = line.parse_next(&mut input);
     let column = |offset: usize| text[..offset].chars().count() + 1;
     match parsed {
-        Ok(parsed) if input.is_empty() => Ok(located(parsed, column)),
+        Ok(parsed) if input.is_empty() => Ok(with_columns(parsed, column)),
         _ => Err(SyntaxError { column: column(input.current_token_start()) }),
     }
 }
 
-fn located(parsed: ParsedLine, column: impl Fn(usize) -> usize) -> Line {
+/// Converts the byte offsets of a parsed line to columns.
+fn with_columns(parsed: ParsedLine, column: impl Fn(usize) -> usize) -> Line {
     let word = |parsed: ParsedWord| Word { text: parsed.text, column: column(parsed.offset) };
     match parsed {
         ParsedLine::Empty => Line::Empty,
@@ -74,7 +78,7 @@
     }
 }
 
-/// A line whose places are offsets in bytes.
+/// A parsed line with positions as byte offsets.
 enum ParsedLine {
     Empty,
     Words { first: ParsedWord, others: Vec<ParsedWord>, opens_section: bool },
@@ -103,16 +107,16 @@
 
 fn word(input: &mut Input<'_>) -> Result<ParsedWord, ContextError> {
     let offset = input.current_token_start();
-    let text = alt((quoted, bare)).parse_next(input)?;
+    let text = alt((quoted, unquoted)).parse_next(input)?;
     Ok(ParsedWord { text, offset })
 }
 
-fn bare(input: &mut Input<'_>) -> Result<String, ContextError> {
-    let ends = |letter: char| letter.is_whitespace() || matches!(letter, '"' | '{' | '}' | '#');
-    take_till(1.., ends).map(str::to_string).parse_next(input)
+fn unquoted(input: &mut Input<'_>) -> Result<String, ContextError> {
+    let is_end = |character: char| character.is_whitespace() || matches!(character, '"' | '{' | '}' | '#');
+    take_till(1.., is_end).map(str::to_string).parse_next(input)
 }
 
 fn quoted(input: &mut Input<'_>) -> Result<String, ContextError> {
-    let letter = alt((preceded('\\', any), none_of(['"', '\\'])));
-    delimited('"', repeat(0.., letter), '"').parse_next(input)
+    let character = alt((preceded('\\', any), none_of(['"', '\\'])));
+    delimited('"', repeat(0.., character), '"').parse_next(input)
 }
--- a/crates/conf/src/lib.rs
+++ b/crates/conf/src/lib.rs
@@ -1,8 +1,10 @@
-//! `quillpoint.conf`: a directive and its words on a line, sections in braces, `#` comments, includes.
+//! Reads `quillpoint.conf`. The file has one directive with its value per line, sections in braces, `#`
+//! comments and includes.
 //!
-//! `grammar` turns a line to words, `directives` is the one place that knows what may be written, `reader` takes files
-//! and their includes, `draft` checks what they say against the table and fills in defaults. The [`Conf`] that comes out
-//! is complete, typed and within bounds. `reference` prints the table for operators.
+//! `grammar` splits a line into words. `directives` and its `table` define all sections and directives.
+//! `reader` reads files and follows includes. `draft` collects the values, checks them against the table and
+//! applies defaults. In the resulting [`Conf`] each value has its type, is within bounds and has its default
+//! if it was not configured. `reference` prints the table as a page for operators.
 
 #![warn(missing_docs)]
 
--- a/crates/conf/src/reader.rs
+++ b/crates/conf/src/reader.rs
@@ -1,4 +1,5 @@
-//! Files and their includes, line by line. All errors are found, not only the first.
+//! Reads files and their includes line by line. Reading continues after an error, so that all errors are
+//! reported at once.
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -8,26 +9,26 @@
 use crate::error::{ConfError, Location};
 use crate::grammar::{Line, SyntaxError, Word, parse_line};
 
-/// Files within each other by includes.
+/// The maximum nesting depth of includes. It also stops files that include themselves.
 const MAX_INCLUDE_DEPTH: usize = 8;
-/// All files together.
+/// The maximum number of files that are read, including repeated ones.
 const MAX_FILES: usize = 64;
 const MAX_FILE_BYTES: u64 = 1 << 20;
-/// What an error shows of a line that cannot be read.
-const SHOWN_LETTERS: usize = 20;
+/// The length of the excerpt, in characters, that an error shows of an invalid line.
+const EXCERPT_CHARACTERS: usize = 20;
 
-/// Reads the file at this path, and what it includes.
+/// Reads the configuration file at this path and the files that it includes.
 ///
 /// # Errors
-/// Every error that was found, in the order of the lines; at least one, and no more than 50.
+/// Returns from 1 to 50 errors: those of lines in their order, then those of the configuration as a whole.
 pub fn read(path: &Path) -> Result<Conf, Vec<ConfError>> {
     read_with(path, load_file)
 }
 
-/// The same from any source of texts.
+/// Like [`read`], but gets the content of files from `load`.
 ///
 /// # Errors
-/// As [`read`].
+/// The same as [`read`].
 pub fn read_with(path: &Path, load: impl Fn(&Path) -> io::Result<String>) -> Result<Conf, Vec<ConfError>> {
     let mut reader = Reader { load: &load, draft: Draft::default(), files_read: 0 };
     let top = Location::of_file(path);
@@ -35,9 +36,9 @@
     reader.draft.finish(path)
 }
 
-/// A file that is longer than any configuration.
+/// The file is longer than any plausible configuration.
 #[derive(Debug, thiserror::Error)]
-#[error("{bytes} bytes, where {MAX_FILE_BYTES} are the most")]
+#[error("a file of {bytes} bytes, which is more than {MAX_FILE_BYTES}")]
 struct FileTooLong {
     bytes: u64,
 }
@@ -50,7 +51,7 @@
     std::fs::read_to_string(path)
 }
 
-/// A line of a file that is being read.
+/// The position of a line: its file and its number from 1.
 pub(crate) struct SourceLine<'a> {
     file: &'a Path,
     number: usize,
@@ -61,15 +62,15 @@
         Location { file: self.file.to_path_buf(), line: self.number, column }
     }
 
-    /// A path that is written in a file is relative to that file.
+    /// Resolves a path that is written in this line relative to the directory of the file.
     pub fn resolve(&self, name: impl AsRef<Path>) -> PathBuf {
         self.file.parent().unwrap_or(Path::new("")).join(name)
     }
 }
 
-/// The section that a line stands in.
+/// The section whose closing brace has not been read yet.
 struct OpenSection {
-    /// `None` for a section that is at fault itself: what stands in it is passed over.
+    /// `None` for an invalid section, whose directives are skipped.
     id: Option<SectionId>,
     location: Location,
 }
@@ -81,19 +82,20 @@
 }
 
 impl Reader<'_> {
-    /// `included_at` is where the file is named.
+    /// Reads a file that is included at nesting depth `depth`. `included_at` is the location of the include
+    /// directive.
     fn read_file(&mut self, path: &Path, depth: usize, included_at: &Location) {
         self.files_read += 1;
         if depth > MAX_INCLUDE_DEPTH || self.files_read > MAX_FILES {
             let expected =
-                format!("no more than {MAX_INCLUDE_DEPTH} files within each other and {MAX_FILES} in all");
+                format!("at most {MAX_INCLUDE_DEPTH} levels of includes and {MAX_FILES} files in total");
             let found = path.display().to_string();
             return self.draft.report(Subject::new(included_at, "include"), expected, found);
         }
         let text = match (self.load)(path) {
             Ok(text) => text,
             Err(error) => {
-                let expected = format!("to read {}", path.display());
+                let expected = format!("a readable file {}", path.display());
                 return self.draft.report(Subject::new(included_at, "file"), expected, error.to_string());
             }
         };
@@ -116,7 +118,7 @@
             Ok(Line::SectionEnd { column }) => {
                 if open.take().is_none() {
                     let subject = Subject::new(&line.at(column), "section");
-                    self.draft.report(subject, "an opening brace before", "}");
+                    self.draft.report(subject, "an opening brace before it", "}");
                 }
             }
             Ok(Line::Directive { name, arguments }) if name.text == "include" => {
@@ -128,9 +130,9 @@
                 Some(OpenSection { id: None, .. }) => {}
             },
             Err(SyntaxError { column }) => {
-                let found: String = text.chars().skip(column - 1).take(SHOWN_LETTERS).collect();
+                let found: String = text.chars().skip(column - 1).take(EXCERPT_CHARACTERS).collect();
                 let subject = Subject::new(&line.at(column), "line");
-                self.draft.report(subject, "words, one brace, a comment", found);
+                self.draft.report(subject, "a directive, a brace or a comment", found);
             }
         }
     }
@@ -142,8 +144,8 @@
         location: Location,
         open: Option<&OpenSection>,
     ) -> OpenSection {
-        if let Some(OpenSection { location: before, .. }) = open {
-            let expected = format!("a closing brace for the section of line {}", before.line);
+        if let Some(OpenSection { location: outer, .. }) = open {
+            let expected = format!("a closing brace for the section that starts at line {}", outer.line);
             self.draft.report(Subject::new(&location, &name.text), expected, "another section");
         }
         let id = self.draft.add_section(name, titles, &location);
@@ -162,10 +164,10 @@
         let subject = Subject::new(&location, "include");
         match arguments {
             [_] if is_in_section => {
-                self.draft.report(subject, "to stand outside of sections", "a section");
+                self.draft.report(subject, "an include outside of sections", "one inside a section");
             }
             [path] => self.read_file(&line.resolve(&path.text), depth + 1, &location),
-            others => self.draft.report(subject, "one path", format!("{} words", others.len())),
+            others => self.draft.report(subject, "one path", format!("{} values", others.len())),
         }
     }
 }
--- a/crates/conf/src/table.rs
+++ b/crates/conf/src/table.rs
@@ -1,4 +1,4 @@
-//! The table of all sections and directives.
+//! The definitions of all sections and directives.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
     Duration::from_millis(ms)
 }
 
-/// Every section, in the order of the operators' page.
+/// All sections, in the order of the operators' page.
 pub const SECTIONS: &[Section] = &[
     Section {
         name: "fleet",
@@ -17,7 +17,8 @@
         max_count: 1,
         requires: &[],
         conflicts: &[],
-        description: "This router's part in its fleet. Without it the router shares nothing with others.",
+        description: "Makes this router a member of a fleet. Without it the router shares nothing with \
+                others.",
     },
     Section {
         name: "peer",
@@ -25,8 +26,9 @@
         max_count: 256,
         requires: &[],
         conflicts: &[],
-        description: "Where another router of the fleet may be found; the title is its name. A few suffice: the others \
-                are learnt from them. It may name this router itself, so that all routers can have the same file.",
+        description: "The address of another member of the fleet, through which this router joins it; the \
+                title is the member's name. A few are enough, as the other members are learned from them. \
+                The router's own address may be among them, so that all routers can use the same file.",
     },
     Section {
         name: "duty",
@@ -34,7 +36,8 @@
         max_count: 1,
         requires: &[],
         conflicts: &[],
-        description: "A periodic duty that the fleet divides; `probe` is the probing of nodes.",
+        description: "A periodic task that the fleet divides among its members; `probe` is the health \
+                checking of nodes.",
     },
     Section {
         name: "publish",
@@ -42,8 +45,8 @@
         max_count: 1,
         requires: &["fleet"],
         conflicts: &["subscribe"],
-        description: "Makes this process a control instance: it tells routers that subscribe what its fleet of control \
-                instances finds out about the databases.",
+        description: "Makes this process a control instance: it sends what its fleet of control instances \
+                observes of the databases to the routers that subscribe.",
     },
     Section {
         name: "subscribe",
@@ -51,8 +54,8 @@
         max_count: 1,
         requires: &["control"],
         conflicts: &["fleet"],
-        description: "This router is told by control instances what they find out about the databases, and is no member of \
-                their fleet.",
+        description: "Makes this router receive observations of the databases from control instances, \
+                without being a member of their fleet.",
     },
     Section {
         name: "control",
@@ -60,12 +63,12 @@
         max_count: 64,
         requires: &["subscribe"],
         conflicts: &[],
-        description: "A control instance that this router may follow; the title is its name. Two of them are followed, those \
-                of the router's own region first.",
+        description: "A control instance that this router may follow; the title is its name. The router \
+                follows two of them and prefers those of its own region.",
     },
 ];
 
-/// Every directive, in the order of the operators' page within its section.
+/// All directives. Those of a section have the order of the operators' page.
 pub const DIRECTIVES: &[Directive] = &[
     Directive {
         section: "",
@@ -73,7 +76,8 @@
         kind: Kind::Path,
         default: DefaultValue::Optional,
         takes_effect: TakesEffect::OnRestart,
-        description: "The platform's JSON, where neither --config nor GW_CONFIG names it.",
+        description: "The JSON file with the platform's settings, if neither `--config` nor `GW_CONFIG` \
+                names one.",
     },
     Directive {
         section: "",
@@ -81,7 +85,7 @@
         kind: Kind::OneOf(&["text", "json"]),
         default: DefaultValue::Text("text"),
         takes_effect: TakesEffect::OnRestart,
-        description: "Lines for people, or one JSON object a line.",
+        description: "The format of the log: lines of text, or one JSON object per line.",
     },
     Directive {
         section: "fleet",
@@ -89,7 +93,7 @@
         kind: Kind::Address,
         default: DefaultValue::Required,
         takes_effect: TakesEffect::OnRestart,
-        description: "Where datagrams of other routers arrive (UDP).",
+        description: "The address at which datagrams from other members are received (UDP).",
     },
     Directive {
         section: "fleet",
@@ -97,7 +101,7 @@
         kind: Kind::Address,
         default: DefaultValue::Optional,
         takes_effect: TakesEffect::OnRestart,
-        description: "Where the others reach it, if that is not where it listens.",
+        description: "The address at which other members reach this router, if it differs from `listen`.",
     },
     Directive {
         section: "fleet",
@@ -105,8 +109,8 @@
         kind: Kind::Path,
         default: DefaultValue::Required,
         takes_effect: TakesEffect::OnReload,
-        description: "The file of the fleet's keys, one or two, each on a line of 64 hexadecimal digits. Nobody but its \
-                owner may have any right to it.",
+        description: "The file with the fleet's keys: one or two, each on a line of its own as 64 \
+                hexadecimal digits. Only its owner may have permissions for it.",
     },
     Directive {
         section: "fleet",
@@ -114,7 +118,8 @@
         kind: Kind::Name,
         default: DefaultValue::Optional,
         takes_effect: TakesEffect::OnRestart,
-        description: "The zone this router is in, as the deployment's settings name it: it then prefers duties there.",
+        description: "The zone of this router, by its name in the platform's settings. The router is \
+                preferred as owner of tasks in its zone.",
     },
     Directive {
         section: "fleet",
@@ -122,7 +127,8 @@
         kind: Kind::Count { min: 0, max: 255 },
         default: DefaultValue::Text("1"),
         takes_effect: TakesEffect::OnRestart,
-        description: "Its share of duties beside that of others. With 0 it takes none and only hears of what is found.",
+        description: "This router's share of the tasks, relative to the weights of the other members. With 0 \
+                it owns none and only receives the observations of others.",
     },
     Directive {
         section: "fleet",
@@ -130,8 +136,9 @@
         kind: Kind::Size { min: 4 << 10, max: 1 << 30 },
         default: DefaultValue::Text("2MiB"),
         takes_effect: TakesEffect::OnRestart,
-        description: "So many bytes of news a second go to all peers together; the newest go first. A control instance: \
-                twice what telling of all databases takes, where that is more.",
+        description: "The maximum rate at which observations are sent, in bytes per second for all peers \
+                together; the latest observations are sent first. On a control instance it is at least \
+                twice the rate that observations of all databases need.",
     },
     Directive {
         section: "fleet",
@@ -139,8 +146,8 @@
         kind: Kind::Count { min: 1, max: 1_000_000 },
         default: DefaultValue::Text("2000"),
         takes_effect: TakesEffect::OnRestart,
-        description: "So much background work a second, in the units of `cost`. A control instance: twice what probing \
-                all databases takes, where that is more.",
+        description: "The maximum rate of background work per second, in the units of `cost`. On a control \
+                instance it is at least twice the rate that the health checks of all databases need.",
     },
     Directive {
         section: "fleet",
@@ -148,7 +155,8 @@
         kind: Kind::Count { min: 100, max: 1_000_000 },
         default: DefaultValue::Text("20000"),
         takes_effect: TakesEffect::OnRestart,
-        description: "So many datagrams a second are looked at; what is beyond waits, and is lost when too much waits.",
+        description: "The maximum number of datagrams that are read per second. Further ones wait in the \
+                socket, and are lost when its buffer is full.",
     },
     Directive {
         section: "peer",
@@ -156,7 +164,7 @@
         kind: Kind::Address,
         default: DefaultValue::Required,
         takes_effect: TakesEffect::OnReload,
-        description: "Its address for datagrams.",
+        description: "The member's address for datagrams.",
     },
     Directive {
         section: "duty",
@@ -164,8 +172,8 @@
         kind: Kind::Duration { min: ms(20), max: ms(3_600_000) },
         default: DefaultValue::Optional,
         takes_effect: TakesEffect::OnRestart,
-        description: "How often it is done, by all routers together. Where it is not said: half of the tightest bound that the \
-                deployment sets on the age of reads, or 500ms where it sets none.",
+        description: "The period of the task, which all routers perform together. If not set: half of the \
+                tightest staleness bound in the platform's settings, or 500ms if there is none.",
     },
     Directive {
         section: "duty",
@@ -173,8 +181,8 @@
         kind: Kind::Duration { min: ms(20), max: ms(3_600_000) },
         default: DefaultValue::Optional,
         takes_effect: TakesEffect::OnRestart,
-        description: "How much later each further router in line picks up what its owner leaves undone. Where it is not said: \
-                as `every`.",
+        description: "The delay after which the next router in line takes over what the owner has not done, \
+                and after the same delay again the router after that. If not set: the value of `every`.",
     },
     Directive {
         section: "duty",
@@ -182,8 +190,9 @@
         kind: Kind::Duration { min: ms(10), max: ms(3_600_000) },
         default: DefaultValue::Optional,
         takes_effect: TakesEffect::OnRestart,
-        description: "No router does it for one subject more often than once in this time, whatever happens. Where it is not \
-                said: as `every`, which is what a router that shares nothing may do.",
+        description: "The minimum interval between two runs of the task for the same node by one router, \
+                under all circumstances. If not set: the value of `every`, which is also the interval of a \
+                router without a fleet.",
     },
     Directive {
         section: "duty",
@@ -191,7 +200,7 @@
         kind: Kind::Duration { min: ms(10), max: ms(3_600_000) },
         default: DefaultValue::Text("2s"),
         takes_effect: TakesEffect::OnRestart,
-        description: "One that has not ended by then is done anew.",
+        description: "The maximum duration of a run. One that has not ended by then is started again.",
     },
     Directive {
         section: "duty",
@@ -199,7 +208,7 @@
         kind: Kind::Count { min: 0, max: 255 },
         default: DefaultValue::Text("0"),
         takes_effect: TakesEffect::OnRestart,
-        description: "When the budget is short, lower numbers go first.",
+        description: "Tasks with lower numbers are run first when the budget is short.",
     },
     Directive {
         section: "duty",
@@ -207,7 +216,7 @@
         kind: Kind::Count { min: 1, max: 1_000_000 },
         default: DefaultValue::Text("1"),
         takes_effect: TakesEffect::OnRestart,
-        description: "What doing it once takes of the budget.",
+        description: "How much of `work-budget` one run uses.",
     },
     Directive {
         section: "publish",
@@ -215,7 +224,8 @@
         kind: Kind::Address,
         default: DefaultValue::Required,
         takes_effect: TakesEffect::OnRestart,
-        description: "Where datagrams of routers arrive (UDP), and from where they are told. Not the `listen` of the fleet.",
+        description: "The address at which datagrams from routers are received and from which observations \
+                are sent (UDP). It must differ from the fleet's `listen`.",
     },
     Directive {
         section: "publish",
@@ -223,8 +233,9 @@
         kind: Kind::Path,
         default: DefaultValue::Required,
         takes_effect: TakesEffect::OnReload,
-        description: "The file of the keys that are shared with routers, in the form of the fleet's. It should be another one: \
-                whoever has the fleet's keys can take part in the probing.",
+        description: "The file with the keys that are shared with routers, in the format of the fleet's key \
+                file. Its keys should differ from the fleet's, as anyone with the fleet's keys can take \
+                part in the health checking.",
     },
     Directive {
         section: "publish",
@@ -232,7 +243,8 @@
         kind: Kind::Count { min: 1, max: 100_000 },
         default: DefaultValue::Text("10000"),
         takes_effect: TakesEffect::OnRestart,
-        description: "So many routers are told; one more is sent away, and turns to another control instance.",
+        description: "The maximum number of routers that are served. Further ones are rejected and try \
+                another control instance.",
     },
     Directive {
         section: "publish",
@@ -240,7 +252,8 @@
         kind: Kind::Size { min: 4 << 10, max: 1 << 30 },
         default: DefaultValue::Text("8MiB"),
         takes_effect: TakesEffect::OnRestart,
-        description: "So many bytes of copies a second go to all routers together; who asks meanwhile waits in line.",
+        description: "The maximum rate at which snapshots are sent, in bytes per second for all routers \
+                together. Routers that request one meanwhile wait in a queue.",
     },
     Directive {
         section: "subscribe",
@@ -248,8 +261,9 @@
         kind: Kind::Address,
         default: DefaultValue::Required,
         takes_effect: TakesEffect::OnRestart,
-        description: "Where datagrams of control instances arrive (UDP). They answer to where this router's come from. Port 0: \
-                the system chooses one.",
+        description: "The address at which datagrams from control instances are received (UDP). This router \
+                sends from the same address, and control instances reply to it. With port 0 the system \
+                chooses a port.",
     },
     Directive {
         section: "subscribe",
@@ -257,8 +271,8 @@
         kind: Kind::Path,
         default: DefaultValue::Required,
         takes_effect: TakesEffect::OnReload,
-        description: "The file of the keys that are shared with control instances, one or two, each on a line of 64 hexadecimal \
-                digits. Nobody but its owner may have any right to it.",
+        description: "The file with the keys that are shared with control instances: one or two, each on a \
+                line of its own as 64 hexadecimal digits. Only its owner may have permissions for it.",
     },
     Directive {
         section: "subscribe",
@@ -266,8 +280,8 @@
         kind: Kind::Name,
         default: DefaultValue::Optional,
         takes_effect: TakesEffect::OnRestart,
-        description: "The region this router is in, in the words of the `control` sections. Where it is not said, no control \
-                instance is nearer than another.",
+        description: "The region of this router, by its name in the `control` sections. Without it, no \
+                control instance is preferred for its region.",
     },
     Directive {
         section: "control",
@@ -275,7 +289,8 @@
         kind: Kind::Address,
         default: DefaultValue::Required,
         takes_effect: TakesEffect::OnReload,
-        description: "The `listen` of its `publish`, as this router reaches it.",
+        description: "The address of `listen` in the instance's section `publish`, as this router reaches \
+                it.",
     },
     Directive {
         section: "control",
@@ -283,6 +298,6 @@
         kind: Kind::Name,
         default: DefaultValue::Optional,
         takes_effect: TakesEffect::OnReload,
-        description: "The region it is in.",
+        description: "The region of the control instance.",
     },
 ];
--- a/crates/conf/src/value.rs
+++ b/crates/conf/src/value.rs
@@ -1,4 +1,4 @@
-//! Words to typed values, by the kind that a directive takes.
+//! Parses words into typed values, according to the kind of value that a directive takes.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -6,78 +6,83 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-const NAME_LETTERS: RangeInclusive<usize> = 1..=64;
+/// The allowed length of a name, in characters.
+const NAME_CHARACTERS: RangeInclusive<usize> = 1..=64;
 
-/// What a directive takes, with its bounds, which are allowed themselves.
+/// The kind of value that a directive takes. Bounds are inclusive.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Kind {
     /// A whole number and a unit: `us`, `ms`, `s`, `min`, `h`.
     Duration {
-        /// The shortest.
+        /// The minimum.
         min: Duration,
-        /// The longest.
+        /// The maximum.
         max: Duration,
     },
     /// A whole number and a unit: `B`, `KiB`, `MiB`, `GiB`.
     Size {
-        /// The smallest, in bytes.
+        /// The minimum in bytes.
         min: u64,
-        /// The largest, in bytes.
+        /// The maximum in bytes.
         max: u64,
     },
     /// A whole number.
     Count {
-        /// The smallest.
+        /// The minimum.
         min: u64,
-        /// The largest.
+        /// The maximum.
         max: u64,
     },
     /// An address and a port.
     Address,
-    /// Relative to the file that has it.
+    /// A path. A relative one is relative to the directory of the file in which it is written.
     Path,
-    /// One of these.
+    /// One of a fixed set of words.
     OneOf(&'static [&'static str]),
-    /// Any one word of 1 to 64 letters.
+    /// Any word of 1 to 64 characters.
     Name,
 }
 
-/// A value of a directive.
+/// The value of a directive.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Value {
-    /// Of [`Kind::Duration`].
+    /// A value of [`Kind::Duration`].
     Duration(Duration),
-    /// Of [`Kind::Size`], in bytes.
+    /// A value of [`Kind::Size`], in bytes.
     Size(u64),
-    /// Of [`Kind::Count`].
+    /// A value of [`Kind::Count`].
     Count(u64),
-    /// Of [`Kind::Address`].
+    /// A value of [`Kind::Address`].
     Address(SocketAddr),
-    /// Of [`Kind::Path`].
+    /// A value of [`Kind::Path`].
     Path(PathBuf),
-    /// Of [`Kind::OneOf`] or [`Kind::Name`].
+    /// A value of [`Kind::OneOf`] or [`Kind::Name`].
     Text(String),
 }
 
 impl Kind {
-    /// What is expected, in words.
+    /// Describes the valid values, for error messages and the operators' page.
     pub fn expected(&self) -> String {
         match self {
             Self::Duration { min, max } => {
-                format!("a time from {} to {}, as 250ms", format_duration(*min), format_duration(*max))
+                format!(
+                    "a duration from {} to {}, such as 250ms",
+                    format_duration(*min),
+                    format_duration(*max)
+                )
             }
             Self::Size { min, max } => {
-                format!("a size from {} to {}, as 16MiB", format_size(*min), format_size(*max))
+                format!("a size from {} to {}, such as 16MiB", format_size(*min), format_size(*max))
             }
             Self::Count { min, max } => format!("a whole number from {min} to {max}"),
-            Self::Address => "an address and a port, as 127.0.0.1:7400".to_string(),
+            Self::Address => "an address and a port, such as 127.0.0.1:7400".to_string(),
             Self::Path => "a path".to_string(),
             Self::OneOf(words) => format!("one of: {}", words.join(", ")),
-            Self::Name => "a name of 1 to 64 letters".to_string(),
+            Self::Name => "a name of 1 to 64 characters".to_string(),
         }
     }
 
-    /// The value, if the word is one of this kind and within bounds.
+    /// Parses a word as a value of this kind. `None` if it is not one or not within bounds.
     pub fn parse(&self, word: &str) -> Option<Value> {
         match self {
             Self::Duration { min, max } => {
@@ -101,16 +106,16 @@
 }
 
 pub(crate) fn is_name(word: &str) -> bool {
-    NAME_LETTERS.contains(&word.chars().count())
+    NAME_CHARACTERS.contains(&word.chars().count())
 }
 
 struct Unit {
     name: &'static str,
-    /// How many of the smallest unit it is.
+    /// The size of this unit in the smallest unit.
     factor: u64,
 }
 
-/// From the smallest on: microseconds.
+/// In ascending order. The smallest unit is the microsecond.
 const DURATION_UNITS: [Unit; 5] = [
     Unit { name: "us", factor: 1 },
     Unit { name: "ms", factor: 1000 },
@@ -118,7 +123,7 @@
     Unit { name: "min", factor: 60_000_000 },
     Unit { name: "h", factor: 3_600_000_000 },
 ];
-/// From the smallest on: bytes.
+/// In ascending order. The smallest unit is the byte.
 const SIZE_UNITS: [Unit; 4] = [
     Unit { name: "B", factor: 1 },
     Unit { name: "KiB", factor: 1 << 10 },
@@ -126,8 +131,8 @@
     Unit { name: "GiB", factor: 1 << 30 },
 ];
 
-/// A whole number and its unit, in the smallest unit. The unit is never left out: a bare number would mean something
-/// else to each reader.
+/// Parses a whole number with its unit and returns it in the smallest unit. The unit is required, as the
+/// meaning of a number without one would be ambiguous.
 fn parse_with_unit(word: &str, units: &[Unit]) -> Option<u64> {
     let digits = word.bytes().take_while(u8::is_ascii_digit).count();
     let (number, name) = word.split_at(digits);
@@ -136,12 +141,12 @@
     unit.factor.checked_mul(number)
 }
 
-/// As it would be written: in the largest unit of which it is a whole number.
+/// Formats a duration as in the configuration file, in the largest unit in which it is a whole number.
 pub fn format_duration(duration: Duration) -> String {
     format_with_unit(duration.as_micros() as u64, &DURATION_UNITS)
 }
 
-/// A size in bytes, as it would be written: in the largest unit of which it is a whole number.
+/// Formats a size in bytes as in the configuration file, in the largest unit in which it is a whole number.
 pub fn format_size(bytes: u64) -> String {
     format_with_unit(bytes, &SIZE_UNITS)
 }
--- a/crates/router/tests/fleet.rs
+++ b/crates/router/tests/fleet.rs
@@ -246,7 +246,7 @@
         "{text}"
     );
     let cases = [
-        (fleet.replace("keys", "kyes"), 0o600, "x.conf:4:5: kyes: expected a directive known fleet"),
+        (fleet.replace("keys", "kyes"), 0o600, "x.conf:4:5: kyes: expected a directive of fleet"),
         (
             fleet.to_string(),
             0o640,
