--- a/crates/adapter/src/instance.rs
+++ b/crates/adapter/src/instance.rs
@@ -55,7 +55,7 @@
         Ok(Self { router, origin, report_fields })
     }
 
-    /// Converts a message to an event; `None` for a message that the router does not handle.
+    /// Converts a message to an event; `None` for a message that is not an event of the router.
     ///
     /// # Errors
     /// A field is missing or invalid, or refers to an endpoint list that has not been defined.
--- a/crates/conf/src/draft.rs
+++ b/crates/conf/src/draft.rs
@@ -158,11 +158,11 @@
             let conflicting = section.conflicts.iter().find(|other| is_present(other));
             if let Some(other) = missing {
                 let subject = Subject::new(&written.location, section.name);
-                self.report(subject, format!("a section {other} beside it"), "none");
+                self.report(subject, format!("a section {other} in the same configuration"), "none");
             }
             if let Some(other) = conflicting {
                 let subject = Subject::new(&written.location, section.name);
-                self.report(subject, format!("no section {other} beside it"), "both");
+                self.report(subject, format!("no section {other} in the same configuration"), "both");
             }
         }
     }
--- a/crates/conf/tests/conf.rs
+++ b/crates/conf/tests/conf.rs
@@ -158,18 +158,21 @@
 #[test]
 fn missing_and_conflicting_sections_are_reported_at_the_section_concerned() {
     let cases = [
-        ([PUBLISH, "", ""], "/etc/q/top.conf:1:1: publish: expected a section fleet beside it, found none"),
+        (
+            [PUBLISH, "", ""],
+            "/etc/q/top.conf:1:1: publish: expected a section fleet in the same configuration, found none",
+        ),
         (
             [SUBSCRIBE, "", ""],
-            "/etc/q/top.conf:1:1: subscribe: expected a section control beside it, found none",
+            "/etc/q/top.conf:1:1: subscribe: expected a section control in the same configuration, found none",
         ),
         (
             [CONTROL, "", ""],
-            "/etc/q/top.conf:1:1: control: expected a section subscribe beside it, found none",
+            "/etc/q/top.conf:1:1: control: expected a section subscribe in the same configuration, found none",
         ),
         (
             [CONTROL, FLEET, SUBSCRIBE],
-            "/etc/q/top.conf:8:1: subscribe: expected no section fleet beside it, found both",
+            "/etc/q/top.conf:8:1: subscribe: expected no section fleet in the same configuration, found both",
         ),
     ];
     for (text, error) in cases {
--- a/crates/datagram/src/open.rs
+++ b/crates/datagram/src/open.rs
@@ -75,7 +75,7 @@
     ///
     /// # Errors
     /// The datagram is rejected. The state does not change then, except that a replay counts as activity of
-    /// its sender when senders are dropped.
+    /// its sender: it is not the one that has been silent longest.
     pub fn open(&mut self, keys: &Keyring, own: Incarnation, bytes: &[u8]) -> Result<P, OpenError> {
         check_framing(bytes)?;
         let (authenticated, hash) = bytes.split_at(bytes.len() - HASH_BYTES);
--- a/crates/datagram/src/replay_window.rs
+++ b/crates/datagram/src/replay_window.rs
@@ -1,7 +1,8 @@
 //! The sliding window of sequence numbers accepted from one sender, as in RFC 4303, section 3.4.3.
 
 const WORDS: usize = 4;
-/// The size of the window. A number this far or further behind the highest one is rejected as too old.
+/// The size of the window. Numbers may arrive out of order, but one that is this far behind the highest, or
+/// further, is rejected as too old.
 const WINDOW_NUMBERS: u64 = 64 * WORDS as u64;
 
 pub struct ReplayWindow {
--- a/crates/memory-budget/src/budget.rs
+++ b/crates/memory-budget/src/budget.rs
@@ -173,7 +173,8 @@
         Change { used, borrowed: borrowed_by_others.saturating_add(usage.borrowed_of(used)) }
     }
 
-    /// The limit, if any, that a change exceeds which increases the category's use.
+    /// The limit that a change exceeds, if any. It is only called for changes that increase the category's
+    /// use.
     fn exceeded_limit(&self, category: Category, change: Change) -> Option<ExceededLimit> {
         if change.used > self.usage[category.index()].quota.limit {
             return Some(ExceededLimit::Quota);
--- a/crates/memory-budget/src/category.rs
+++ b/crates/memory-budget/src/category.rs
@@ -1,7 +1,7 @@
 //! The categories of memory use.
 
-/// A use of memory that is accounted on its own. In a category's name, the part before the dot is the group
-/// that it belongs to.
+/// A use of memory that is accounted for separately. In a category's name, the part before the dot is the
+/// group that it belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Category {
     /// Client messages that have not arrived completely, and bytes that were read ahead of the current
--- a/crates/memory-budget/src/pressure.rs
+++ b/crates/memory-budget/src/pressure.rs
@@ -48,7 +48,7 @@
     /// Reject new RPCs with Retry-After.
     RejectRpcs,
     /// Disconnect the clients that read most slowly, by applying
-    /// [`TimeoutScale::Reduced`](crate::TimeoutScale::Reduced) to all of them.
+    /// [`TimeoutScale::Reduced`](crate::TimeoutScale::Reduced) to all transfers.
     DisconnectSlowReaders,
 }
 
--- a/crates/router/tests/feed.rs
+++ b/crates/router/tests/feed.rs
@@ -617,12 +617,12 @@
         (
             format!("{instance}{}", &router[router.find("subscribe").unwrap()..]),
             0o600,
-            "x.conf:10:1: subscribe: expected no section fleet beside it",
+            "x.conf:10:1: subscribe: expected no section fleet in the same configuration",
         ),
         (
             router[..router.find("control").unwrap()].to_string(),
             0o600,
-            "x.conf:2:1: subscribe: expected a section control beside it",
+            "x.conf:2:1: subscribe: expected a section control in the same configuration",
         ),
     ];
     for (index, (conf, mode, fault)) in cases.iter().enumerate() {
