--- a/crates/router/tests/fleet.rs
+++ b/crates/router/tests/fleet.rs
@@ -249,7 +249,7 @@
         "{text}"
     );
     let cases = [
-        (fleet.replace("keys", "kyes"), 0o600, "x.conf:4:5: kyes: expected a directive known fleet"),
+        (fleet.replace("keys", "kyes"), 0o600, "x.conf:4:5: kyes: expected a directive of fleet"),
         (
             fleet.to_string(),
             0o640,
