--- a/crates/router/tests/soak/routers.rs
+++ b/crates/router/tests/soak/routers.rs
@@ -1,7 +1,8 @@
 //! Executes a run: starts the routers as processes and injects the events of the plan.
 
 use std::collections::BTreeMap;
-use std::net::{SocketAddr, TcpListener};
+use std::net::{Ipv4Addr, SocketAddr, TcpListener};
+use std::sync::atomic::{AtomicU8, Ordering};
 use std::sync::{Arc, Mutex};
 use std::thread;
 use std::time::{Duration, Instant};
@@ -58,9 +59,9 @@
         let servers: Vec<Arc<Server>> =
             (0..plan.servers).map(|number| Server::start(number, &plan, &record)).collect();
         let discovery = Discovery::start(&servers, plan.routers, &record);
-        let router = |number| Router { number, address: free_address(), process: Mutex::new(None) };
+        let router = |(number, address)| Router { number, address, process: Mutex::new(None) };
         let testbed = Testbed {
-            routers: (0..plan.routers).map(router).collect(),
+            routers: free_addresses(plan.routers).into_iter().enumerate().map(router).collect(),
             plan,
             record: Arc::clone(&record),
             load_balancer: Arc::default(),
@@ -102,10 +103,18 @@
     }
 }
 
-/// An address that was free when this function was called. Another process may take it before the router
-/// does.
-fn free_address() -> SocketAddr {
-    TcpListener::bind("127.0.0.1:0").and_then(|listener| listener.local_addr()).unwrap()
+/// Distinguishes the runs of this process. It may wrap around: only few runs overlap.
+static NEXT_RUN: AtomicU8 = AtomicU8::new(0);
+
+/// Addresses for the routers of a run, on a loopback IP address of its own. On 127.0.0.1, a stand-in of a
+/// parallel run could take the port before the router binds it, and the router would fail to start.
+fn free_addresses(count: usize) -> Vec<SocketAddr> {
+    let [.., high, low] = std::process::id().to_be_bytes();
+    let run = NEXT_RUN.fetch_add(1, Ordering::SeqCst);
+    let ip = Ipv4Addr::new(127, 64 + (high & 127), low, run);
+    // All listeners stay open until the last one is bound, so that no two routers get the same port.
+    let listeners: Vec<TcpListener> = (0..count).map(|_| TcpListener::bind((ip, 0)).unwrap()).collect();
+    listeners.iter().map(|listener| listener.local_addr().unwrap()).collect()
 }
 
 impl Testbed {
