--- a/crates/router/tests/feed.rs
+++ b/crates/router/tests/feed.rs
@@ -22,11 +22,11 @@
 use quillpoint_observation_feed::message::{DigestNumber, LAG_CLASSES, PARTITIONS, Revision};
 use quillpoint_observation_feed::{Digest, Envelope, Message};
 use quillpoint_router::pg::{self, BackendMessage};
-use quillpoint_testbed::listing::{Entry, Listing, targets};
-use quillpoint_testbed::load::{Load, Tally};
+use quillpoint_testbed::listing::{DiscoveryServer, Endpoint, endpoint_list_json};
+use quillpoint_testbed::load::{LoadGenerator, RpcResults};
 use quillpoint_testbed::now;
-use quillpoint_testbed::routers::{Bond, Routers, Setting};
-use quillpoint_testbed::store::{Store, next};
+use quillpoint_testbed::replica_set::{ReplicaSet, read_message};
+use quillpoint_testbed::routers::{FleetMode, Routers, RoutersConfig};
 use serde_json::Value as Json;
 
 const EVENT_TIMEOUT: Duration = Duration::from_secs(30);
@@ -52,10 +52,10 @@
 }
 
 struct TestCluster {
-    store: Store,
+    store: ReplicaSet,
     routers: Routers,
     folder: PathBuf,
-    _listing: Listing,
+    _listing: DiscoveryServer,
 }
 
 impl TestCluster {
@@ -63,19 +63,19 @@
     /// is the health check period of the control instances.
     fn prepare(name: &str, lags: &[u64], period: &str) -> Self {
         let lags: Vec<Duration> = lags.iter().map(|ms| Duration::from_millis(*ms)).collect();
-        let store = Store::start(&lags).unwrap();
-        let entry = |node| Entry { node, group: 0, started: Duration::ZERO };
-        let list = targets(&store.nodes.iter().map(entry).collect::<Vec<_>>());
-        let listing = Listing::start(list.clone()).unwrap();
+        let store = ReplicaSet::start(&lags).unwrap();
+        let entry = |node| Endpoint { node, group: 0, started: Duration::ZERO };
+        let list = endpoint_list_json(&store.nodes.iter().map(entry).collect::<Vec<_>>());
+        let listing = DiscoveryServer::start(list.clone()).unwrap();
         let (program, folder) = (Path::new(env!("CARGO_BIN_EXE_quillpoint")), folder(name));
-        let setting = Setting {
+        let setting = RoutersConfig {
             program,
-            folder: &folder,
-            listing: &listing,
-            targets: &list,
-            bond: Bond::Fleet,
+            directory: &folder,
+            discovery: &listing,
+            endpoints: &list,
+            fleet_mode: FleetMode::Shared,
             seed: 5,
-            conf: "",
+            extra_directives: "",
         };
         let routers = Routers::new(CONTROL_INSTANCES.len() + ROUTERS.len(), &setting).unwrap();
         write_keys(&folder, "feed.keys", &[OWN_KEY]);
@@ -97,19 +97,20 @@
     }
 
     fn write_conf(&self, index: usize, conf: &str) {
-        std::fs::write(self.routers.conf(index), conf).unwrap();
+        std::fs::write(self.routers.conf_path(index), conf).unwrap();
     }
 
     /// The address at which a process receives feed datagrams.
     fn feed_address(&self, index: usize) -> SocketAddr {
-        let fleet = self.routers.datagrams(index);
+        let fleet = self.routers.datagram_address(index);
         SocketAddr::new(fleet.ip(), fleet.port() + 1000)
     }
 
     fn instance_conf(&self, index: usize, period: &str) -> String {
-        let (fleet, feed) = (self.routers.datagrams(index), self.feed_address(index));
-        let peers = CONTROL_INSTANCES
-            .map(|peer| format!("peer r{peer} {{\n    address {}\n}}\n", self.routers.datagrams(peer)));
+        let (fleet, feed) = (self.routers.datagram_address(index), self.feed_address(index));
+        let peers = CONTROL_INSTANCES.map(|peer| {
+            format!("peer r{peer} {{\n    address {}\n}}\n", self.routers.datagram_address(peer))
+        });
         format!(
             "log json\nfleet {{\n    listen {fleet}\n    keys fleet.keys\n}}\n{}publish {{\n    listen {feed}\n    \
              keys feed.keys\n}}\nduty probe {{\n    every {period}\n}}\n",
@@ -127,7 +128,7 @@
     }
 
     fn events(&self, index: usize, name: &str) -> Vec<Json> {
-        let lines = self.routers.lines(index);
+        let lines = self.routers.log_lines(index);
         let lines = lines.into_iter().map(|line| serde_json::from_str::<Json>(&line).unwrap());
         lines.filter(|line| line["event"] == name).collect()
     }
@@ -135,7 +136,7 @@
     /// The control instances that a router currently follows, according to its log.
     fn followed_instances(&self, index: usize) -> Vec<String> {
         let mut followed = BTreeMap::new();
-        let lines = self.routers.lines(index);
+        let lines = self.routers.log_lines(index);
         for line in lines.into_iter().map(|line| serde_json::from_str::<Json>(&line).unwrap()) {
             let follows = line["event"] == "feed_following";
             if follows || line["event"] == "feed_lost" {
@@ -163,9 +164,9 @@
 
     /// The number of health checks at all nodes, and of RPCs at the replicas.
     fn received_requests(&self) -> (usize, usize) {
-        let probes = self.store.nodes.iter().map(|node| node.probes(Duration::ZERO)).sum();
+        let probes = self.store.nodes.iter().map(|node| node.probes_since(Duration::ZERO)).sum();
         let replicas = self.store.nodes.iter().filter(|node| !node.primary);
-        (probes, replicas.map(|node| node.rpcs(Duration::ZERO, Duration::MAX)).sum())
+        (probes, replicas.map(|node| node.rpcs_between(Duration::ZERO, Duration::MAX)).sum())
     }
 
     /// Waits for a round in which replicas answered RPCs and no router made a health check: all health checks
@@ -199,26 +200,26 @@
 
     /// Bounded reads at such long intervals that a router's own observations are always too old for them:
     /// only the feed allows a replica to be read.
-    fn start_rare_reads(&self) -> Load {
-        Load::of(&self.addresses(), 1, Duration::from_millis(400), &["recent"])
+    fn start_rare_reads(&self) -> LoadGenerator {
+        LoadGenerator::with_methods(&self.addresses(), 1, Duration::from_millis(400), &["recent"])
     }
 
     fn addresses(&self) -> Vec<SocketAddr> {
         ROUTERS.iter().map(|index| self.routers.all[*index].address).collect()
     }
 
-    fn start_load(&self, methods: &'static [&'static str]) -> Load {
-        Load::of(&self.addresses(), 3, Duration::from_millis(10), methods)
+    fn start_load(&self, methods: &'static [&'static str]) -> LoadGenerator {
+        LoadGenerator::with_methods(&self.addresses(), 3, Duration::from_millis(10), methods)
     }
 
     /// Checks that a finished load lost no RPC, ran no write twice, ran every acknowledged write and no
     /// rejected one.
-    fn check_rpcs(&self, tally: &Tally) {
+    fn check_rpcs(&self, tally: &RpcResults) {
         assert_eq!(tally.lost.load(Ordering::SeqCst), 0);
         assert!(tally.ok.load(Ordering::SeqCst) > 0);
-        assert_eq!(self.store.writes().1, 0, "a write ran more than once");
-        assert!(tally.entered.lock().unwrap().iter().all(|id| self.store.has_run(id)));
-        assert!(tally.refused.lock().unwrap().iter().all(|id| !self.store.has_run(id)));
+        assert_eq!(self.store.write_counts().1, 0, "a write ran more than once");
+        assert!(tally.committed_ids.lock().unwrap().iter().all(|id| self.store.has_executed(id)));
+        assert!(tally.rejected_ids.lock().unwrap().iter().all(|id| !self.store.has_executed(id)));
     }
 }
 
@@ -230,8 +231,8 @@
     }
 }
 
-fn ok_count(load: &Load) -> u64 {
-    load.tally.ok.load(Ordering::SeqCst)
+fn ok_count(load: &LoadGenerator) -> u64 {
+    load.results.ok.load(Ordering::SeqCst)
 }
 
 #[test]
@@ -239,11 +240,11 @@
     let cluster = TestCluster::start("calm", &[20, 20], "50ms");
     let load = cluster.start_rare_reads();
     cluster.await_round_without_router_checks(&CONTROL_INSTANCES);
-    cluster.check_rpcs(&load.end());
+    cluster.check_rpcs(&load.finish());
     let load = cluster.start_load(&["recent", "look", "recent", "enter"]);
     cluster.await_round_without_router_checks(&CONTROL_INSTANCES);
-    cluster.check_rpcs(&load.end());
-    assert!(cluster.store.nodes.iter().all(|node| node.stale() == 0));
+    cluster.check_rpcs(&load.finish());
+    assert!(cluster.store.nodes.iter().all(|node| node.stale_reads() == 0));
     let counts = cluster.logged_counts(0, "feed_counts");
     assert_eq!(counts["subscribers"], ROUTERS.len(), "{counts}");
     assert!(
@@ -260,7 +261,12 @@
     // The control instances check too rarely for the bounded reads, which are rare as well, so routers would
     // make their own health checks if they were allowed to.
     let cluster = TestCluster::start("spared", &[20, 20], "600ms");
-    let load = Load::of(&[cluster.routers.all[2].address], 1, Duration::from_millis(400), &["recent"]);
+    let load = LoadGenerator::with_methods(
+        &[cluster.routers.all[2].address],
+        1,
+        Duration::from_millis(400),
+        &["recent"],
+    );
     let count = |name: &str| cluster.logged_counts(2, "feed_counts")[name].as_u64().unwrap();
     let found_round = (0..ROUNDS).any(|_| {
         let (probes, spared) = (count("probes"), count("spared"));
@@ -272,8 +278,8 @@
         "no round without health checks by the router: {:?}",
         cluster.events(2, "feed_counts")
     );
-    assert_eq!(load.end().lost.load(Ordering::SeqCst), 0);
-    assert!(cluster.store.nodes.iter().all(|node| node.stale() == 0));
+    assert_eq!(load.finish().lost.load(Ordering::SeqCst), 0);
+    assert!(cluster.store.nodes.iter().all(|node| node.stale_reads() == 0));
 }
 
 #[test]
@@ -289,8 +295,8 @@
         cluster.routers.start(index).unwrap();
         ROUTERS.iter().for_each(|router| cluster.await_following(*router, &["r0", "r1"]));
     }
-    cluster.check_rpcs(&load.end());
-    assert!(cluster.store.nodes.iter().all(|node| node.stale() == 0));
+    cluster.check_rpcs(&load.finish());
+    assert!(cluster.store.nodes.iter().all(|node| node.stale_reads() == 0));
 }
 
 #[test]
@@ -299,7 +305,7 @@
     // reads alone would make many times as many health checks.
     let period = Duration::from_secs(1);
     let mut cluster = TestCluster::start("none", &[270, 270], "1s");
-    let load = Load::of(
+    let load = LoadGenerator::with_methods(
         &cluster.addresses(),
         1,
         Duration::from_millis(40),
@@ -307,10 +313,10 @@
     );
     CONTROL_INSTANCES.iter().for_each(|index| cluster.routers.kill(*index));
     for index in ROUTERS {
-        assert!(cluster.routers.await_line(index, "\"feed_isolated\"", EVENT_TIMEOUT));
+        assert!(cluster.routers.wait_for_line(index, "\"feed_isolated\"", EVENT_TIMEOUT));
     }
     let (from, ok_before) = (now(), ok_count(&load));
-    let checks_at = |node: &quillpoint_testbed::store::Node| node.probes(from);
+    let checks_at = |node: &quillpoint_testbed::replica_set::Node| node.probes_since(from);
     wait_until("routers make health checks", || {
         cluster.store.nodes.iter().map(checks_at).sum::<usize>() >= 6
     });
@@ -318,7 +324,7 @@
     for node in &cluster.store.nodes {
         // Each router once per period, and once more at either end: delayed answers may arrive together.
         let most = ROUTERS.len() * ((now() - from).div_duration_f64(period).ceil() as usize + 2);
-        assert!(node.probes(from) <= most, "{} of {most}", node.probes(from));
+        assert!(node.probes_since(from) <= most, "{} of {most}", node.probes_since(from));
     }
     wait_until("RPCs continue to succeed", || ok_count(&load) > ok_before + 50);
     // The control instances restart, and the routers follow them again.
@@ -326,11 +332,11 @@
         cluster.routers.start(index).unwrap();
     }
     for index in ROUTERS {
-        assert!(cluster.routers.await_line(index, "\"feed_reconnected\"", EVENT_TIMEOUT));
+        assert!(cluster.routers.wait_for_line(index, "\"feed_reconnected\"", EVENT_TIMEOUT));
         cluster.await_following(index, &["r0", "r1"]);
     }
-    cluster.check_rpcs(&load.end());
-    assert!(cluster.store.nodes.iter().all(|node| node.stale() == 0));
+    cluster.check_rpcs(&load.finish());
+    assert!(cluster.store.nodes.iter().all(|node| node.stale_reads() == 0));
 }
 
 #[test]
@@ -353,8 +359,8 @@
     });
     let load = cluster.start_rare_reads();
     cluster.await_round_without_router_checks(&CONTROL_INSTANCES);
-    cluster.check_rpcs(&load.end());
-    assert!(cluster.store.nodes.iter().all(|node| node.stale() == 0));
+    cluster.check_rpcs(&load.finish());
+    assert!(cluster.store.nodes.iter().all(|node| node.stale_reads() == 0));
 }
 
 /// Guards against a control instance that keeps the configured budgets of a small fleet: databases would then
@@ -370,8 +376,8 @@
     ROUTERS.iter().for_each(|index| cluster.await_following(*index, &["r0", "r1"]));
     let load = cluster.start_rare_reads();
     cluster.await_round_without_router_checks(&CONTROL_INSTANCES);
-    cluster.check_rpcs(&load.end());
-    assert!(cluster.store.nodes.iter().all(|node| node.stale() == 0));
+    cluster.check_rpcs(&load.finish());
+    assert!(cluster.store.nodes.iter().all(|node| node.stale_reads() == 0));
 }
 
 #[test]
@@ -379,9 +385,9 @@
     let cluster = TestCluster::start("stale", &[20, 2000], "50ms");
     let load = cluster.start_load(&["recent"]);
     cluster.await_round_without_router_checks(&CONTROL_INSTANCES);
-    cluster.check_rpcs(&load.end());
-    assert_eq!(cluster.store.nodes[2].rpcs(Duration::ZERO, Duration::MAX), 0);
-    assert!(cluster.store.nodes[1].rpcs(Duration::ZERO, Duration::MAX) > 0);
+    cluster.check_rpcs(&load.finish());
+    assert_eq!(cluster.store.nodes[2].rpcs_between(Duration::ZERO, Duration::MAX), 0);
+    assert!(cluster.store.nodes[1].rpcs_between(Duration::ZERO, Duration::MAX) > 0);
 }
 
 /// Makes bounded reads at a router, one after the other. Returns the value of each, or `None` if it failed.
@@ -390,7 +396,9 @@
     let (mut out, mut unread) = (Vec::new(), Vec::new());
     pg::encode_startup(&mut out, "portal", "crm");
     stream.write_all(&out).unwrap();
-    while next(&mut stream, &mut unread, pg::decode_backend_message) != Some(BackendMessage::ReadyForQuery) {}
+    while read_message(&mut stream, &mut unread, pg::decode_backend_message)
+        != Some(BackendMessage::ReadyForQuery)
+    {}
     let mut answers = Vec::new();
     for index in 0..count {
         let text = format!(
@@ -399,7 +407,7 @@
         stream.write_all(&pg::query_message(text.as_bytes())).unwrap();
         let mut answer = None;
         loop {
-            match next(&mut stream, &mut unread, pg::decode_backend_message).unwrap() {
+            match read_message(&mut stream, &mut unread, pg::decode_backend_message).unwrap() {
                 BackendMessage::DataRow(value) => answer = value,
                 BackendMessage::ReadyForQuery => break,
                 _ => {}
@@ -415,11 +423,11 @@
     // The second replica reports a recent position to health checks although it is stale. The control
     // instances publish that position, so routers send it reads and must reject its answers.
     let cluster = TestCluster::prepare("proof", &[20, 2000], "50ms");
-    cluster.store.nodes[2].boast(Duration::from_millis(1980));
+    cluster.store.nodes[2].overstate_log_position(Duration::from_millis(1980));
     let mut cluster = cluster;
     cluster.routers.start_all().unwrap();
     ROUTERS.iter().for_each(|index| cluster.await_following(*index, &["r0", "r1"]));
-    let tried = || cluster.store.nodes[2].stale() >= 5;
+    let tried = || cluster.store.nodes[2].stale_reads() >= 5;
     let end = now() + EVENT_TIMEOUT;
     let mut fresh = 0;
     while !tried() || fresh == 0 {
@@ -458,9 +466,9 @@
         refused.contains("Forged:") && refused.contains("UnknownKey:")
     });
     cluster.await_round_without_router_checks(&CONTROL_INSTANCES);
-    cluster.check_rpcs(&load.end());
+    cluster.check_rpcs(&load.finish());
     assert_eq!(cluster.followed_instances(2), ["r0", "r1"]);
-    assert_eq!(cluster.store.nodes[2].rpcs(Duration::ZERO, Duration::MAX), 0);
+    assert_eq!(cluster.store.nodes[2].rpcs_between(Duration::ZERO, Duration::MAX), 0);
 }
 
 fn forged_digest(name: &str, start: u64, number: u32) -> Envelope {
@@ -531,13 +539,13 @@
     let mut subscriber = TestSubscriber::new("x1", cluster.feed_address(0));
     subscriber.receive_until("a digest", |message| matches!(message, Message::Digest(_)));
     cluster.routers.signal(0, "-TERM");
-    assert!(cluster.routers.ended(0));
+    assert!(cluster.routers.wait_for_exit(0));
     assert_eq!(cluster.events(0, "feed_left").len(), 1);
     subscriber.receive_until("the announcement of the shutdown", |message| *message == Message::Leaving);
     ROUTERS.iter().for_each(|index| cluster.await_following(*index, &["r1"]));
     // A router that shuts down unsubscribes.
     cluster.routers.signal(2, "-TERM");
-    assert!(cluster.routers.ended(2));
+    assert!(cluster.routers.wait_for_exit(2));
     assert_eq!(cluster.events(2, "feed_left").len(), 1);
     wait_until("the instance has one subscriber less", || {
         cluster.logged_counts(1, "feed_counts")["subscribers"] == ROUTERS.len() - 1
@@ -574,12 +582,12 @@
     // An invalid file is logged and has no other effect.
     cluster.write_conf(2, "subscribe {\n}\n");
     cluster.routers.signal(2, "-HUP");
-    assert!(cluster.routers.await_line(2, "configuration reload failed", EVENT_TIMEOUT));
+    assert!(cluster.routers.wait_for_line(2, "configuration reload failed", EVENT_TIMEOUT));
     wait_until("the second instance has all subscribers", || {
         cluster.logged_counts(1, "feed_counts")["subscribers"] == ROUTERS.len()
     });
-    cluster.check_rpcs(&load.end());
-    assert!(cluster.store.nodes.iter().all(|node| node.stale() == 0));
+    cluster.check_rpcs(&load.finish());
+    assert!(cluster.store.nodes.iter().all(|node| node.stale_reads() == 0));
 }
 
 fn check(name: &str, conf: &str, mode: u32) -> Output {
--- a/crates/router/tests/fleet.rs
+++ b/crates/router/tests/fleet.rs
@@ -8,10 +8,10 @@
 use std::process::{Command, Output};
 use std::time::Duration;
 
-use quillpoint_testbed::listing::{Entry, Listing, targets};
-use quillpoint_testbed::load::Load;
-use quillpoint_testbed::routers::{Bond, Routers, Setting};
-use quillpoint_testbed::store::Store;
+use quillpoint_testbed::listing::{DiscoveryServer, Endpoint, endpoint_list_json};
+use quillpoint_testbed::load::LoadGenerator;
+use quillpoint_testbed::replica_set::ReplicaSet;
+use quillpoint_testbed::routers::{FleetMode, Routers, RoutersConfig};
 use serde_json::Value as Json;
 
 const EVENT_TIMEOUT: Duration = Duration::from_secs(30);
@@ -23,20 +23,20 @@
 }
 
 /// Starts a primary and two replicas, and prepares three routers without starting them.
-fn three_routers(name: &str, bond: Bond) -> (Store, Routers, Listing) {
-    let store = Store::start(&[Duration::from_millis(20), Duration::from_millis(20)]).unwrap();
-    let entry = |node| Entry { node, group: 0, started: Duration::ZERO };
-    let list = targets(&store.nodes.iter().map(entry).collect::<Vec<_>>());
-    let listing = Listing::start(list.clone()).unwrap();
+fn three_routers(name: &str, fleet_mode: FleetMode) -> (ReplicaSet, Routers, DiscoveryServer) {
+    let store = ReplicaSet::start(&[Duration::from_millis(20), Duration::from_millis(20)]).unwrap();
+    let entry = |node| Endpoint { node, group: 0, started: Duration::ZERO };
+    let list = endpoint_list_json(&store.nodes.iter().map(entry).collect::<Vec<_>>());
+    let listing = DiscoveryServer::start(list.clone()).unwrap();
     let program = Path::new(env!("CARGO_BIN_EXE_quillpoint"));
-    let setting = Setting {
+    let setting = RoutersConfig {
         program,
-        folder: &folder(name),
-        listing: &listing,
-        targets: &list,
-        bond,
+        directory: &folder(name),
+        discovery: &listing,
+        endpoints: &list,
+        fleet_mode,
         seed: 5,
-        conf: "",
+        extra_directives: "",
     };
     let routers = Routers::new(3, &setting).unwrap();
     (store, routers, listing)
@@ -44,7 +44,7 @@
 
 /// The events with this name in a router's log, in order.
 fn events(routers: &Routers, index: usize, name: &str) -> Vec<Json> {
-    let lines = routers.lines(index).into_iter().map(|line| serde_json::from_str::<Json>(&line).unwrap());
+    let lines = routers.log_lines(index).into_iter().map(|line| serde_json::from_str::<Json>(&line).unwrap());
     lines.filter(|line| line["event"] == name).collect()
 }
 
@@ -63,17 +63,17 @@
     }
     panic!(
         "tasks were never divided among routers {members:?}; their logs: {:?}",
-        members.iter().map(|index| routers.lines(*index)).collect::<Vec<_>>()
+        members.iter().map(|index| routers.log_lines(*index)).collect::<Vec<_>>()
     );
 }
 
 #[test]
 fn tasks_are_taken_over_from_a_killed_router_and_divided_again_after_its_restart() {
-    let (store, mut routers, _listing) = three_routers("divide", Bond::Fleet);
+    let (store, mut routers, _listing) = three_routers("divide", FleetMode::Shared);
     routers.start_all().unwrap();
     await_tasks_divided(&routers, &[0, 1, 2]);
     let addresses: Vec<_> = routers.all.iter().map(|router| router.address).collect();
-    let load = Load::start(&addresses, 2, Duration::from_millis(20));
+    let load = LoadGenerator::start(&addresses, 2, Duration::from_millis(20));
     for index in [0, 1, 2] {
         load.outages.begin(index);
         routers.kill(index);
@@ -92,23 +92,23 @@
         load.outages.end(index);
         await_tasks_divided(&routers, &[0, 1, 2]);
     }
-    let tally = load.end();
+    let tally = load.finish();
     let count = |count: &std::sync::atomic::AtomicU64| count.load(std::sync::atomic::Ordering::SeqCst);
     assert_eq!(count(&tally.lost), 0);
     assert!(count(&tally.ok) > 0);
-    assert_eq!(store.writes().1, 0, "a write ran more than once");
-    assert!(store.nodes.iter().all(|node| node.stale() == 0));
-    assert!(tally.entered.lock().unwrap().iter().all(|id| store.has_run(id)));
-    assert!(tally.refused.lock().unwrap().iter().all(|id| !store.has_run(id)));
+    assert_eq!(store.write_counts().1, 0, "a write ran more than once");
+    assert!(store.nodes.iter().all(|node| node.stale_reads() == 0));
+    assert!(tally.committed_ids.lock().unwrap().iter().all(|id| store.has_executed(id)));
+    assert!(tally.rejected_ids.lock().unwrap().iter().all(|id| !store.has_executed(id)));
 }
 
 #[test]
 fn a_router_that_shuts_down_leaves_the_fleet_and_is_not_declared_dead() {
-    let (_store, mut routers, _listing) = three_routers("leave", Bond::Fleet);
+    let (_store, mut routers, _listing) = three_routers("leave", FleetMode::Shared);
     routers.start_all().unwrap();
     await_tasks_divided(&routers, &[0, 1, 2]);
     routers.signal(1, "-TERM");
-    assert!(routers.ended(1));
+    assert!(routers.wait_for_exit(1));
     await_tasks_divided(&routers, &[0, 2]);
     for index in [0, 2] {
         let about = |line: &Json| line["peer"] == "r1";
@@ -120,19 +120,19 @@
 
 #[test]
 fn a_paused_router_logs_the_pause_and_rejoins_the_fleet() {
-    let (_store, mut routers, _listing) = three_routers("still", Bond::Fleet);
+    let (_store, mut routers, _listing) = three_routers("still", FleetMode::Shared);
     routers.start_all().unwrap();
     await_tasks_divided(&routers, &[0, 1, 2]);
     routers.signal(2, "-STOP");
     await_tasks_divided(&routers, &[0, 1]);
     routers.signal(2, "-CONT");
-    assert!(routers.await_line(2, "\"fleet_process_paused\"", EVENT_TIMEOUT));
+    assert!(routers.wait_for_line(2, "\"fleet_process_paused\"", EVENT_TIMEOUT));
     await_tasks_divided(&routers, &[0, 1, 2]);
 }
 
 #[test]
 fn routers_without_configured_peers_each_own_all_tasks() {
-    let (_store, mut routers, _listing) = three_routers("alone", Bond::Alone);
+    let (_store, mut routers, _listing) = three_routers("alone", FleetMode::Separate);
     routers.start_all().unwrap();
     for index in 0..3 {
         assert_eq!(await_tasks_divided(&routers, &[index])[&index], 3);
@@ -141,45 +141,46 @@
 
 #[test]
 fn peers_added_to_the_configuration_are_joined_on_sighup() {
-    let (_store, mut routers, _listing) = three_routers("found", Bond::Alone);
+    let (_store, mut routers, _listing) = three_routers("found", FleetMode::Separate);
     routers.start_all().unwrap();
     (0..3).for_each(|index| _ = await_tasks_divided(&routers, &[index]));
     // Router 0 is given the address of router 1, and router 1 that of router 2: gossip spreads the rest.
     for (index, other) in [(0, 1), (1, 2)] {
-        let mut text = std::fs::read_to_string(routers.conf(index)).unwrap();
+        let mut text = std::fs::read_to_string(routers.conf_path(index)).unwrap();
         let address = routers.all[other].relay.address;
         text.push_str(&format!("peer r{other} {{\n    address {address}\n}}\n"));
-        std::fs::write(routers.conf(index), text).unwrap();
+        std::fs::write(routers.conf_path(index), text).unwrap();
         routers.signal(index, "-HUP");
     }
     await_tasks_divided(&routers, &[0, 1, 2]);
     // An invalid file is logged and has no other effect.
-    std::fs::write(routers.conf(0), "fleet {").unwrap();
+    std::fs::write(routers.conf_path(0), "fleet {").unwrap();
     routers.signal(0, "-HUP");
-    assert!(routers.await_line(0, "configuration reload failed", EVENT_TIMEOUT));
+    assert!(routers.wait_for_line(0, "configuration reload failed", EVENT_TIMEOUT));
     await_tasks_divided(&routers, &[0, 1, 2]);
 }
 
 #[test]
 fn without_a_fleet_section_nothing_of_the_fleet_runs() {
-    let (store, mut routers, _listing) = three_routers("off", Bond::Off);
+    let (store, mut routers, _listing) = three_routers("off", FleetMode::Disabled);
     routers.start_all().unwrap();
-    let load = Load::start(&[routers.all[0].address], 1, Duration::from_millis(10));
-    while store.nodes.iter().map(|node| node.rpcs(Duration::ZERO, Duration::MAX)).sum::<usize>() < 20 {
+    let load = LoadGenerator::start(&[routers.all[0].address], 1, Duration::from_millis(10));
+    while store.nodes.iter().map(|node| node.rpcs_between(Duration::ZERO, Duration::MAX)).sum::<usize>() < 20
+    {
         std::thread::sleep(Duration::from_millis(10));
     }
-    load.end();
-    assert!(!routers.lines(0).iter().any(|line| line.contains("fleet")), "{:?}", routers.lines(0));
+    load.finish();
+    assert!(!routers.log_lines(0).iter().any(|line| line.contains("fleet")), "{:?}", routers.log_lines(0));
 }
 
 #[test]
 fn a_flood_of_invalid_datagrams_is_rejected_and_loses_no_rpc() {
-    let (_store, mut routers, _listing) = three_routers("flood", Bond::Fleet);
+    let (_store, mut routers, _listing) = three_routers("flood", FleetMode::Shared);
     routers.start_all().unwrap();
     await_tasks_divided(&routers, &[0, 1, 2]);
     let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
-    let to = routers.datagrams(0);
-    let load = Load::start(&[routers.all[0].address], 4, Duration::from_millis(5));
+    let to = routers.datagram_address(0);
+    let load = LoadGenerator::start(&[routers.all[0].address], 4, Duration::from_millis(5));
     for number in 0..30_000_u32 {
         let mut bytes = number.to_be_bytes().repeat(100);
         if number % 2 == 0 {
@@ -188,8 +189,8 @@
         }
         _ = socket.send_to(&bytes, to);
     }
-    assert!(routers.await_line(0, "\"fleet_datagram_rejected\"", EVENT_TIMEOUT));
-    let tally = load.end();
+    assert!(routers.wait_for_line(0, "\"fleet_datagram_rejected\"", EVENT_TIMEOUT));
+    let tally = load.finish();
     let count = |count: &std::sync::atomic::AtomicU64| count.load(std::sync::atomic::Ordering::SeqCst);
     assert_eq!(count(&tally.lost), 0);
     assert!(count(&tally.ok) > 0);
@@ -198,7 +199,7 @@
 
 #[test]
 fn keys_can_be_rotated_while_the_fleet_runs() {
-    let (_store, mut routers, _listing) = three_routers("keys", Bond::Fleet);
+    let (_store, mut routers, _listing) = three_routers("keys", FleetMode::Shared);
     routers.start_all().unwrap();
     await_tasks_divided(&routers, &[0, 1, 2]);
     let file = folder("keys").join("fleet.keys");
@@ -223,12 +224,12 @@
     await_tasks_divided(&routers, &[0, 1]);
     routers.start(2).unwrap();
     await_tasks_divided(&routers, &[2]);
-    assert!(routers.await_line(0, "\"kind\":\"UnknownKey\"", EVENT_TIMEOUT));
+    assert!(routers.wait_for_line(0, "\"kind\":\"UnknownKey\"", EVENT_TIMEOUT));
 }
 
 fn check(conf: &str, mode: u32, name: &str) -> Output {
     use std::os::unix::fs::PermissionsExt;
-    let (_store, _routers, _listing) = three_routers(name, Bond::Fleet);
+    let (_store, _routers, _listing) = three_routers(name, FleetMode::Shared);
     let folder = folder(name);
     std::fs::write(folder.join("x.conf"), conf).unwrap();
     std::fs::set_permissions(folder.join("fleet.keys"), std::fs::Permissions::from_mode(mode)).unwrap();
--- a/crates/router/tests/soak/servers.rs
+++ b/crates/router/tests/soak/servers.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use quillpoint_router::pg::{self, FrontendMessage, StartupPacket};
-use quillpoint_testbed::store::{parameter, row};
+use quillpoint_testbed::replica_set::{encode_parameter_status, single_value_result};
 
 use crate::plan::{Plan, ServerBehavior};
 use crate::record::{Arrival, Record, RouterIndex, ServerIndex};
@@ -120,7 +120,7 @@
 
     fn health_check_response(&self) -> Vec<u8> {
         let mut out = Vec::new();
-        pg::encode_result(&mut out, &row(self.load().as_bytes()));
+        pg::encode_result(&mut out, &single_value_result(self.load().as_bytes()));
         pg::encode_ready_for_query(&mut out);
         out
     }
@@ -163,12 +163,12 @@
                     |state: &mut State| state.behavior == ServerBehavior::Hang && !self.record.is_over();
                 let state = self.state.0.lock().unwrap();
                 drop(self.state.1.wait_timeout_while(state, MAX_HANG, hangs).unwrap());
-                pg::encode_result(&mut out, &row(VALUE));
+                pg::encode_result(&mut out, &single_value_result(VALUE));
             }
         }
-        parameter(&mut out, "role", if self.is_primary { "primary" } else { "replica" });
-        parameter(&mut out, "applied_ms", &position.to_string());
-        parameter(&mut out, "load", &self.load());
+        encode_parameter_status(&mut out, "role", if self.is_primary { "primary" } else { "replica" });
+        encode_parameter_status(&mut out, "applied_ms", &position.to_string());
+        encode_parameter_status(&mut out, "load", &self.load());
         pg::encode_ready_for_query(&mut out);
         Some(out)
     }
--- a/crates/router/tests/standin/client.rs
+++ b/crates/router/tests/standin/client.rs
@@ -5,7 +5,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 
 use quillpoint_router::pg::{self, BackendMessage};
-use quillpoint_testbed::store::next;
+use quillpoint_testbed::replica_set::read_message;
 
 use super::NEVER;
 
@@ -65,7 +65,7 @@
 
     /// The next message of a router.
     pub fn next_message(&mut self) -> Option<BackendMessage> {
-        next(&mut self.stream, &mut self.unread, pg::decode_backend_message)
+        read_message(&mut self.stream, &mut self.unread, pg::decode_backend_message)
     }
 
     /// Closes its sending, and waits until the router has taken notice.
--- a/crates/router/tests/standin/node.rs
+++ b/crates/router/tests/standin/node.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use quillpoint_router::pg::{self, FrontendMessage, StartupPacket};
-use quillpoint_testbed::store::{next, parameter, row as answer};
+use quillpoint_testbed::replica_set::{encode_parameter_status, read_message, single_value_result as answer};
 
 use super::{NEVER, unix_ms};
 
@@ -134,7 +134,7 @@
             return;
         }
         let mut unread = Vec::new();
-        if next(&mut stream, &mut unread, pg::decode_startup_packet) != Some(StartupPacket::Startup) {
+        if read_message(&mut stream, &mut unread, pg::decode_startup_packet) != Some(StartupPacket::Startup) {
             return;
         }
         let mut out = Vec::new();
@@ -142,7 +142,7 @@
         _ = stream.write_all(&out);
         self.accepted.fetch_add(1, Ordering::SeqCst);
         while let Some(FrontendMessage::Query(text)) =
-            next(&mut stream, &mut unread, pg::decode_frontend_message)
+            read_message(&mut stream, &mut unread, pg::decode_frontend_message)
         {
             let text = String::from_utf8(text).unwrap();
             if text == "SHOW load" {
@@ -205,9 +205,9 @@
             return false;
         }
         let load = if behavior == NodeBehavior::MalformedReport { "x0=?,,=" } else { &rpc.load };
-        parameter(&mut out, "role", rpc.role);
-        parameter(&mut out, "applied_ms", &rpc.applied_ms.to_string());
-        parameter(&mut out, "load", load);
+        encode_parameter_status(&mut out, "role", rpc.role);
+        encode_parameter_status(&mut out, "applied_ms", &rpc.applied_ms.to_string());
+        encode_parameter_status(&mut out, "load", load);
         pg::encode_ready_for_query(&mut out);
         if let NodeBehavior::TrailingBytes(bytes) = behavior {
             out.extend(bytes);
--- a/crates/testbed/src/bin/capacity.rs
+++ b/crates/testbed/src/bin/capacity.rs
@@ -24,7 +24,7 @@
     #[error("{}: expected a page that can be read and written, {error}", page.display())]
     Page { page: PathBuf, error: io::Error },
     #[error(transparent)]
-    Records(#[from] capacity::Fault),
+    Records(#[from] capacity::PageError),
 }
 
 fn run() -> Result<ExitCode, CapacityError> {
@@ -46,9 +46,11 @@
     }
     let page_error = |error| CapacityError::Page { page: page.clone(), error };
     let old = std::fs::read_to_string(&page).map_err(page_error)?;
-    let new = capacity::fill(&old, &records)?;
+    let new = capacity::fill_page(&old, &records)?;
     if !check {
-        capacity::draw(&records)?.iter().for_each(|file| println!("{}: drawn", records.join(file).display()));
+        capacity::draw_plots(&records)?
+            .iter()
+            .for_each(|file| println!("{}: drawn", records.join(file).display()));
     }
     if old == new {
         println!("{}: as the records say", page.display());
--- a/crates/testbed/src/bin/duties.rs
+++ b/crates/testbed/src/bin/duties.rs
@@ -15,11 +15,11 @@
 use quillpoint_testbed::duties::figures::{Figures, Found};
 use quillpoint_testbed::duties::gap_plot::plot;
 use quillpoint_testbed::duties::rpc_costs::{contrast, first_reads};
-use quillpoint_testbed::listing::{Entry, Listing, targets};
-use quillpoint_testbed::load::{Load, Outages, Tally};
+use quillpoint_testbed::listing::{DiscoveryServer, Endpoint, endpoint_list_json};
+use quillpoint_testbed::load::{LoadGenerator, Outages, RpcResults};
 use quillpoint_testbed::now;
-use quillpoint_testbed::routers::{Bond, Routers, Setting};
-use quillpoint_testbed::store::{Node, Store};
+use quillpoint_testbed::replica_set::{Node, ReplicaSet};
+use quillpoint_testbed::routers::{FleetMode, Routers, RoutersConfig};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use serde_json::Value as Json;
@@ -72,8 +72,8 @@
     Ok(Some(wanted))
 }
 
-fn entries<'a>(busy: &'a Store, quiet: &'a Store, cold: Option<Duration>) -> Vec<Entry<'a>> {
-    let entry = |(group, place, node): (u64, usize, &'a Node)| Entry {
+fn entries<'a>(busy: &'a ReplicaSet, quiet: &'a ReplicaSet, cold: Option<Duration>) -> Vec<Endpoint<'a>> {
+    let entry = |(group, place, node): (u64, usize, &'a Node)| Endpoint {
         node,
         group,
         started: cold.filter(|_| (group, place) == (0, 1)).unwrap_or_default(),
@@ -106,7 +106,7 @@
     wanted: &'a Wanted,
     chance: ChaCha8Rng,
     bench: Bench,
-    listing: Listing,
+    listing: DiscoveryServer,
     targets: Json,
     found: Found,
 }
@@ -115,36 +115,36 @@
 struct Fleet {
     routers: Routers,
     addresses: Vec<SocketAddr>,
-    load: Load,
+    load: LoadGenerator,
     outages: Arc<Outages>,
 }
 
 impl<'a> Trial<'a> {
     fn start(wanted: &'a Wanted) -> std::io::Result<Self> {
-        let busy = Store::start(&[ms(20), ms(20), ms(5000)])?;
-        let quiet = Store::start(&[ms(20), ms(20)])?;
-        let targets = targets(&entries(&busy, &quiet, None));
-        let listing = Listing::start(targets.clone())?;
+        let busy = ReplicaSet::start(&[ms(20), ms(20), ms(5000)])?;
+        let quiet = ReplicaSet::start(&[ms(20), ms(20)])?;
+        let targets = endpoint_list_json(&entries(&busy, &quiet, None));
+        let listing = DiscoveryServer::start(targets.clone())?;
         let chance = ChaCha8Rng::seed_from_u64(wanted.seed);
         let bench = Bench { busy, quiet, phases: Vec::new() };
         Ok(Self { wanted, chance, bench, listing, targets, found: Found::default() })
     }
 
     /// Starts routers and their load, and lets them settle.
-    fn fleet(&self, bond: Bond) -> std::io::Result<Fleet> {
-        let setting = Setting {
+    fn fleet(&self, fleet_mode: FleetMode) -> std::io::Result<Fleet> {
+        let setting = RoutersConfig {
             program: &self.wanted.program,
-            folder: &self.wanted.folder,
-            listing: &self.listing,
-            targets: &self.targets,
-            bond,
+            directory: &self.wanted.folder,
+            discovery: &self.listing,
+            endpoints: &self.targets,
+            fleet_mode,
             seed: self.wanted.seed,
-            conf: "",
+            extra_directives: "",
         };
         let mut routers = Routers::new(ROUTERS, &setting)?;
         routers.start_all()?;
         let addresses: Vec<_> = routers.all.iter().map(|router| router.address).collect();
-        let load = Load::start(&addresses, 8, ms(100));
+        let load = LoadGenerator::start(&addresses, 8, ms(100));
         let outages = Arc::clone(&load.outages);
         sleep(SETTLED);
         Ok(Fleet { routers, addresses, load, outages })
@@ -173,7 +173,7 @@
             kill_and_restart(&mut fleet.routers, &fleet.outages, place, down)?;
             sleep(ms(self.chance.random_range(300..900)));
             // What the killed one owned must have been probed again by others: no gap that begins around the kill.
-            let gaps = self.bench.quiet.nodes.iter().map(|node| node.longest_gap(at, now()));
+            let gaps = self.bench.quiet.nodes.iter().map(|node| node.longest_contact_gap(at, now()));
             let longest = gaps.max().unwrap_or_default().as_secs_f64();
             self.found.take_over_max_s = self.found.take_over_max_s.max(longest);
         }
@@ -196,7 +196,7 @@
         fleet.outages.end(1);
         sleep(ms(500));
         self.bench.phase("stop and continue", from, &fleet.routers, &before);
-        let lines = fleet.routers.lines(1);
+        let lines = fleet.routers.log_lines(1);
         self.found.noticed_pause = lines.iter().any(|line| line.contains("\"fleet_process_paused\""));
         sleep(SETTLED);
     }
@@ -206,20 +206,25 @@
         let from = now();
         let before = used(&fleet.routers);
         let dead = deaths(&fleet.routers);
-        fleet.routers.lose(0, 2, 1.0);
+        fleet.routers.set_loss(0, 2, 1.0);
         sleep(self.span(3000, 20_000));
         self.found.false_deaths = deaths(&fleet.routers) - dead;
         self.bench.phase("one way lost", from, &fleet.routers, &before);
-        fleet.routers.heal();
+        fleet.routers.clear_losses();
     }
 
     /// A node is listed as just started: what reaches it in its first second or so, against its warm sister.
     fn cold_node(&mut self) {
         let from = now();
-        self.listing.change(targets(&entries(&self.bench.busy, &self.bench.quiet, Some(from))));
+        self.listing.set_endpoints(endpoint_list_json(&entries(
+            &self.bench.busy,
+            &self.bench.quiet,
+            Some(from),
+        )));
         sleep(ms(1500));
         let (cold, warm) = (&self.bench.busy.nodes[1], &self.bench.busy.nodes[2]);
-        self.found.cold_part = cold.rpcs(from, now()) as f64 / warm.rpcs(from, now()).max(1) as f64;
+        self.found.cold_part =
+            cold.rpcs_between(from, now()) as f64 / warm.rpcs_between(from, now()).max(1) as f64;
     }
 
     /// A router is told to stop, and started again.
@@ -227,7 +232,7 @@
         let (from, before) = (now(), used(&fleet.routers));
         fleet.outages.begin(0);
         fleet.routers.signal(0, "-TERM");
-        self.found.drained = fleet.routers.ended(0);
+        self.found.drained = fleet.routers.wait_for_exit(0);
         fleet.routers.start(0)?;
         fleet.outages.end(0);
         self.bench.phase("planned leave", from, &fleet.routers, &before);
@@ -258,8 +263,8 @@
     }
 
     /// All phases of routers that share probing. Returns what became of the RPCs.
-    fn shared(&mut self) -> std::io::Result<Arc<Tally>> {
-        let mut fleet = self.fleet(Bond::Fleet)?;
+    fn shared(&mut self) -> std::io::Result<Arc<RpcResults>> {
+        let mut fleet = self.fleet(FleetMode::Shared)?;
         let begun = now();
         self.calm("shared", &fleet.routers);
         self.kills(&mut fleet)?;
@@ -269,7 +274,7 @@
         self.planned_leave(&mut fleet)?;
         self.found.gap_max_s = self.bench.gap(begun, now());
         self.restart_all(&mut fleet)?;
-        let tally = fleet.load.end();
+        let tally = fleet.load.finish();
         if self.wanted.long {
             self.rpc_costs("shared", &mut fleet.routers, &fleet.addresses)?;
         }
@@ -277,11 +282,11 @@
     }
 
     /// Routers that each probe for themselves, or not at all but for their RPCs.
-    fn unshared(&mut self, bond: Bond, name: &'static str) -> std::io::Result<()> {
+    fn unshared(&mut self, bond: FleetMode, name: &'static str) -> std::io::Result<()> {
         let mut fleet = self.fleet(bond)?;
         self.calm(name, &fleet.routers);
-        fleet.load.end();
-        if self.wanted.long && bond == Bond::Off {
+        fleet.load.finish();
+        if self.wanted.long && bond == FleetMode::Disabled {
             self.rpc_costs(name, &mut fleet.routers, &fleet.addresses)?;
         }
         Ok(())
@@ -303,14 +308,14 @@
 
 fn deaths(routers: &Routers) -> usize {
     let dead = |line: &&String| line.contains("\"fleet_peer\"") && line.contains("\"state\":\"Dead\"");
-    (0..ROUTERS).map(|place| routers.lines(place).iter().filter(dead).count()).sum::<usize>()
+    (0..ROUTERS).map(|place| routers.log_lines(place).iter().filter(dead).count()).sum::<usize>()
 }
 
 fn measure(wanted: &Wanted) -> std::io::Result<Figures> {
     let mut trial = Trial::start(wanted)?;
     let tally = trial.shared()?;
-    trial.unshared(Bond::Alone, "alone")?;
-    trial.unshared(Bond::Off, "off")?;
+    trial.unshared(FleetMode::Separate, "alone")?;
+    trial.unshared(FleetMode::Disabled, "off")?;
     let mut figures = Figures::new(&trial.bench, &trial.found, &tally, wanted.seed);
     for first in &trial.found.firsts {
         println!("{}", serde_json::to_string(first)?);
--- a/crates/testbed/src/bin/fit.rs
+++ b/crates/testbed/src/bin/fit.rs
@@ -6,7 +6,7 @@
 
 use lexopt::prelude::{Long, Value, ValueExt};
 use quillpoint_simulator::plot::PlotError;
-use quillpoint_testbed::fit::{self, FEWEST_SIZES};
+use quillpoint_testbed::fit::{self, MIN_SIZES};
 use quillpoint_testbed::record::{self, Axis, Fit, Line};
 use quillpoint_testbed::{chart, simulated};
 
@@ -24,7 +24,7 @@
 
 /// What is wrong with the command line, or with a record.
 #[derive(Debug, thiserror::Error)]
-enum FitError {
+enum CommandError {
     #[error(transparent)]
     Option(#[from] lexopt::Error),
     #[error("--axis: expected routers, databases, connections, statements or changes, found {0:?}")]
@@ -35,7 +35,7 @@
     NoTarget(usize),
     #[error("--plot: expected --figure and --axis beside it, found {0}")]
     IncompletePlot(&'static str),
-    #[error("expected a figure at {FEWEST_SIZES} sizes of an axis with all else held, found none")]
+    #[error("expected a figure at {MIN_SIZES} sizes of an axis with all else held, found none")]
     NothingToFit,
     #[error(transparent)]
     Plot(#[from] PlotError),
@@ -51,7 +51,7 @@
     axis: Option<Axis>,
 }
 
-fn wanted() -> Result<Option<Wanted>, FitError> {
+fn wanted() -> Result<Option<Wanted>, CommandError> {
     let mut wanted = Wanted { records: Vec::new(), to: None, plot: None, figure: None, axis: None };
     let mut words = lexopt::Parser::from_env();
     while let Some(word) = words.next()? {
@@ -62,7 +62,7 @@
             Long("axis") => {
                 let name = words.value()?.string()?;
                 let axis = Axis::ALL.into_iter().find(|axis| axis.name() == name);
-                wanted.axis = Some(axis.ok_or(FitError::UnknownAxis(name))?);
+                wanted.axis = Some(axis.ok_or(CommandError::UnknownAxis(name))?);
             }
             Long("help") => return Ok(None),
             Value(record) => wanted.records.push(record.into()),
@@ -70,15 +70,15 @@
         }
     }
     if wanted.records.is_empty() {
-        return Err(FitError::NoRecord);
+        return Err(CommandError::NoRecord);
     }
     if wanted.plot.is_none() && wanted.to.is_none() && wanted.records.len() > 1 {
-        return Err(FitError::NoTarget(wanted.records.len()));
+        return Err(CommandError::NoTarget(wanted.records.len()));
     }
     Ok(Some(wanted))
 }
 
-fn read(path: &Path) -> Result<Vec<Line>, FitError> {
+fn read(path: &Path) -> Result<Vec<Line>, CommandError> {
     Ok(if simulated::is_record(path)? { simulated::read(path)? } else { record::read(path)? })
 }
 
@@ -99,7 +99,7 @@
     }
 }
 
-fn obey(wanted: &Wanted) -> Result<(), FitError> {
+fn obey(wanted: &Wanted) -> Result<(), CommandError> {
     let mut lines = Vec::new();
     for record in &wanted.records {
         lines.extend(read(record)?);
@@ -108,14 +108,14 @@
     if let Some(path) = &wanted.plot {
         return match (&wanted.figure, wanted.axis) {
             (Some(figure), Some(axis)) => Ok(chart::draw(path, &lines, axis, figure)?),
-            (Some(_), None) => Err(FitError::IncompletePlot("--figure")),
-            (None, Some(_)) => Err(FitError::IncompletePlot("--axis")),
-            (None, None) => Err(FitError::IncompletePlot("neither")),
+            (Some(_), None) => Err(CommandError::IncompletePlot("--figure")),
+            (None, Some(_)) => Err(CommandError::IncompletePlot("--axis")),
+            (None, None) => Err(CommandError::IncompletePlot("neither")),
         };
     }
     let fits = fit::fit_all(&lines);
     if fits.is_empty() {
-        return Err(FitError::NothingToFit);
+        return Err(CommandError::NothingToFit);
     }
     fits.iter().for_each(print);
     lines.extend(fits.into_iter().map(Line::Fit));
@@ -134,10 +134,10 @@
         fit.points,
         fit.residual,
         fit.spread,
-        fit.played,
-        fit.largest,
+        fit.measured,
+        fit.largest_size,
         fit.predicted,
-        fit.error,
+        fit.relative_error,
         if fit.is_usable() { "" } else { ": the form is wrong" },
     );
 }
--- a/crates/testbed/src/capacity.rs
+++ b/crates/testbed/src/capacity.rs
@@ -13,7 +13,7 @@
 use std::fmt::Write as _;
 use std::path::Path;
 
-use asks::{PLAYED, SECTIONS, SIMULATED, Side};
+use asks::{MEASURED_RECORD, SECTIONS, SIMULATED_RECORD, Sharing};
 use quillpoint_simulator::plot::PlotError;
 pub use rows::is_simulated;
 
@@ -22,17 +22,17 @@
 
 /// Why the page cannot be made.
 #[derive(Debug, thiserror::Error)]
-pub enum Fault {
+pub enum PageError {
     #[error("{0}")]
     Record(#[from] std::io::Error),
     #[error("{0}: its fits are not those of its runs; run measure/fit on it first")]
-    Stale(&'static str),
+    StaleFits(&'static str),
     #[error("the page has no marker {0}")]
-    NoMarker(String),
+    MissingMarker(String),
     #[error("the page's marker {0} has no end")]
-    NoEnd(String),
+    UnterminatedMarker(String),
     #[error("the page's marker {0} is not known")]
-    Unknown(String),
+    UnknownMarker(String),
     #[error(transparent)]
     Plot(#[from] PlotError),
 }
@@ -41,13 +41,13 @@
 struct Records(BTreeMap<&'static str, Vec<Line>>);
 
 impl Records {
-    fn read(folder: &Path) -> Result<Self, Fault> {
+    fn read(folder: &Path) -> Result<Self, PageError> {
         let mut records = BTreeMap::new();
-        for name in [PLAYED, SIMULATED] {
+        for name in [MEASURED_RECORD, SIMULATED_RECORD] {
             let path = folder.join(name);
             let lines = if path.exists() { record::read(&path)? } else { Vec::new() };
-            if !has_its_fits(&lines) {
-                return Err(Fault::Stale(name));
+            if !fits_are_current(&lines) {
+                return Err(PageError::StaleFits(name));
             }
             records.insert(name, lines);
         }
@@ -60,7 +60,7 @@
 }
 
 /// Whether the fits of a record are those that its runs give.
-pub fn has_its_fits(lines: &[Line]) -> bool {
+pub fn fits_are_current(lines: &[Line]) -> bool {
     let written: Vec<&Fit> =
         lines.iter().filter_map(|line| if let Line::Fit(fit) = line { Some(fit) } else { None }).collect();
     let due = fit::fit_all(lines);
@@ -72,14 +72,14 @@
                     == (other.axis, other.mode, &other.figure, other.form)
                 && near(one.slope, other.slope)
                 && near(one.offset, other.offset)
-                && near(one.error, other.error)
+                && near(one.relative_error, other.relative_error)
         })
 }
 
 fn block(name: &str, records: &Records) -> Option<String> {
     match name {
-        "missing-today" => Some(tables::missing(&[Side::Shared, Side::Any], records)),
-        "missing-feed" => Some(tables::missing(&[Side::Feed, Side::Any], records)),
+        "missing-today" => Some(tables::missing(&[Sharing::Shared, Sharing::Any], records)),
+        "missing-feed" => Some(tables::missing(&[Sharing::Feed, Sharing::Any], records)),
         "slopes" => Some(tables::slopes(records)),
         "plots" => Some(tables::plots(records)),
         "runs" => Some(tables::runs(records)),
@@ -95,13 +95,13 @@
 ///
 /// # Errors
 /// A record cannot be read or has not been fitted, or the page's markers are at fault.
-pub fn fill(page: &str, folder: &Path) -> Result<String, Fault> {
+pub fn fill_page(page: &str, folder: &Path) -> Result<String, PageError> {
     let records = Records::read(folder)?;
     let (mut made, mut rest, mut seen) = (String::new(), page, BTreeSet::new());
     while let Some(at) = rest.find(BEGIN) {
         let name = rest[at + BEGIN.len()..].split(" -->").next().unwrap_or_default();
-        let filled = block(name, &records).ok_or_else(|| Fault::Unknown(name.to_string()))?;
-        let end = rest[at..].find(END).ok_or_else(|| Fault::NoEnd(name.to_string()))?;
+        let filled = block(name, &records).ok_or_else(|| PageError::UnknownMarker(name.to_string()))?;
+        let end = rest[at..].find(END).ok_or_else(|| PageError::UnterminatedMarker(name.to_string()))?;
         _ = write!(made, "{}{BEGIN}{name} -->\n{filled}{END}", &rest[..at]);
         seen.insert(name);
         rest = &rest[at + end + END.len()..];
@@ -115,7 +115,7 @@
         "runs",
     ]);
     match all.into_iter().find(|name| !seen.contains(name)) {
-        Some(name) => Err(Fault::NoMarker(name.to_string())),
+        Some(name) => Err(PageError::MissingMarker(name.to_string())),
         None => Ok(made),
     }
 }
@@ -124,11 +124,11 @@
 ///
 /// # Errors
 /// A record cannot be read or has not been fitted, or a file cannot be written.
-pub fn draw(folder: &Path) -> Result<Vec<String>, Fault> {
+pub fn draw_plots(folder: &Path) -> Result<Vec<String>, PageError> {
     let records = Records::read(folder)?;
     let mut drawn = Vec::new();
     for (file, figure, axis) in tables::drawings(&records) {
-        crate::chart::draw(&folder.join(&file), records.lines(PLAYED), axis, figure)?;
+        crate::chart::draw(&folder.join(&file), records.lines(MEASURED_RECORD), axis, figure)?;
         drawn.push(file);
     }
     Ok(drawn)
--- a/crates/testbed/src/capacity/asks.rs
+++ b/crates/testbed/src/capacity/asks.rs
@@ -14,29 +14,29 @@
 use crate::scale::bounds::{CONTROL_MEMORY, ROUTER_BYTES_S, ROUTER_CPU, ROUTER_MEMORY};
 
 /// The target.
-pub const ROUTERS: f64 = 7_900.0;
-pub const DATABASES: f64 = 18_000.0;
-pub const CONTROL_MACHINES: f64 = 8.0;
-pub const CONNECTIONS: f64 = 8_481.0;
-pub const STATEMENTS: f64 = 494.0;
-pub const BURST: f64 = 10.0;
+pub const TARGET_ROUTERS: f64 = 7_900.0;
+pub const TARGET_DATABASES: f64 = 18_000.0;
+pub const TARGET_CONTROL_MACHINES: f64 = 8.0;
+pub const TARGET_CONNECTIONS: f64 = 8_481.0;
+pub const TARGET_STATEMENTS_S: f64 = 494.0;
+pub const BURST_CHANGES_S: f64 = 10.0;
 const ZONE_ROUTERS: f64 = 1_317.0;
 const RESTART_EVERY_S: f64 = 13.5;
 
 /// Bytes of control of all routers a second, and a control machine's part of them.
-const ALL_BYTES_S: f64 = ROUTER_BYTES_S * ROUTERS;
-const CONTROL_BYTES_S: f64 = ALL_BYTES_S / CONTROL_MACHINES;
+const ALL_BYTES_S: f64 = ROUTER_BYTES_S * TARGET_ROUTERS;
+const CONTROL_BYTES_S: f64 = ALL_BYTES_S / TARGET_CONTROL_MACHINES;
 const AGE_S: f64 = 0.3;
 const CHANGE_S: f64 = 1.0;
 const FOLLOW_S: f64 = 3.0;
 /// A database is probed once in this time by all together, as today.
-pub const PERIOD_S: f64 = 0.15;
-const PROBES_S: f64 = 1.0 / PERIOD_S;
+pub const TARGET_PROBE_PERIOD_S: f64 = 0.15;
+const PROBES_S: f64 = 1.0 / TARGET_PROBE_PERIOD_S;
 const IN_FORCE_S: f64 = 15.0;
 
 /// What processes played, and what the simulator did.
-pub const PLAYED: &str = "scale.jsonl";
-pub const SIMULATED: &str = "scale-simulated.jsonl";
+pub const MEASURED_RECORD: &str = "scale.jsonl";
+pub const SIMULATED_RECORD: &str = "scale-simulated.jsonl";
 
 const ROUTER_BYTES: &str = "router_bytes_in_s+router_bytes_out_s";
 const ROUTER_MESSAGES: &str = "router_messages_in_s+router_messages_out_s";
@@ -44,7 +44,7 @@
 const CONTROL_MESSAGES: &str = "control_messages_in_s+control_messages_out_s";
 
 /// What is drawn of what processes played.
-pub const DRAWN: [(&str, Axis); 6] = [
+pub const PLOTS: [(&str, Axis); 6] = [
     (ROUTER_BYTES, Axis::Databases),
     (ROUTER_BYTES, Axis::Routers),
     ("router_cpu_part", Axis::Databases),
@@ -54,28 +54,28 @@
 ];
 
 /// Until control instances that were cut from each other agree again. Only of a cut that parts them too.
-pub const AGREE: &str = "agree_max_s";
+pub const VIEWS_AGREE_FIGURE: &str = "agree_max_s";
 
 /// Times until all have come somewhere, and the count of those that had not when the run ended: with any of these the
 /// time is that of the others.
-pub const NEVER: [(&str, &str); 4] = [
+pub const COMPLETION_TIMES: [(&str, &str); 4] = [
     ("follow_max_s", "follow_missing"),
     ("real_follow_max_s", "follow_missing"),
-    (AGREE, "agree_missing"),
+    (VIEWS_AGREE_FIGURE, "agree_missing"),
     ("change_known_max_s", "change_unknown"),
 ];
 
 /// Faults by the names that measure/scale gives them.
 const RESTART: &str = "restart";
 const STOP: &str = "stop";
-pub const CUT: &str = "cut";
+pub const CUT_FAULT: &str = "cut";
 const KILL: &str = "control";
 const KILL_ALL: &str = "control-all";
 const PRIMARY: &str = "primary";
 
 /// How a row stands to today's program.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub enum Side {
+pub enum Sharing {
     /// Each router for itself.
     Alone,
     /// Today's sharing: all news to all.
@@ -89,17 +89,17 @@
 #[derive(Clone, Copy)]
 pub enum Budget {
     None,
-    Most(f64),
+    Max(f64),
     /// So many times what this figure was in a calm run of the same sizes.
-    TimesCalm(f64, &'static str),
+    MultipleOfCalm(f64, &'static str),
 }
 
 /// A size that a calm figure is wanted at.
 #[derive(Clone, Copy)]
-pub enum Over {
-    Size(Axis, f64),
+pub enum TargetSize {
+    OnAxis(Axis, f64),
     /// Over routers: so many follow each control instance, of which there are so many machines.
-    Share {
+    PerInstance {
         followers: f64,
         machines: f64,
     },
@@ -107,21 +107,21 @@
 
 pub enum Source {
     /// A calm figure at these sizes: a row for each axis with the others held, and one for both together.
-    Calm { record: &'static str, mode: Mode, figure: &'static str, over: Vec<Over> },
+    CalmRuns { record: &'static str, mode: Mode, figure: &'static str, over: Vec<TargetSize> },
     /// What a fault did at the largest size at which it was played.
-    Fault { fault: &'static str, figure: &'static str },
+    FaultRuns { fault: &'static str, figure: &'static str },
     /// Factors, and what they are divided by; where they come from.
     Computed { factors: Vec<f64>, by: f64, from: &'static str },
     /// There is nothing that could be measured.
-    Nothing,
+    NotMeasured,
 }
 
 /// A question to the records.
-pub struct Ask {
+pub struct Requirement {
     pub role: &'static str,
     /// With its unit.
-    pub what: &'static str,
-    pub side: Side,
+    pub quantity: &'static str,
+    pub sharing: Sharing,
     pub budget: Budget,
     pub source: Source,
     /// The package that carries it, or none.
@@ -142,23 +142,42 @@
 ];
 
 /// What is asked in a section.
-pub fn asks(section: &str) -> Vec<Ask> {
-    let both = || vec![Over::Size(Axis::Routers, ROUTERS), Over::Size(Axis::Databases, DATABASES)];
+pub fn requirements(section: &str) -> Vec<Requirement> {
+    let both = || {
+        vec![
+            TargetSize::OnAxis(Axis::Routers, TARGET_ROUTERS),
+            TargetSize::OnAxis(Axis::Databases, TARGET_DATABASES),
+        ]
+    };
     // In the simulator all know each other, which more than these never do.
-    let known = || vec![Over::Size(Axis::Routers, MAX_PEERS as f64), Over::Size(Axis::Databases, DATABASES)];
-    let calm = |record, mode, figure, over| Source::Calm { record, mode, figure, over };
-    let ask =
-        |role, what, side, budget, source, mechanism| Ask { role, what, side, budget, source, mechanism };
+    let known = || {
+        vec![
+            TargetSize::OnAxis(Axis::Routers, MAX_PEERS as f64),
+            TargetSize::OnAxis(Axis::Databases, TARGET_DATABASES),
+        ]
+    };
+    let calm = |record, mode, figure, over| Source::CalmRuns { record, mode, figure, over };
+    let ask = |role, quantity, sharing, budget, source, mechanism| Requirement {
+        role,
+        quantity,
+        sharing,
+        budget,
+        source,
+        mechanism,
+    };
     let computed = |factors: &[f64], by, from| Source::Computed { factors: factors.to_vec(), by, from };
     let (router, control, discovery) = ("router", "control machine", "discovery");
     let (database, connection) = ("database", "client connection");
-    let (alone, shared, feed, any) = (Side::Alone, Side::Shared, Side::Feed, Side::Any);
-    let fault = |fault, figure| Source::Fault { fault, figure };
+    let (alone, shared, feed, any) = (Sharing::Alone, Sharing::Shared, Sharing::Feed, Sharing::Any);
+    let fault = |fault, figure| Source::FaultRuns { fault, figure };
     // So many routers before so many machines, which all have the whole list.
     let followed = |routers, machines| {
-        vec![Over::Share { followers: routers / machines, machines }, Over::Size(Axis::Databases, DATABASES)]
+        vec![
+            TargetSize::PerInstance { followers: routers / machines, machines },
+            TargetSize::OnAxis(Axis::Databases, TARGET_DATABASES),
+        ]
     };
-    let shares = || followed(ROUTERS, CONTROL_MACHINES);
+    let shares = || followed(TARGET_ROUTERS, TARGET_CONTROL_MACHINES);
     let entry = entry_bytes();
     match section {
         "calm-alone" => vec![
@@ -166,24 +185,34 @@
                 database,
                 "probes a second",
                 alone,
-                Budget::Most(PROBES_S),
-                calm(SIMULATED, Mode::Off, "database_probes_s", vec![Over::Size(Axis::Routers, ROUTERS)]),
+                Budget::Max(PROBES_S),
+                calm(
+                    SIMULATED_RECORD,
+                    Mode::Off,
+                    "database_probes_s",
+                    vec![TargetSize::OnAxis(Axis::Routers, TARGET_ROUTERS)],
+                ),
                 "none: each router probes for itself",
             ),
             ask(
                 database,
                 "probes a second",
                 alone,
-                Budget::Most(PROBES_S),
-                calm(PLAYED, Mode::Off, "database_probes_s", vec![Over::Size(Axis::Routers, ROUTERS)]),
+                Budget::Max(PROBES_S),
+                calm(
+                    MEASURED_RECORD,
+                    Mode::Off,
+                    "database_probes_s",
+                    vec![TargetSize::OnAxis(Axis::Routers, TARGET_ROUTERS)],
+                ),
                 "none: each router probes for itself",
             ),
             ask(
                 router,
                 "processor time of control, cores",
                 alone,
-                Budget::Most(ROUTER_CPU),
-                calm(PLAYED, Mode::Off, "router_cpu_part", both()),
+                Budget::Max(ROUTER_CPU),
+                calm(MEASURED_RECORD, Mode::Off, "router_cpu_part", both()),
                 "none: each router probes for itself",
             ),
         ],
@@ -193,8 +222,8 @@
                     router,
                     "bytes sent a second",
                     shared,
-                    Budget::Most(ROUTER_BYTES_S),
-                    calm(SIMULATED, Mode::Shared, "router_bytes_out_s", known()),
+                    Budget::Max(ROUTER_BYTES_S),
+                    calm(SIMULATED_RECORD, Mode::Shared, "router_bytes_out_s", known()),
                     "membership",
                 ),
                 ask(
@@ -202,31 +231,31 @@
                     "messages sent a second",
                     shared,
                     Budget::None,
-                    calm(SIMULATED, Mode::Shared, "router_messages_out_s", known()),
+                    calm(SIMULATED_RECORD, Mode::Shared, "router_messages_out_s", known()),
                     "membership",
                 ),
                 ask(
                     router,
                     "processor time of decisions, cores",
                     shared,
-                    Budget::Most(ROUTER_CPU),
-                    calm(SIMULATED, Mode::Shared, "router_cpu_part", known()),
+                    Budget::Max(ROUTER_CPU),
+                    calm(SIMULATED_RECORD, Mode::Shared, "router_cpu_part", known()),
                     "membership",
                 ),
                 ask(
                     router,
                     "age of what is known, p99, s",
                     shared,
-                    Budget::Most(AGE_S),
-                    calm(SIMULATED, Mode::Shared, "age_p99_s", known()),
+                    Budget::Max(AGE_S),
+                    calm(SIMULATED_RECORD, Mode::Shared, "age_p99_s", known()),
                     "membership",
                 ),
                 ask(
                     database,
                     "probes a second",
                     shared,
-                    Budget::Most(PROBES_S),
-                    calm(SIMULATED, Mode::Shared, "database_probes_s", known()),
+                    Budget::Max(PROBES_S),
+                    calm(SIMULATED_RECORD, Mode::Shared, "database_probes_s", known()),
                     "membership",
                 ),
                 ask(
@@ -235,7 +264,7 @@
                     shared,
                     Budget::None,
                     computed(
-                        &[ROUTERS - MAX_PEERS as f64],
+                        &[TARGET_ROUTERS - MAX_PEERS as f64],
                         1.0,
                         "crates/membership/src/membership/peer_table.rs",
                     ),
@@ -245,9 +274,9 @@
                     database,
                     "probes a second, if views of 256 divide the routers",
                     shared,
-                    Budget::Most(PROBES_S),
+                    Budget::Max(PROBES_S),
                     computed(
-                        &[ROUTERS, PROBES_S],
+                        &[TARGET_ROUTERS, PROBES_S],
                         MAX_PEERS as f64,
                         "crates/membership/src/membership/peer_table.rs",
                     ),
@@ -258,7 +287,7 @@
                     "scores at a change of the view, if all were known",
                     shared,
                     Budget::None,
-                    computed(&[ROUTERS, DATABASES], 1.0, "crates/membership/src/rendezvous.rs"),
+                    computed(&[TARGET_ROUTERS, TARGET_DATABASES], 1.0, "crates/membership/src/rendezvous.rs"),
                     "membership",
                 ),
             ];
@@ -268,40 +297,40 @@
         "calm-feed" => {
             let mut rows = of_a_router(Mode::Feed, feed, "observation-feed, control-plane");
             let of_control = [
-                ("bytes in and out a second", CONTROL_BYTES, Budget::Most(CONTROL_BYTES_S)),
+                ("bytes in and out a second", CONTROL_BYTES, Budget::Max(CONTROL_BYTES_S)),
                 ("messages in and out a second", CONTROL_MESSAGES, Budget::None),
-                ("processor time, cores", "control_cpu_part", Budget::Most(1.0)),
-                ("memory, bytes", "control_memory_bytes", Budget::Most(CONTROL_MEMORY)),
-                ("state, bytes", "control_state_bytes", Budget::Most(CONTROL_MEMORY)),
+                ("processor time, cores", "control_cpu_part", Budget::Max(1.0)),
+                ("memory, bytes", "control_memory_bytes", Budget::Max(CONTROL_MEMORY)),
+                ("state, bytes", "control_state_bytes", Budget::Max(CONTROL_MEMORY)),
             ];
             rows.extend(of_control.map(|(what, figure, budget)| {
-                let source = calm(PLAYED, Mode::Feed, figure, shares());
+                let source = calm(MEASURED_RECORD, Mode::Feed, figure, shares());
                 ask(control, what, feed, budget, source, "observation-feed, membership, control-plane")
             }));
             for (what, figure) in [
                 ("bytes a second, of one that watches it", "discovery_bytes_s"),
                 ("calls a second, of one that watches it", "discovery_calls_s"),
             ] {
-                let source = calm(PLAYED, Mode::Feed, figure, both());
+                let source = calm(MEASURED_RECORD, Mode::Feed, figure, both());
                 rows.push(ask(discovery, what, any, Budget::None, source, "discovery-watch"));
             }
             rows.push(ask(
                 database,
                 "probes a second",
                 feed,
-                Budget::Most(PROBES_S),
-                calm(PLAYED, Mode::Feed, "database_probes_s", both()),
+                Budget::Max(PROBES_S),
+                calm(MEASURED_RECORD, Mode::Feed, "database_probes_s", both()),
                 "membership among control instances",
             ));
-            let at_connections = || vec![Over::Size(Axis::Connections, CONNECTIONS)];
-            let at_statements = || vec![Over::Size(Axis::Statements, STATEMENTS)];
+            let at_connections = || vec![TargetSize::OnAxis(Axis::Connections, TARGET_CONNECTIONS)];
+            let at_statements = || vec![TargetSize::OnAxis(Axis::Statements, TARGET_STATEMENTS_S)];
             rows.extend([
                 ask(
                     connection,
                     "memory of one, bytes",
                     any,
                     Budget::None,
-                    calm(PLAYED, Mode::Feed, "connection_memory_bytes", at_connections()),
+                    calm(MEASURED_RECORD, Mode::Feed, "connection_memory_bytes", at_connections()),
                     "router",
                 ),
                 ask(
@@ -309,7 +338,7 @@
                     "memory of a router with all of its own, bytes",
                     any,
                     Budget::None,
-                    calm(PLAYED, Mode::Feed, "real_memory_bytes", at_connections()),
+                    calm(MEASURED_RECORD, Mode::Feed, "real_memory_bytes", at_connections()),
                     "router",
                 ),
                 ask(
@@ -317,7 +346,7 @@
                     "processor time of a router with all of its own, cores",
                     any,
                     Budget::None,
-                    calm(PLAYED, Mode::Feed, "real_on_cpu_part", at_connections()),
+                    calm(MEASURED_RECORD, Mode::Feed, "real_on_cpu_part", at_connections()),
                     "router",
                 ),
                 ask(
@@ -325,7 +354,7 @@
                     "processor time of a router for its statements, cores",
                     any,
                     Budget::None,
-                    calm(PLAYED, Mode::Feed, "real_on_cpu_part", at_statements()),
+                    calm(MEASURED_RECORD, Mode::Feed, "real_on_cpu_part", at_statements()),
                     "router",
                 ),
             ]);
@@ -339,14 +368,14 @@
                 (connection, "state of one, bytes", "router"),
                 (connection, "bytes a second of one", "router"),
             ] {
-                rows.push(ask(role, what, any, Budget::None, Source::Nothing, by));
+                rows.push(ask(role, what, any, Budget::None, Source::NotMeasured, by));
             }
             rows.push(ask(
                 discovery,
                 "state: the list, bytes",
                 any,
                 Budget::None,
-                computed(&[entry, DATABASES], 1.0, "crates/testbed/src/listing.rs"),
+                computed(&[entry, TARGET_DATABASES], 1.0, "crates/testbed/src/listing.rs"),
                 "discovery-watch",
             ));
             rows.push(ask(
@@ -354,7 +383,7 @@
                 "statements a second of one",
                 any,
                 Budget::None,
-                computed(&[STATEMENTS], CONNECTIONS, "crates/testbed/src/capacity/asks.rs"),
+                computed(&[TARGET_STATEMENTS_S], TARGET_CONNECTIONS, "crates/testbed/src/capacity/asks.rs"),
                 "router",
             ));
             rows
@@ -365,7 +394,7 @@
                 "bytes of the list at one start",
                 any,
                 Budget::None,
-                computed(&[entry, DATABASES], 1.0, "crates/testbed/src/listing.rs"),
+                computed(&[entry, TARGET_DATABASES], 1.0, "crates/testbed/src/listing.rs"),
                 "discovery-watch: whole lists",
             ),
             ask(
@@ -373,14 +402,14 @@
                 "bytes a second, one start in 13.5 s",
                 any,
                 Budget::None,
-                computed(&[entry, DATABASES], RESTART_EVERY_S, "crates/testbed/src/listing.rs"),
+                computed(&[entry, TARGET_DATABASES], RESTART_EVERY_S, "crates/testbed/src/listing.rs"),
                 "discovery-watch: whole lists",
             ),
             ask(
                 router,
                 "memory of control, the most through a restart of a sixth, bytes",
                 feed,
-                Budget::Most(ROUTER_MEMORY),
+                Budget::Max(ROUTER_MEMORY),
                 fault(RESTART, "peak_router_memory_bytes"),
                 "observation-feed, control-plane",
             ),
@@ -388,7 +417,7 @@
                 router,
                 "state of control, the most through a restart of a sixth, bytes",
                 feed,
-                Budget::Most(ROUTER_MEMORY),
+                Budget::Max(ROUTER_MEMORY),
                 fault(RESTART, "peak_router_state_bytes"),
                 "observation-feed, control-plane",
             ),
@@ -397,7 +426,7 @@
                 "bytes a second of copies to routers that start, one start in 13.5 s",
                 feed,
                 Budget::None,
-                Source::Nothing,
+                Source::NotMeasured,
                 "observation-feed: paced copies",
             ),
             ask(
@@ -405,7 +434,7 @@
                 "probes a second beyond the calm ones, one start in 13.5 s",
                 feed,
                 Budget::None,
-                Source::Nothing,
+                Source::NotMeasured,
                 "membership among control instances",
             ),
             ask(
@@ -413,7 +442,7 @@
                 "time until the clients of a router that is replaced are served again, s",
                 any,
                 Budget::None,
-                Source::Nothing,
+                Source::NotMeasured,
                 "none: clients connect anew by themselves",
             ),
         ],
@@ -454,7 +483,7 @@
                 router,
                 "bytes of greetings of all that come back",
                 shared,
-                Budget::Most(ALL_BYTES_S * FOLLOW_S),
+                Budget::Max(ALL_BYTES_S * FOLLOW_S),
                 computed(
                     &[
                         ZONE_ROUTERS,
@@ -473,7 +502,7 @@
                 shared,
                 Budget::None,
                 computed(
-                    &[ROUTERS - 1.0, ((ROUTERS - 1.0) / MAX_JOIN_REPLY_RECORDS as f64).ceil()],
+                    &[TARGET_ROUTERS - 1.0, ((TARGET_ROUTERS - 1.0) / MAX_JOIN_REPLY_RECORDS as f64).ceil()],
                     1.0,
                     "crates/membership/src/membership/join.rs, message.rs",
                 ),
@@ -483,15 +512,15 @@
                 discovery,
                 "bytes of lists to all that come back",
                 any,
-                Budget::Most(ALL_BYTES_S * FOLLOW_S),
-                computed(&[entry, DATABASES, ZONE_ROUTERS], 1.0, "crates/testbed/src/listing.rs"),
+                Budget::Max(ALL_BYTES_S * FOLLOW_S),
+                computed(&[entry, TARGET_DATABASES, ZONE_ROUTERS], 1.0, "crates/testbed/src/listing.rs"),
                 "none: watch asks for whole lists at once",
             ),
             ask(
                 router,
                 "time until all follow again, a sixth restarted, s",
                 feed,
-                Budget::Most(FOLLOW_S),
+                Budget::Max(FOLLOW_S),
                 fault(RESTART, "follow_max_s"),
                 "observation-feed",
             ),
@@ -507,7 +536,7 @@
                 control,
                 "peak, bytes a second, a sixth restarted",
                 feed,
-                Budget::TimesCalm(5.0, CONTROL_BYTES),
+                Budget::MultipleOfCalm(5.0, CONTROL_BYTES),
                 fault(RESTART, "peak_control_bytes_s"),
                 "observation-feed: paced copies",
             ),
@@ -515,7 +544,7 @@
                 control,
                 "peak of processor time, cores, a sixth restarted",
                 feed,
-                Budget::Most(1.0),
+                Budget::Max(1.0),
                 fault(RESTART, "peak_control_cpu_part"),
                 "observation-feed: paced copies",
             ),
@@ -555,7 +584,7 @@
                 router,
                 "a primary changed in the midst of it, known to all, s",
                 feed,
-                Budget::Most(CHANGE_S),
+                Budget::Max(CHANGE_S),
                 fault(PRIMARY, "change_known_max_s"),
                 "observation-feed",
             ),
@@ -563,7 +592,7 @@
                 router,
                 "time until the real ones follow again, a sixth restarted, s",
                 feed,
-                Budget::Most(FOLLOW_S),
+                Budget::Max(FOLLOW_S),
                 fault(RESTART, "real_follow_max_s"),
                 "observation-feed",
             ),
@@ -588,7 +617,7 @@
                 "probes a second, a zone's databases back at once",
                 feed,
                 Budget::None,
-                Source::Nothing,
+                Source::NotMeasured,
                 "membership among control instances",
             ),
             ask(
@@ -596,7 +625,7 @@
                 "connections a second at the routers left, a zone's clients come over",
                 any,
                 Budget::None,
-                Source::Nothing,
+                Source::NotMeasured,
                 "none: clients connect anew by themselves",
             ),
         ],
@@ -606,23 +635,33 @@
                 "time until bytes are as before, after healing, s",
                 shared,
                 Budget::None,
-                fault(CUT, "calm_after_s"),
+                fault(CUT_FAULT, "calm_after_s"),
                 "membership",
             ),
             ask(
                 control,
                 "bytes in and out a second, 4 machines before 3,950 routers",
                 feed,
-                Budget::Most(CONTROL_BYTES_S),
-                calm(PLAYED, Mode::Feed, CONTROL_BYTES, followed(ROUTERS / 2.0, CONTROL_MACHINES / 2.0)),
+                Budget::Max(CONTROL_BYTES_S),
+                calm(
+                    MEASURED_RECORD,
+                    Mode::Feed,
+                    CONTROL_BYTES,
+                    followed(TARGET_ROUTERS / 2.0, TARGET_CONTROL_MACHINES / 2.0),
+                ),
                 "observation-feed, membership, control-plane",
             ),
             ask(
                 control,
                 "processor time, cores, 4 machines before 3,950 routers",
                 feed,
-                Budget::Most(1.0),
-                calm(PLAYED, Mode::Feed, "control_cpu_part", followed(ROUTERS / 2.0, CONTROL_MACHINES / 2.0)),
+                Budget::Max(1.0),
+                calm(
+                    MEASURED_RECORD,
+                    Mode::Feed,
+                    "control_cpu_part",
+                    followed(TARGET_ROUTERS / 2.0, TARGET_CONTROL_MACHINES / 2.0),
+                ),
                 "observation-feed, membership, control-plane",
             ),
             ask(
@@ -630,15 +669,15 @@
                 "age of what is known, the oldest, two halves cut for 30 s, s",
                 feed,
                 Budget::None,
-                fault(CUT, "fault_age_max_s"),
+                fault(CUT_FAULT, "fault_age_max_s"),
                 "observation-feed",
             ),
             ask(
                 router,
                 "time until views agree after healing, s",
                 feed,
-                Budget::Most(5.0),
-                fault(CUT, AGREE),
+                Budget::Max(5.0),
+                fault(CUT_FAULT, VIEWS_AGREE_FIGURE),
                 "observation-feed",
             ),
             ask(
@@ -646,7 +685,7 @@
                 "time until bytes are as before, after healing, s",
                 feed,
                 Budget::None,
-                fault(CUT, "calm_after_s"),
+                fault(CUT_FAULT, "calm_after_s"),
                 "observation-feed",
             ),
             ask(
@@ -654,7 +693,7 @@
                 "peak, bytes a second, at healing",
                 feed,
                 Budget::None,
-                fault(CUT, "peak_control_bytes_s"),
+                fault(CUT_FAULT, "peak_control_bytes_s"),
                 "observation-feed: paced copies",
             ),
             ask(
@@ -687,7 +726,7 @@
                 "probes in one second, no control instance left, the most that one that all use may get",
                 feed,
                 Budget::None,
-                computed(&[ROUTERS, 1.0], 1.0, "crates/observation-feed/src/health_check_quota.rs"),
+                computed(&[TARGET_ROUTERS, 1.0], 1.0, "crates/observation-feed/src/health_check_quota.rs"),
                 "observation-feed: paced share",
             ),
             ask(
@@ -695,7 +734,7 @@
                 "calls a second, a region alone",
                 any,
                 Budget::None,
-                Source::Nothing,
+                Source::NotMeasured,
                 "discovery-watch",
             ),
             ask(
@@ -703,7 +742,7 @@
                 "share of statements answered in a region alone",
                 any,
                 Budget::None,
-                Source::Nothing,
+                Source::NotMeasured,
                 "router",
             ),
         ],
@@ -712,23 +751,33 @@
                 control,
                 "bytes in and out a second, 7 machines left",
                 feed,
-                Budget::Most(CONTROL_BYTES_S),
-                calm(PLAYED, Mode::Feed, CONTROL_BYTES, followed(ROUTERS, CONTROL_MACHINES - 1.0)),
+                Budget::Max(CONTROL_BYTES_S),
+                calm(
+                    MEASURED_RECORD,
+                    Mode::Feed,
+                    CONTROL_BYTES,
+                    followed(TARGET_ROUTERS, TARGET_CONTROL_MACHINES - 1.0),
+                ),
                 "observation-feed, membership, control-plane",
             ),
             ask(
                 control,
                 "processor time, cores, 7 machines left",
                 feed,
-                Budget::Most(1.0),
-                calm(PLAYED, Mode::Feed, "control_cpu_part", followed(ROUTERS, CONTROL_MACHINES - 1.0)),
+                Budget::Max(1.0),
+                calm(
+                    MEASURED_RECORD,
+                    Mode::Feed,
+                    "control_cpu_part",
+                    followed(TARGET_ROUTERS, TARGET_CONTROL_MACHINES - 1.0),
+                ),
                 "observation-feed, membership, control-plane",
             ),
             ask(
                 router,
                 "age of what is known, the oldest, s",
                 feed,
-                Budget::Most(1.0),
+                Budget::Max(1.0),
                 fault(KILL, "fault_age_max_s"),
                 "observation-feed",
             ),
@@ -752,13 +801,13 @@
                 router,
                 "bytes sent a second, no control instance left",
                 feed,
-                Budget::Most(ROUTER_BYTES_S),
+                Budget::Max(ROUTER_BYTES_S),
                 fault(KILL_ALL, "alone_router_bytes_out_s"),
                 "observation-feed",
             ),
         ],
         "burst" => {
-            let burst = || vec![Over::Size(Axis::Changes, BURST)];
+            let burst = || vec![TargetSize::OnAxis(Axis::Changes, BURST_CHANGES_S)];
             let mut rows = Vec::new();
             for (mode, side, by) in
                 [(Mode::Shared, shared, "membership"), (Mode::Feed, feed, "observation-feed")]
@@ -768,16 +817,16 @@
                         router,
                         "bytes in and out a second at 10 changes a second",
                         side,
-                        Budget::Most(ROUTER_BYTES_S),
-                        calm(PLAYED, mode, ROUTER_BYTES, burst()),
+                        Budget::Max(ROUTER_BYTES_S),
+                        calm(MEASURED_RECORD, mode, ROUTER_BYTES, burst()),
                         by,
                     ),
                     ask(
                         router,
                         "time until a change of a database is known to all, s",
                         side,
-                        Budget::Most(CHANGE_S),
-                        calm(PLAYED, mode, "change_known_max_s", burst()),
+                        Budget::Max(CHANGE_S),
+                        calm(MEASURED_RECORD, mode, "change_known_max_s", burst()),
                         by,
                     ),
                 ]);
@@ -786,8 +835,8 @@
                 control,
                 "bytes in and out a second at 10 changes a second",
                 feed,
-                Budget::Most(CONTROL_BYTES_S),
-                calm(PLAYED, Mode::Feed, CONTROL_BYTES, burst()),
+                Budget::Max(CONTROL_BYTES_S),
+                calm(MEASURED_RECORD, Mode::Feed, CONTROL_BYTES, burst()),
                 "observation-feed",
             ));
             rows.extend([
@@ -796,15 +845,15 @@
                     "bytes a second at 10 changes a second",
                     any,
                     Budget::None,
-                    Source::Nothing,
+                    Source::NotMeasured,
                     "discovery-watch",
                 ),
                 ask(
                     database,
                     "probes a second at 10 changes a second",
                     feed,
-                    Budget::Most(PROBES_S),
-                    calm(PLAYED, Mode::Feed, "database_probes_s", burst()),
+                    Budget::Max(PROBES_S),
+                    calm(MEASURED_RECORD, Mode::Feed, "database_probes_s", burst()),
                     "membership among control instances",
                 ),
                 ask(
@@ -812,7 +861,7 @@
                     "time until statements go to the new primary, s",
                     any,
                     Budget::None,
-                    Source::Nothing,
+                    Source::NotMeasured,
                     "router",
                 ),
             ]);
@@ -820,8 +869,8 @@
                 router,
                 "time until a change of configuration is in force, s",
                 any,
-                Budget::Most(IN_FORCE_S),
-                Source::Nothing,
+                Budget::Max(IN_FORCE_S),
+                Source::NotMeasured,
                 "none: files and SIGHUP",
             ));
             rows
@@ -831,8 +880,8 @@
                 router,
                 "configuration in force everywhere, s",
                 any,
-                Budget::Most(IN_FORCE_S),
-                Source::Nothing,
+                Budget::Max(IN_FORCE_S),
+                Source::NotMeasured,
                 "none",
             ),
             ask(
@@ -840,7 +889,7 @@
                 "leases and revisions: how long a revoked one is still acted on, s",
                 any,
                 Budget::None,
-                Source::Nothing,
+                Source::NotMeasured,
                 "none",
             ),
             ask(
@@ -848,7 +897,7 @@
                 "lists in parts: bytes of a list's change to one router",
                 any,
                 Budget::None,
-                Source::Nothing,
+                Source::NotMeasured,
                 "none",
             ),
             ask(
@@ -856,7 +905,7 @@
                 "forwarders: bytes of one that waits idle",
                 any,
                 Budget::None,
-                Source::Nothing,
+                Source::NotMeasured,
                 "none",
             ),
         ],
@@ -868,32 +917,37 @@
 fn entry_bytes() -> f64 {
     let address = SocketAddr::from(([127, 255, 255, 255], u16::MAX));
     let started = Duration::from_secs(1_800_000_000);
-    (listing::target(address, DATABASES as u64, started, false).to_string().len() + 1) as f64
+    (listing::endpoint_json(address, TARGET_DATABASES as u64, started, false).to_string().len() + 1) as f64
 }
 
 /// The longest letter.
 const LETTER: f64 = 1_200.0;
 
 /// A router in calm, where its databases are known by that way.
-fn of_a_router(mode: Mode, side: Side, mechanism: &'static str) -> Vec<Ask> {
+fn of_a_router(mode: Mode, sharing: Sharing, mechanism: &'static str) -> Vec<Requirement> {
     let figures = [
-        ("bytes in and out a second", ROUTER_BYTES, Budget::Most(ROUTER_BYTES_S)),
+        ("bytes in and out a second", ROUTER_BYTES, Budget::Max(ROUTER_BYTES_S)),
         ("messages in and out a second", ROUTER_MESSAGES, Budget::None),
-        ("processor time of control, cores", "router_cpu_part", Budget::Most(ROUTER_CPU)),
-        ("memory of control, bytes", "router_memory_bytes", Budget::Most(ROUTER_MEMORY)),
-        ("state of control, bytes", "router_state_bytes", Budget::Most(ROUTER_MEMORY)),
-        ("age of what is known, p99, s", "age_p99_s", Budget::Most(AGE_S)),
-        ("time until a change is known to all, s", "change_known_max_s", Budget::Most(CHANGE_S)),
+        ("processor time of control, cores", "router_cpu_part", Budget::Max(ROUTER_CPU)),
+        ("memory of control, bytes", "router_memory_bytes", Budget::Max(ROUTER_MEMORY)),
+        ("state of control, bytes", "router_state_bytes", Budget::Max(ROUTER_MEMORY)),
+        ("age of what is known, p99, s", "age_p99_s", Budget::Max(AGE_S)),
+        ("time until a change is known to all, s", "change_known_max_s", Budget::Max(CHANGE_S)),
     ];
     // Members of a fleet know so many at the most, and cost one another no more.
-    let routers = if mode == Mode::Shared { MAX_PEERS as f64 } else { ROUTERS };
-    let over = || vec![Over::Size(Axis::Routers, routers), Over::Size(Axis::Databases, DATABASES)];
-    let ask = |(what, figure, budget)| Ask {
+    let routers = if mode == Mode::Shared { MAX_PEERS as f64 } else { TARGET_ROUTERS };
+    let over = || {
+        vec![
+            TargetSize::OnAxis(Axis::Routers, routers),
+            TargetSize::OnAxis(Axis::Databases, TARGET_DATABASES),
+        ]
+    };
+    let ask = |(quantity, figure, budget)| Requirement {
         role: "router",
-        what,
-        side,
+        quantity,
+        sharing,
         budget,
-        source: Source::Calm { record: PLAYED, mode, figure, over: over() },
+        source: Source::CalmRuns { record: MEASURED_RECORD, mode, figure, over: over() },
         mechanism,
     };
     figures.into_iter().map(ask).collect()
--- a/crates/testbed/src/capacity/numbers.rs
+++ b/crates/testbed/src/capacity/numbers.rs
@@ -1,7 +1,7 @@
 //! Numbers as the page shows them: rounded toward more, in full.
 
 /// Rounded up to so many digits, toward more. What a number's binary form adds in the tenth digit is none of it.
-pub fn up(is: f64, digits: i32) -> f64 {
+pub fn round_up(is: f64, digits: i32) -> f64 {
     if is == 0.0 || !is.is_finite() {
         return is;
     }
@@ -12,17 +12,17 @@
 }
 
 /// Rounded toward less.
-pub fn down(is: f64, digits: i32) -> f64 {
-    -up(-is, digits)
+pub fn round_down(is: f64, digits: i32) -> f64 {
+    -round_up(-is, digits)
 }
 
 /// An error, up to the next thousandth.
-pub fn part(is: f64) -> f64 {
+pub fn round_up_to_thousandth(is: f64) -> f64 {
     ((is - 1e-9).max(0.0) * 1000.0).ceil() / 1000.0
 }
 
 /// In full, with commas between thousands.
-pub fn show(is: f64) -> String {
+pub fn format_number(is: f64) -> String {
     let plain = is.abs().to_string();
     let (whole, part) = plain.split_once('.').unwrap_or((&plain, ""));
     let mut told = String::new();
--- a/crates/testbed/src/capacity/rows.rs
+++ b/crates/testbed/src/capacity/rows.rs
@@ -7,9 +7,10 @@
 use self::single::single;
 use super::Records;
 use super::asks::{
-    AGREE, Ask, Budget, CUT, DATABASES, NEVER, Over, PERIOD_S, PLAYED, ROUTERS, SIMULATED, Side, Source,
+    Budget, COMPLETION_TIMES, CUT_FAULT, MEASURED_RECORD, Requirement, SIMULATED_RECORD, Sharing, Source,
+    TARGET_DATABASES, TARGET_PROBE_PERIOD_S, TARGET_ROUTERS, TargetSize, VIEWS_AGREE_FIGURE,
 };
-use super::numbers::{down, part, show, up};
+use super::numbers::{format_number, round_down, round_up, round_up_to_thousandth};
 use crate::fit;
 use crate::record::{Axis, Fit, Form, Line, Mode, Sizes};
 
@@ -55,14 +56,19 @@
             |points: &mut dyn Iterator<Item = &fit::Point>| points.map(|point| point.mean).reduce(f64::max);
         let most = most_of(&mut points.iter().filter(|point| point.size <= size));
         let most = most.or_else(|| most_of(&mut points.iter())).unwrap_or_default();
-        let is_held = fit.slope < 0.0 || fit.at(place) < most * (1.0 - 1e-9);
-        let offset = if fit.offset.abs() < most * 1e-9 { 0.0 } else { up(fit.offset, 6) };
-        Self { form: fit.form, offset, slope: up(fit.slope, 6), held: is_held.then(|| up(most, 6)) }
+        let is_held = fit.slope < 0.0 || fit.predict(place) < most * (1.0 - 1e-9);
+        let offset = if fit.offset.abs() < most * 1e-9 { 0.0 } else { round_up(fit.offset, 6) };
+        Self {
+            form: fit.form,
+            offset,
+            slope: round_up(fit.slope, 6),
+            held: is_held.then(|| round_up(most, 6)),
+        }
     }
 
     /// By the fit alone.
     fn by_fit(&self, size: f64) -> f64 {
-        self.offset + self.slope * fit::value(self.form, size)
+        self.offset + self.slope * fit::regressor(self.form, size)
     }
 
     fn at(&self, size: f64) -> f64 {
@@ -71,8 +77,8 @@
 
     /// By how many times what the slope is multiplied by is larger at another size.
     fn growth(&self, from: f64, to: f64) -> f64 {
-        let was = fit::value(self.form, from);
-        if self.slope > 0.0 && was > 0.0 { (fit::value(self.form, to) - was) / was } else { 0.0 }
+        let was = fit::regressor(self.form, from);
+        if self.slope > 0.0 && was > 0.0 { (fit::regressor(self.form, to) - was) / was } else { 0.0 }
     }
 }
 
@@ -86,7 +92,7 @@
 
 impl Ratio {
     pub fn told(self) -> String {
-        if self.at_least { format!("at least {}", show(self.is)) } else { show(self.is) }
+        if self.at_least { format!("at least {}", format_number(self.is)) } else { format_number(self.is) }
     }
 }
 
@@ -102,10 +108,10 @@
 fn held(sizes: &Sizes, axis: Axis) -> String {
     let mut told = Vec::new();
     if axis != Axis::Routers {
-        told.push(format!("{} routers", show(sizes.routers as f64)));
+        told.push(format!("{} routers", format_number(sizes.routers as f64)));
     }
     if axis != Axis::Databases {
-        told.push(format!("{} databases", show(sizes.databases as f64)));
+        told.push(format!("{} databases", format_number(sizes.databases as f64)));
     }
     told.extend(held_with_both(sizes));
     told.join(", ")
@@ -117,7 +123,7 @@
         told.push(format!("{} instances", sizes.control));
     }
     if sizes.period_s > 0.0 {
-        told.push(format!("period {} s", show(sizes.period_s)));
+        told.push(format!("period {} s", format_number(sizes.period_s)));
     }
     told
 }
@@ -137,7 +143,7 @@
             || ["_memory_bytes", "_state_bytes"].iter().any(|end| name.ends_with(end))
             || ["real_", "discovery_", "connection_"].iter().any(|begin| name.starts_with(begin))
     };
-    let is_other = sizes.period_s > 0.0 && (sizes.period_s - PERIOD_S).abs() > 1e-9;
+    let is_other = sizes.period_s > 0.0 && (sizes.period_s - TARGET_PROBE_PERIOD_S).abs() > 1e-9;
     is_other && !figure.split('+').all(stays)
 }
 
@@ -146,14 +152,14 @@
     sizes.real == 0 && sizes.hollow_processes == 0
 }
 
-fn empty(ask: &Ask) -> Row {
+fn empty(ask: &Requirement) -> Row {
     let budget = match ask.budget {
-        Budget::Most(most) => Some(down(most, 6)),
+        Budget::Max(most) => Some(round_down(most, 6)),
         _ => None,
     };
     Row {
         role: ask.role,
-        what: ask.what,
+        what: ask.quantity,
         at: NO_FIGURE.to_string(),
         sum: NO_FIGURE.to_string(),
         figure: None,
@@ -180,11 +186,11 @@
 
 impl About<'_> {
     fn points(&self, axis: Axis) -> Option<fit::Points> {
-        fit::points_of(self.lines, self.program, axis, self.mode, self.figure)
+        fit::points_of_program(self.lines, self.program, axis, self.mode, self.figure)
     }
 
-    fn fit(&self, axis: Axis) -> Result<Fit, fit::Unfit> {
-        fit::fit_of(self.lines, self.program, axis, self.mode, self.figure)
+    fn fit(&self, axis: Axis) -> Result<Fit, fit::FitError> {
+        fit::fit_program(self.lines, self.program, axis, self.mode, self.figure)
     }
 }
 
@@ -194,27 +200,29 @@
     format!("{record}: {figure}, {}, {place}{by}", mode.name())
 }
 
-impl Over {
+impl TargetSize {
     pub fn axis(self) -> Axis {
-        if let Self::Size(axis, _) = self { axis } else { Axis::Routers }
+        if let Self::OnAxis(axis, _) = self { axis } else { Axis::Routers }
     }
 
     /// The size before so many control instances.
     fn size(self, instances: usize) -> f64 {
         match self {
-            Self::Size(_, size) => size,
-            Self::Share { followers, .. } => up(followers * instances as f64, 6),
+            Self::OnAxis(_, size) => size,
+            Self::PerInstance { followers, .. } => round_up(followers * instances as f64, 6),
         }
     }
 }
 
 /// Whether routers or databases were held below what the target has of them, or what is asked for.
-fn is_held_below(held_at: &Sizes, axis: Axis, others: &[Over]) -> bool {
-    [(Axis::Routers, ROUTERS), (Axis::Databases, DATABASES)].into_iter().any(|(other, target)| {
-        let wanted = others.iter().find(|over| over.axis() == other);
-        let wanted = wanted.map_or(target, |over| over.size(held_at.control));
-        other != axis && fit::size(held_at, other) < wanted
-    })
+fn is_held_below(held_at: &Sizes, axis: Axis, others: &[TargetSize]) -> bool {
+    [(Axis::Routers, TARGET_ROUTERS), (Axis::Databases, TARGET_DATABASES)].into_iter().any(
+        |(other, target)| {
+            let wanted = others.iter().find(|over| over.axis() == other);
+            let wanted = wanted.map_or(target, |over| over.size(held_at.control));
+            other != axis && fit::size_on_axis(held_at, other) < wanted
+        },
+    )
 }
 
 /// Where both axes were held: routers and databases.
@@ -231,10 +239,10 @@
 impl Crossed {
     /// From the place where both were held to another; `figures` are those of either axis there.
     fn of(curves: (Curve, Curve), from: Place, to: Place, figures: (f64, f64)) -> Self {
-        let base = down(curves.0.by_fit(from.0).min(curves.1.by_fit(from.1)), 6);
+        let base = round_down(curves.0.by_fit(from.0).min(curves.1.by_fit(from.1)), 6);
         let by_databases = (figures.0 - base).max(0.0) * curves.1.growth(from.1, to.1);
         let by_routers = (figures.1 - base).max(0.0) * curves.0.growth(from.0, to.0);
-        Self { both: up(by_databases.min(by_routers).max(0.0), 6), base }
+        Self { both: round_up(by_databases.min(by_routers).max(0.0), 6), base }
     }
 
     fn figure(&self, figures: (f64, f64)) -> f64 {
@@ -260,10 +268,11 @@
     for line in about.lines {
         let Line::Run { fault: None, program, sizes, figures, bounds, .. } = line else { continue };
         let to = (sizes.routers as f64, sizes.databases as f64);
-        let is_off = to.0 != from.0 && to.1 != from.1 && fit::is_alike(sizes, held);
+        let is_off =
+            to.0 != from.0 && to.1 != from.1 && fit::differ_only_in_routers_and_databases(sizes, held);
         if sizes.mode == about.mode && program.as_deref() == about.program && is_off {
             let place = (sizes.routers * sizes.databases, sizes.routers, sizes.databases);
-            played.entry(place).or_default().extend(fit::figure(figures, bounds, about.figure));
+            played.entry(place).or_default().extend(fit::calibrated_figure(figures, bounds, about.figure));
         }
     }
     played.retain(|_, runs| !runs.is_empty());
@@ -281,7 +290,7 @@
     let share = |places: &[(Place, f64, f64, f64)]| {
         let shares =
             places.iter().filter(|(.., most)| *most > 0.0).map(|(_, is, rest, most)| (is - rest) / most);
-        up(shares.fold(0.0, f64::max), 3)
+        round_up(shares.fold(0.0, f64::max), 3)
     };
     let (largest, others) = places.split_last()?;
     let (to, is, rest, most) = *largest;
@@ -296,7 +305,7 @@
         return None;
     }
     let held = (one.held.as_ref()?, other.held.as_ref()?);
-    if !fit::is_alike(held.0, held.1) {
+    if !fit::differ_only_in_routers_and_databases(held.0, held.1) {
         return None;
     }
     let from = (held.1.routers as f64, held.0.databases as f64);
@@ -309,10 +318,10 @@
     row.is_below = false;
     if let Some(OffAxes { share, under, at: (routers, databases) }) = off_axes(about, from, held.0) {
         let missed = if under > 0.0 { "under" } else { "over" };
-        let place = format!("{} routers and {} databases", show(routers), show(databases));
-        row.error = format!("{missed} by {} at {place}", show(part(under.abs())));
+        let place = format!("{} routers and {} databases", format_number(routers), format_number(databases));
+        row.error = format!("{missed} by {} at {place}", format_number(round_up_to_thousandth(under.abs())));
         // The most may be over by far, and what was fitted to runs may not.
-        if under > fit::MOST_ERROR || (share.is_some() && -under > fit::MOST_ERROR) {
+        if under > fit::MAX_RELATIVE_ERROR || (share.is_some() && -under > fit::MAX_RELATIVE_ERROR) {
             row.error += ": the crossing is wrong";
             row.sum = NO_FIGURE.to_string();
             row.figure = None;
@@ -320,82 +329,86 @@
             return Some(row);
         }
         if let Some(share) = share {
-            row.error += &format!("; both at {} of the most", show(share));
-            crossed.both = up(crossed.both * share, 6);
+            row.error += &format!("; both at {} of the most", format_number(share));
+            crossed.both = round_up(crossed.both * share, 6);
         }
     }
-    let [left, right, both, base] = [figures.0, figures.1, crossed.both, crossed.base].map(show);
+    let [left, right, both, base] = [figures.0, figures.1, crossed.both, crossed.base].map(format_number);
     row.sum = format!("{left} + {right} + {both} − {base}");
-    row.figure = Some(up(crossed.figure(figures), 3));
+    row.figure = Some(round_up(crossed.figure(figures), 3));
     let suffix = if row.is_beside { AT_ANOTHER } else { "" };
     row.basis = format!("{}computed{suffix}", prefix(held.0));
     Some(row)
 }
 
 /// The rows of a question: of processes, and of the simulator where it has played the like.
-pub fn rows(ask: &Ask, records: &Records) -> Vec<Row> {
+pub fn rows(ask: &Requirement, records: &Records) -> Vec<Row> {
     match &ask.source {
-        Source::Calm { record, mode, figure, over } => {
+        Source::CalmRuns { record, mode, figure, over } => {
             let of = |record| of_calm(ask, records, (record, *mode, figure), over);
-            let simulated = of(SIMULATED).filter(|_| *record == PLAYED && ask.side == Side::Feed);
+            let simulated =
+                of(SIMULATED_RECORD).filter(|_| *record == MEASURED_RECORD && ask.sharing == Sharing::Feed);
             let rows = of(record).unwrap_or_else(|| vec![not_played(ask, (record, *mode, figure), over)]);
             rows.into_iter().chain(simulated.into_iter().flatten()).collect()
         }
-        Source::Fault { fault, figure } => {
-            let played = of_fault(ask, records, PLAYED, fault, figure).unwrap_or_else(|| {
+        Source::FaultRuns { fault, figure } => {
+            let played = of_fault(ask, records, MEASURED_RECORD, fault, figure).unwrap_or_else(|| {
                 let mut row = empty(ask);
-                row.record = cite(PLAYED, figure, of_side(ask.side), fault, None);
+                row.record = cite(MEASURED_RECORD, figure, of_side(ask.sharing), fault, None);
                 row.error = "no run".to_string();
                 row
             });
-            let simulated = of_fault(ask, records, SIMULATED, fault, figure);
+            let simulated = of_fault(ask, records, SIMULATED_RECORD, fault, figure);
             std::iter::once(played).chain(simulated).collect()
         }
         Source::Computed { factors, by, from } => {
             let mut row = empty(ask);
-            let product: Vec<String> = factors.iter().map(|factor| show(up(*factor, 6))).collect();
+            let product: Vec<String> =
+                factors.iter().map(|factor| format_number(round_up(*factor, 6))).collect();
             row.sum = product.join(" × ");
             if *by != 1.0 {
-                row.sum += &format!(" / {}", show(*by));
+                row.sum += &format!(" / {}", format_number(*by));
             }
-            let all: f64 = factors.iter().map(|factor| up(*factor, 6)).product();
-            row.figure = Some(up(all / by, 3));
+            let all: f64 = factors.iter().map(|factor| round_up(*factor, 6)).product();
+            row.figure = Some(round_up(all / by, 3));
             row.basis = "computed".to_string();
             row.record = (*from).to_string();
             row.at = "the target".to_string();
             vec![row]
         }
-        Source::Nothing => vec![empty(ask)],
+        Source::NotMeasured => vec![empty(ask)],
     }
 }
 
 /// A row for each axis and one for both, if the record has the figure at all: of the newest program that was played at
 /// enough sizes of each axis. What still newer ones were played at enough sizes of comes before.
 fn of_calm(
-    ask: &Ask,
+    ask: &Requirement,
     records: &Records,
     (record, mode, figure): (&str, Mode, &str),
-    over: &[Over],
+    over: &[TargetSize],
 ) -> Option<Vec<Row>> {
     let lines = records.lines(record);
     let about = |program| About { record, lines, program, mode, figure };
-    let sizes = |program, over: &Over| about(program).points(over.axis()).map_or(0, |of| of.points.len());
+    let sizes =
+        |program, over: &TargetSize| about(program).points(over.axis()).map_or(0, |of| of.points.len());
     let mut programs = fit::programs(lines);
     // Of a control machine's share, runs of as many instances as there are machines come first, however old they are:
     // before fewer each probes more, which costs more than to hear of it.
     let machines = over.iter().find_map(|over| match over {
-        Over::Share { machines, .. } => Some(*machines),
-        Over::Size(..) => None,
+        TargetSize::PerInstance { machines, .. } => Some(*machines),
+        TargetSize::OnAxis(..) => None,
     });
     let is_of_others = |of: &About<'_>| {
-        let instances = |over: &Over| of.points(over.axis()).map(|played| played.held.control as f64);
+        let instances =
+            |over: &TargetSize| of.points(over.axis()).map(|played| played.fixed_sizes.control as f64);
         machines.is_some() && over.iter().any(|over| instances(over) != machines)
     };
     programs.sort_by_key(|program| is_of_others(&about(*program)));
     let mut partial = Vec::new();
     for program in &programs {
-        let enough = over.iter().enumerate().filter(|(_, over)| sizes(*program, over) >= fit::FEWEST_SIZES);
-        let enough: Vec<(usize, &Over)> = enough.collect();
+        let enough = over.iter().enumerate().filter(|(_, over)| sizes(*program, over) >= fit::MIN_SIZES);
+        let enough: Vec<(usize, &TargetSize)> = enough.collect();
         if enough.len() == over.len() {
             let singles: Vec<Single> =
                 over.iter().map(|size| single(ask, about(*program), *size, over)).collect();
@@ -406,7 +419,8 @@
             let newer = partial.into_iter().map(|(_, row)| row);
             return Some(newer.chain(singles.into_iter().map(|single| single.row)).chain(both).collect());
         }
-        let single = |(place, size): (usize, &Over)| (place, single(ask, about(*program), *size, over).row);
+        let single =
+            |(place, size): (usize, &TargetSize)| (place, single(ask, about(*program), *size, over).row);
         partial.extend(enough.into_iter().map(single));
     }
     // No program has both axes, so nothing is said of both; where none has one of them, the most there is.
@@ -421,12 +435,12 @@
     has_any.then(|| partial.into_iter().map(|(_, row)| row).collect())
 }
 
-fn not_played(ask: &Ask, (record, mode, figure): (&str, Mode, &str), over: &[Over]) -> Row {
+fn not_played(ask: &Requirement, (record, mode, figure): (&str, Mode, &str), over: &[TargetSize]) -> Row {
     let mut row = empty(ask);
-    let size = |over: &Over| match over {
-        Over::Size(axis, size) => (axis.name(), format!("{} {}", show(*size), axis.name())),
-        Over::Share { followers, .. } => {
-            ("routers", format!("{} routers an instance", show(up(*followers, 6))))
+    let size = |over: &TargetSize| match over {
+        TargetSize::OnAxis(axis, size) => (axis.name(), format!("{} {}", format_number(*size), axis.name())),
+        TargetSize::PerInstance { followers, .. } => {
+            ("routers", format!("{} routers an instance", format_number(round_up(*followers, 6))))
         }
     };
     let (axes, sizes): (Vec<&str>, Vec<String>) = over.iter().map(size).unzip();
@@ -436,14 +450,14 @@
     row
 }
 
-fn of_side(side: Side) -> Mode {
-    if side == Side::Shared { Mode::Shared } else { Mode::Feed }
+fn of_side(side: Sharing) -> Mode {
+    if side == Sharing::Shared { Mode::Shared } else { Mode::Feed }
 }
 
 /// The most that a fault did at the largest size at which it was played, if it was, by the newest program there. A cut
 /// that parts the control instances too counts before one that does not.
-fn of_fault(ask: &Ask, records: &Records, record: &str, fault: &str, figure: &str) -> Option<Row> {
-    let mode = of_side(ask.side);
+fn of_fault(ask: &Requirement, records: &Records, record: &str, fault: &str, figure: &str) -> Option<Row> {
+    let mode = of_side(ask.sharing);
     let lines = records.lines(record);
     let runs = |fault, figure| lines.iter().filter_map(move |line| Struck::of(line, (fault, mode, figure)));
     let played: Vec<Struck<'_>> = runs(Some(fault), figure).collect();
@@ -461,22 +475,22 @@
     let largest = most.sizes;
     let mut row = empty(ask);
     row.record = cite(record, figure, mode, fault, newest);
-    row.at = format!("{} routers, {}", show(largest.routers as f64), held(largest, Axis::Routers));
-    if fault == CUT && !most.parts_control && !is_simulated(largest) {
+    row.at = format!("{} routers, {}", format_number(largest.routers as f64), held(largest, Axis::Routers));
+    if fault == CUT_FAULT && !most.parts_control && !is_simulated(largest) {
         row.at += "; the instances not cut";
     }
     if never > 0.0 {
-        row.error = format!("{} had not when the run ended", show(never));
+        row.error = format!("{} had not when the run ended", format_number(never));
         return Some(row);
     }
-    row.figure = Some(up(most.is, 3));
+    row.figure = Some(round_up(most.is, 3));
     row.sum = "played".to_string();
-    row.is_below = (largest.routers as f64) < ROUTERS || (largest.databases as f64) < DATABASES;
+    row.is_below = (largest.routers as f64) < TARGET_ROUTERS || (largest.databases as f64) < TARGET_DATABASES;
     let by = if is_simulated(largest) { "simulated" } else { "measured" };
     row.is_beside = is_beside(largest, figure);
     let suffix = if row.is_beside { AT_ANOTHER } else { "" };
     row.basis = if row.is_below { format!("{by} below the target{suffix}") } else { format!("{by}{suffix}") };
-    if let Budget::TimesCalm(times, figure) = ask.budget {
+    if let Budget::MultipleOfCalm(times, figure) = ask.budget {
         // A run with a fault begins with calm seconds, whose figures it has beside the fault's.
         let calm = runs(Some(fault), figure).chain(runs(None, figure));
         let is_alike = |run: &Struck<'_>| {
@@ -484,7 +498,7 @@
             run.program == newest && sizes(run.sizes) == sizes(largest)
         };
         let least = calm.filter(is_alike).map(|run| run.is).reduce(f64::min);
-        row.budget = least.map(|least| down(least * times, 3));
+        row.budget = least.map(|least| round_down(least * times, 3));
     }
     Some(row)
 }
@@ -505,9 +519,9 @@
         if fault.as_deref() != wanted || sizes.mode != mode {
             return None;
         }
-        let parts_control = figures.contains_key(AGREE);
-        let is = fit::figure(figures, bounds, figure)?;
-        let counts = NEVER.iter().filter(|(name, _)| *name == figure);
+        let parts_control = figures.contains_key(VIEWS_AGREE_FIGURE);
+        let is = fit::calibrated_figure(figures, bounds, figure)?;
+        let counts = COMPLETION_TIMES.iter().filter(|(name, _)| *name == figure);
         let never = counts.filter_map(|(_, count)| figures.get(*count)).sum();
         Some(Self { program: program.as_deref(), sizes, parts_control, never, is })
     }
@@ -518,7 +532,7 @@
     /// not be at the target.
     pub fn ratio(&self) -> Option<Ratio> {
         (!self.is_beside).then_some(())?;
-        let is = up(self.figure? / self.budget?, 3);
+        let is = round_up(self.figure? / self.budget?, 3);
         let judges = !self.is_below && !self.is_of_others;
         (judges || is > 1.0).then_some(Ratio { is, at_least: self.is_below })
     }
@@ -529,8 +543,8 @@
     }
 
     pub fn line(&self) -> String {
-        let number = |is: Option<f64>| is.map_or(NO_FIGURE.to_string(), show);
-        let budget = self.budget.map_or("none named".to_string(), show);
+        let number = |is: Option<f64>| is.map_or(NO_FIGURE.to_string(), format_number);
+        let budget = self.budget.map_or("none named".to_string(), format_number);
         format!(
             "| {} | {} | {} | {} | {} | {budget} | {} | {} | {} | {} | {} |\n",
             self.role,
--- a/crates/testbed/src/capacity/rows/single.rs
+++ b/crates/testbed/src/capacity/rows/single.rs
@@ -4,27 +4,27 @@
     AT_ANOTHER, About, Curve, NO_FIGURE, Row, Single, cite, empty, held, held_with_both, is_beside,
     is_held_below, prefix,
 };
-use crate::capacity::asks::{Ask, Over};
-use crate::capacity::numbers::{part, show, up};
+use crate::capacity::asks::{Requirement, TargetSize};
+use crate::capacity::numbers::{format_number, round_up, round_up_to_thousandth};
 use crate::fit;
 use crate::record::{Axis, Fit, Form, Sizes};
 
 /// The figure of a question at one size of one axis. `others` are the sizes that the question asks of all axes.
-pub(super) fn single(ask: &Ask, about: About<'_>, over: Over, others: &[Over]) -> Single {
+pub(super) fn single(ask: &Requirement, about: About<'_>, over: TargetSize, others: &[TargetSize]) -> Single {
     let axis = over.axis();
     let wanted = match over {
-        Over::Size(_, size) => size,
-        Over::Share { followers, .. } => followers,
+        TargetSize::OnAxis(_, size) => size,
+        TargetSize::PerInstance { followers, .. } => followers,
     };
     let mut row = empty(ask);
     row.record =
         cite(about.record, about.figure, about.mode, &format!("over {}", axis.name()), about.program);
     let Some(played) = about.points(axis) else {
-        row.at = format!("{} {}", show(up(wanted, 6)), axis.name());
+        row.at = format!("{} {}", format_number(round_up(wanted, 6)), axis.name());
         row.error = "no run".to_string();
         return Single { row, curve: None, held: None, size: wanted };
     };
-    let held_at = played.held.clone();
+    let held_at = played.fixed_sizes.clone();
     let size = over.size(held_at.control);
     place_row(&mut row, over, others, &held_at, about.figure);
     let fit = match about.fit(axis) {
@@ -67,37 +67,37 @@
 }
 
 /// Enters at what size the row is, what was held beside it, and how far that is from the target.
-fn place_row(row: &mut Row, over: Over, others: &[Over], held_at: &Sizes, figure: &str) {
+fn place_row(row: &mut Row, over: TargetSize, others: &[TargetSize], held_at: &Sizes, figure: &str) {
     let axis = over.axis();
     let size = over.size(held_at.control);
     let at = match over {
-        Over::Share { followers, .. } => {
-            let (each, instances) = (show(up(followers, 6)), held_at.control);
-            format!("{each} routers an instance, {} before {instances}", show(size))
+        TargetSize::PerInstance { followers, .. } => {
+            let (each, instances) = (format_number(round_up(followers, 6)), held_at.control);
+            format!("{each} routers an instance, {} before {instances}", format_number(size))
         }
-        Over::Size(..) => format!("{} {}", show(size), axis.name()),
+        TargetSize::OnAxis(..) => format!("{} {}", format_number(size), axis.name()),
     };
     row.at = format!("{at}; {} held", held(held_at, axis));
     row.is_beside = is_beside(held_at, figure);
     row.is_below = is_held_below(held_at, axis, others);
     row.is_of_others = others
         .iter()
-        .any(|over| matches!(over, Over::Share { machines, .. } if *machines != held_at.control as f64));
+        .any(|over| matches!(over, TargetSize::PerInstance { machines, .. } if *machines != held_at.control as f64));
 }
 
 /// Why there is no fit, as the row says it.
-fn no_fit(unfit: &fit::Unfit) -> String {
+fn no_fit(unfit: &fit::FitError) -> String {
     match unfit {
-        fit::Unfit::TooFew { sizes, .. } => format!("sizes played: {sizes}, needed: {}", fit::FEWEST_SIZES),
-        fit::Unfit::Numbers { .. } => "no fit".to_string(),
+        fit::FitError::TooFew { sizes, .. } => format!("sizes played: {sizes}, needed: {}", fit::MIN_SIZES),
+        fit::FitError::Numbers { .. } => "no fit".to_string(),
     }
 }
 
 /// The other axis of a product, and its size: the one that is asked for, or else the one that was held.
-fn other_factor(axis: Axis, others: &[Over], held_at: &Sizes) -> (Axis, f64) {
+fn other_factor(axis: Axis, others: &[TargetSize], held_at: &Sizes) -> (Axis, f64) {
     let other = if axis == Axis::Routers { Axis::Databases } else { Axis::Routers };
     let wanted = others.iter().find(|over| over.axis() == other).map(|over| over.size(held_at.control));
-    (other, wanted.unwrap_or_else(|| fit::size(held_at, other)))
+    (other, wanted.unwrap_or_else(|| fit::size_on_axis(held_at, other)))
 }
 
 /// What a basis says behind its name.
@@ -108,7 +108,7 @@
 /// Enters the most that was played at this very size.
 fn measure_row(row: &mut Row, point: &fit::Point, held_at: &Sizes) {
     row.sum = "played".to_string();
-    row.figure = Some(up(point.most, 3));
+    row.figure = Some(round_up(point.max, 3));
     let basis = format!("{}measured", prefix(held_at)).replace("simulated: measured", "simulated");
     row.basis = format!("{basis}{}", basis_suffix(row));
     row.error = NO_FIGURE.to_string();
@@ -116,14 +116,20 @@
 
 /// Enters what the curve says of the size, if it may be said. Returns the curve then.
 fn predict_row(row: &mut Row, fit: &Fit, curve: Option<Curve>, target: &Target<'_>) -> Option<Curve> {
-    let missed = if fit.predicted < fit.played { "under" } else { "over" };
-    row.error = format!("{missed} by {} at {}", show(part(fit.error)), show(fit.largest));
+    let missed = if fit.predicted < fit.measured { "under" } else { "over" };
+    row.error = format!(
+        "{missed} by {} at {}",
+        format_number(round_up_to_thousandth(fit.relative_error)),
+        format_number(fit.largest_size)
+    );
     let Some(curve) = curve else {
         row.error += ": the form is wrong";
         return None;
     };
-    if let Some(failed) = target.played.failed_beyond().filter(|_| target.size > fit.largest) {
-        row.error += &format!("; calibration failed at {}, and nothing is known beyond", show(failed));
+    if let Some(failed) = target.played.first_uncalibrated_beyond().filter(|_| target.size > fit.largest_size)
+    {
+        row.error +=
+            &format!("; calibration failed at {}, and nothing is known beyond", format_number(failed));
         return None;
     }
     if curve.held.is_some() {
@@ -132,15 +138,21 @@
         place_product(row, target, other);
     }
     row.sum = predicted_sum(&curve, target);
-    row.figure = Some(up(curve.at(target.place()), 3));
-    row.basis = format!("{}predicted{}", prefix(&target.played.held), basis_suffix(row));
+    row.figure = Some(round_up(curve.at(target.place()), 3));
+    row.basis = format!("{}predicted{}", prefix(&target.played.fixed_sizes), basis_suffix(row));
     Some(curve)
 }
 
 /// Enters both sizes of a product, neither of which was held.
 fn place_product(row: &mut Row, target: &Target<'_>, (other, factor): (Axis, f64)) {
-    row.at = format!("{} {}, {} {}", show(target.size), target.axis.name(), show(factor), other.name());
-    let rest = held_with_both(&target.played.held).join(", ");
+    row.at = format!(
+        "{} {}, {} {}",
+        format_number(target.size),
+        target.axis.name(),
+        format_number(factor),
+        other.name()
+    );
+    let rest = held_with_both(&target.played.fixed_sizes).join(", ");
     row.at += &if rest.is_empty() { rest } else { format!("; {rest} held") };
     row.is_below = false;
 }
@@ -148,16 +160,18 @@
 /// The sum of which a predicted figure is the result.
 fn predicted_sum(curve: &Curve, target: &Target<'_>) -> String {
     if curve.held.is_some() {
-        return show(curve.at(target.place()));
+        return format_number(curve.at(target.place()));
     }
-    let size = show(target.size);
-    let offset = show(curve.offset);
-    let slope = show(curve.slope);
+    let size = format_number(target.size);
+    let offset = format_number(curve.offset);
+    let slope = format_number(curve.slope);
     match (curve.form, target.other) {
         (Form::Constant, _) => offset,
         (Form::Log, _) => format!("{offset} + {slope} × ln {size}"),
         (Form::Square, _) => format!("{offset} + {slope} × {size}²"),
-        (Form::Product, Some((_, factor))) => format!("{offset} + {slope} × {size} × {}", show(factor)),
+        (Form::Product, Some((_, factor))) => {
+            format!("{offset} + {slope} × {size} × {}", format_number(factor))
+        }
         (Form::Linear | Form::Product, _) => format!("{offset} + {slope} × {size}"),
     }
 }
--- a/crates/testbed/src/capacity/tables.rs
+++ b/crates/testbed/src/capacity/tables.rs
@@ -4,10 +4,10 @@
 use std::fmt::Write as _;
 
 use super::Records;
-use super::asks::{DRAWN, PLAYED, SECTIONS, Side, Source, asks};
-use super::numbers::{part, show, up};
+use super::asks::{MEASURED_RECORD, PLOTS, SECTIONS, Sharing, Source, requirements};
+use super::numbers::{format_number, round_up, round_up_to_thousandth};
 use super::rows::{HEAD, Ratio, Row, rows};
-use crate::fit::{self, MOST_ERROR};
+use crate::fit::{self, MAX_RELATIVE_ERROR};
 use crate::record::{self, Axis, Form, Line, Mode, Sizes};
 
 /// What stands for a program without a name.
@@ -15,26 +15,26 @@
 
 /// The rows of a section.
 pub fn table(section: &str, records: &Records) -> String {
-    let lines = asks(section).into_iter().flat_map(|ask| rows(&ask, records)).map(|row| row.line());
+    let lines = requirements(section).into_iter().flat_map(|ask| rows(&ask, records)).map(|row| row.line());
     HEAD.to_string() + &lines.collect::<String>()
 }
 
 /// What is over its budget, the worst first, and what nobody knows.
-pub fn missing(sides: &[Side], records: &Records) -> String {
+pub fn missing(sides: &[Sharing], records: &Records) -> String {
     let mut over = Vec::<(Ratio, &str, Row)>::new();
     let (mut unknown, mut unjudged) = (Vec::new(), Vec::new());
     for (section, when) in SECTIONS {
-        for ask in asks(section).iter().filter(|ask| sides.contains(&ask.side)) {
+        for ask in requirements(section).iter().filter(|ask| sides.contains(&ask.sharing)) {
             let rows = rows(ask, records);
             let worst = rows.iter().filter_map(|row| Some((row.ratio()?, row)));
             match worst.max_by(|one, other| one.0.is.total_cmp(&other.0.is)) {
                 Some((ratio, row)) if ratio.is > 1.0 => over.push((ratio, when, row.clone())),
                 Some(_) => {}
                 None if rows.iter().all(|row| row.figure.is_none()) => {
-                    unknown.push(format!("{}: {} ({when})", ask.role, ask.what));
+                    unknown.push(format!("{}: {} ({when})", ask.role, ask.quantity));
                 }
                 None if rows.iter().any(Row::is_unjudged) => {
-                    unjudged.push(format!("{}: {} ({when})", ask.role, ask.what));
+                    unjudged.push(format!("{}: {} ({when})", ask.role, ask.quantity));
                 }
                 None => {}
             }
@@ -83,13 +83,13 @@
         .to_string();
     let mut seen = BTreeSet::new();
     for (section, _) in SECTIONS {
-        for ask in asks(section) {
-            let Source::Calm { record, mode, figure, over } = ask.source else { continue };
+        for ask in requirements(section) {
+            let Source::CalmRuns { record, mode, figure, over } = ask.source else { continue };
             let lines = records.lines(record);
             let all =
                 over.iter().flat_map(|over| fit::programs(lines).into_iter().map(|of| (over.axis(), of)));
             for (axis, program) in all {
-                let Ok(fit) = fit::fit_of(lines, program, axis, mode, figure) else { continue };
+                let Ok(fit) = fit::fit_program(lines, program, axis, mode, figure) else { continue };
                 if !seen.insert((record, program, figure, mode, axis)) {
                     continue;
                 }
@@ -101,16 +101,17 @@
                     Form::Product => "n·m",
                 };
                 // What an offset's binary form leaves of nothing is nothing.
-                let offset = if fit.offset.abs() < fit.played.abs() * 1e-9 { 0.0 } else { fit.offset };
-                let [slope, offset] = [fit.slope, offset].map(|is| show(up(is, 6)));
-                let [residual, spread, error] =
-                    [fit.residual, fit.spread, fit.error].map(|is| show(part(is)));
-                let [predicted, played] = [fit.predicted, fit.played].map(|is| show(up(is, 4)));
-                let failed = fit::points_of(lines, program, axis, mode, figure);
-                let failed = failed.and_then(|points| points.failed_beyond());
+                let offset = if fit.offset.abs() < fit.measured.abs() * 1e-9 { 0.0 } else { fit.offset };
+                let [slope, offset] = [fit.slope, offset].map(|is| format_number(round_up(is, 6)));
+                let [residual, spread, error] = [fit.residual, fit.spread, fit.relative_error]
+                    .map(|is| format_number(round_up_to_thousandth(is)));
+                let [predicted, played] =
+                    [fit.predicted, fit.measured].map(|is| format_number(round_up(is, 4)));
+                let failed = fit::points_of_program(lines, program, axis, mode, figure);
+                let failed = failed.and_then(|points| points.first_uncalibrated_beyond());
                 let used = match failed {
-                    _ if fit.error > MOST_ERROR => "no".to_string(),
-                    Some(failed) => format!("not beyond: calibration failed at {}", show(failed)),
+                    _ if fit.relative_error > MAX_RELATIVE_ERROR => "no".to_string(),
+                    Some(failed) => format!("not beyond: calibration failed at {}", format_number(failed)),
                     None => "yes".to_string(),
                 };
                 let program = program.unwrap_or(FIRST);
@@ -120,7 +121,7 @@
                     mode.name(),
                     axis.name(),
                     fit.points,
-                    show(fit.largest),
+                    format_number(fit.largest_size),
                 );
             }
         }
@@ -131,13 +132,15 @@
 /// The drawings that there are points for, by their files' names.
 pub fn drawings(records: &Records) -> Vec<(String, &'static str, Axis)> {
     let is_played = |figure: &str, axis: Axis| {
-        let sizes =
-            |mode| fit::points(records.lines(PLAYED), axis, mode, figure).map_or(0, |of| of.points.len());
-        Mode::ALL.into_iter().any(|mode| sizes(mode) >= fit::FEWEST_SIZES)
+        let sizes = |mode| {
+            fit::newest_points(records.lines(MEASURED_RECORD), axis, mode, figure)
+                .map_or(0, |of| of.points.len())
+        };
+        Mode::ALL.into_iter().any(|mode| sizes(mode) >= fit::MIN_SIZES)
     };
     let name =
         |figure: &str| figure.split('+').next().unwrap_or_default().replace("_in_s", "").replace('_', "-");
-    let drawn = DRAWN.into_iter().filter(|(figure, axis)| is_played(figure, *axis));
+    let drawn = PLOTS.into_iter().filter(|(figure, axis)| is_played(figure, *axis));
     drawn
         .map(|(figure, axis)| (format!("scale-{}-{}.svg", name(figure), axis.name()), figure, axis))
         .collect()
@@ -179,15 +182,16 @@
                     (low.min(of(sizes)), high.max(of(sizes)))
                 });
                 if least == most {
-                    show(most as f64)
+                    format_number(most as f64)
                 } else {
-                    format!("{} to {}", show(least as f64), show(most as f64))
+                    format!("{} to {}", format_number(least as f64), format_number(most as f64))
                 }
             };
             let broken = runs.iter().flat_map(|(sizes, bounds)| {
                 bounds.iter().filter(|bound| !bound.held).map(|bound| {
-                    let (routers, databases) = (show(sizes.routers as f64), show(sizes.databases as f64));
-                    let [is, most] = [bound.is, bound.most].map(|is| show(up(is, 4)));
+                    let (routers, databases) =
+                        (format_number(sizes.routers as f64), format_number(sizes.databases as f64));
+                    let [is, most] = [bound.value, bound.limit].map(|is| format_number(round_up(is, 4)));
                     format!("{} {is} for {most} at {routers} × {databases}", bound.figure)
                 })
             });
--- a/crates/testbed/src/chart.rs
+++ b/crates/testbed/src/chart.rs
@@ -4,7 +4,7 @@
 
 use quillpoint_simulator::plot::{self, Axes, PlotError};
 
-use crate::fit::{self, MOST_ERROR};
+use crate::fit::{self, MAX_RELATIVE_ERROR};
 use crate::record::{Axis, Fit, Form, Line, Mode};
 
 /// A fit as people write it.
@@ -26,15 +26,15 @@
 pub fn draw(path: &Path, lines: &[Line], axis: Axis, figure: &str) -> Result<(), PlotError> {
     let mut drawn = Vec::new();
     for mode in Mode::ALL {
-        let Some(played) = fit::points(lines, axis, mode, figure) else { continue };
+        let Some(played) = fit::newest_points(lines, axis, mode, figure) else { continue };
         let points = played.points.iter().map(|point| (point.size, point.mean)).collect();
         drawn.push(plot::Line { name: format!("{}, played", mode.name()), points });
-        let Ok(fit) = fit::fit(lines, axis, mode, figure) else { continue };
+        let Ok(fit) = fit::fit_newest(lines, axis, mode, figure) else { continue };
         let size = |point: &fit::Point| {
             if fit.form == Form::Product { point.routers * point.databases } else { point.size }
         };
-        let points = played.points.iter().map(|point| (point.size, fit.at(size(point)))).collect();
-        let off = if fit.error > MOST_ERROR { ", wrong" } else { "" };
+        let points = played.points.iter().map(|point| (point.size, fit.predict(size(point)))).collect();
+        let off = if fit.relative_error > MAX_RELATIVE_ERROR { ", wrong" } else { "" };
         drawn.push(plot::Line { name: format!("{}, {}{off}", mode.name(), formula(&fit)), points });
     }
     let title = format!("{figure} over {}", axis.name());
--- a/crates/testbed/src/duties/bench.rs
+++ b/crates/testbed/src/duties/bench.rs
@@ -7,8 +7,8 @@
 
 use super::ROUTERS;
 use crate::now;
+use crate::replica_set::{Node, ReplicaSet};
 use crate::routers::Routers;
-use crate::store::{Node, Store};
 
 /// What a phase has shown.
 #[derive(Default, Serialize)]
@@ -29,8 +29,8 @@
 
 /// The stand-in nodes of a run, those with load and those without, and the phases so far.
 pub struct Bench {
-    pub busy: Store,
-    pub quiet: Store,
+    pub busy: ReplicaSet,
+    pub quiet: ReplicaSet,
     pub phases: Vec<Phase>,
 }
 
@@ -42,17 +42,17 @@
 
     /// The longest time between these in which nothing told any router of some node, in seconds.
     pub fn gap(&self, from: Duration, to: Duration) -> f64 {
-        self.nodes().map(|node| node.longest_gap(from, to)).max().unwrap_or_default().as_secs_f64()
+        self.nodes().map(|node| node.longest_contact_gap(from, to)).max().unwrap_or_default().as_secs_f64()
     }
 
     /// Enters what has been seen since then.
     pub fn phase(&mut self, name: &'static str, from: Duration, routers: &Routers, used: &[Duration]) {
         let (to, seconds) = (now(), (now() - from).as_secs_f64());
         let mut times = Histogram::<u64>::new(3).expect("three digits");
-        for gap in self.nodes().flat_map(|node| node.gaps(from, to)) {
+        for gap in self.nodes().flat_map(|node| node.contact_gaps(from, to)) {
             note(&mut times, gap.as_micros() as u64);
         }
-        let rate = |node: &Node| node.probes(from) as f64 / seconds;
+        let rate = |node: &Node| node.probes_since(from) as f64 / seconds;
         let quiet = self.quiet.nodes.iter().map(rate).sum::<f64>() / self.quiet.nodes.len() as f64;
         let usage: Vec<_> =
             (0..ROUTERS).filter_map(|place| routers.usage(place).map(|usage| (place, usage))).collect();
--- a/crates/testbed/src/duties/figures.rs
+++ b/crates/testbed/src/duties/figures.rs
@@ -6,8 +6,8 @@
 use super::bench::{Bench, note};
 use super::rpc_costs::{Contrast, FirstReads};
 use super::{LONGEST_GAP, ROUTERS};
-use crate::load::Tally;
-use crate::store::Node;
+use crate::load::RpcResults;
+use crate::replica_set::Node;
 
 /// Shared probing costs at most this part of what three routers alone cost together.
 const SHARED_PART: f64 = 0.5;
@@ -58,12 +58,16 @@
 
 impl Figures {
     /// The figures of a run, without the bounds that it broke.
-    pub fn new(bench: &Bench, found: &Found, tally: &Tally, seed: u64) -> Self {
+    pub fn new(bench: &Bench, found: &Found, tally: &RpcResults, seed: u64) -> Self {
         let count = |count: &std::sync::atomic::AtomicU64| count.load(std::sync::atomic::Ordering::SeqCst);
         let ids = |ids: &std::sync::Mutex<Vec<String>>| ids.lock().map(|ids| ids.clone()).unwrap_or_default();
         let mut times = Histogram::<u64>::new(3).expect("three digits");
-        tally.times.lock().map(|all| all.iter().for_each(|time| note(&mut times, *time))).unwrap_or_default();
-        let (_, doubled) = bench.busy.writes();
+        tally
+            .latencies_us
+            .lock()
+            .map(|all| all.iter().for_each(|time| note(&mut times, *time)))
+            .unwrap_or_default();
+        let (_, doubled) = bench.busy.write_counts();
         Figures {
             probe_gap_max_s: found.gap_max_s,
             probes_per_node_s_shared: bench.last("shared").probes_per_quiet_node_s,
@@ -71,16 +75,19 @@
             probes_per_node_s_off: bench.last("off").probes_per_node_s_max,
             take_over_max_s: found.take_over_max_s,
             kills: found.kills,
-            rpcs: tally.rpcs(),
+            rpcs: tally.total(),
             ok: count(&tally.ok),
-            pushed_back: count(&tally.pushed_back),
-            aborted: count(&tally.aborted),
-            cut: count(&tally.cut),
+            pushed_back: count(&tally.rejected),
+            aborted: count(&tally.failed),
+            cut: count(&tally.interrupted),
             lost: count(&tally.lost),
             doubled: doubled as u64,
-            stale: bench.nodes().map(Node::stale).sum(),
-            entered_missing: ids(&tally.entered).iter().filter(|id| !bench.busy.has_run(id)).count(),
-            refused_but_ran: ids(&tally.refused).iter().filter(|id| bench.busy.has_run(id)).count(),
+            stale: bench.nodes().map(Node::stale_reads).sum(),
+            entered_missing: ids(&tally.committed_ids)
+                .iter()
+                .filter(|id| !bench.busy.has_executed(id))
+                .count(),
+            refused_but_ran: ids(&tally.rejected_ids).iter().filter(|id| bench.busy.has_executed(id)).count(),
             cold_part: found.cold_part,
             false_deaths: found.false_deaths,
             p50_ms: times.value_at_quantile(0.5) as f64 / 1000.0,
--- a/crates/testbed/src/duties/gap_plot.rs
+++ b/crates/testbed/src/duties/gap_plot.rs
@@ -36,7 +36,7 @@
     let mut longest = vec![0.0_f64; seconds + 1];
     for node in bench.nodes() {
         let mut at = Duration::ZERO;
-        for gap in node.gaps(from, now()) {
+        for gap in node.contact_gaps(from, now()) {
             at += gap;
             if let Some(most) = longest.get_mut(at.as_secs() as usize) {
                 *most = most.max(gap.as_secs_f64());
--- a/crates/testbed/src/duties/rpc_costs.rs
+++ b/crates/testbed/src/duties/rpc_costs.rs
@@ -7,10 +7,10 @@
 use serde::Serialize;
 
 use super::bench::note;
-use crate::load::Load;
+use crate::load::LoadGenerator;
 use crate::now;
+use crate::replica_set::ReplicaSet;
 use crate::routers::Routers;
-use crate::store::Store;
 
 /// A fleet has settled by then.
 const SETTLED: Duration = Duration::from_millis(1500);
@@ -33,25 +33,29 @@
 /// Measures sparse reads at each router for so many seconds, and then a primary that goes.
 pub fn contrast(
     name: &'static str,
-    busy: &Store,
+    busy: &ReplicaSet,
     addresses: &[std::net::SocketAddr],
     seconds: u64,
 ) -> Contrast {
-    let load = Load::of(addresses, 1, Duration::from_millis(700), &["recent"]);
+    let load = LoadGenerator::with_methods(addresses, 1, Duration::from_millis(700), &["recent"]);
     let from = now();
     sleep(Duration::from_secs(seconds));
-    let tally = load.end();
-    let probes: usize = busy.nodes.iter().map(|node| node.probes(from)).sum();
+    let tally = load.finish();
+    let probes: usize = busy.nodes.iter().map(|node| node.probes_since(from)).sum();
     let mut times = Histogram::<u64>::new(3).expect("three digits");
-    tally.times.lock().map(|all| all.iter().for_each(|time| note(&mut times, *time))).unwrap_or_default();
-    let load = Load::start(addresses, 8, Duration::from_millis(100));
+    tally
+        .latencies_us
+        .lock()
+        .map(|all| all.iter().for_each(|time| note(&mut times, *time)))
+        .unwrap_or_default();
+    let load = LoadGenerator::start(addresses, 8, Duration::from_millis(100));
     sleep(SETTLED);
     let (primary, from) = (&busy.nodes[0], now());
-    primary.set_up(false);
+    primary.set_available(false);
     sleep(Duration::from_secs(1));
-    let failover_probes = busy.nodes.iter().map(|node| node.probes(from)).sum();
-    primary.set_up(true);
-    load.end();
+    let failover_probes = busy.nodes.iter().map(|node| node.probes_since(from)).sum();
+    primary.set_available(true);
+    load.finish();
     let ms = |quantile: f64| times.value_at_quantile(quantile) as f64 / 1000.0;
     Contrast {
         contrast: name,
@@ -59,8 +63,8 @@
         sparse_p99_ms: ms(0.99),
         sparse_max_ms: times.max() as f64 / 1000.0,
         sparse_ok: tally.ok.load(std::sync::atomic::Ordering::SeqCst),
-        sparse_pushed_back: tally.pushed_back.load(std::sync::atomic::Ordering::SeqCst),
-        sparse_probes_per_rpc: probes as f64 / tally.rpcs().max(1) as f64,
+        sparse_pushed_back: tally.rejected.load(std::sync::atomic::Ordering::SeqCst),
+        sparse_probes_per_rpc: probes as f64 / tally.total().max(1) as f64,
         failover_probes,
     }
 }
@@ -83,11 +87,11 @@
 /// The router cannot be started.
 pub fn first_reads(
     name: &'static str,
-    busy: &Store,
+    busy: &ReplicaSet,
     routers: &mut Routers,
     starts: usize,
 ) -> std::io::Result<FirstReads> {
-    busy.nodes.iter().for_each(|node| node.slow_probes(SLOW_PROBE));
+    busy.nodes.iter().for_each(|node| node.delay_probes(SLOW_PROBE));
     let address = [routers.all[0].address];
     let (mut times, mut ok) = (Vec::new(), 0);
     for _ in 0..starts {
@@ -95,13 +99,13 @@
         routers.start(0)?;
         // A front sends clients once a router answers, and some time later: it has heard from its peers by then.
         sleep(Duration::from_millis(300));
-        let load = Load::of(&address, 1, Duration::from_millis(400), &["recent"]);
+        let load = LoadGenerator::with_methods(&address, 1, Duration::from_millis(400), &["recent"]);
         sleep(Duration::from_millis(200));
-        let tally = load.end();
+        let tally = load.finish();
         ok += tally.ok.load(std::sync::atomic::Ordering::SeqCst);
-        times.extend(tally.times.lock().map(|times| times.first().copied()).unwrap_or_default());
+        times.extend(tally.latencies_us.lock().map(|times| times.first().copied()).unwrap_or_default());
     }
-    busy.nodes.iter().for_each(|node| node.slow_probes(Duration::ZERO));
+    busy.nodes.iter().for_each(|node| node.delay_probes(Duration::ZERO));
     times.sort_unstable();
     let ms = |time: Option<&u64>| time.copied().unwrap_or_default() as f64 / 1000.0;
     let (p50_ms, max_ms) = (ms(times.get(times.len() / 2)), ms(times.last()));
--- a/crates/testbed/src/fit.rs
+++ b/crates/testbed/src/fit.rs
@@ -18,14 +18,14 @@
 use crate::record::{Axis, Bound, Fit, Form, Line, Mode, Sizes};
 
 /// One is left out, two decide a slope, and one is left to say that a line is none.
-pub const FEWEST_SIZES: usize = 4;
+pub const MIN_SIZES: usize = 4;
 /// A prediction that is off by more speaks for another form.
-pub const MOST_ERROR: f64 = 0.20;
+pub const MAX_RELATIVE_ERROR: f64 = 0.20;
 /// A slope must bring the error of left-out points down to this part of a constant's.
 const WORTH_A_SLOPE: f64 = 0.8;
 
 /// What is fitted beside the figures themselves: budgets are for both ways together.
-pub const SUMS: [&str; 4] = [
+pub const SUMMED_FIGURES: [&str; 4] = [
     "router_bytes_in_s+router_bytes_out_s",
     "router_messages_in_s+router_messages_out_s",
     "control_bytes_in_s+control_bytes_out_s",
@@ -37,11 +37,11 @@
 
 /// Why nothing is fitted.
 #[derive(Debug, PartialEq, thiserror::Error)]
-pub enum Unfit {
-    #[error("{figure} over {}, {}: {sizes} sizes were played with all else held, and {FEWEST_SIZES} are needed", axis.name(), mode.name())]
+pub enum FitError {
+    #[error("{figure} over {}, {}: {sizes} sizes were played with all else held, and {MIN_SIZES} are needed", axis.name(), mode.name())]
     TooFew { figure: String, axis: Axis, mode: Mode, sizes: usize },
-    #[error("{figure} over {}, {}: {fault}", axis.name(), mode.name())]
-    Numbers { figure: String, axis: Axis, mode: Mode, fault: String },
+    #[error("{figure} over {}, {}: {cause}", axis.name(), mode.name())]
+    Numbers { figure: String, axis: Axis, mode: Mode, cause: String },
 }
 
 /// What was played at one size.
@@ -52,7 +52,7 @@
     pub databases: f64,
     /// Of its runs.
     pub mean: f64,
-    pub most: f64,
+    pub max: f64,
     /// Half the distance between the least and the most, as a part of the mean.
     pub spread: f64,
     pub runs: usize,
@@ -62,7 +62,7 @@
 #[derive(Clone, Debug)]
 pub struct Points {
     pub program: Option<String>,
-    pub held: Sizes,
+    pub fixed_sizes: Sizes,
     pub points: Vec<Point>,
     /// Sizes at which there were runs, but none whose calibration held on the figure.
     pub uncalibrated: Vec<f64>,
@@ -70,7 +70,7 @@
 
 impl Points {
     /// The least size beyond all points at which calibration failed: of what is there and beyond nothing is known.
-    pub fn failed_beyond(&self) -> Option<f64> {
+    pub fn first_uncalibrated_beyond(&self) -> Option<f64> {
         let largest = self.points.last().map_or(0.0, |point| point.size);
         self.uncalibrated.iter().copied().filter(|size| *size > largest).reduce(f64::min)
     }
@@ -78,18 +78,18 @@
 
 impl Fit {
     /// The figure at a size; of a product, at routers times databases.
-    pub fn at(&self, size: f64) -> f64 {
-        self.offset + self.slope * value(self.form, size)
+    pub fn predict(&self, size: f64) -> f64 {
+        self.offset + self.slope * regressor(self.form, size)
     }
 
     /// Whether the form predicted the largest size well enough for other sizes to be predicted by it.
     pub fn is_usable(&self) -> bool {
-        self.error <= MOST_ERROR
+        self.relative_error <= MAX_RELATIVE_ERROR
     }
 }
 
 /// What the slope is multiplied by.
-pub fn value(form: Form, size: f64) -> f64 {
+pub fn regressor(form: Form, size: f64) -> f64 {
     match form {
         Form::Constant => 0.0,
         Form::Log => size.ln(),
@@ -99,7 +99,7 @@
 }
 
 /// The place of a run on an axis.
-pub fn size(sizes: &Sizes, axis: Axis) -> f64 {
+pub fn size_on_axis(sizes: &Sizes, axis: Axis) -> f64 {
     match axis {
         Axis::Routers => sizes.routers as f64,
         Axis::Databases => sizes.databases as f64,
@@ -123,7 +123,7 @@
 
 /// A figure by its name, or a sum of several by their names with `+` between them. What hollow routers showed in a run
 /// whose calibration failed on it counts for nothing.
-pub fn figure(figures: &BTreeMap<String, f64>, bounds: &[Bound], name: &str) -> Option<f64> {
+pub fn calibrated_figure(figures: &BTreeMap<String, f64>, bounds: &[Bound], name: &str) -> Option<f64> {
     name.split('+').map(|name| figures.get(name.trim()).filter(|_| stands(bounds, name.trim()))).sum()
 }
 
@@ -142,7 +142,7 @@
 
 /// All that must be the same in two runs for them to be points of one axis.
 fn held(sizes: &Sizes, axis: Axis) -> [u64; 7] {
-    let but = |other: Axis| if axis == other { 0.0 } else { size(sizes, other) };
+    let but = |other: Axis| if axis == other { 0.0 } else { size_on_axis(sizes, other) };
     let all = [
         but(Axis::Routers),
         but(Axis::Databases),
@@ -157,7 +157,7 @@
 }
 
 /// Whether nothing but routers and databases differs.
-pub fn is_alike(one: &Sizes, other: &Sizes) -> bool {
+pub fn differ_only_in_routers_and_databases(one: &Sizes, other: &Sizes) -> bool {
     let but_both = |sizes: &Sizes| held(&Sizes { routers: 0, ..sizes.clone() }, Axis::Databases);
     but_both(one) == but_both(other)
 }
@@ -177,7 +177,13 @@
 
 /// The calm runs of one program that differ in the axis alone. Where runs were held at several places, those with the
 /// most sizes count, and of as many those held at the larger ones.
-pub fn points_of(lines: &[Line], of: Option<&str>, axis: Axis, mode: Mode, name: &str) -> Option<Points> {
+pub fn points_of_program(
+    lines: &[Line],
+    of: Option<&str>,
+    axis: Axis,
+    mode: Mode,
+    name: &str,
+) -> Option<Points> {
     let mut places = BTreeMap::<[u64; 7], BTreeMap<u64, Runs<'_>>>::new();
     for line in lines {
         let Line::Run { fault: None, program, sizes, figures, bounds, .. } = line else { continue };
@@ -185,8 +191,8 @@
             continue;
         }
         let place = places.entry(held(sizes, axis)).or_default();
-        let runs = place.entry(size(sizes, axis).to_bits()).or_default();
-        runs.stand.extend(figure(figures, bounds, name).map(|is| (sizes, is)));
+        let runs = place.entry(size_on_axis(sizes, axis).to_bits()).or_default();
+        runs.stand.extend(calibrated_figure(figures, bounds, name).map(|is| (sizes, is)));
         runs.fail.extend(uncalibrated(figures, bounds, name).map(|is| (sizes, is)));
     }
     let count =
@@ -197,29 +203,30 @@
     of_size.retain(|_, runs| !runs.stand.is_empty());
     let point = |runs: &Runs<'_>| {
         let runs = runs.that_count();
-        let (least, most) =
+        let (least, max) =
             runs.iter().fold((f64::MAX, f64::MIN), |(low, high), (_, is)| (low.min(*is), high.max(*is)));
         let mean = runs.iter().map(|(_, is)| is).sum::<f64>() / runs.len() as f64;
         let sizes = runs[0].0;
         Point {
-            size: size(sizes, axis),
+            size: size_on_axis(sizes, axis),
             routers: sizes.routers as f64,
             databases: sizes.databases as f64,
             mean,
-            most,
-            spread: off((most - least) / 2.0, mean),
+            max,
+            spread: off((max - least) / 2.0, mean),
             runs: runs.len(),
         }
     };
-    let held = of_size.values().next()?.stand.first()?.0.clone();
+    let fixed_sizes = of_size.values().next()?.stand.first()?.0.clone();
     let points = of_size.values().map(point).collect();
-    Some(Points { program: of.map(str::to_string), held, points, uncalibrated })
+    Some(Points { program: of.map(str::to_string), fixed_sizes, points, uncalibrated })
 }
 
-/// As [`points_of`] the newest program with enough sizes; where none has, of that with the most.
-pub fn points(lines: &[Line], axis: Axis, mode: Mode, name: &str) -> Option<Points> {
-    let all = programs(lines).into_iter().rev().filter_map(|of| points_of(lines, of, axis, mode, name));
-    all.max_by_key(|points| points.points.len().min(FEWEST_SIZES))
+/// As [`points_of_program`] the newest program with enough sizes; where none has, of that with the most.
+pub fn newest_points(lines: &[Line], axis: Axis, mode: Mode, name: &str) -> Option<Points> {
+    let all =
+        programs(lines).into_iter().rev().filter_map(|of| points_of_program(lines, of, axis, mode, name));
+    all.max_by_key(|points| points.points.len().min(MIN_SIZES))
 }
 
 /// What the runs of one size showed.
@@ -258,8 +265,8 @@
         return Ok((points.iter().map(|(_, is)| is).sum::<f64>() / points.len() as f64, 0.0));
     }
     let scale =
-        points.iter().map(|(at, _)| value(form, *at).abs()).fold(0.0, f64::max).max(f64::MIN_POSITIVE);
-    let row = |(at, is): &(f64, f64)| [*is, 1.0, value(form, *at) / scale];
+        points.iter().map(|(at, _)| regressor(form, *at).abs()).fold(0.0, f64::max).max(f64::MIN_POSITIVE);
+    let row = |(at, is): &(f64, f64)| [*is, 1.0, regressor(form, *at) / scale];
     let rows: Vec<f64> = points.iter().flat_map(row).collect();
     let found = least_squares(&rows, points.len(), 3)?;
     Ok((found[0], found[1] / scale))
@@ -272,7 +279,7 @@
         let mut others = points.to_vec();
         let (at, is) = others.remove(place);
         let (offset, slope) = curve(form, &others)?;
-        squares += (offset + slope * value(form, at) - is).powi(2);
+        squares += (offset + slope * regressor(form, at) - is).powi(2);
     }
     let mean = points.iter().map(|(_, is)| is.abs()).sum::<f64>() / points.len() as f64;
     Ok(off((squares / points.len() as f64).sqrt(), mean))
@@ -322,27 +329,33 @@
 ///
 /// # Errors
 /// Fewer than four sizes were played, or the numbers are none that can be fitted.
-pub fn fit(lines: &[Line], axis: Axis, mode: Mode, name: &str) -> Result<Fit, Unfit> {
-    let program = points(lines, axis, mode, name).and_then(|points| points.program);
-    fit_of(lines, program.as_deref(), axis, mode, name)
+pub fn fit_newest(lines: &[Line], axis: Axis, mode: Mode, name: &str) -> Result<Fit, FitError> {
+    let program = newest_points(lines, axis, mode, name).and_then(|points| points.program);
+    fit_program(lines, program.as_deref(), axis, mode, name)
 }
 
 /// One program's.
 ///
 /// # Errors
-/// As [`fit`].
-pub fn fit_of(lines: &[Line], of: Option<&str>, axis: Axis, mode: Mode, name: &str) -> Result<Fit, Unfit> {
-    let too_few = |sizes| Unfit::TooFew { figure: name.to_string(), axis, mode, sizes };
-    let played = points_of(lines, of, axis, mode, name).ok_or_else(|| too_few(0))?;
-    let Points { program, held: held_at, points: all, .. } = played;
-    if all.len() < FEWEST_SIZES {
+/// As [`fit_newest`].
+pub fn fit_program(
+    lines: &[Line],
+    of: Option<&str>,
+    axis: Axis,
+    mode: Mode,
+    name: &str,
+) -> Result<Fit, FitError> {
+    let too_few = |sizes| FitError::TooFew { figure: name.to_string(), axis, mode, sizes };
+    let played = points_of_program(lines, of, axis, mode, name).ok_or_else(|| too_few(0))?;
+    let Points { program, fixed_sizes: held_at, points: all, .. } = played;
+    if all.len() < MIN_SIZES {
         return Err(too_few(all.len()));
     }
-    let numbers = |error: linregress::Error| Unfit::Numbers {
+    let numbers = |error: linregress::Error| FitError::Numbers {
         figure: name.to_string(),
         axis,
         mode,
-        fault: error.to_string(),
+        cause: error.to_string(),
     };
     let (largest, fitted) = all.split_last().ok_or_else(|| too_few(0))?;
     let by_size: Vec<_> = fitted.iter().map(|point| (point.size, point.mean)).collect();
@@ -354,15 +367,15 @@
         _ => None,
     };
     if let (Form::Linear, Some(other)) = (form, other) {
-        let others = points_of(lines, of, other, mode, name)
-            .filter(|others| is_alike(&others.held, &held_at))
+        let others = points_of_program(lines, of, other, mode, name)
+            .filter(|others| differ_only_in_routers_and_databases(&others.fixed_sizes, &held_at))
             .map_or(Vec::new(), |points| points.points);
         let mut both = fitted.to_vec();
         both.extend_from_slice(&others[..others.len().saturating_sub(1)]);
         let product: Vec<_> =
             both.iter().map(|point| (point.routers * point.databases, point.mean)).collect();
         // Without sizes of the other axis there is nothing that could tell.
-        if others.len() >= FEWEST_SIZES && is_product(&product, &both).map_err(numbers)? {
+        if others.len() >= MIN_SIZES && is_product(&product, &both).map_err(numbers)? {
             (form, chosen, at) = (Form::Product, product, largest.routers * largest.databases);
         }
     }
@@ -378,30 +391,30 @@
         residual: 0.0,
         spread: all.iter().map(|point| point.spread).fold(0.0, f64::max),
         points: chosen.len(),
-        largest: largest.size,
+        largest_size: largest.size,
         predicted: 0.0,
-        played: largest.mean,
-        error: 0.0,
+        measured: largest.mean,
+        relative_error: 0.0,
     };
-    fit.residual = chosen.iter().map(|(at, is)| off(fit.at(*at) - is, *is)).fold(0.0, f64::max);
-    fit.predicted = fit.at(at);
-    fit.error = off(fit.predicted - fit.played, fit.played);
+    fit.residual = chosen.iter().map(|(at, is)| off(fit.predict(*at) - is, *is)).fold(0.0, f64::max);
+    fit.predicted = fit.predict(at);
+    fit.relative_error = off(fit.predicted - fit.measured, fit.measured);
     Ok(fit)
 }
 
-/// Every figure, and each of [`SUMS`], over every axis in every mode that a program was played in at enough sizes, in
+/// Every figure, and each of [`SUMMED_FIGURES`], over every axis in every mode that a program was played in at enough sizes, in
 /// this order, the oldest program first.
 pub fn fit_all(lines: &[Line]) -> Vec<Fit> {
     let mut wanted = BTreeSet::new();
     for line in lines {
         if let Line::Run { sizes, figures, .. } = line {
-            let names = figures.keys().map(String::as_str).chain(SUMS);
+            let names = figures.keys().map(String::as_str).chain(SUMMED_FIGURES);
             wanted.extend(names.map(|name| (sizes.mode, name)));
         }
     }
     let of_program = |of| {
         let all = wanted.iter().flat_map(move |(mode, name)| Axis::ALL.map(|axis| (axis, *mode, *name)));
-        all.filter_map(move |(axis, mode, name)| fit_of(lines, of, axis, mode, name).ok())
+        all.filter_map(move |(axis, mode, name)| fit_program(lines, of, axis, mode, name).ok())
     };
     programs(lines).into_iter().rev().flat_map(of_program).collect()
 }
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -1,8 +1,8 @@
 //! Router processes among stand-ins on loopback addresses, for measurements and tests of whole fleets.
 //!
-//! A [`store::Store`] plays a group of nodes and keeps observations of what reached them; [`listing::Listing`] plays
+//! A [`replica_set::ReplicaSet`] plays a group of nodes and keeps observations of what reached them; [`listing::DiscoveryServer`] plays
 //! discovery; [`relay::Relay`] loses datagrams as it is told; [`routers::Routers`] starts, kills and stops processes;
-//! [`load::Load`] asks as clients do, and counts how each RPC ended. Nothing here decides anything for a router.
+//! [`load::LoadGenerator`] asks as clients do, and counts how each RPC ended. Nothing here decides anything for a router.
 //! [`record`] is what a scale run leaves, and [`fit`] what its figures say of other sizes; [`capacity`] makes the
 //! tables of a page of them. [`scale`] plays fleets of thousands: hollow routers beside real ones.
 
@@ -15,10 +15,10 @@
 pub mod process;
 pub mod record;
 pub mod relay;
+pub mod replica_set;
 pub mod routers;
 pub mod scale;
 pub mod simulated;
-pub mod store;
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
--- a/crates/testbed/src/listing.rs
+++ b/crates/testbed/src/listing.rs
@@ -8,17 +8,17 @@
 
 use serde_json::{Value as Json, json};
 
-use crate::store::Node;
+use crate::replica_set::Node;
 
 /// An entry of the list: the node, its group, and when it last started (zero for long ago).
-pub struct Entry<'a> {
+pub struct Endpoint<'a> {
     pub node: &'a Node,
     pub group: u64,
     pub started: Duration,
 }
 
 /// An entry in discovery's form.
-pub fn target(address: SocketAddr, group: u64, started: Duration, primary: bool) -> Json {
+pub fn endpoint_json(address: SocketAddr, group: u64, started: Duration, primary: bool) -> Json {
     json!({
         "uid": format!("s-{}", address.port()), "endpoint": address, "az": "a", "model": "m",
         "pod_group": group, "state": "in_service", "capacity_hint": 1.0,
@@ -27,28 +27,29 @@
 }
 
 /// The list's entries in discovery's form.
-pub fn targets(entries: &[Entry<'_>]) -> Json {
-    let entry =
-        |entry: &Entry<'_>| target(entry.node.address, entry.group, entry.started, entry.node.primary);
+pub fn endpoint_list_json(entries: &[Endpoint<'_>]) -> Json {
+    let entry = |entry: &Endpoint<'_>| {
+        endpoint_json(entry.node.address, entry.group, entry.started, entry.node.primary)
+    };
     entries.iter().map(entry).collect()
 }
 
 /// What discovery was asked and has answered so far, heads of HTTP included.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Counts {
+pub struct DiscoveryCounts {
     /// Those that were answered.
-    pub calls: u64,
+    pub requests: u64,
     /// Of these, those that were answered with the whole list.
-    pub lists: u64,
+    pub full_lists: u64,
     pub bytes_in: u64,
     pub bytes_out: u64,
 }
 
-impl Counts {
+impl DiscoveryCounts {
     pub fn since(self, before: Self) -> Self {
         Self {
-            calls: self.calls - before.calls,
-            lists: self.lists - before.lists,
+            requests: self.requests - before.requests,
+            full_lists: self.full_lists - before.full_lists,
             bytes_in: self.bytes_in - before.bytes_in,
             bytes_out: self.bytes_out - before.bytes_out,
         }
@@ -56,13 +57,13 @@
 }
 
 #[derive(Clone)]
-pub struct Listing {
+pub struct DiscoveryServer {
     pub address: SocketAddr,
     list: Arc<(Mutex<(u64, Json)>, Condvar)>,
-    counts: Arc<Mutex<Counts>>,
+    counts: Arc<Mutex<DiscoveryCounts>>,
 }
 
-impl Listing {
+impl DiscoveryServer {
     pub fn start(targets: Json) -> std::io::Result<Self> {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0))?;
         let listing = Self {
@@ -80,20 +81,20 @@
         Ok(listing)
     }
 
-    pub fn change(&self, targets: Json) {
+    pub fn set_endpoints(&self, targets: Json) {
         let mut list = self.list.0.lock().unwrap_or_else(PoisonError::into_inner);
         *list = (list.0 + 1, targets);
         self.list.1.notify_all();
     }
 
-    pub fn counts(&self) -> Counts {
+    pub fn counts(&self) -> DiscoveryCounts {
         *self.counts.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     fn count(&self, all: bool, bytes_in: usize, bytes_out: usize) {
         let counts = &mut *self.counts.lock().unwrap_or_else(PoisonError::into_inner);
-        counts.calls += 1;
-        counts.lists += u64::from(all);
+        counts.requests += 1;
+        counts.full_lists += u64::from(all);
         counts.bytes_in += bytes_in as u64;
         counts.bytes_out += bytes_out as u64;
     }
--- a/crates/testbed/src/load.rs
+++ b/crates/testbed/src/load.rs
@@ -10,31 +10,31 @@
 use quillpoint_router::pg::{self, BackendMessage};
 
 use crate::now;
-use crate::store::next;
+use crate::replica_set::read_message;
 
 /// Past its deadline by more than this, an answer is late: the rules allow 50 ms, and a busy machine some.
 const LATE: Duration = Duration::from_millis(500);
 
 /// How the RPCs ended.
 #[derive(Default)]
-pub struct Tally {
+pub struct RpcResults {
     pub ok: AtomicU64,
-    pub pushed_back: AtomicU64,
-    pub aborted: AtomicU64,
+    pub rejected: AtomicU64,
+    pub failed: AtomicU64,
     /// The connection broke while its router was down, or was brought down.
-    pub cut: AtomicU64,
+    pub interrupted: AtomicU64,
     /// No answer in time, or the connection broke while its router was up.
     pub lost: AtomicU64,
     /// Writes: answered ok under these ids, and pushed back under those.
-    pub entered: Mutex<Vec<String>>,
-    pub refused: Mutex<Vec<String>>,
+    pub committed_ids: Mutex<Vec<String>>,
+    pub rejected_ids: Mutex<Vec<String>>,
     /// Times from the sending to an ok answer, in microseconds.
-    pub times: Mutex<Vec<u64>>,
+    pub latencies_us: Mutex<Vec<u64>>,
 }
 
-impl Tally {
-    pub fn rpcs(&self) -> u64 {
-        [&self.ok, &self.pushed_back, &self.aborted, &self.cut, &self.lost]
+impl RpcResults {
+    pub fn total(&self) -> u64 {
+        [&self.ok, &self.rejected, &self.failed, &self.interrupted, &self.lost]
             .iter()
             .map(|count| count.load(Ordering::SeqCst))
             .sum()
@@ -65,39 +65,39 @@
     }
 }
 
-pub struct Load {
-    pub tally: Arc<Tally>,
+pub struct LoadGenerator {
+    pub results: Arc<RpcResults>,
     pub outages: Arc<Outages>,
     stop: Arc<AtomicBool>,
     clients: Vec<JoinHandle<()>>,
 }
 
-impl Load {
+impl LoadGenerator {
     /// So many clients at each router, each of which asks once in `every`: a write among three reads.
     pub fn start(routers: &[SocketAddr], clients: usize, every: Duration) -> Self {
-        Self::of(routers, clients, every, &["recent", "look", "recent", "enter"])
+        Self::with_methods(routers, clients, every, &["recent", "look", "recent", "enter"])
     }
 
     /// The same of these methods in turn: `recent` (bounded reads), `look` (any reads) and `enter` (writes).
-    pub fn of(
+    pub fn with_methods(
         routers: &[SocketAddr],
         clients: usize,
         every: Duration,
         methods: &'static [&'static str],
     ) -> Self {
-        Self::of_groups(routers, clients, every, methods, 1)
+        Self::with_replica_sets(routers, clients, every, methods, 1)
     }
 
     /// The same, where the statements of a router go to so many groups in turn.
-    pub fn of_groups(
+    pub fn with_replica_sets(
         routers: &[SocketAddr],
         clients: usize,
         every: Duration,
         methods: &'static [&'static str],
         groups: usize,
     ) -> Self {
-        let (tally, outages, stop) =
-            (Arc::<Tally>::default(), Arc::<Outages>::default(), Arc::<AtomicBool>::default());
+        let (results, outages, stop) =
+            (Arc::<RpcResults>::default(), Arc::<Outages>::default(), Arc::<AtomicBool>::default());
         let mut handles = Vec::new();
         for (router, address) in routers.iter().enumerate() {
             for place in 0..clients {
@@ -105,7 +105,7 @@
                     router,
                     address: *address,
                     every,
-                    tally: Arc::clone(&tally),
+                    results: Arc::clone(&results),
                     outages: Arc::clone(&outages),
                     stop: Arc::clone(&stop),
                     place,
@@ -116,14 +116,14 @@
                 handles.push(thread::spawn(move || client.run()));
             }
         }
-        Self { tally, outages, stop, clients: handles }
+        Self { results, outages, stop, clients: handles }
     }
 
     /// All have had their last answer when this returns.
-    pub fn end(mut self) -> Arc<Tally> {
+    pub fn finish(mut self) -> Arc<RpcResults> {
         self.stop.store(true, Ordering::SeqCst);
         self.clients.drain(..).for_each(|client| _ = client.join());
-        Arc::clone(&self.tally)
+        Arc::clone(&self.results)
     }
 }
 
@@ -137,7 +137,7 @@
     router: usize,
     address: SocketAddr,
     every: Duration,
-    tally: Arc<Tally>,
+    results: Arc<RpcResults>,
     outages: Arc<Outages>,
     stop: Arc<AtomicBool>,
     place: usize,
@@ -200,7 +200,7 @@
             Ok(()) => answer(stream, unread),
             Err(_) => Ended::Gone,
         };
-        let (end, tally) = (now(), &self.tally);
+        let (end, tally) = (now(), &self.results);
         let keep = |ids: &Mutex<Vec<String>>| {
             if class == "enter" {
                 ids.lock().unwrap_or_else(PoisonError::into_inner).push(id.clone());
@@ -210,20 +210,20 @@
         let late = end > sent + wait + LATE;
         let count = match ended {
             // A connection that its router's end has broken shows it only when it is used next.
-            Ended::Gone if self.outages.touches(self.router, opened, end) => &tally.cut,
+            Ended::Gone if self.outages.touches(self.router, opened, end) => &tally.interrupted,
             Ended::Gone => &tally.lost,
             _ if late && !excused => &tally.lost,
             Ended::Ok => {
-                keep(&tally.entered);
+                keep(&tally.committed_ids);
                 let took = (end - sent).as_micros() as u64;
-                tally.times.lock().unwrap_or_else(PoisonError::into_inner).push(took);
+                tally.latencies_us.lock().unwrap_or_else(PoisonError::into_inner).push(took);
                 &tally.ok
             }
             Ended::PushedBack => {
-                keep(&tally.refused);
-                &tally.pushed_back
+                keep(&tally.rejected_ids);
+                &tally.rejected
             }
-            Ended::Aborted => &tally.aborted,
+            Ended::Aborted => &tally.failed,
         };
         count.fetch_add(1, Ordering::SeqCst);
         !matches!(ended, Ended::Gone)
@@ -233,7 +233,7 @@
 fn answer(stream: &mut TcpStream, unread: &mut Vec<u8>) -> Ended {
     let mut ended = None;
     loop {
-        match next(stream, unread, pg::decode_backend_message) {
+        match read_message(stream, unread, pg::decode_backend_message) {
             None => return Ended::Gone,
             Some(BackendMessage::DataRow(_)) => ended = Some(Ended::Ok),
             Some(BackendMessage::ErrorResponse { code, .. }) if code == "53300" => {
--- a/crates/testbed/src/process.rs
+++ b/crates/testbed/src/process.rs
@@ -11,11 +11,11 @@
 
 /// Which of its streams is kept line by line. The other one of the two goes nowhere, or to this process's own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kept {
+pub enum CapturedStream {
     /// A log, as routers write it.
-    Errors,
+    Stderr,
     /// Reports, as stand-ins write them; they also take orders.
-    Output,
+    Stdout,
 }
 
 pub struct Process {
@@ -29,15 +29,23 @@
 impl Process {
     /// # Errors
     /// The program cannot be started.
-    pub fn start(mut command: Command, kept: Kept) -> std::io::Result<Self> {
+    pub fn start(mut command: Command, kept: CapturedStream) -> std::io::Result<Self> {
         match kept {
-            Kept::Errors => command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::piped()),
-            Kept::Output => command.stdin(Stdio::piped()).stdout(Stdio::piped()).stderr(Stdio::inherit()),
+            CapturedStream::Stderr => {
+                command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::piped())
+            }
+            CapturedStream::Stdout => {
+                command.stdin(Stdio::piped()).stdout(Stdio::piped()).stderr(Stdio::inherit())
+            }
         };
         let mut child = command.spawn()?;
         let stream: Option<Box<dyn Read + Send>> = match kept {
-            Kept::Errors => child.stderr.take().map(|stream| Box::new(stream) as Box<dyn Read + Send>),
-            Kept::Output => child.stdout.take().map(|stream| Box::new(stream) as Box<dyn Read + Send>),
+            CapturedStream::Stderr => {
+                child.stderr.take().map(|stream| Box::new(stream) as Box<dyn Read + Send>)
+            }
+            CapturedStream::Stdout => {
+                child.stdout.take().map(|stream| Box::new(stream) as Box<dyn Read + Send>)
+            }
         };
         let orders = child.stdin.take();
         let lines = Lines::default();
@@ -60,7 +68,7 @@
     ///
     /// # Errors
     /// It takes no orders, or has ended.
-    pub fn order(&mut self, line: &str) -> std::io::Result<()> {
+    pub fn send_line(&mut self, line: &str) -> std::io::Result<()> {
         let orders = self.orders.as_mut().ok_or_else(|| std::io::Error::other("it takes no orders"))?;
         orders.write_all(line.as_bytes())?;
         orders.write_all(b"\n")?;
@@ -72,12 +80,12 @@
     }
 
     /// How many lines there are by now.
-    pub fn count(&self) -> usize {
+    pub fn line_count(&self) -> usize {
         self.lines.0.lock().unwrap_or_else(PoisonError::into_inner).len()
     }
 
     /// The first line from this place on in which something is found; `None` where none comes in time.
-    pub fn await_from<T>(
+    pub fn wait_for_match<T>(
         &self,
         place: usize,
         most: Duration,
@@ -97,8 +105,8 @@
     }
 
     /// Waits until a line with this in it has come.
-    pub fn await_line(&self, part: &str, most: Duration) -> bool {
-        self.await_from(0, most, |line| line.contains(part).then_some(())).is_some()
+    pub fn wait_for_line(&self, part: &str, most: Duration) -> bool {
+        self.wait_for_match(0, most, |line| line.contains(part).then_some(())).is_some()
     }
 
     /// As by SIGKILL.
@@ -113,7 +121,7 @@
     }
 
     /// Waits until it has ended by itself and all that it wrote has been read. Whether it ended well.
-    pub fn ended(&mut self) -> bool {
+    pub fn wait_for_exit(&mut self) -> bool {
         let ended_well = self.child.wait().is_ok_and(|status| status.success());
         if let Some(reader) = self.reader.take() {
             _ = reader.join();
@@ -124,7 +132,7 @@
     /// Its resident memory in bytes, and its processor time so far, as the system counts them.
     pub fn usage(&self) -> Option<(u64, Duration)> {
         let id = self.child.id();
-        Some((resident(id)?, processor_time(id)?))
+        Some((resident_bytes(id)?, cpu_time(id)?))
     }
 }
 
@@ -135,7 +143,7 @@
 }
 
 /// The resident memory of a process in bytes.
-pub fn resident(id: u32) -> Option<u64> {
+pub fn resident_bytes(id: u32) -> Option<u64> {
     let status = fs::read_to_string(format!("/proc/{id}/status")).ok()?;
     let resident = status.lines().find(|line| line.starts_with("VmRSS:"))?;
     Some(resident.split_whitespace().nth(1)?.parse::<u64>().ok()? * 1024)
@@ -144,7 +152,7 @@
 /// The processor time of a process so far, of all threads that it has. The scheduler counts it in nanoseconds; the ticks
 /// of `/proc/PID/stat` are 10 ms each, a third of what a control side takes in eight seconds. Nothing that is measured
 /// here has threads that end; the time of one that did would be missing.
-pub fn processor_time(id: u32) -> Option<Duration> {
+pub fn cpu_time(id: u32) -> Option<Duration> {
     let of = |thread: io::Result<fs::DirEntry>| {
         let told = fs::read_to_string(thread.ok()?.path().join("schedstat")).ok()?;
         told.split_whitespace().next()?.parse().ok().map(Duration::from_nanos)
--- a/crates/testbed/src/record.rs
+++ b/crates/testbed/src/record.rs
@@ -59,8 +59,10 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Bound {
     pub figure: String,
-    pub is: f64,
-    pub most: f64,
+    #[serde(rename = "is")]
+    pub value: f64,
+    #[serde(rename = "most")]
+    pub limit: f64,
     pub held: bool,
 }
 
@@ -104,11 +106,14 @@
     pub spread: f64,
     /// How many sizes were fitted.
     pub points: usize,
-    pub largest: f64,
+    #[serde(rename = "largest")]
+    pub largest_size: f64,
     pub predicted: f64,
-    pub played: f64,
+    #[serde(rename = "played")]
+    pub measured: f64,
     /// |predicted - played| / played.
-    pub error: f64,
+    #[serde(rename = "error")]
+    pub relative_error: f64,
 }
 
 /// How a figure depends on a size. Over routers, `Product` is routers times databases held.
--- a/crates/testbed/src/relay.rs
+++ b/crates/testbed/src/relay.rs
@@ -41,26 +41,26 @@
     }
 
     /// From now on this part of what comes from there is lost.
-    pub fn lose(&self, from: SocketAddr, part: f64) {
+    pub fn set_loss(&self, from: SocketAddr, part: f64) {
         self.losses.lock().unwrap_or_else(PoisonError::into_inner).insert(from, part);
     }
 
-    pub fn heal(&self) {
+    pub fn clear_losses(&self) {
         self.losses.lock().unwrap_or_else(PoisonError::into_inner).clear();
     }
 }
 
 /// What the one sends here goes to the other, and what the other answers goes to the one.
-pub struct Passage {
+pub struct TwoWayRelay {
     /// Where the one sends to, in the other's place.
     pub address: SocketAddr,
     closed: Arc<AtomicBool>,
 }
 
-impl Passage {
+impl TwoWayRelay {
     /// # Errors
     /// There is no address to be had.
-    pub fn between(one: SocketAddr, other: SocketAddr) -> std::io::Result<Self> {
+    pub fn start(one: SocketAddr, other: SocketAddr) -> std::io::Result<Self> {
         let socket = UdpSocket::bind("127.0.0.1:0")?;
         let passage = Self { address: socket.local_addr()?, closed: Arc::default() };
         let closed = Arc::clone(&passage.closed);
@@ -79,7 +79,7 @@
     }
 
     /// From now on all that comes is lost, either way; or nothing any more.
-    pub fn close(&self, closed: bool) {
+    pub fn set_blocked(&self, closed: bool) {
         self.closed.store(closed, Ordering::SeqCst);
     }
 }
--- a/crates/testbed/src/store.rs
+++ b/crates/testbed/src/replica_set.rs
@@ -14,7 +14,7 @@
 use crate::now;
 
 /// How stale a bounded read may be here, and the allowance of the rules on sockets.
-pub const BOUND: Duration = Duration::from_millis(300);
+pub const STALENESS_BOUND: Duration = Duration::from_millis(300);
 const ALLOWED: Duration = Duration::from_millis(50);
 
 /// What has reached a node.
@@ -52,12 +52,12 @@
 }
 
 /// A group whose first node is the primary.
-pub struct Store {
+pub struct ReplicaSet {
     pub nodes: Vec<Node>,
     ledger: Arc<Mutex<BTreeMap<String, u32>>>,
 }
 
-impl Store {
+impl ReplicaSet {
     /// A primary and a replica for each lag.
     pub fn start(lags: &[Duration]) -> std::io::Result<Self> {
         let ledger = Arc::<Mutex<BTreeMap<String, u32>>>::default();
@@ -68,13 +68,13 @@
     }
 
     /// How many writes ran, and how many of them more than once.
-    pub fn writes(&self) -> (usize, usize) {
+    pub fn write_counts(&self) -> (usize, usize) {
         let ledger = held(&self.ledger);
         (ledger.len(), ledger.values().filter(|runs| **runs > 1).count())
     }
 
     /// Whether the write under this id has run.
-    pub fn has_run(&self, id: &str) -> bool {
+    pub fn has_executed(&self, id: &str) -> bool {
         held(&self.ledger).contains_key(id)
     }
 }
@@ -103,17 +103,17 @@
         Ok(node)
     }
 
-    pub fn set_up(&self, up: bool) {
+    pub fn set_available(&self, up: bool) {
         self.inner.up.store(up, Ordering::SeqCst);
     }
 
     /// From now on probes are answered so much later, as beyond a slow link.
-    pub fn slow_probes(&self, by: Duration) {
+    pub fn delay_probes(&self, by: Duration) {
         self.inner.slow_ms.store(by.as_millis() as u64, Ordering::SeqCst);
     }
 
     /// From now on what probes are told of the log is so much further than it is; other answers tell the truth.
-    pub fn boast(&self, by: Duration) {
+    pub fn overstate_log_position(&self, by: Duration) {
         self.inner.boast_ms.store(by.as_millis() as u64, Ordering::SeqCst);
     }
 
@@ -126,21 +126,21 @@
     }
 
     /// The probes that came from then on.
-    pub fn probes(&self, from: Duration) -> usize {
+    pub fn probes_since(&self, from: Duration) -> usize {
         self.observations().probes.iter().filter(|at| **at >= from).count()
     }
 
     /// The RPCs that came within a span.
-    pub fn rpcs(&self, from: Duration, to: Duration) -> usize {
+    pub fn rpcs_between(&self, from: Duration, to: Duration) -> usize {
         self.observations().rpcs.iter().filter(|at| (from..to).contains(at)).count()
     }
 
-    pub fn stale(&self) -> u64 {
+    pub fn stale_reads(&self) -> u64 {
         self.observations().stale
     }
 
     /// The longest time within the span in which nothing reached the node that tells a router of it.
-    pub fn longest_gap(&self, from: Duration, to: Duration) -> Duration {
+    pub fn longest_contact_gap(&self, from: Duration, to: Duration) -> Duration {
         let observations = self.observations();
         let within = observations.contacts.iter().copied().filter(|at| (from..=to).contains(at));
         let mut times: Vec<Duration> = within.chain([from, to]).collect();
@@ -149,7 +149,7 @@
     }
 
     /// The times from one contact to the next within the span.
-    pub fn gaps(&self, from: Duration, to: Duration) -> Vec<Duration> {
+    pub fn contact_gaps(&self, from: Duration, to: Duration) -> Vec<Duration> {
         let observations = self.observations();
         let mut times: Vec<Duration> =
             observations.contacts.iter().copied().filter(|at| (from..=to).contains(at)).collect();
@@ -164,7 +164,7 @@
     fn serve(&self, mut stream: TcpStream) {
         _ = stream.set_nodelay(true);
         let mut unread = Vec::new();
-        if next(&mut stream, &mut unread, pg::decode_startup_packet) != Some(StartupPacket::Startup)
+        if read_message(&mut stream, &mut unread, pg::decode_startup_packet) != Some(StartupPacket::Startup)
             || !self.is_up()
         {
             return;
@@ -175,7 +175,7 @@
             return;
         }
         while let Some(FrontendMessage::Query(text)) =
-            next(&mut stream, &mut unread, pg::decode_frontend_message)
+            read_message(&mut stream, &mut unread, pg::decode_frontend_message)
         {
             if !self.is_up() {
                 return;
@@ -201,7 +201,7 @@
             observations.probes.push(at);
             observations.contacts.push(at);
             let boast = Duration::from_millis(self.inner.boast_ms.load(Ordering::SeqCst));
-            pg::encode_result(&mut out, &row(load(self.position() + boast).as_bytes()));
+            pg::encode_result(&mut out, &single_value_result(load(self.position() + boast).as_bytes()));
             pg::encode_ready_for_query(&mut out);
             return out;
         }
@@ -213,7 +213,7 @@
         } else {
             // A read that no bound allows here counts against the router that sent it.
             let bounded = text.contains("c=recent,");
-            let stale = bounded && self.position() + BOUND + ALLOWED < at;
+            let stale = bounded && self.position() + STALENESS_BOUND + ALLOWED < at;
             observations.stale += u64::from(stale);
             drop(observations);
             if text.contains("INSERT")
@@ -222,11 +222,11 @@
                 *held(&self.ledger).entry(id.to_string()).or_default() += 1;
             }
             // Whoever gets it can tell.
-            pg::encode_result(&mut out, &row(if stale { b"stale" } else { b"v" }));
+            pg::encode_result(&mut out, &single_value_result(if stale { b"stale" } else { b"v" }));
         }
-        parameter(&mut out, "role", if self.primary { "primary" } else { "replica" });
-        parameter(&mut out, "applied_ms", &self.position().as_millis().to_string());
-        parameter(&mut out, "load", &load(self.position()));
+        encode_parameter_status(&mut out, "role", if self.primary { "primary" } else { "replica" });
+        encode_parameter_status(&mut out, "applied_ms", &self.position().as_millis().to_string());
+        encode_parameter_status(&mut out, "load", &load(self.position()));
         pg::encode_ready_for_query(&mut out);
         out
     }
@@ -238,20 +238,20 @@
 }
 
 /// An answer of one row with this value.
-pub fn row(value: &[u8]) -> QueryResult {
+pub fn single_value_result(value: &[u8]) -> QueryResult {
     let column = Column { name: b"data".to_vec(), type_oid: 17, type_size: u16::MAX, binary: true };
     QueryResult { column, value: Some(value.to_vec()), tag: b"SELECT 1".to_vec() }
 }
 
 /// What a node says beside an answer.
-pub fn parameter(out: &mut Vec<u8>, name: &str, value: &str) {
+pub fn encode_parameter_status(out: &mut Vec<u8>, name: &str, value: &str) {
     out.push(b'S');
     out.extend((name.len() as u32 + value.len() as u32 + 6).to_be_bytes());
     out.extend([name.as_bytes(), &[0], value.as_bytes(), &[0]].concat());
 }
 
 /// The next whole message; `None` at the end, and for what is none.
-pub fn next<T>(
+pub fn read_message<T>(
     stream: &mut TcpStream,
     unread: &mut Vec<u8>,
     decode: impl Fn(&[u8]) -> Result<Option<(T, usize)>, pg::ProtocolViolation>,
--- a/crates/testbed/src/routers.rs
+++ b/crates/testbed/src/routers.rs
@@ -10,8 +10,8 @@
 
 use serde_json::{Value as Json, json};
 
-use crate::listing::Listing;
-use crate::process::{Kept, Process};
+use crate::listing::DiscoveryServer;
+use crate::process::{CapturedStream, Process};
 use crate::relay::Relay;
 
 /// Far longer than anything here takes: what is awaited for so long never comes.
@@ -19,13 +19,13 @@
 
 /// What routers are to each other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Bond {
+pub enum FleetMode {
     /// They share duties and what they find.
-    Fleet,
+    Shared,
     /// Each has the same periodic duty, and does it alone.
-    Alone,
+    Separate,
     /// As without quillpoint.conf.
-    Off,
+    Disabled,
 }
 
 pub struct Router {
@@ -33,7 +33,7 @@
     datagrams: SocketAddr,
     pub relay: Relay,
     files: Vec<PathBuf>,
-    bond: Bond,
+    bond: FleetMode,
     process: Option<Process>,
 }
 
@@ -44,16 +44,16 @@
 }
 
 /// What all routers of a run are told.
-pub struct Setting<'a> {
+pub struct RoutersConfig<'a> {
     pub program: &'a Path,
     /// Files are written here.
-    pub folder: &'a Path,
-    pub listing: &'a Listing,
-    pub targets: &'a Json,
-    pub bond: Bond,
+    pub directory: &'a Path,
+    pub discovery: &'a DiscoveryServer,
+    pub endpoints: &'a Json,
+    pub fleet_mode: FleetMode,
     pub seed: u64,
     /// Directives besides the usual ones.
-    pub conf: &'a str,
+    pub extra_directives: &'a str,
 }
 
 /// An address that no other process on this machine uses, by process id: the loopback range is wide enough.
@@ -68,9 +68,9 @@
 
 impl Routers {
     /// So many, not yet started.
-    pub fn new(count: usize, setting: &Setting<'_>) -> std::io::Result<Self> {
-        fs::create_dir_all(setting.folder)?;
-        let keys = setting.folder.join("fleet.keys");
+    pub fn new(count: usize, setting: &RoutersConfig<'_>) -> std::io::Result<Self> {
+        fs::create_dir_all(setting.directory)?;
+        let keys = setting.directory.join("fleet.keys");
         fs::write(&keys, format!("# of this run alone\n{}\n", "5c".repeat(32)))?;
         fs::set_permissions(&keys, fs::Permissions::from_mode(0o600))?;
         let mut all = Vec::new();
@@ -84,19 +84,19 @@
                 datagrams,
                 relay,
                 files: Vec::new(),
-                bond: setting.bond,
+                bond: setting.fleet_mode,
                 process: None,
             });
         }
         let peers: Vec<SocketAddr> = all.iter().map(|router| router.relay.address).collect();
         for (place, router) in all.iter_mut().enumerate() {
-            let platform = setting.folder.join(format!("router-{place}.json"));
-            fs::write(&platform, platform_json(place, router.address, setting).to_string())?;
-            let conf = setting.folder.join(format!("router-{place}.conf"));
+            let platform = setting.directory.join(format!("router-{place}.json"));
+            fs::write(&platform, router_platform_json(place, router.address, setting).to_string())?;
+            let conf = setting.directory.join(format!("router-{place}.conf"));
             fs::write(&conf, conf_text(router, &peers, setting))?;
             router.files = vec![platform, conf];
         }
-        Ok(Self { all, program: setting.program.to_path_buf(), folder: setting.folder.to_path_buf() })
+        Ok(Self { all, program: setting.program.to_path_buf(), folder: setting.directory.to_path_buf() })
     }
 
     /// Starts it and waits until it serves.
@@ -104,14 +104,14 @@
         let router = &mut self.all[place];
         let mut command = Command::new(&self.program);
         command.arg("serve").arg("--config").arg(&router.files[0]).env_clear().current_dir(&self.folder);
-        if router.bond != Bond::Off {
+        if router.bond != FleetMode::Disabled {
             command.arg("--conf").arg(&router.files[1]);
         }
-        router.process = Some(Process::start(command, Kept::Errors)?);
-        if !self.await_line(place, "serves at", NEVER) {
+        router.process = Some(Process::start(command, CapturedStream::Stderr)?);
+        if !self.wait_for_line(place, "serves at", NEVER) {
             return Err(std::io::Error::other(format!(
                 "router {place} does not serve: {:?}",
-                self.lines(place)
+                self.log_lines(place)
             )));
         }
         Ok(())
@@ -136,36 +136,36 @@
     }
 
     /// Waits until the process has ended by itself. Whether it ended well.
-    pub fn ended(&mut self, place: usize) -> bool {
-        self.all[place].process.as_mut().is_some_and(Process::ended)
+    pub fn wait_for_exit(&mut self, place: usize) -> bool {
+        self.all[place].process.as_mut().is_some_and(Process::wait_for_exit)
     }
 
     /// Datagrams from the one to the other are lost to this part from now on.
-    pub fn lose(&self, from: usize, to: usize, part: f64) {
-        self.all[to].relay.lose(self.all[from].datagrams, part);
+    pub fn set_loss(&self, from: usize, to: usize, part: f64) {
+        self.all[to].relay.set_loss(self.all[from].datagrams, part);
     }
 
-    pub fn heal(&self) {
-        self.all.iter().for_each(|router| router.relay.heal());
+    pub fn clear_losses(&self) {
+        self.all.iter().for_each(|router| router.relay.clear_losses());
     }
 
     /// The log since the last start.
-    pub fn lines(&self, place: usize) -> Vec<String> {
+    pub fn log_lines(&self, place: usize) -> Vec<String> {
         self.all[place].process.as_ref().map(Process::lines).unwrap_or_default()
     }
 
     /// Waits until a line with this in it has been logged since the last start.
-    pub fn await_line(&self, place: usize, part: &str, most: Duration) -> bool {
-        self.all[place].process.as_ref().is_some_and(|process| process.await_line(part, most))
+    pub fn wait_for_line(&self, place: usize, part: &str, most: Duration) -> bool {
+        self.all[place].process.as_ref().is_some_and(|process| process.wait_for_line(part, most))
     }
 
     /// Its quillpoint.conf, which may be changed while it runs.
-    pub fn conf(&self, place: usize) -> &Path {
+    pub fn conf_path(&self, place: usize) -> &Path {
         &self.all[place].files[1]
     }
 
     /// Where the process listens for datagrams, past its relay.
-    pub fn datagrams(&self, place: usize) -> SocketAddr {
+    pub fn datagram_address(&self, place: usize) -> SocketAddr {
         self.all[place].datagrams
     }
 
@@ -175,12 +175,12 @@
     }
 }
 
-fn conf_text(router: &Router, peers: &[SocketAddr], setting: &Setting<'_>) -> String {
+fn conf_text(router: &Router, peers: &[SocketAddr], setting: &RoutersConfig<'_>) -> String {
     let mut text = format!(
         "log json\nfleet {{\n    listen {}\n    advertise {}\n    keys fleet.keys\n}}\n{}\n",
-        router.datagrams, router.relay.address, setting.conf
+        router.datagrams, router.relay.address, setting.extra_directives
     );
-    if router.bond == Bond::Fleet {
+    if router.bond == FleetMode::Shared {
         for (place, peer) in peers.iter().enumerate() {
             text.push_str(&format!("peer r{place} {{\n    address {peer}\n}}\n"));
         }
@@ -188,22 +188,22 @@
     text
 }
 
-fn platform_json(place: usize, address: SocketAddr, setting: &Setting<'_>) -> Json {
-    let known = json!({"rev": 0, "all": true, "targets": setting.targets});
-    platform(&Platform {
+fn router_platform_json(place: usize, address: SocketAddr, setting: &RoutersConfig<'_>) -> Json {
+    let known_endpoints = json!({"rev": 0, "all": true, "targets": setting.endpoints});
+    platform_json(&PlatformConfig {
         name: format!("r{place}"),
         listen: address,
-        discovery: setting.listing.address,
+        discovery: setting.discovery.address,
         seed: setting.seed.wrapping_add(place as u64),
         sockets: 512,
         memory_mb: 192,
-        probes: true,
-        known,
+        may_probe: true,
+        known_endpoints,
     })
 }
 
 /// What of the platform's JSON differs from router to router.
-pub struct Platform {
+pub struct PlatformConfig {
     pub name: String,
     pub listen: SocketAddr,
     pub discovery: SocketAddr,
@@ -211,21 +211,21 @@
     pub sockets: usize,
     pub memory_mb: usize,
     /// Whether the router may probe by itself.
-    pub probes: bool,
+    pub may_probe: bool,
     /// The list as it was last known, or null.
-    pub known: Json,
+    pub known_endpoints: Json,
 }
 
 /// The platform's JSON: reads of any age, reads at most 300 ms old, and writes.
-pub fn platform(platform: &Platform) -> Json {
+pub fn platform_json(platform: &PlatformConfig) -> Json {
     let class = |name: &str, effect: &str, deadline: f64| json!({"Name": name, "GiveUpMs": deadline, "GoalTimeMs": 150.0, "LateValue": 0.5, "Value": 1.0, "Semantics": effect});
     json!({
         "name": platform.name, "listen": platform.listen, "discovery": platform.discovery,
         "seed": format!("{:x}", platform.seed),
         "limits": {"cores": 1.0, "memory_mb": platform.memory_mb, "sockets": platform.sockets},
-        "known": platform.known,
+        "known": platform.known_endpoints,
         "settings": {
-            "Allowed": {"ConnIdleMs": 30000.0, "ConnectTimeoutMs": 250.0, "MaxAttempts": 6, "Probes": platform.probes,
+            "Allowed": {"ConnIdleMs": 30000.0, "ConnectTimeoutMs": 250.0, "MaxAttempts": 6, "Probes": platform.may_probe,
                 "MaxRetryAfterMs": 1000.0, "MayDuplicate": true, "MostHeld": 20000},
             "Balancers": 3,
             "Classes": [class("look", "free", 1500.0), class("enter", "single_shot", 2000.0), class("recent", "free", 1500.0)],
--- a/crates/testbed/src/scale/border.rs
+++ b/crates/testbed/src/scale/border.rs
@@ -9,7 +9,7 @@
 use std::io;
 use std::net::SocketAddr;
 
-use crate::relay::{Passage, Relay};
+use crate::relay::{Relay, TwoWayRelay};
 use crate::scale::hollow::side;
 use crate::scale::member::Address;
 
@@ -17,7 +17,7 @@
     /// Before each control instance, by where it listens for the others of its fleet, all of which send to its relay.
     fleet: BTreeMap<SocketAddr, Relay>,
     /// Between a real router and a control instance of the other half, by where both listen.
-    feed: BTreeMap<(SocketAddr, SocketAddr), Passage>,
+    feed: BTreeMap<(SocketAddr, SocketAddr), TwoWayRelay>,
 }
 
 impl Border {
@@ -31,7 +31,7 @@
         let mut feed = BTreeMap::new();
         for router in routers {
             for far in control.iter().map(|address| address.feed).filter(|feed| side(*feed) != side(router)) {
-                feed.insert((router, far), Passage::between(router, far)?);
+                feed.insert((router, far), TwoWayRelay::start(router, far)?);
             }
         }
         Ok(Self { fleet, feed })
@@ -51,14 +51,14 @@
     pub fn close(&self) {
         for (to, relay) in &self.fleet {
             for from in self.fleet.keys().filter(|from| side(**from) != side(*to)) {
-                relay.lose(*from, 1.0);
+                relay.set_loss(*from, 1.0);
             }
         }
-        self.feed.values().for_each(|passage| passage.close(true));
+        self.feed.values().for_each(|passage| passage.set_blocked(true));
     }
 
     pub fn open(&self) {
-        self.fleet.values().for_each(Relay::heal);
-        self.feed.values().for_each(|passage| passage.close(false));
+        self.fleet.values().for_each(Relay::clear_losses);
+        self.feed.values().for_each(|passage| passage.set_blocked(false));
     }
 }
--- a/crates/testbed/src/scale/bounds.rs
+++ b/crates/testbed/src/scale/bounds.rs
@@ -30,8 +30,8 @@
 /// Bytes at twice the databases.
 pub const TWICE: f64 = 1.3;
 
-fn bound(figure: &str, is: f64, most: f64) -> Bound {
-    Bound { figure: figure.to_string(), is, most, held: is <= most }
+fn bound(figure: &str, value: f64, limit: f64) -> Bound {
+    Bound { figure: figure.to_string(), value, limit, held: value <= limit }
 }
 
 /// The bounds of a run of this mode. What it has no figure for has none, but for those that every run has.
--- a/crates/testbed/src/scale/calibration.rs
+++ b/crates/testbed/src/scale/calibration.rs
@@ -28,16 +28,17 @@
             return None;
         }
         // Of a real one that does nothing, a hollow one that does nothing is no deviation.
-        let is = if real == hollow { 0.0 } else { (hollow - real).abs() / real.abs().max(f64::MIN_POSITIVE) };
-        Some(Bound { figure: format!("calibration_{name}"), is, most: *most, held: is <= *most })
+        let value =
+            if real == hollow { 0.0 } else { (hollow - real).abs() / real.abs().max(f64::MIN_POSITIVE) };
+        Some(Bound { figure: format!("calibration_{name}"), value, limit: *most, held: value <= *most })
     };
     let mut bounds: Vec<Bound> = ALLOWED.iter().filter_map(held).collect();
     let cpu = figures.get("real_cpu_part").zip(figures.get("real_cpu_error_part"));
     if let Some((cpu, error)) = cpu.filter(|_| with_cpu) {
         // Where the difference is nothing or less, all of it is error.
-        let is = if *cpu > 0.0 { error / cpu } else { (error / cpu.abs()).max(1.0) };
+        let value = if *cpu > 0.0 { error / cpu } else { (error / cpu.abs()).max(1.0) };
         let figure = "calibration_cpu_part_error".to_string();
-        bounds.push(Bound { figure, is, most: CPU_ERROR, held: is <= CPU_ERROR });
+        bounds.push(Bound { figure, value, limit: CPU_ERROR, held: value <= CPU_ERROR });
     }
     bounds
 }
--- a/crates/testbed/src/scale/clients.rs
+++ b/crates/testbed/src/scale/clients.rs
@@ -6,15 +6,15 @@
 
 use quillpoint_router::pg::{self, BackendMessage};
 
-use crate::load::Load;
-use crate::store::next;
+use crate::load::LoadGenerator;
+use crate::replica_set::read_message;
 
 /// So many clients a router ask in turn.
 const ASKING: usize = 10;
 const TIME_OUT: Duration = Duration::from_secs(10);
 
 pub struct Clients {
-    load: Option<Load>,
+    load: Option<LoadGenerator>,
     _staying: Vec<TcpStream>,
 }
 
@@ -37,20 +37,21 @@
             }
         }
         let every = Duration::from_secs_f64(ASKING as f64 / statements.clamp(1e-3, 1e6));
-        let load = (statements > 0.0).then(|| Load::of_groups(routers, ASKING, every, &["look"], groups));
+        let load = (statements > 0.0)
+            .then(|| LoadGenerator::with_replica_sets(routers, ASKING, every, &["look"], groups));
         Ok(Self { load, _staying: staying })
     }
 
     /// How many statements have been answered by now, and how many of them well.
     pub fn answered(&self) -> (u64, u64) {
         let Some(load) = &self.load else { return (0, 0) };
-        (load.tally.rpcs(), load.tally.ok.load(std::sync::atomic::Ordering::SeqCst))
+        (load.results.total(), load.results.ok.load(std::sync::atomic::Ordering::SeqCst))
     }
 
     /// All have had their last answer when this returns.
     pub fn end(self) {
         if let Some(load) = self.load {
-            load.end();
+            load.finish();
         }
     }
 }
@@ -62,7 +63,7 @@
     pg::encode_startup(&mut out, "portal", "crm");
     stream.write_all(&out)?;
     loop {
-        match next(&mut stream, &mut unread, pg::decode_backend_message) {
+        match read_message(&mut stream, &mut unread, pg::decode_backend_message) {
             Some(BackendMessage::ReadyForQuery) => return Ok(stream),
             Some(BackendMessage::ErrorResponse { message, .. }) => {
                 return Err(std::io::Error::other(message));
--- a/crates/testbed/src/scale/databases.rs
+++ b/crates/testbed/src/scale/databases.rs
@@ -14,8 +14,8 @@
 use quillpoint_router::pg::{self, FrontendMessage, ProtocolViolation, StartupPacket};
 
 use crate::now;
+use crate::replica_set::{encode_parameter_status, single_value_result};
 use crate::scale::orders::{DatabasesPlan, DatabasesReport, Order};
-use crate::store::{parameter, row};
 
 struct Databases {
     primaries: RefCell<BTreeSet<SocketAddr>>,
@@ -116,17 +116,17 @@
         let mut out = Vec::new();
         if text == b"SHOW load" {
             add(&self.probes);
-            pg::encode_result(&mut out, &row(load.as_bytes()));
+            pg::encode_result(&mut out, &single_value_result(load.as_bytes()));
         } else {
             add(&self.statements);
             let writes = text.windows(6).any(|word| word == b"INSERT");
             match writes && !primary {
                 true => pg::encode_error(&mut out, false, "25006", "this is a replica", None),
-                false => pg::encode_result(&mut out, &row(b"v")),
+                false => pg::encode_result(&mut out, &single_value_result(b"v")),
             }
-            parameter(&mut out, "role", if primary { "primary" } else { "replica" });
-            parameter(&mut out, "applied_ms", &position.as_millis().to_string());
-            parameter(&mut out, "load", &load);
+            encode_parameter_status(&mut out, "role", if primary { "primary" } else { "replica" });
+            encode_parameter_status(&mut out, "applied_ms", &position.as_millis().to_string());
+            encode_parameter_status(&mut out, "load", &load);
         }
         pg::encode_ready_for_query(&mut out);
         out
--- a/crates/testbed/src/scale/hollow_process.rs
+++ b/crates/testbed/src/scale/hollow_process.rs
@@ -16,7 +16,7 @@
 use quillpoint_router::runtime_config::{ConfigFiles, RuntimeConfig};
 
 use crate::now;
-use crate::process::resident;
+use crate::process::resident_bytes;
 use crate::scale::faults::is_struck;
 use crate::scale::hollow::{Common, Hollow, Role};
 use crate::scale::orders::{HollowPlan, HollowReport, Known, Order};
@@ -151,7 +151,7 @@
             routers,
             before: plan.before,
             later: Vec::new(),
-            base_bytes: resident(std::process::id()).unwrap_or(0),
+            base_bytes: resident_bytes(std::process::id()).unwrap_or(0),
             ages: [histogram(), histogram()],
             peak_quarter: 0,
             quarters: Vec::new(),
@@ -242,7 +242,7 @@
             at_us: now().as_micros() as u64,
             routers: self.routers.len(),
             base_bytes: self.base_bytes,
-            resident_bytes: resident(std::process::id()).unwrap_or(0),
+            resident_bytes: resident_bytes(std::process::id()).unwrap_or(0),
             following: self.following,
             unfollowed_us: self.unfollowed_us,
             ages: self.ages.iter().flat_map(pairs).collect(),
