--- a/crates/testbed/src/scale/member.rs
+++ b/crates/testbed/src/scale/member.rs
@@ -9,9 +9,9 @@
 
 use serde_json::Value as Json;
 
-use crate::process::{Kept, Process};
+use crate::process::{CapturedStream, Process};
 use crate::record::{Mode, Sizes};
-use crate::routers::{Platform, platform};
+use crate::routers::{PlatformConfig, platform_json};
 use crate::scale::border::Border;
 use crate::scale::counters::Sums;
 use crate::scale::hollow::region;
@@ -90,7 +90,7 @@
     ) -> std::io::Result<[PathBuf; 2]> {
         let sizes = self.sizes;
         let of_clients = if kind == Kind::Control { 0 } else { sizes.connections };
-        let tree = platform(&Platform {
+        let tree = platform_json(&PlatformConfig {
             name: name.to_string(),
             listen: address.clients,
             discovery: self.discovery,
@@ -98,8 +98,8 @@
             sockets: 256 + sizes.databases + of_clients,
             memory_mb: 192 + of_clients / 10,
             // Without control it would probe by itself what control spares it: that is no part of the same load.
-            probes: kind != Kind::Untied,
-            known: Json::Null,
+            may_probe: kind != Kind::Untied,
+            known_endpoints: Json::Null,
         });
         let files = [self.folder.join(format!("{name}.json")), self.folder.join(format!("{name}.conf"))];
         fs::write(&files[0], tree.to_string())?;
@@ -194,14 +194,14 @@
         if self.with_conf {
             command.arg("--conf").arg(&self.files[1]);
         }
-        self.process = Some(Process::start(command, Kept::Errors)?);
+        self.process = Some(Process::start(command, CapturedStream::Stderr)?);
         Ok(())
     }
 
     /// # Errors
     /// It does not serve in time.
     pub fn await_serving(&self) -> std::io::Result<()> {
-        let serves = self.process.as_ref().is_some_and(|process| process.await_line("serves at", NEVER));
+        let serves = self.process.as_ref().is_some_and(|process| process.wait_for_line("serves at", NEVER));
         let lines = || self.process.as_ref().map(Process::lines).unwrap_or_default();
         if serves { Ok(()) } else { Err(self.fault(&format!("does not serve: {:?}", lines()))) }
     }
@@ -232,7 +232,7 @@
 
     /// Whether it tells its counts when it is asked: one that starts does not take the signal yet.
     pub fn answers(&self) -> bool {
-        let serves = |process: &Process| process.await_line("serves at", Duration::ZERO);
+        let serves = |process: &Process| process.wait_for_line("serves at", Duration::ZERO);
         !self.stands_still && self.process.as_ref().is_some_and(serves)
     }
 
@@ -243,7 +243,7 @@
 
     /// Asks for the counts, of which each event is one; where they will stand in its log.
     pub fn ask(&self) -> usize {
-        let place = self.process.as_ref().map_or(0, Process::count);
+        let place = self.process.as_ref().map_or(0, Process::line_count);
         self.signal("-HUP");
         place
     }
@@ -262,7 +262,7 @@
         let mut all = Sums::default();
         for event in events {
             let find = |line: &str| Sums::of(line, event);
-            let found = self.process.as_ref().and_then(|process| process.await_from(place, NEVER, find));
+            let found = self.process.as_ref().and_then(|process| process.wait_for_match(place, NEVER, find));
             all = all.plus(found.ok_or_else(|| self.fault(&format!("tells no {event}")))?);
         }
         Ok(all)
--- a/crates/testbed/src/scale/play.rs
+++ b/crates/testbed/src/scale/play.rs
@@ -17,7 +17,7 @@
 use rand_chacha::ChaCha8Rng;
 
 use self::stand_in::StandIn;
-use crate::listing::Listing;
+use crate::listing::DiscoveryServer;
 use crate::record::{Axis, Line, Mode, Sizes};
 use crate::scale::border::Border;
 use crate::scale::clients::Clients;
@@ -98,7 +98,7 @@
     control: Vec<Member>,
     /// Where real processes can be cut from each other.
     border: Option<Border>,
-    listing: Listing,
+    listing: DiscoveryServer,
     /// What is still to rise and fall, last first.
     promotions: Vec<(usize, usize)>,
     promoted: usize,
--- a/crates/testbed/src/scale/play/fault_injection.rs
+++ b/crates/testbed/src/scale/play/fault_injection.rs
@@ -8,7 +8,7 @@
 use super::member_watch::MemberWatch;
 use super::window::Window;
 use super::{Failed, World};
-use crate::listing::Counts;
+use crate::listing::DiscoveryCounts;
 use crate::now;
 use crate::record::{Bound, Mode};
 use crate::scale::border::Border;
@@ -141,7 +141,12 @@
 
 /// None may be missing at the end: no follower, no calm, no side of a cut.
 fn bounds(missing: f64, calm_after: Option<f64>, figures: &BTreeMap<String, f64>) -> Vec<Bound> {
-    let held = |figure: &str, is: f64| Bound { figure: figure.to_string(), is, most: 0.0, held: is <= 0.0 };
+    let held = |figure: &str, value: f64| Bound {
+        figure: figure.to_string(),
+        value,
+        limit: 0.0,
+        held: value <= 0.0,
+    };
     let calm_missing = f64::from(u8::from(calm_after.is_none()));
     let mut bounds = vec![held("follow_missing", missing), held("calm_missing", calm_missing)];
     let of_cut = ["cut_missing", "agree_missing"];
@@ -173,9 +178,9 @@
 }
 
 /// What discovery was asked since the fault began.
-fn put_discovery(put: &mut impl FnMut(&str, f64), discovery: &Counts) {
-    put("fault_discovery_calls", discovery.calls as f64);
-    put("fault_discovery_lists", discovery.lists as f64);
+fn put_discovery(put: &mut impl FnMut(&str, f64), discovery: &DiscoveryCounts) {
+    put("fault_discovery_calls", discovery.requests as f64);
+    put("fault_discovery_lists", discovery.full_lists as f64);
     put("fault_discovery_bytes_in", discovery.bytes_in as f64);
     put("fault_discovery_bytes_out", discovery.bytes_out as f64);
 }
--- a/crates/testbed/src/scale/play/stand_in.rs
+++ b/crates/testbed/src/scale/play/stand_in.rs
@@ -7,7 +7,7 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-use crate::process::{Kept, Process};
+use crate::process::{CapturedStream, Process};
 use crate::scale::orders::Order;
 
 /// How long a report is awaited.
@@ -22,8 +22,8 @@
 impl StandIn {
     /// Starts the program and sends it its plan.
     pub(super) fn start(program: &Path, name: &'static str, plan: &impl Serialize) -> std::io::Result<Self> {
-        let mut process = Process::start(Command::new(program), Kept::Output)?;
-        process.order(&serde_json::to_string(plan)?)?;
+        let mut process = Process::start(Command::new(program), CapturedStream::Stdout)?;
+        process.send_line(&serde_json::to_string(plan)?)?;
         Ok(Self { process, name })
     }
 
@@ -34,14 +34,15 @@
 
     /// The report at this place of the output.
     pub(super) fn report<R: DeserializeOwned>(&self, place: usize) -> std::io::Result<R> {
-        let found = self.process.await_from(place, REPORT_TIMEOUT, |line| serde_json::from_str(line).ok());
+        let found =
+            self.process.wait_for_match(place, REPORT_TIMEOUT, |line| serde_json::from_str(line).ok());
         found.ok_or_else(|| std::io::Error::other(format!("a process of {} does not report", self.name)))
     }
 
     /// Sends an order and returns the place of its report among the lines of the output.
     pub(super) fn order(&mut self, order: &Order) -> std::io::Result<usize> {
-        let place = self.process.count();
-        self.process.order(&serde_json::to_string(order)?)?;
+        let place = self.process.line_count();
+        self.process.send_line(&serde_json::to_string(order)?)?;
         Ok(place)
     }
 }
--- a/crates/testbed/src/scale/play/start.rs
+++ b/crates/testbed/src/scale/play/start.rs
@@ -10,7 +10,7 @@
 
 use super::stand_in::StandIn;
 use super::{Failed, GROUP, Play, Programs, World, promotions};
-use crate::listing::Listing;
+use crate::listing::DiscoveryServer;
 use crate::record::{Mode, Sizes};
 use crate::scale::border::Border;
 use crate::scale::faults::Fault;
@@ -115,7 +115,7 @@
 }
 
 /// Starts discovery with a list of these databases.
-fn start_listing(databases: &[SocketAddr]) -> std::io::Result<Listing> {
+fn start_listing(databases: &[SocketAddr]) -> std::io::Result<DiscoveryServer> {
     let entry = |(place, database): (usize, &SocketAddr)| {
         let role = if place.is_multiple_of(GROUP) { "primary" } else { "replica" };
         json!({
@@ -123,7 +123,7 @@
             "pod_group": place / GROUP, "state": "in_service", "capacity_hint": 1.0, "boot_ms": 0, "role": role,
         })
     };
-    Listing::start(databases.iter().enumerate().map(entry).collect())
+    DiscoveryServer::start(databases.iter().enumerate().map(entry).collect())
 }
 
 /// The real processes of a run, by kind.
--- a/crates/testbed/src/scale/play/window.rs
+++ b/crates/testbed/src/scale/play/window.rs
@@ -25,7 +25,7 @@
     real: Vec<Sums>,
     control: Vec<Sums>,
     stores: Vec<DatabasesReport>,
-    discovery: listing::Counts,
+    discovery: listing::DiscoveryCounts,
     cpu: Cpu,
 }
 
@@ -219,7 +219,7 @@
         // Whoever is a process of its own has the list from discovery; hollow routers are given it.
         let callers = (self.real.len() + self.control.len()).max(1) as f64;
         let discovery = after.discovery.since(before.discovery);
-        put("discovery_calls_s", discovery.calls as f64 / seconds / callers);
+        put("discovery_calls_s", discovery.requests as f64 / seconds / callers);
         put("discovery_bytes_s", (discovery.bytes_in + discovery.bytes_out) as f64 / seconds / callers);
     }
 }
--- a/crates/testbed/src/scale/report.rs
+++ b/crates/testbed/src/scale/report.rs
@@ -128,10 +128,10 @@
 fn hold(line: &mut Line, tighter: &[(String, f64)]) {
     let Line::Run { figures, bounds, .. } = line else { return };
     for (name, most) in tighter {
-        let known = bounds.iter().find(|bound| bound.figure == *name).map(|bound| bound.is);
-        let Some(is) = known.or_else(|| figures.get(name).copied()) else { continue };
+        let known = bounds.iter().find(|bound| bound.figure == *name).map(|bound| bound.value);
+        let Some(value) = known.or_else(|| figures.get(name).copied()) else { continue };
         bounds.retain(|bound| bound.figure != *name);
-        bounds.push(Bound { figure: name.clone(), is, most: *most, held: is <= *most });
+        bounds.push(Bound { figure: name.clone(), value, limit: *most, held: value <= *most });
     }
 }
 
@@ -146,7 +146,7 @@
         println!("  {name:>28} {value:.4}");
     }
     for bound in bounds {
-        let Bound { figure, is, most, held } = bound;
-        println!("  {figure:>28} {is:.4} <= {most:.4}: {}", if *held { "held" } else { "BROKEN" });
+        let Bound { figure, value, limit, held } = bound;
+        println!("  {figure:>28} {value:.4} <= {limit:.4}: {}", if *held { "held" } else { "BROKEN" });
     }
 }
--- a/crates/testbed/tests/calibration.rs
+++ b/crates/testbed/tests/calibration.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use quillpoint_testbed::fit::figure;
+use quillpoint_testbed::fit::calibrated_figure;
 use quillpoint_testbed::record::{Bound, Mode, Sizes};
 use quillpoint_testbed::scale::calibration::{ALLOWED, CPU_ERROR, bounds};
 use quillpoint_testbed::scale::counters::mean;
@@ -62,11 +62,19 @@
 #[test]
 fn a_figure_without_its_calibration_is_none() {
     let figures = figures(&[("router_cpu_part", 0.004), ("router_bytes_in_s", 812.0)]);
-    let bound = |name: &str, held| Bound { figure: name.to_string(), is: 1.0, most: 0.5, held };
+    let bound = |name: &str, held| Bound { figure: name.to_string(), value: 1.0, limit: 0.5, held };
     for name in ["calibration_cpu_part", "calibration_cpu_part_error"] {
-        assert_eq!(figure(&figures, &[bound(name, false)], "router_cpu_part"), None, "{name}");
-        assert_eq!(figure(&figures, &[bound(name, true)], "router_cpu_part"), Some(0.004), "{name}");
-        assert_eq!(figure(&figures, &[bound(name, false)], "router_bytes_in_s"), Some(812.0), "{name}");
+        assert_eq!(calibrated_figure(&figures, &[bound(name, false)], "router_cpu_part"), None, "{name}");
+        assert_eq!(
+            calibrated_figure(&figures, &[bound(name, true)], "router_cpu_part"),
+            Some(0.004),
+            "{name}"
+        );
+        assert_eq!(
+            calibrated_figure(&figures, &[bound(name, false)], "router_bytes_in_s"),
+            Some(812.0),
+            "{name}"
+        );
     }
 }
 
--- a/crates/testbed/tests/capacity/faults_found.rs
+++ b/crates/testbed/tests/capacity/faults_found.rs
@@ -2,9 +2,9 @@
 
 use std::collections::BTreeMap;
 
-use quillpoint_testbed::capacity::asks::PLAYED;
-use quillpoint_testbed::capacity::fill;
-use quillpoint_testbed::capacity::numbers::{show, up};
+use quillpoint_testbed::capacity::asks::MEASURED_RECORD;
+use quillpoint_testbed::capacity::fill_page;
+use quillpoint_testbed::capacity::numbers::{format_number, round_up};
 use quillpoint_testbed::record::{Line, Mode, read, write};
 
 use crate::made_up_records::{changed, made, made_up, row, with_fits};
@@ -27,7 +27,7 @@
         let first = faults.first().map_or("", String::as_str);
         assert!(faults.len() <= 2 && first.ends_with(fault), "{cell} {to}: {faults:?}");
     };
-    let less = |text: &str, by: f64| show(number(text).expect("a number") - by);
+    let less = |text: &str, by: f64| format_number(number(text).expect("a number") - by);
     // A figure changed by one.
     told(&page, &predicted, "figure", "4,425", "the figure is not its sum, rounded up");
     told(&page, &list, "figure", &less(&list["figure"], 1e7), "the figure is not its sum, rounded up");
@@ -52,7 +52,10 @@
     // A slope, an offset or a form that is not the record's.
     let (offset, slope) = product["sum"].split_once(" + ").expect("a sum");
     let (slope, sizes) = slope.split_once(" × ").expect("a product");
-    let other = format!("{offset} + {} × {sizes}", show(up(number(slope).expect("a slope") * 0.9999, 6)));
+    let other = format!(
+        "{offset} + {} × {sizes}",
+        format_number(round_up(number(slope).expect("a slope") * 0.9999, 6))
+    );
     told(&page, &product, "sum", &other, "the slope is not the record's");
     told(&page, &predicted, "sum", "4,425.9", "the offset is not the record's");
     told(&page, &predicted, "sum", "4,426 + 0 × 7,900", "the form is not the record's");
@@ -70,7 +73,7 @@
     told(&page, &unknown, "figure", "9,000,000", "a figure of what nobody has measured");
     told(&page, &predicted, "error", "–", "no error of the prediction");
     told(&page, &list, "mechanism", "", "a mechanism, or none, must be named");
-    let elsewhere = predicted["record"].replace(PLAYED, "other.jsonl");
+    let elsewhere = predicted["record"].replace(MEASURED_RECORD, "other.jsonl");
     let found = faults(&changed(&page, &predicted, "record", &elsewhere), &folder.0);
     assert!(found.len() == 1 && found[0].contains("the record cannot be read"), "{found:?}");
     told(
@@ -85,7 +88,7 @@
 #[test]
 fn what_a_record_does_not_bear_out_is_found() {
     let (folder, page) = made("changed", made_up());
-    let path = folder.0.join(PLAYED);
+    let path = folder.0.join(MEASURED_RECORD);
     let lines = read(&path).expect("read");
     // A run changed: its fits are old, for the generator and for the row.
     let mut other = lines.clone();
@@ -95,7 +98,7 @@
         figures.insert("router_bytes_in_s".to_string(), 4400.0);
     }
     write(&path, &other).expect("written");
-    let error = fill(&page, &folder.0).expect_err("old fits").to_string();
+    let error = fill_page(&page, &folder.0).expect_err("old fits").to_string();
     assert!(error.contains("run measure/fit"), "{error}");
     assert!(
         faults(&page, &folder.0)
@@ -107,7 +110,7 @@
         lines.iter().filter(|line| matches!(line, Line::Run { .. })).cloned().collect::<Vec<_>>()
     };
     write(&path, &with_fits(runs(&other))).expect("written");
-    assert_ne!(fill(&page, &folder.0).expect("made"), page);
+    assert_ne!(fill_page(&page, &folder.0).expect("made"), page);
     assert!(!faults(&page, &folder.0).is_empty());
     // A largest size that says the form is wrong: a row that still predicts is found.
     let mut other = runs(&lines);
@@ -124,7 +127,7 @@
         found.iter().any(|fault| fault.ends_with("the prediction rests on a form that is wrong")),
         "{found:?}"
     );
-    let page = fill(&page, &folder.0).expect("made");
+    let page = fill_page(&page, &folder.0).expect("made");
     let bytes = row(&page, "router", "bytes in and out a second", "feed, over routers");
     assert_eq!((bytes["basis"].as_str(), bytes["ratio"].as_str()), ("not measured", "–"));
     assert_eq!(faults(&page, &folder.0), Vec::<String>::new());
--- a/crates/testbed/tests/capacity/made_up_records.rs
+++ b/crates/testbed/tests/capacity/made_up_records.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 use std::path::PathBuf;
 
-use quillpoint_testbed::capacity::asks::{CONNECTIONS, PLAYED};
-use quillpoint_testbed::capacity::fill;
+use quillpoint_testbed::capacity::asks::{MEASURED_RECORD, TARGET_CONNECTIONS};
+use quillpoint_testbed::capacity::fill_page;
 use quillpoint_testbed::fit::fit_all;
 use quillpoint_testbed::record::{Line, Mode, Sizes, write};
 
@@ -86,7 +86,7 @@
     let peaks = [("peak_control_bytes_s", 9e6), ("follow_max_s", 2.51)];
     lines.push(run(Mode::Feed, 4000, 500, Some("restart"), &peaks));
     lines.push(run(Mode::Feed, 2000, 500, Some("restart"), &[("peak_control_bytes_s", 1e9)]));
-    for connections in [1000, 2000, 4000, CONNECTIONS as usize] {
+    for connections in [1000, 2000, 4000, TARGET_CONNECTIONS as usize] {
         let mut line = run(Mode::Feed, 500, 500, None, &[("connection_memory_bytes", 5000.0)]);
         if let Line::Run { sizes, .. } = &mut line {
             sizes.connections = connections;
@@ -104,8 +104,8 @@
 /// A page made of these records, and where they are.
 pub fn made(name: &str, lines: Vec<Line>) -> (Folder, String) {
     let folder = Folder::new(name);
-    write(&folder.0.join(PLAYED), &with_fits(lines)).expect("written");
-    let page = fill(&page(), &folder.0).expect("made");
+    write(&folder.0.join(MEASURED_RECORD), &with_fits(lines)).expect("written");
+    let page = fill_page(&page(), &folder.0).expect("made");
     (folder, page)
 }
 
--- a/crates/testbed/tests/capacity/page.rs
+++ b/crates/testbed/tests/capacity/page.rs
@@ -1,8 +1,10 @@
 //! docs/CAPACITY.md as it stands: made anew it is the same, and each row holds by itself.
 
-use quillpoint_testbed::capacity::asks::{PLAYED, ROUTERS, SECTIONS, SIMULATED, Source, asks};
-use quillpoint_testbed::capacity::fill;
-use quillpoint_testbed::capacity::numbers::{show, up};
+use quillpoint_testbed::capacity::asks::{
+    MEASURED_RECORD, SECTIONS, SIMULATED_RECORD, Source, TARGET_ROUTERS, requirements,
+};
+use quillpoint_testbed::capacity::fill_page;
+use quillpoint_testbed::capacity::numbers::{format_number, round_up};
 use quillpoint_testbed::record::{Axis, Line, read};
 
 use crate::made_up_records::{Folder, made, made_up};
@@ -13,7 +15,7 @@
 
 #[test]
 fn the_page_is_what_its_records_say() {
-    let made = fill(&page(), &repository().join("docs/measurements")).expect("the page can be made");
+    let made = fill_page(&page(), &repository().join("docs/measurements")).expect("the page can be made");
     assert!(made == page(), "measure/capacity writes another page; run it");
 }
 
@@ -31,9 +33,9 @@
 #[test]
 fn a_fault_row_asks_for_nothing_that_is_counted_before_the_fault() {
     for (section, _) in SECTIONS {
-        for ask in asks(section) {
-            let Source::Fault { fault, figure: name } = ask.source else { continue };
-            for file in [PLAYED, SIMULATED] {
+        for ask in requirements(section) {
+            let Source::FaultRuns { fault, figure: name } = ask.source else { continue };
+            for file in [MEASURED_RECORD, SIMULATED_RECORD] {
                 let lines = lines_of(file);
                 let struck: Vec<Run<'_>> =
                     lines.iter().filter_map(of_run).filter(|(is, ..)| *is == Some(fault)).collect();
@@ -48,7 +50,7 @@
                     assert!(
                         !is_calm,
                         "{}, {fault}: {name} {} is of the calm seconds",
-                        ask.what, figures[name]
+                        ask.quantity, figures[name]
                     );
                 }
             }
@@ -90,7 +92,7 @@
 
 #[test]
 fn nothing_is_predicted_beyond_where_calibration_failed() {
-    let lines = lines_of(PLAYED);
+    let lines = lines_of(MEASURED_RECORD);
     for row in rows(&page()).iter().filter(|row| row["basis"].starts_with("predicted")) {
         let (_, name, mode, place) = cited(&row["record"]).expect("a record");
         let axis =
@@ -104,7 +106,7 @@
 fn what_processes_did_not_play_of_a_fault_is_said_beside_what_the_lab_did() {
     let all = rows(&page());
     for row in all.iter().filter(|row| row["basis"].starts_with("simulated below the target")) {
-        let played = row["record"].replace(SIMULATED, PLAYED);
+        let played = row["record"].replace(SIMULATED_RECORD, MEASURED_RECORD);
         let of_any =
             |record: &str| record.split_once(", by ").map_or(record.to_string(), |(of, _)| of.to_string());
         assert!(
@@ -124,7 +126,7 @@
     });
     let most = most.and_then(|row| number(&row["figure"])).expect("a row");
     // None of them waits for another: their first looks may fall into one second.
-    assert!(most >= ROUTERS, "{most}");
+    assert!(most >= TARGET_ROUTERS, "{most}");
 }
 
 #[test]
@@ -175,7 +177,7 @@
 #[test]
 fn what_the_page_links_to_is_drawn() {
     let (folder, page) = made("drawn", made_up());
-    let drawn = quillpoint_testbed::capacity::draw(&folder.0).expect("drawn");
+    let drawn = quillpoint_testbed::capacity::draw_plots(&folder.0).expect("drawn");
     assert!(drawn.contains(&"scale-router-bytes-databases.svg".to_string()), "{drawn:?}");
     for file in &drawn {
         assert!(page.contains(&format!("](measurements/{file})")), "{file}");
@@ -206,7 +208,7 @@
 #[test]
 fn a_page_with_a_marker_too_few_or_unknown_is_refused() {
     let folder = Folder::new("markers");
-    let told = |page: &str| fill(page, &folder.0).expect_err("refused").to_string();
+    let told = |page: &str| fill_page(page, &folder.0).expect_err("refused").to_string();
     let whole = page();
     assert!(told(&whole.replace("<!-- begin zone -->", "")).contains("no marker zone"));
     assert!(
@@ -228,6 +230,6 @@
         (999.5, 3, "1,000"),
         (4.0e-13, 2, "0.0000000000004"),
     ] {
-        assert_eq!(show(up(is, digits)), shown);
+        assert_eq!(format_number(round_up(is, digits)), shown);
     }
 }
--- a/crates/testbed/tests/capacity/page_checker.rs
+++ b/crates/testbed/tests/capacity/page_checker.rs
@@ -5,8 +5,8 @@
 use std::path::{Path, PathBuf};
 
 use pulldown_cmark::{Event, Options, Parser, Tag, TagEnd};
-use quillpoint_testbed::capacity::asks::{DATABASES, PLAYED, ROUTERS};
-use quillpoint_testbed::fit::{MOST_ERROR, fit, points};
+use quillpoint_testbed::capacity::asks::{MEASURED_RECORD, TARGET_DATABASES, TARGET_ROUTERS};
+use quillpoint_testbed::fit::{MAX_RELATIVE_ERROR, fit_newest, newest_points};
 use quillpoint_testbed::record::{Axis, Bound, Fit, Form, Line, Mode, Sizes, read};
 
 pub fn repository() -> PathBuf {
@@ -145,10 +145,10 @@
 
 /// The least size of an axis, beyond all at which calibration held, at which it failed on the figure.
 pub fn failed_beyond(lines: &[Line], axis: Axis, mode: Mode, name: &str) -> Option<f64> {
-    let played = points(lines, axis, mode, name)?;
+    let played = newest_points(lines, axis, mode, name)?;
     let largest = played.points.last()?.size;
     let alike = |sizes: &Sizes| {
-        let mut all = [sizes.clone(), played.held.clone()];
+        let mut all = [sizes.clone(), played.fixed_sizes.clone()];
         for sizes in &mut all {
             (sizes.seed, sizes.seconds, sizes.real, sizes.hollow_processes) = (0, 0.0, 0, 0);
             match axis {
@@ -293,7 +293,7 @@
         // A cut that parts control instances too is none that does not.
         let is_partial = cell("at")?.contains("; the instances not cut");
         let is_so = |figures: &BTreeMap<String, f64>| {
-            place != "cut" || file != PLAYED || figures.contains_key("agree_max_s") != is_partial
+            place != "cut" || file != MEASURED_RECORD || figures.contains_key("agree_max_s") != is_partial
         };
         let there = runs().filter(|(fault, sizes, _)| *fault == Some(place) && is_there(sizes));
         let most = there.filter(|(.., (figures, _))| is_so(figures));
@@ -310,7 +310,7 @@
             is_so(figures) && count.is_some_and(|(_, count)| figures.get(*count) > Some(&0.0))
         });
         ensure(!some_never, "it is a time until all had, and some had not")?;
-        let whole = routers >= Some(ROUTERS) && databases >= Some(DATABASES);
+        let whole = routers >= Some(TARGET_ROUTERS) && databases >= Some(TARGET_DATABASES);
         ensure(
             is_played && whole != kind.ends_with(" below the target"),
             "it is not said whether this is the target's size",
@@ -330,22 +330,25 @@
         return ensure(played.iter().any(|is| is_up(shown, *is)), "the figure is not what was played");
     }
     ensure(kind == "predicted", "no such basis")?;
-    let fit = fit(&lines, axis, mode, name).map_err(|error| error.to_string())?;
+    let fit = fit_newest(&lines, axis, mode, name).map_err(|error| error.to_string())?;
     let near = |one: f64, other: f64| (one - other).abs() <= 1e-9 * one.abs().max(1e-9);
     let is_written = lines.iter().any(|line| {
         matches!(line, Line::Fit(other) if (other.axis, other.mode, &other.figure) == (axis, mode, &fit.figure)
-            && near(other.slope, fit.slope) && near(other.offset, fit.offset) && near(other.error, fit.error))
+            && near(other.slope, fit.slope) && near(other.offset, fit.offset) && near(other.relative_error, fit.relative_error))
     });
     ensure(is_written, "the record's fit is not that of its runs")?;
-    ensure(fit.error <= MOST_ERROR, "the prediction rests on a form that is wrong")?;
+    ensure(fit.relative_error <= MAX_RELATIVE_ERROR, "the prediction rests on a form that is wrong")?;
     let failed = failed_beyond(&lines, axis, mode, name);
     ensure(failed.is_none(), "it is predicted beyond a size at which calibration failed")?;
     let missed = cell("error")?.split_once(" by ").and_then(|(_, rest)| rest.split_once(" at "));
     let missed = missed.and_then(|(by, _)| number(by)).ok_or("no error of the prediction")?;
-    ensure(missed >= fit.error - 1e-8 && missed <= fit.error + 0.001, "the error is not the fit's")?;
+    ensure(
+        missed >= fit.relative_error - 1e-8 && missed <= fit.relative_error + 0.001,
+        "the error is not the fit's",
+    )?;
     let terms: Vec<&str> = cell("sum")?.split(" + ").collect();
     let at = asked_size(cell("at")?, axis.name()).ok_or("no size")?;
-    let played = points(&lines, axis, mode, name).ok_or("no points")?.points;
+    let played = newest_points(&lines, axis, mode, name).ok_or("no points")?.points;
     let most = played.iter().filter(|point| point.size <= at).map(|point| point.mean).reduce(f64::max);
     let most = most.unwrap_or_else(|| played.iter().map(|point| point.mean).fold(0.0, f64::max));
     ensure(shown >= most * (1.0 - 1e-9), "the prediction is less than what was played")?;
@@ -394,7 +397,7 @@
     let (Some(held_routers), Some(held_databases)) = (held(other, "routers"), held(one, "databases")) else {
         return Err("what was held is not said".to_string());
     };
-    let played = points(lines, Axis::Routers, mode, name).ok_or("no points")?.held;
+    let played = newest_points(lines, Axis::Routers, mode, name).ok_or("no points")?.fixed_sizes;
     let off = |line: &Line| {
         let (None, sizes, figures) = of_run(line)? else { return None };
         let place = (sizes.routers as f64, sizes.databases as f64);
@@ -413,12 +416,12 @@
         return Err("its error is not that of the largest run off both axes".to_string());
     }
     let by = error.split_once(" by ").and_then(|(_, rest)| number(rest.split(' ').next()?));
-    if (error.starts_with("under") || error.contains("; both at ")) && by > Some(MOST_ERROR) {
+    if (error.starts_with("under") || error.contains("; both at ")) && by > Some(MAX_RELATIVE_ERROR) {
         return Err("it rests on a crossing that is wrong".to_string());
     }
-    let told = |error: quillpoint_testbed::fit::Unfit| error.to_string();
-    let routers = fit(lines, Axis::Routers, mode, name).map_err(told)?;
-    let databases = fit(lines, Axis::Databases, mode, name).map_err(told)?;
+    let told = |error: quillpoint_testbed::fit::FitError| error.to_string();
+    let routers = fit_newest(lines, Axis::Routers, mode, name).map_err(told)?;
+    let databases = fit_newest(lines, Axis::Databases, mode, name).map_err(told)?;
     let at = |fit: &Fit, size: f64| fit.offset + fit.slope * form(fit.form, size);
     let was = at(&routers, held_routers).min(at(&databases, held_databases));
     let [Some(left), Some(right), Some(both), Some(base)] = [left, right, both, base].map(number) else {
@@ -446,7 +449,7 @@
     if let Some((_, part)) = error.split_once("; both at ") {
         share = number(part.split(' ').next().unwrap_or_default()).ok_or("no share")?;
         let there = |axis: Axis, fit: &Fit, size: f64| {
-            let played = points(lines, axis, mode, name).map_or(Vec::new(), |points| points.points);
+            let played = newest_points(lines, axis, mode, name).map_or(Vec::new(), |points| points.points);
             let most =
                 played.iter().filter(|point| point.size <= size).map(|point| point.mean).fold(0.0, f64::max);
             at(fit, size).max(most)
@@ -489,12 +492,13 @@
     let Some((.., place)) = cited(&row["record"]) else { return false };
     if !place.starts_with("over ") {
         let at = &row["at"];
-        return before(at, "routers") < Some(ROUTERS) || before(at, "databases") < Some(DATABASES);
+        return before(at, "routers") < Some(TARGET_ROUTERS)
+            || before(at, "databases") < Some(TARGET_DATABASES);
     }
     let Some(held) = row["at"].split(';').nth(1).filter(|held| held.ends_with(" held")) else { return false };
-    let routers = if row["record"].contains(", shared, ") { 256.0 } else { ROUTERS };
+    let routers = if row["record"].contains(", shared, ") { 256.0 } else { TARGET_ROUTERS };
     before(held, "routers").is_some_and(|held| held < routers)
-        || before(held, "databases").is_some_and(|held| held < DATABASES)
+        || before(held, "databases").is_some_and(|held| held < TARGET_DATABASES)
 }
 
 /// How many control instances were played for a row of a control machine's share.
--- a/crates/testbed/tests/capacity/rows_of_records.rs
+++ b/crates/testbed/tests/capacity/rows_of_records.rs
@@ -1,7 +1,7 @@
 //! Which row a record gives.
 
-use quillpoint_testbed::capacity::asks::{PLAYED, SIMULATED};
-use quillpoint_testbed::capacity::fill;
+use quillpoint_testbed::capacity::asks::{MEASURED_RECORD, SIMULATED_RECORD};
+use quillpoint_testbed::capacity::fill_page;
 use quillpoint_testbed::record::{Bound, Line, Mode, write};
 
 use crate::made_up_records::{Folder, SIZES, by_program, changed, made, made_up, row, run, with_fits};
@@ -96,7 +96,7 @@
             && (sizes.mode, sizes.databases) == (Mode::Feed, 18_000)
         {
             let figure = "calibration_memory_bytes".to_string();
-            bounds.push(Bound { figure, is: 0.2, most: 0.1, held: false });
+            bounds.push(Bound { figure, value: 0.2, limit: 0.1, held: false });
         }
     }
     let (folder, page) = made("calibration", lines);
@@ -170,8 +170,8 @@
     let mut lines = vec![cut(500, &[peak(9e6)]), cut(500, &[peak(8e6)])];
     let shown = |name: &str, lines: &[Line]| {
         let folder = Folder::new(name);
-        write(&folder.0.join(PLAYED), lines).expect("written");
-        let page = fill(&page(), &folder.0).expect("made");
+        write(&folder.0.join(MEASURED_RECORD), lines).expect("written");
+        let page = fill_page(&page(), &folder.0).expect("made");
         assert_eq!(faults(&page, &folder.0), Vec::<String>::new());
         let row = rows(&page).into_iter().find(|row| row["what"] == what).expect("it");
         (
@@ -181,7 +181,7 @@
         )
     };
     let told = |at: &str, figure: &str, by: &str| {
-        let record = format!("{PLAYED}: peak_control_bytes_s, feed, cut{by}");
+        let record = format!("{MEASURED_RECORD}: peak_control_bytes_s, feed, cut{by}");
         (at.to_string(), figure.to_string(), record)
     };
     let routers_alone = "the instances not cut";
@@ -221,7 +221,7 @@
 #[test]
 fn without_records_nothing_is_measured() {
     let folder = Folder::new("none");
-    let page = fill(&page(), &folder.0).expect("made");
+    let page = fill_page(&page(), &folder.0).expect("made");
     assert_eq!(faults(&page, &folder.0), Vec::<String>::new());
     let rows = rows(&page);
     assert!(rows.iter().all(|row| matches!(row["basis"].as_str(), "not measured" | "computed")));
@@ -252,8 +252,8 @@
         }
         lines.push(line);
     }
-    write(&folder.0.join(SIMULATED), &with_fits(lines)).expect("written");
-    let page = fill(&page(), &folder.0).expect("made");
+    write(&folder.0.join(SIMULATED_RECORD), &with_fits(lines)).expect("written");
+    let page = fill_page(&page(), &folder.0).expect("made");
     assert_eq!(faults(&page, &folder.0), Vec::<String>::new());
     let sent = "bytes sent a second";
     let one = row(&page, "router", sent, "shared, over databases");
@@ -287,9 +287,11 @@
         run(Mode::Feed, 7900, 18_000, None, &[("router_bytes_in_s", 9000.0), ("router_bytes_out_s", 50.0)]),
         run(Mode::Feed, 7900, 18_000, Some("restart"), &peaks),
     ];
-    write(&folder.0.join(SIMULATED), &lines.into_iter().map(simulate).collect::<Vec<_>>()).expect("written");
-    write(&folder.0.join(PLAYED), &[run(Mode::Feed, 400, 400, Some("restart"), &peaks)]).expect("written");
-    let page = fill(&page(), &folder.0).expect("made");
+    write(&folder.0.join(SIMULATED_RECORD), &lines.into_iter().map(simulate).collect::<Vec<_>>())
+        .expect("written");
+    write(&folder.0.join(MEASURED_RECORD), &[run(Mode::Feed, 400, 400, Some("restart"), &peaks)])
+        .expect("written");
+    let page = fill_page(&page(), &folder.0).expect("made");
     assert_eq!(faults(&page, &folder.0), Vec::<String>::new());
     let bytes = row(&page, "router", "bytes in and out a second", "feed, over databases");
     assert_eq!((bytes["basis"].as_str(), bytes["figure"].as_str()), ("simulated", "9,050"));
@@ -360,8 +362,8 @@
     };
     let shown = |name: &str, lines: &[Line]| {
         let folder = Folder::new(name);
-        write(&folder.0.join(PLAYED), lines).expect("written");
-        let page = fill(&page(), &folder.0).expect("made");
+        write(&folder.0.join(MEASURED_RECORD), lines).expect("written");
+        let page = fill_page(&page(), &folder.0).expect("made");
         assert_eq!(faults(&page, &folder.0), Vec::<String>::new());
         row(&page, "router", "time until all follow again, a sixth restarted, s", "feed, restart")
     };
--- a/crates/testbed/tests/faults.rs
+++ b/crates/testbed/tests/faults.rs
@@ -3,7 +3,7 @@
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 
-use quillpoint_testbed::listing::Listing;
+use quillpoint_testbed::listing::DiscoveryServer;
 use quillpoint_testbed::record::Mode;
 use quillpoint_testbed::scale::counters::Sums;
 use quillpoint_testbed::scale::faults::{ONE_IN, calm_after, follows, is_struck};
@@ -71,15 +71,15 @@
 
 #[test]
 fn discovery_counts_its_calls_and_their_bytes() {
-    let listing = Listing::start(json!([{"uid": "s-1"}])).expect("it listens");
+    let listing = DiscoveryServer::start(json!([{"uid": "s-1"}])).expect("it listens");
     let before = listing.counts();
     let (first, second) = (call(listing.address, 0), call(listing.address, 1));
     // What was answered is counted right after it was written.
-    while listing.counts().since(before).calls < 2 {
+    while listing.counts().since(before).requests < 2 {
         std::thread::yield_now();
     }
     let counts = listing.counts().since(before);
-    assert_eq!((counts.calls, counts.lists), (2, 1), "who knows the revision is told of none");
+    assert_eq!((counts.requests, counts.full_lists), (2, 1), "who knows the revision is told of none");
     assert_eq!(counts.bytes_in as usize, first.0 + second.0);
     assert_eq!(counts.bytes_out as usize, first.1 + second.1);
     assert!(second.1 < first.1);
--- a/crates/testbed/tests/fit.rs
+++ b/crates/testbed/tests/fit.rs
@@ -2,7 +2,9 @@
 
 use std::collections::BTreeMap;
 
-use quillpoint_testbed::fit::{Unfit, fit, fit_all, fit_of, points, points_of, programs};
+use quillpoint_testbed::fit::{
+    FitError, fit_all, fit_newest, fit_program, newest_points, points_of_program, programs,
+};
 use quillpoint_testbed::record::{Axis, Bound, Fit, Form, Line, Mode, Sizes, read, write};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -45,7 +47,7 @@
 }
 
 fn routers(lines: &[Line]) -> Fit {
-    fit(lines, Axis::Routers, Mode::Feed, FIGURE).expect("enough sizes")
+    fit_newest(lines, Axis::Routers, Mode::Feed, FIGURE).expect("enough sizes")
 }
 
 fn close(is: f64, should: f64) {
@@ -64,15 +66,15 @@
     for (form, slope, offset, truth) in truths {
         for axis in [Axis::Routers, Axis::Databases] {
             let lines = over(axis, &LARGE, |n, m| truth(if axis == Axis::Routers { n } else { m }));
-            let fit = fit(&lines, axis, Mode::Feed, FIGURE).expect("enough sizes");
+            let fit = fit_newest(&lines, axis, Mode::Feed, FIGURE).expect("enough sizes");
             assert_eq!(fit.form, form);
             close(fit.slope, slope);
             close(fit.offset, offset);
             close(fit.predicted, truth(7900.0));
-            close(fit.played, truth(7900.0));
-            close(fit.at(100_000.0), truth(100_000.0));
-            assert!(fit.error < 1e-9 && fit.residual < 1e-9 && fit.is_usable());
-            assert_eq!((fit.points, fit.largest), (5, 7900.0));
+            close(fit.measured, truth(7900.0));
+            close(fit.predict(100_000.0), truth(100_000.0));
+            assert!(fit.relative_error < 1e-9 && fit.residual < 1e-9 && fit.is_usable());
+            assert_eq!((fit.points, fit.largest_size), (5, 7900.0));
         }
     }
 }
@@ -85,12 +87,12 @@
     assert_eq!(routers(&lines).form, Form::Linear);
     lines.extend(over(Axis::Databases, &LARGE, truth));
     for axis in [Axis::Routers, Axis::Databases] {
-        let fit = fit(&lines, axis, Mode::Feed, FIGURE).expect("enough sizes");
+        let fit = fit_newest(&lines, axis, Mode::Feed, FIGURE).expect("enough sizes");
         assert_eq!(fit.form, Form::Product);
         close(fit.slope, 0.004);
         close(fit.offset, 50.0);
         close(fit.predicted, truth(7900.0, 500.0));
-        close(fit.at(7900.0 * 18_000.0), truth(7900.0, 18_000.0));
+        close(fit.predict(7900.0 * 18_000.0), truth(7900.0, 18_000.0));
     }
 }
 
@@ -128,7 +130,7 @@
         let lines: Vec<Line> = LARGE.iter().map(|n| run(*n, 500, 1, 900.0 * noise())).collect();
         let flat = routers(&lines);
         // A slope that chance has made is slight, or found out by the largest size.
-        assert!(!flat.is_usable() || (flat.at(7900.0) - 900.0).abs() < 900.0 * 0.25, "{flat:?}");
+        assert!(!flat.is_usable() || (flat.predict(7900.0) - 900.0).abs() < 900.0 * 0.25, "{flat:?}");
         misled += usize::from(flat.form != Form::Constant && flat.form != Form::Log);
     }
     println!("{other} lines taken for something else, {misled} constants for a growth, of {rounds}");
@@ -142,11 +144,11 @@
     let fit = routers(&lines);
     assert_eq!(fit.form, Form::Linear);
     close(fit.slope, 2.0);
-    close(fit.error, 7.0 / 9.0);
+    close(fit.relative_error, 7.0 / 9.0);
     assert!(!fit.is_usable());
     // The largest size has no say in the form.
     let lines = over(Axis::Routers, &LARGE, |n, _| if n > 4000.0 { 0.0 } else { 2.0 * n });
-    assert_eq!((routers(&lines).form, routers(&lines).error), (Form::Linear, 1.0));
+    assert_eq!((routers(&lines).form, routers(&lines).relative_error), (Form::Linear, 1.0));
     assert!(!routers(&lines).is_usable());
 }
 
@@ -162,19 +164,31 @@
 #[test]
 fn fewer_than_four_sizes_are_an_error_that_says_so() {
     let lines = over(Axis::Routers, &LARGE[..3], |n, _| n);
-    let error = fit(&lines, Axis::Routers, Mode::Feed, FIGURE).expect_err("three sizes");
+    let error = fit_newest(&lines, Axis::Routers, Mode::Feed, FIGURE).expect_err("three sizes");
     let (figure, axis, mode) = (FIGURE.to_string(), Axis::Routers, Mode::Feed);
-    assert_eq!(error, Unfit::TooFew { figure, axis, mode, sizes: 3 });
+    assert_eq!(error, FitError::TooFew { figure, axis, mode, sizes: 3 });
     let told = error.to_string();
     assert!(told.contains("router_bytes_in_s over routers, feed: 3 sizes"), "{told}");
     assert!(told.contains("4 are needed"), "{told}");
     // One size twice is one size.
     let mut lines = over(Axis::Routers, &LARGE[..3], |n, _| n);
     lines.push(run(1000, 500, 2, 1000.0));
-    assert!(matches!(fit(&lines, Axis::Routers, Mode::Feed, FIGURE), Err(Unfit::TooFew { sizes: 3, .. })));
-    assert!(matches!(fit(&lines, Axis::Routers, Mode::Shared, FIGURE), Err(Unfit::TooFew { sizes: 0, .. })));
-    assert!(matches!(fit(&lines, Axis::Routers, Mode::Feed, "other"), Err(Unfit::TooFew { sizes: 0, .. })));
-    assert!(matches!(fit(&[], Axis::Routers, Mode::Feed, FIGURE), Err(Unfit::TooFew { sizes: 0, .. })));
+    assert!(matches!(
+        fit_newest(&lines, Axis::Routers, Mode::Feed, FIGURE),
+        Err(FitError::TooFew { sizes: 3, .. })
+    ));
+    assert!(matches!(
+        fit_newest(&lines, Axis::Routers, Mode::Shared, FIGURE),
+        Err(FitError::TooFew { sizes: 0, .. })
+    ));
+    assert!(matches!(
+        fit_newest(&lines, Axis::Routers, Mode::Feed, "other"),
+        Err(FitError::TooFew { sizes: 0, .. })
+    ));
+    assert!(matches!(
+        fit_newest(&[], Axis::Routers, Mode::Feed, FIGURE),
+        Err(FitError::TooFew { sizes: 0, .. })
+    ));
     assert!(fit_all(&lines).is_empty());
 }
 
@@ -183,7 +197,7 @@
     let mut lines = over(Axis::Routers, &LARGE, |n, _| 10.0 * n);
     lines.push(run(1000, 500, 2, 9_000.0));
     lines.push(run(1000, 500, 3, 11_000.0));
-    let all = points(&lines, Axis::Routers, Mode::Feed, FIGURE).expect("points");
+    let all = newest_points(&lines, Axis::Routers, Mode::Feed, FIGURE).expect("points");
     assert_eq!(all.points.iter().map(|point| point.runs).collect::<Vec<_>>(), [1, 1, 3, 1, 1, 1]);
     close(all.points[2].mean, 10_000.0);
     let fit = routers(&lines);
@@ -204,7 +218,7 @@
         sizes.period_s = 1.0;
     }
     lines.extend([fault, slower, run(16_000, 600, 1, 1.0)]);
-    assert_eq!(routers(&lines).largest, 7900.0);
+    assert_eq!(routers(&lines).largest_size, 7900.0);
     close(routers(&lines).slope, 10.0);
     // Of two places the one with more sizes counts.
     lines.extend(over(Axis::Routers, &LARGE[..4], |n, _| n).into_iter().map(|mut line| {
@@ -226,9 +240,9 @@
     }
     lines.push(run(16_000, 500, 1, 0.0));
     let sum = "router_bytes_in_s+router_bytes_out_s";
-    let fit = fit(&lines, Axis::Routers, Mode::Feed, sum).expect("enough sizes");
+    let fit = fit_newest(&lines, Axis::Routers, Mode::Feed, sum).expect("enough sizes");
     close(fit.slope, 15.0);
-    assert_eq!(fit.largest, 7900.0);
+    assert_eq!(fit.largest_size, 7900.0);
     assert!(fit_all(&lines).contains(&fit));
 }
 
@@ -271,15 +285,15 @@
     lines.extend(old.iter().take(1).cloned());
     assert_eq!(programs(&lines), [Some("leanest"), Some("lean"), None]);
     let lean = routers(&lines);
-    assert_eq!((lean.program.as_deref(), lean.form, lean.largest), (Some("lean"), Form::Linear, 2000.0));
+    assert_eq!((lean.program.as_deref(), lean.form, lean.largest_size), (Some("lean"), Form::Linear, 2000.0));
     close(lean.slope, 1.0);
     close(lean.offset, 100.0);
-    close(lean.error, 0.0);
-    let first = fit_of(&lines, None, Axis::Routers, Mode::Feed, FIGURE).expect("enough sizes");
+    close(lean.relative_error, 0.0);
+    let first = fit_program(&lines, None, Axis::Routers, Mode::Feed, FIGURE).expect("enough sizes");
     close(first.slope, 2.0);
-    assert_eq!((first.program, first.largest), (None, 7900.0));
-    let few = fit_of(&lines, Some("leanest"), Axis::Routers, Mode::Feed, FIGURE);
-    assert!(matches!(few, Err(Unfit::TooFew { sizes: 3, .. })), "{few:?}");
+    assert_eq!((first.program, first.largest_size), (None, 7900.0));
+    let few = fit_program(&lines, Some("leanest"), Axis::Routers, Mode::Feed, FIGURE);
+    assert!(matches!(few, Err(FitError::TooFew { sizes: 3, .. })), "{few:?}");
     // Each that can be fitted is, the oldest first.
     let all: Vec<Option<String>> =
         fit_all(&lines).into_iter().filter(|fit| fit.axis == Axis::Routers).map(|fit| fit.program).collect();
@@ -287,9 +301,12 @@
     // Three sizes of one and three of another are not six.
     let mut few = over(Axis::Routers, &LARGE[..3], |n, _| 2.0 * n);
     few.extend(by("lean", over(Axis::Routers, &LARGE[3..], |n, _| n)));
-    assert!(matches!(fit(&few, Axis::Routers, Mode::Feed, FIGURE), Err(Unfit::TooFew { sizes: 3, .. })));
+    assert!(matches!(
+        fit_newest(&few, Axis::Routers, Mode::Feed, FIGURE),
+        Err(FitError::TooFew { sizes: 3, .. })
+    ));
     assert_eq!(
-        points(&few, Axis::Routers, Mode::Feed, FIGURE).expect("points").program.as_deref(),
+        newest_points(&few, Axis::Routers, Mode::Feed, FIGURE).expect("points").program.as_deref(),
         Some("lean")
     );
 }
@@ -324,7 +341,7 @@
         if let Line::Run { figures, bounds, .. } = &mut line {
             figures.insert("real_bytes_in_s".to_string(), real);
             let figure = "calibration_bytes_in_s".to_string();
-            bounds.push(Bound { figure, is: 0.3, most: 0.05, held: false });
+            bounds.push(Bound { figure, value: 0.3, limit: 0.05, held: false });
         }
         line
     };
@@ -337,9 +354,9 @@
     // At a size where calibration never held nothing counts, but it is known that it was played.
     lines.push(broken(run(9000, 500, 1, 500.0), 100.0));
     lines.push(broken(run(300, 500, 1, 500.0), 100.0));
-    let found = points_of(&lines, None, Axis::Routers, Mode::Feed, FIGURE).expect("points");
+    let found = points_of_program(&lines, None, Axis::Routers, Mode::Feed, FIGURE).expect("points");
     let means: Vec<(f64, f64, f64)> =
-        found.points.iter().map(|point| (point.size, point.mean, point.most)).collect();
+        found.points.iter().map(|point| (point.size, point.mean, point.max)).collect();
     assert_eq!(
         means,
         [
@@ -352,5 +369,5 @@
         ]
     );
     assert_eq!(found.uncalibrated, [300.0, 9000.0]);
-    assert_eq!(found.failed_beyond(), Some(9000.0));
+    assert_eq!(found.first_uncalibrated_beyond(), Some(9000.0));
 }
--- a/crates/testbed/tests/process.rs
+++ b/crates/testbed/tests/process.rs
@@ -6,7 +6,7 @@
 use std::thread;
 use std::time::Duration;
 
-use quillpoint_testbed::process::processor_time;
+use quillpoint_testbed::process::cpu_time;
 
 /// Works until the system has counted so much for this thread.
 fn work(span: Duration) {
@@ -27,7 +27,7 @@
 fn processor_time_is_counted_finely_and_of_all_threads() {
     const EACH: Duration = Duration::from_millis(3);
     const THREADS: usize = 3;
-    let own = || processor_time(std::process::id()).expect("the system tells");
+    let own = || cpu_time(std::process::id()).expect("the system tells");
     let (worked, looked_at) = (Barrier::new(THREADS + 1), Barrier::new(THREADS + 1));
     let before = own();
     thread::scope(|scope| {
@@ -44,5 +44,5 @@
         assert!(after - before >= EACH * THREADS as u32, "{before:?} {after:?}");
         assert!([before, after].iter().any(|time| time.as_nanos() % 10_000_000 != 0), "{before:?} {after:?}");
     });
-    assert_eq!(processor_time(u32::MAX), None);
+    assert_eq!(cpu_time(u32::MAX), None);
 }
--- a/crates/testbed/tests/report.rs
+++ b/crates/testbed/tests/report.rs
@@ -51,7 +51,7 @@
     assert_eq!(written, played.lines);
     let name = "bytes_at_twice_the_databases";
     let told: Vec<Option<(f64, bool)>> =
-        written.iter().map(|line| Some((bounds(line).get(name)?.is, bounds(line)[name].held))).collect();
+        written.iter().map(|line| Some((bounds(line).get(name)?.value, bounds(line)[name].held))).collect();
     // 4,900 beside 3,500 bytes; nothing was played at half of 2,000.
     assert_eq!(told, [None, Some((1.4, false)), None]);
     assert!(written.iter().all(|line| bounds(line).contains_key("router_bytes_in_s")));
