--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -1,10 +1,13 @@
-//! Router processes among stand-ins on loopback addresses, for measurements and tests of whole fleets.
+//! Runs router processes among stand-ins on loopback addresses, to measure and test whole fleets.
 //!
-//! A [`replica_set::ReplicaSet`] plays a group of nodes and keeps observations of what reached them; [`listing::DiscoveryServer`] plays
-//! discovery; [`relay::Relay`] loses datagrams as it is told; [`routers::Routers`] starts, kills and stops processes;
-//! [`load::LoadGenerator`] asks as clients do, and counts how each RPC ended. Nothing here decides anything for a router.
-//! [`record`] is what a scale run leaves, and [`fit`] what its figures say of other sizes; [`capacity`] makes the
-//! tables of a page of them. [`scale`] plays fleets of thousands: hollow routers beside real ones.
+//! A [`replica_set::ReplicaSet`] stands in for a primary and its replicas and records what reaches each node.
+//! [`listing::DiscoveryServer`] stands in for discovery. [`relay::Relay`] drops datagrams as configured.
+//! [`routers::Routers`] starts, kills and stops router processes. [`load::LoadGenerator`] sends RPCs as
+//! clients do and counts their outcomes. None of these takes part in a router's decisions.
+//!
+//! [`record`] is the file format of scale runs, [`fit`] extrapolates their figures to other sizes, and
+//! [`capacity`] renders them as the tables of the capacity page. [`scale`] runs fleets of thousands of
+//! routers: simplified ("hollow") routers beside real ones.
 
 pub mod capacity;
 pub mod chart;
@@ -22,7 +25,7 @@
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// Unix time: the one clock that nodes, clients and routers read here.
+/// Returns the Unix time. The stand-ins, the clients and the routers all read this one clock.
 pub fn now() -> Duration {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default()
 }
--- a/crates/testbed/src/listing.rs
+++ b/crates/testbed/src/listing.rs
@@ -1,4 +1,4 @@
-//! Discovery, with a list that the one who runs it changes.
+//! A stand-in for the discovery service, whose endpoint list a test can change.
 
 use std::io::{BufRead, BufReader, Write};
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream};
@@ -10,14 +10,17 @@
 
 use crate::replica_set::Node;
 
-/// An entry of the list: the node, its group, and when it last started (zero for long ago).
+/// An entry of the endpoint list.
 pub struct Endpoint<'a> {
+    /// The node that the entry describes.
     pub node: &'a Node,
+    /// Number of the replica set that the node belongs to.
     pub group: u64,
+    /// When the node last started, in Unix time; zero for long ago.
     pub started: Duration,
 }
 
-/// An entry in discovery's form.
+/// Returns one entry of the endpoint list as discovery sends it.
 pub fn endpoint_json(address: SocketAddr, group: u64, started: Duration, primary: bool) -> Json {
     json!({
         "uid": format!("s-{}", address.port()), "endpoint": address, "az": "a", "model": "m",
@@ -26,7 +29,7 @@
     })
 }
 
-/// The list's entries in discovery's form.
+/// Returns the entries of the endpoint list as discovery sends them.
 pub fn endpoint_list_json(entries: &[Endpoint<'_>]) -> Json {
     let entry = |entry: &Endpoint<'_>| {
         endpoint_json(entry.node.address, entry.group, entry.started, entry.node.primary)
@@ -34,98 +37,114 @@
     entries.iter().map(entry).collect()
 }
 
-/// What discovery was asked and has answered so far, heads of HTTP included.
+/// Requests and bytes that the discovery stand-in has handled so far, HTTP headers included.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DiscoveryCounts {
-    /// Those that were answered.
+    /// Answered requests.
     pub requests: u64,
-    /// Of these, those that were answered with the whole list.
+    /// Requests that were answered with the whole list.
     pub full_lists: u64,
+    /// Bytes of the requests.
     pub bytes_in: u64,
+    /// Bytes of the responses.
     pub bytes_out: u64,
 }
 
 impl DiscoveryCounts {
-    pub fn since(self, before: Self) -> Self {
+    /// Returns the difference from an earlier reading.
+    pub fn since(self, earlier: Self) -> Self {
         Self {
-            requests: self.requests - before.requests,
-            full_lists: self.full_lists - before.full_lists,
-            bytes_in: self.bytes_in - before.bytes_in,
-            bytes_out: self.bytes_out - before.bytes_out,
+            requests: self.requests - earlier.requests,
+            full_lists: self.full_lists - earlier.full_lists,
+            bytes_in: self.bytes_in - earlier.bytes_in,
+            bytes_out: self.bytes_out - earlier.bytes_out,
         }
     }
 }
 
+/// A discovery server on loopback that answers long polls for the endpoint list. Clones share the list.
 #[derive(Clone)]
 pub struct DiscoveryServer {
+    /// Where routers send their requests.
     pub address: SocketAddr,
-    list: Arc<(Mutex<(u64, Json)>, Condvar)>,
+    /// The revision and the endpoints, and the signal that wakes waiting polls.
+    endpoints: Arc<(Mutex<(u64, Json)>, Condvar)>,
     counts: Arc<Mutex<DiscoveryCounts>>,
 }
 
 impl DiscoveryServer {
-    pub fn start(targets: Json) -> std::io::Result<Self> {
+    /// Starts to serve this list as revision 1.
+    ///
+    /// # Errors
+    /// No loopback port can be bound.
+    pub fn start(new_endpoints: Json) -> std::io::Result<Self> {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0))?;
-        let listing = Self {
+        let server = Self {
             address: listener.local_addr()?,
-            list: Arc::new((Mutex::new((1, targets)), Condvar::new())),
+            endpoints: Arc::new((Mutex::new((1, new_endpoints)), Condvar::new())),
             counts: Arc::default(),
         };
-        let served = listing.clone();
+        let shared = server.clone();
         thread::spawn(move || {
             for stream in listener.incoming().filter_map(Result::ok) {
-                let listing = served.clone();
-                thread::spawn(move || listing.serve(stream));
+                let server = shared.clone();
+                thread::spawn(move || server.serve(stream));
             }
         });
-        Ok(listing)
+        Ok(server)
     }
 
-    pub fn set_endpoints(&self, targets: Json) {
-        let mut list = self.list.0.lock().unwrap_or_else(PoisonError::into_inner);
-        *list = (list.0 + 1, targets);
-        self.list.1.notify_all();
+    /// Replaces the list by the next revision, and wakes all waiting polls.
+    pub fn set_endpoints(&self, new_endpoints: Json) {
+        let mut endpoints = self.endpoints.0.lock().unwrap_or_else(PoisonError::into_inner);
+        *endpoints = (endpoints.0 + 1, new_endpoints);
+        self.endpoints.1.notify_all();
     }
 
+    /// Returns the requests and bytes handled so far.
     pub fn counts(&self) -> DiscoveryCounts {
         *self.counts.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn count(&self, all: bool, bytes_in: usize, bytes_out: usize) {
+    fn count(&self, is_full: bool, bytes_in: usize, bytes_out: usize) {
         let counts = &mut *self.counts.lock().unwrap_or_else(PoisonError::into_inner);
         counts.requests += 1;
-        counts.full_lists += u64::from(all);
+        counts.full_lists += u64::from(is_full);
         counts.bytes_in += bytes_in as u64;
         counts.bytes_out += bytes_out as u64;
     }
 
     fn serve(&self, mut stream: TcpStream) -> Option<()> {
         let mut lines = BufReader::new(stream.try_clone().ok()?).lines();
-        while let Some(Ok(call)) = lines.next() {
-            // Each line ended in two bytes that are not kept.
-            let mut asked = call.len() + 2;
+        while let Some(Ok(request_line)) = lines.next() {
+            // `lines` strips the two bytes that end each line.
+            let mut request_bytes = request_line.len() + 2;
             loop {
                 let line = lines.next()?.ok()?;
-                asked += line.len() + 2;
+                request_bytes += line.len() + 2;
                 if line.is_empty() {
                     break;
                 }
             }
-            let number = |name: &str| call.split(name).nth(1)?.split(['&', ' ']).next()?.parse::<u64>().ok();
-            let (from, hold) = (number("from="), Duration::from_millis(number("hold_ms=").unwrap_or(0)));
-            let list = self.list.0.lock().unwrap_or_else(PoisonError::into_inner);
-            let same = |list: &mut (u64, Json)| Some(list.0) == from;
-            let (list, _) =
-                self.list.1.wait_timeout_while(list, hold, same).unwrap_or_else(PoisonError::into_inner);
-            let all = Some(list.0) != from;
-            let body =
-                json!({"rev": list.0, "all": all, "targets": if all { list.1.clone() } else { json!([]) }});
-            drop(list);
+            let query_parameter =
+                |name: &str| request_line.split(name).nth(1)?.split(['&', ' ']).next()?.parse::<u64>().ok();
+            let (from, max_wait) =
+                (query_parameter("from="), Duration::from_millis(query_parameter("hold_ms=").unwrap_or(0)));
+            let endpoints = self.endpoints.0.lock().unwrap_or_else(PoisonError::into_inner);
+            let is_unchanged = |endpoints: &mut (u64, Json)| Some(endpoints.0) == from;
+            let (endpoints, _) = self
+                .endpoints
+                .1
+                .wait_timeout_while(endpoints, max_wait, is_unchanged)
+                .unwrap_or_else(PoisonError::into_inner);
+            let is_full = Some(endpoints.0) != from;
+            let body = json!({"rev": endpoints.0, "all": is_full, "targets": if is_full { endpoints.1.clone() } else { json!([]) }});
+            drop(endpoints);
             let body = body.to_string();
             let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len());
-            let answer = head + &body;
-            stream.write_all(answer.as_bytes()).ok()?;
-            self.count(all, asked, answer.len());
+            let response = head + &body;
+            stream.write_all(response.as_bytes()).ok()?;
+            self.count(is_full, request_bytes, response.len());
         }
         Some(())
     }
--- a/crates/testbed/src/load.rs
+++ b/crates/testbed/src/load.rs
@@ -1,4 +1,4 @@
-//! Clients: each keeps to one router, asks at a set pace, and counts how every RPC ended.
+//! Clients that each send RPCs to one router at a fixed interval and count how every RPC ended.
 
 use std::io::Write;
 use std::net::{SocketAddr, TcpStream};
@@ -12,27 +12,33 @@
 use crate::now;
 use crate::replica_set::read_message;
 
-/// Past its deadline by more than this, an answer is late: the rules allow 50 ms, and a busy machine some.
-const LATE: Duration = Duration::from_millis(500);
+/// An answer that comes more than this after its deadline is late. Routers may be 50 ms late; the rest allows
+/// for a busy machine.
+const LATE_TOLERANCE: Duration = Duration::from_millis(500);
 
-/// How the RPCs ended.
+/// Counts of how the RPCs ended, with the ids of writes and the latencies.
 #[derive(Default)]
 pub struct RpcResults {
+    /// RPCs that returned a row in time.
     pub ok: AtomicU64,
+    /// RPCs that the router rejected with SQLSTATE 53300.
     pub rejected: AtomicU64,
+    /// RPCs that returned any other error.
     pub failed: AtomicU64,
-    /// The connection broke while its router was down, or was brought down.
+    /// RPCs whose connection broke and whose router had an outage since the connection was opened.
     pub interrupted: AtomicU64,
-    /// No answer in time, or the connection broke while its router was up.
+    /// RPCs without an answer in time, or whose connection broke without an outage of the router.
     pub lost: AtomicU64,
-    /// Writes: answered ok under these ids, and pushed back under those.
+    /// Ids of the writes that returned a row.
     pub committed_ids: Mutex<Vec<String>>,
+    /// Ids of the writes that were rejected.
     pub rejected_ids: Mutex<Vec<String>>,
-    /// Times from the sending to an ok answer, in microseconds.
+    /// Times from sending to the answer of successful RPCs, in microseconds.
     pub latencies_us: Mutex<Vec<u64>>,
 }
 
 impl RpcResults {
+    /// Returns the number of RPCs that have ended.
     pub fn total(&self) -> u64 {
         [&self.ok, &self.rejected, &self.failed, &self.interrupted, &self.lost]
             .iter()
@@ -41,15 +47,17 @@
     }
 }
 
-/// When each router was not up: from a kill, or a stop, until it serves again.
+/// The outages of routers: each lasts from a kill or a stop until the router serves again.
 #[derive(Default)]
 pub struct Outages(Mutex<Vec<(usize, Duration, Option<Duration>)>>);
 
 impl Outages {
+    /// Records that a router is going down now.
     pub fn begin(&self, router: usize) {
         self.0.lock().unwrap_or_else(PoisonError::into_inner).push((router, now(), None));
     }
 
+    /// Records that a router serves again.
     pub fn end(&self, router: usize) {
         let mut outages = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         for outage in outages.iter_mut().filter(|outage| outage.0 == router && outage.2.is_none()) {
@@ -57,7 +65,7 @@
         }
     }
 
-    fn touches(&self, router: usize, from: Duration, to: Duration) -> bool {
+    fn overlap(&self, router: usize, from: Duration, to: Duration) -> bool {
         let outages = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         outages
             .iter()
@@ -65,34 +73,38 @@
     }
 }
 
+/// A running load: client threads at each router.
 pub struct LoadGenerator {
+    /// The results so far.
     pub results: Arc<RpcResults>,
+    /// The outages to which broken connections are attributed; the caller records them.
     pub outages: Arc<Outages>,
     stop: Arc<AtomicBool>,
     clients: Vec<JoinHandle<()>>,
 }
 
 impl LoadGenerator {
-    /// So many clients at each router, each of which asks once in `every`: a write among three reads.
-    pub fn start(routers: &[SocketAddr], clients: usize, every: Duration) -> Self {
-        Self::with_methods(routers, clients, every, &["recent", "look", "recent", "enter"])
+    /// Starts `clients` clients at each router. Each sends one RPC per `every`: three reads, then a write.
+    pub fn start(routers: &[SocketAddr], clients: usize, interval: Duration) -> Self {
+        Self::with_methods(routers, clients, interval, &["recent", "look", "recent", "enter"])
     }
 
-    /// The same of these methods in turn: `recent` (bounded reads), `look` (any reads) and `enter` (writes).
+    /// Like [`Self::start`], with these methods in turn: `recent` (bounded reads), `look` (any reads) and
+    /// `enter` (writes).
     pub fn with_methods(
         routers: &[SocketAddr],
         clients: usize,
-        every: Duration,
+        interval: Duration,
         methods: &'static [&'static str],
     ) -> Self {
-        Self::with_replica_sets(routers, clients, every, methods, 1)
+        Self::with_replica_sets(routers, clients, interval, methods, 1)
     }
 
-    /// The same, where the statements of a router go to so many groups in turn.
+    /// Like [`Self::with_methods`], with the statements sent to `groups` replica sets in turn.
     pub fn with_replica_sets(
         routers: &[SocketAddr],
         clients: usize,
-        every: Duration,
+        interval: Duration,
         methods: &'static [&'static str],
         groups: usize,
     ) -> Self {
@@ -100,15 +112,15 @@
             (Arc::<RpcResults>::default(), Arc::<Outages>::default(), Arc::<AtomicBool>::default());
         let mut handles = Vec::new();
         for (router, address) in routers.iter().enumerate() {
-            for place in 0..clients {
+            for index in 0..clients {
                 let client = Client {
                     router,
                     address: *address,
-                    every,
+                    interval,
                     results: Arc::clone(&results),
                     outages: Arc::clone(&outages),
                     stop: Arc::clone(&stop),
-                    place,
+                    index,
                     clients,
                     methods,
                     groups,
@@ -119,7 +131,7 @@
         Self { results, outages, stop, clients: handles }
     }
 
-    /// All have had their last answer when this returns.
+    /// Stops the clients and waits until each has its last answer.
     pub fn finish(mut self) -> Arc<RpcResults> {
         self.stop.store(true, Ordering::SeqCst);
         self.clients.drain(..).for_each(|client| _ = client.join());
@@ -127,50 +139,50 @@
     }
 }
 
-/// Ids are new with every RPC of this process, whichever load asks it.
-static IDS: AtomicU64 = AtomicU64::new(0);
+/// The next RPC id. Ids are unique in this process, across all loads.
+static NEXT_ID: AtomicU64 = AtomicU64::new(0);
 
-/// A connection, what has been read of it, and when it was opened.
+/// A connection, the bytes read from it but not yet decoded, and when it was opened.
 type Connection = (TcpStream, Vec<u8>, Duration);
 
 struct Client {
     router: usize,
     address: SocketAddr,
-    every: Duration,
+    interval: Duration,
     results: Arc<RpcResults>,
     outages: Arc<Outages>,
     stop: Arc<AtomicBool>,
-    place: usize,
+    index: usize,
     clients: usize,
     methods: &'static [&'static str],
     groups: usize,
 }
 
-enum Ended {
+enum Outcome {
     Ok,
-    PushedBack,
-    Aborted,
-    Gone,
+    Rejected,
+    Failed,
+    ConnectionLost,
 }
 
 impl Client {
     fn run(&self) {
         let mut connection: Option<Connection> = None;
-        // Clients start spread over their pace.
-        thread::sleep(self.every.mul_f64((self.place as f64 * 0.37).fract()));
+        // Spreads the clients' first RPCs over the interval.
+        thread::sleep(self.interval.mul_f64((self.index as f64 * 0.37).fract()));
         for turn in 0.. {
             if self.stop.load(Ordering::SeqCst) {
                 return;
             }
-            let began = Instant::now();
-            let Some((mut stream, mut unread, opened)) = connection.take().or_else(|| self.connect()) else {
+            let started = Instant::now();
+            let Some((mut stream, mut buffer, opened)) = connection.take().or_else(|| self.connect()) else {
                 thread::sleep(Duration::from_millis(20));
                 continue;
             };
-            if self.rpc(turn, &mut stream, &mut unread, opened) {
-                connection = Some((stream, unread, opened));
+            if self.rpc(turn, &mut stream, &mut buffer, opened) {
+                connection = Some((stream, buffer, opened));
             }
-            thread::sleep(self.every.saturating_sub(began.elapsed()));
+            thread::sleep(self.interval.saturating_sub(started.elapsed()));
         }
     }
 
@@ -183,66 +195,67 @@
         Some((stream, Vec::new(), now()))
     }
 
-    /// One RPC to its end. Whether the connection may be used again.
-    fn rpc(&self, turn: usize, stream: &mut TcpStream, unread: &mut Vec<u8>, opened: Duration) -> bool {
-        let id = format!("{:016x}", IDS.fetch_add(1, Ordering::SeqCst));
-        let class = self.methods[turn % self.methods.len()];
-        let wait = if class == "enter" { 2000 } else { 1500 };
-        let verb = match class {
+    /// Sends one RPC and waits for its outcome. Returns whether the connection can be used again.
+    fn rpc(&self, turn: usize, stream: &mut TcpStream, buffer: &mut Vec<u8>, opened: Duration) -> bool {
+        let id = format!("{:016x}", NEXT_ID.fetch_add(1, Ordering::SeqCst));
+        let method = self.methods[turn % self.methods.len()];
+        let deadline_ms = if method == "enter" { 2000 } else { 1500 };
+        let sql = match method {
             "enter" => format!("INSERT INTO facts (code, data) VALUES ('{id}', '\\x01') RETURNING data"),
             _ => "SELECT data FROM facts WHERE code = '7f3a'".to_string(),
         };
-        let group = (turn * self.clients + self.place) % self.groups.max(1);
-        let text = format!("/* id={id},c={class},d={wait},cluster={group} */ {verb}");
-        let (sent, wait) = (now(), Duration::from_millis(wait));
-        _ = stream.set_read_timeout(Some(wait + LATE));
-        let ended = match stream.write_all(&pg::query_message(text.as_bytes())) {
-            Ok(()) => answer(stream, unread),
-            Err(_) => Ended::Gone,
+        let group = (turn * self.clients + self.index) % self.groups.max(1);
+        let text = format!("/* id={id},c={method},d={deadline_ms},cluster={group} */ {sql}");
+        let (sent, deadline) = (now(), Duration::from_millis(deadline_ms));
+        _ = stream.set_read_timeout(Some(deadline + LATE_TOLERANCE));
+        let outcome = match stream.write_all(&pg::query_message(text.as_bytes())) {
+            Ok(()) => read_outcome(stream, buffer),
+            Err(_) => Outcome::ConnectionLost,
         };
-        let (end, tally) = (now(), &self.results);
-        let keep = |ids: &Mutex<Vec<String>>| {
-            if class == "enter" {
+        let (end, results) = (now(), &self.results);
+        let record_write = |ids: &Mutex<Vec<String>>| {
+            if method == "enter" {
                 ids.lock().unwrap_or_else(PoisonError::into_inner).push(id.clone());
             }
         };
-        let excused = self.outages.touches(self.router, sent, end);
-        let late = end > sent + wait + LATE;
-        let count = match ended {
-            // A connection that its router's end has broken shows it only when it is used next.
-            Ended::Gone if self.outages.touches(self.router, opened, end) => &tally.interrupted,
-            Ended::Gone => &tally.lost,
-            _ if late && !excused => &tally.lost,
-            Ended::Ok => {
-                keep(&tally.committed_ids);
-                let took = (end - sent).as_micros() as u64;
-                tally.latencies_us.lock().unwrap_or_else(PoisonError::into_inner).push(took);
-                &tally.ok
+        let had_outage = self.outages.overlap(self.router, sent, end);
+        let late = end > sent + deadline + LATE_TOLERANCE;
+        let count = match outcome {
+            // A client notices that an outage broke its connection only at the next use.
+            Outcome::ConnectionLost if self.outages.overlap(self.router, opened, end) => &results.interrupted,
+            Outcome::ConnectionLost => &results.lost,
+            _ if late && !had_outage => &results.lost,
+            Outcome::Ok => {
+                record_write(&results.committed_ids);
+                let latency_us = (end - sent).as_micros() as u64;
+                results.latencies_us.lock().unwrap_or_else(PoisonError::into_inner).push(latency_us);
+                &results.ok
             }
-            Ended::PushedBack => {
-                keep(&tally.rejected_ids);
-                &tally.rejected
+            Outcome::Rejected => {
+                record_write(&results.rejected_ids);
+                &results.rejected
             }
-            Ended::Aborted => &tally.failed,
+            Outcome::Failed => &results.failed,
         };
         count.fetch_add(1, Ordering::SeqCst);
-        !matches!(ended, Ended::Gone)
+        !matches!(outcome, Outcome::ConnectionLost)
     }
 }
 
-fn answer(stream: &mut TcpStream, unread: &mut Vec<u8>) -> Ended {
-    let mut ended = None;
+/// Reads messages until the RPC has ended.
+fn read_outcome(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> Outcome {
+    let mut outcome = None;
     loop {
-        match read_message(stream, unread, pg::decode_backend_message) {
-            None => return Ended::Gone,
-            Some(BackendMessage::DataRow(_)) => ended = Some(Ended::Ok),
+        match read_message(stream, buffer, pg::decode_backend_message) {
+            None => return Outcome::ConnectionLost,
+            Some(BackendMessage::DataRow(_)) => outcome = Some(Outcome::Ok),
             Some(BackendMessage::ErrorResponse { code, .. }) if code == "53300" => {
-                ended = Some(Ended::PushedBack)
+                outcome = Some(Outcome::Rejected)
             }
-            Some(BackendMessage::ErrorResponse { .. }) => ended = Some(Ended::Aborted),
+            Some(BackendMessage::ErrorResponse { .. }) => outcome = Some(Outcome::Failed),
             Some(BackendMessage::ReadyForQuery) => {
-                if let Some(ended) = ended {
-                    return ended;
+                if let Some(outcome) = outcome {
+                    return outcome;
                 }
             }
             Some(_) => {}
--- a/crates/testbed/src/process.rs
+++ b/crates/testbed/src/process.rs
@@ -1,4 +1,4 @@
-//! A child process: its lines kept, its use of the machine read, ended with its owner.
+//! Child processes whose output is captured line by line and whose resource usage can be read.
 
 use std::fs;
 use std::io::{self, BufRead, BufReader, Read, Write};
@@ -9,28 +9,31 @@
 
 type Lines = Arc<(Mutex<Vec<String>>, Condvar)>;
 
-/// Which of its streams is kept line by line. The other one of the two goes nowhere, or to this process's own.
+/// Which output stream of the child is captured line by line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CapturedStream {
-    /// A log, as routers write it.
+    /// The log of a router. Its stdout is discarded.
     Stderr,
-    /// Reports, as stand-ins write them; they also take orders.
+    /// The reports of a stand-in, which also reads orders from stdin. Its stderr is inherited.
     Stdout,
 }
 
+/// A child process. It is killed when this value is dropped.
 pub struct Process {
     child: Child,
-    orders: Option<ChildStdin>,
+    stdin: Option<ChildStdin>,
     lines: Lines,
-    /// Reads the lines, until the child has closed its stream. `None` once it has been joined.
+    /// Reads lines until the child closes its stream. `None` once it has been joined.
     reader: Option<JoinHandle<()>>,
 }
 
 impl Process {
+    /// Starts a program and captures one of its output streams.
+    ///
     /// # Errors
     /// The program cannot be started.
-    pub fn start(mut command: Command, kept: CapturedStream) -> std::io::Result<Self> {
-        match kept {
+    pub fn start(mut command: Command, captured: CapturedStream) -> std::io::Result<Self> {
+        match captured {
             CapturedStream::Stderr => {
                 command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::piped())
             }
@@ -39,7 +42,7 @@
             }
         };
         let mut child = command.spawn()?;
-        let stream: Option<Box<dyn Read + Send>> = match kept {
+        let stream: Option<Box<dyn Read + Send>> = match captured {
             CapturedStream::Stderr => {
                 child.stderr.take().map(|stream| Box::new(stream) as Box<dyn Read + Send>)
             }
@@ -47,89 +50,98 @@
                 child.stdout.take().map(|stream| Box::new(stream) as Box<dyn Read + Send>)
             }
         };
-        let orders = child.stdin.take();
+        let stdin = child.stdin.take();
         let lines = Lines::default();
-        let stream = stream.ok_or_else(|| std::io::Error::other("a stream is not piped"))?;
-        let read = Arc::clone(&lines);
+        let stream = stream.ok_or_else(|| {
+            std::io::Error::other("expected a piped output stream of the child process, found none")
+        })?;
+        let captured_lines = Arc::clone(&lines);
         let reader = thread::spawn(move || {
             for line in BufReader::new(stream).lines().map_while(Result::ok) {
-                read.0.lock().unwrap_or_else(PoisonError::into_inner).push(line);
-                read.1.notify_all();
+                captured_lines.0.lock().unwrap_or_else(PoisonError::into_inner).push(line);
+                captured_lines.1.notify_all();
             }
         });
-        Ok(Self { child, orders, lines, reader: Some(reader) })
+        Ok(Self { child, stdin, lines, reader: Some(reader) })
     }
 
+    /// Returns the process id.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
-    /// Writes it a line.
+    /// Writes a line to stdin of the child.
     ///
     /// # Errors
-    /// It takes no orders, or has ended.
+    /// Stdin is not piped, or the child has ended.
     pub fn send_line(&mut self, line: &str) -> std::io::Result<()> {
-        let orders = self.orders.as_mut().ok_or_else(|| std::io::Error::other("it takes no orders"))?;
-        orders.write_all(line.as_bytes())?;
-        orders.write_all(b"\n")?;
-        orders.flush()
+        let stdin = self
+            .stdin
+            .as_mut()
+            .ok_or_else(|| std::io::Error::other("stdin of the child process is not piped"))?;
+        stdin.write_all(line.as_bytes())?;
+        stdin.write_all(b"\n")?;
+        stdin.flush()
     }
 
+    /// Returns the lines captured so far.
     pub fn lines(&self) -> Vec<String> {
         self.lines.0.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// How many lines there are by now.
+    /// Returns the number of lines captured so far.
     pub fn line_count(&self) -> usize {
         self.lines.0.lock().unwrap_or_else(PoisonError::into_inner).len()
     }
 
-    /// The first line from this place on in which something is found; `None` where none comes in time.
+    /// Waits until `find` returns a value for a line from index `start` on, and returns that value. Returns
+    /// `None` on timeout.
     pub fn wait_for_match<T>(
         &self,
-        place: usize,
-        most: Duration,
+        start: usize,
+        timeout: Duration,
         mut find: impl FnMut(&str) -> Option<T>,
     ) -> Option<T> {
-        let (mut found, mut looked_at) = (None, place);
-        let missing = |lines: &mut Vec<String>| {
-            while found.is_none() && looked_at < lines.len() {
-                found = find(&lines[looked_at]);
-                looked_at += 1;
+        let (mut value, mut next_line) = (None, start);
+        let is_missing = |lines: &mut Vec<String>| {
+            while value.is_none() && next_line < lines.len() {
+                value = find(&lines[next_line]);
+                next_line += 1;
             }
-            found.is_none()
+            value.is_none()
         };
-        let guard = self.lines.0.lock().unwrap_or_else(PoisonError::into_inner);
-        drop(self.lines.1.wait_timeout_while(guard, most, missing));
-        found
+        let lines = self.lines.0.lock().unwrap_or_else(PoisonError::into_inner);
+        drop(self.lines.1.wait_timeout_while(lines, timeout, is_missing));
+        value
     }
 
-    /// Waits until a line with this in it has come.
-    pub fn wait_for_line(&self, part: &str, most: Duration) -> bool {
-        self.wait_for_match(0, most, |line| line.contains(part).then_some(())).is_some()
+    /// Waits until a captured line contains `part`. Returns whether one did before the timeout.
+    pub fn wait_for_line(&self, part: &str, timeout: Duration) -> bool {
+        self.wait_for_match(0, timeout, |line| line.contains(part).then_some(())).is_some()
     }
 
-    /// As by SIGKILL.
+    /// Kills the process with SIGKILL and reaps it.
     pub fn kill(&mut self) {
         _ = self.child.kill();
         _ = self.child.wait();
     }
 
-    /// A signal by its name, as `-STOP`.
+    /// Sends a signal, given as an option of `kill` such as `-STOP`.
     pub fn signal(&self, name: &str) {
         _ = Command::new("kill").args([name, &self.child.id().to_string()]).status();
     }
 
-    /// Waits until it has ended by itself and all that it wrote has been read. Whether it ended well.
+    /// Waits until the process has exited by itself and all of its output has been read. Returns whether it
+    /// exited successfully.
     pub fn wait_for_exit(&mut self) -> bool {
-        let ended_well = self.child.wait().is_ok_and(|status| status.success());
+        let succeeded = self.child.wait().is_ok_and(|status| status.success());
         if let Some(reader) = self.reader.take() {
             _ = reader.join();
         }
-        ended_well
+        succeeded
     }
 
-    /// Its resident memory in bytes, and its processor time so far, as the system counts them.
+    /// Returns the resident memory in bytes and the CPU time so far, as counted by the kernel.
     pub fn usage(&self) -> Option<(u64, Duration)> {
         let id = self.child.id();
         Some((resident_bytes(id)?, cpu_time(id)?))
@@ -142,23 +154,24 @@
     }
 }
 
-/// The resident memory of a process in bytes.
+/// Returns the resident memory of a process in bytes.
 pub fn resident_bytes(id: u32) -> Option<u64> {
     let status = fs::read_to_string(format!("/proc/{id}/status")).ok()?;
     let resident = status.lines().find(|line| line.starts_with("VmRSS:"))?;
     Some(resident.split_whitespace().nth(1)?.parse::<u64>().ok()? * 1024)
 }
 
-/// The processor time of a process so far, of all threads that it has. The scheduler counts it in nanoseconds; the ticks
-/// of `/proc/PID/stat` are 10 ms each, a third of what a control side takes in eight seconds. Nothing that is measured
-/// here has threads that end; the time of one that did would be missing.
+/// Returns the CPU time of a process so far, summed over its living threads. It is read from `schedstat`,
+/// which counts nanoseconds: the ticks of `/proc/PID/stat` are 10 ms each, a third of what a control instance
+/// uses in eight seconds. The time of threads that have ended is missing, but no process measured here ends
+/// threads.
 pub fn cpu_time(id: u32) -> Option<Duration> {
     let of = |thread: io::Result<fs::DirEntry>| {
-        let told = fs::read_to_string(thread.ok()?.path().join("schedstat")).ok()?;
-        told.split_whitespace().next()?.parse().ok().map(Duration::from_nanos)
+        let schedstat = fs::read_to_string(thread.ok()?.path().join("schedstat")).ok()?;
+        schedstat.split_whitespace().next()?.parse().ok().map(Duration::from_nanos)
     };
-    // A thread that has just ended cannot be read any more.
+    // A thread that has just ended cannot be read and is left out.
     let times: Vec<Duration> = fs::read_dir(format!("/proc/{id}/task")).ok()?.filter_map(of).collect();
-    // Of a system that does not count, nothing is known.
+    // Without schedstat support there is no CPU time to return.
     (!times.is_empty()).then(|| times.iter().sum())
 }
--- a/crates/testbed/src/relay.rs
+++ b/crates/testbed/src/relay.rs
@@ -1,5 +1,6 @@
-//! Relays of datagrams: one before a router, which loses what comes from some, or a part of all; and a passage between
-//! two processes of which only one is told the other's place, which may be closed.
+//! UDP relays that drop datagrams. A [`Relay`] stands in front of one router and drops datagrams by their
+//! sender. A [`TwoWayRelay`] connects two processes, of which only one is configured with the other's
+//! address, and can be blocked.
 
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, UdpSocket};
@@ -10,29 +11,34 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// The loss of what comes from an address; of any other, nothing is lost.
+/// The part of datagrams to drop, by sender. Datagrams of other senders are not dropped.
 type Losses = Arc<Mutex<BTreeMap<SocketAddr, f64>>>;
 
+/// A relay in front of one receiver, with a loss rate for each sender.
 pub struct Relay {
-    /// Where the others send to.
+    /// Where senders send to in place of the receiver.
     pub address: SocketAddr,
     losses: Losses,
 }
 
 impl Relay {
-    /// Passes datagrams on to `to`, whose senders must not be told by their addresses.
+    /// Starts to forward datagrams to `to`. The receiver sees the relay's address as the sender of all of
+    /// them, so it must not identify senders by their addresses.
+    ///
+    /// # Errors
+    /// No loopback port can be bound.
     pub fn start(to: SocketAddr, seed: u64) -> std::io::Result<Self> {
         let socket = UdpSocket::bind("127.0.0.1:0")?;
         let relay = Self { address: socket.local_addr()?, losses: Losses::default() };
         let losses = Arc::clone(&relay.losses);
-        let mut chance = ChaCha8Rng::seed_from_u64(seed);
+        let mut rng = ChaCha8Rng::seed_from_u64(seed);
         thread::spawn(move || {
             let mut bytes = [0; 2048];
             while let Ok((length, from)) = socket.recv_from(&mut bytes) {
                 let loss =
                     losses.lock().unwrap_or_else(PoisonError::into_inner).get(&from).copied().unwrap_or(0.0);
-                if loss == 0.0 || !chance.random_bool(loss) {
-                    // A router that is down refuses it, which is loss as well.
+                if loss == 0.0 || !rng.random_bool(loss) {
+                    // A send error means that the router is down, so the datagram is lost as well.
                     _ = socket.send_to(&bytes[..length], to);
                 }
             }
@@ -40,46 +46,50 @@
         Ok(relay)
     }
 
-    /// From now on this part of what comes from there is lost.
-    pub fn set_loss(&self, from: SocketAddr, part: f64) {
-        self.losses.lock().unwrap_or_else(PoisonError::into_inner).insert(from, part);
+    /// Drops this part (0 to 1) of the datagrams from a sender from now on.
+    pub fn set_loss(&self, from: SocketAddr, rate: f64) {
+        self.losses.lock().unwrap_or_else(PoisonError::into_inner).insert(from, rate);
     }
 
+    /// Drops no datagrams from now on.
     pub fn clear_losses(&self) {
         self.losses.lock().unwrap_or_else(PoisonError::into_inner).clear();
     }
 }
 
-/// What the one sends here goes to the other, and what the other answers goes to the one.
+/// A relay between two processes: it forwards datagrams of either one to the other.
 pub struct TwoWayRelay {
-    /// Where the one sends to, in the other's place.
+    /// Where the first process sends to in place of the second.
     pub address: SocketAddr,
-    closed: Arc<AtomicBool>,
+    blocked: Arc<AtomicBool>,
 }
 
 impl TwoWayRelay {
+    /// Starts to forward datagrams between two addresses.
+    ///
     /// # Errors
-    /// There is no address to be had.
-    pub fn start(one: SocketAddr, other: SocketAddr) -> std::io::Result<Self> {
+    /// No loopback port can be bound.
+    pub fn start(first: SocketAddr, second: SocketAddr) -> std::io::Result<Self> {
         let socket = UdpSocket::bind("127.0.0.1:0")?;
-        let passage = Self { address: socket.local_addr()?, closed: Arc::default() };
-        let closed = Arc::clone(&passage.closed);
+        let relay = Self { address: socket.local_addr()?, blocked: Arc::default() };
+        let blocked = Arc::clone(&relay.blocked);
         thread::spawn(move || {
             let mut bytes = [0; 2048];
             loop {
-                // One that is down refuses what is sent to it, of which the socket tells: that is loss, and no end.
+                // After a send to a process that is down, the socket returns an error. The datagram is lost,
+                // and the relay keeps running.
                 let Ok((length, from)) = socket.recv_from(&mut bytes) else { continue };
-                let to = if from == one { other } else { one };
-                if (from == one || from == other) && !closed.load(Ordering::SeqCst) {
+                let to = if from == first { second } else { first };
+                if (from == first || from == second) && !blocked.load(Ordering::SeqCst) {
                     _ = socket.send_to(&bytes[..length], to);
                 }
             }
         });
-        Ok(passage)
+        Ok(relay)
     }
 
-    /// From now on all that comes is lost, either way; or nothing any more.
-    pub fn set_blocked(&self, closed: bool) {
-        self.closed.store(closed, Ordering::SeqCst);
+    /// Drops all datagrams in both directions from now on, or forwards all again.
+    pub fn set_blocked(&self, blocked: bool) {
+        self.blocked.store(blocked, Ordering::SeqCst);
     }
 }
--- a/crates/testbed/src/replica_set.rs
+++ b/crates/testbed/src/replica_set.rs
@@ -1,5 +1,5 @@
-//! A group of nodes: a primary and replicas that lag by a set time, each on a port of its own. Every query and probe
-//! that arrives is entered in its observations, which share no code with a router's decisions.
+//! A stand-in for a replica set: a primary and replicas that lag by a set time, each on a port of its own.
+//! Every query and probe that arrives is recorded. The recording shares no code with a router's decisions.
 
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
@@ -13,69 +13,81 @@
 
 use crate::now;
 
-/// How stale a bounded read may be here, and the allowance of the rules on sockets.
+/// Staleness bound of bounded reads in the settings of [`crate::routers::platform_json`].
 pub const STALENESS_BOUND: Duration = Duration::from_millis(300);
-const ALLOWED: Duration = Duration::from_millis(50);
+/// Tolerance of the staleness check, for the time on the sockets.
+const STALENESS_TOLERANCE: Duration = Duration::from_millis(50);
 
-/// What has reached a node.
+/// What has reached a node, by arrival in Unix time.
 #[derive(Default)]
 struct Observations {
+    /// Probes (`SHOW load`).
     probes: Vec<Duration>,
-    /// All that tells a router of the node: probes and answers.
+    /// Probes and RPCs: everything whose answer shows a router the state of the node.
     contacts: Vec<Duration>,
+    /// Statements of clients.
     rpcs: Vec<Duration>,
-    /// Bounded reads that were sent here though the node was too far behind, and have been answered.
+    /// Bounded reads that arrived although the node lagged by more than the bound.
     stale: u64,
 }
 
 struct Inner {
     observations: Mutex<Observations>,
+    /// Whether the node answers.
     up: AtomicBool,
-    /// How long a probe waits for its answer, in milliseconds.
-    slow_ms: AtomicU64,
-    /// By how much a probe's answer says that the log is further than it is, in milliseconds.
-    boast_ms: AtomicU64,
+    /// Delay of the answers to probes, in milliseconds.
+    probe_delay_ms: AtomicU64,
+    /// How far the log position in the answers to probes is ahead of the real one, in milliseconds.
+    overstatement_ms: AtomicU64,
 }
 
-/// One node.
+/// One node of a replica set. Clones share its state.
 #[derive(Clone)]
 pub struct Node {
+    /// Where the node listens.
     pub address: SocketAddr,
+    /// Whether it is the primary.
     pub primary: bool,
+    /// How far its log position is behind the clock.
     lag: Duration,
     inner: Arc<Inner>,
-    ledger: Arc<Mutex<BTreeMap<String, u32>>>,
+    /// How often each write was executed, by id, shared by the replica set.
+    executions: Arc<Mutex<BTreeMap<String, u32>>>,
 }
 
-fn held<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
+fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// A group whose first node is the primary.
+/// A primary and its replicas.
 pub struct ReplicaSet {
+    /// The nodes, the primary first.
     pub nodes: Vec<Node>,
-    ledger: Arc<Mutex<BTreeMap<String, u32>>>,
+    executions: Arc<Mutex<BTreeMap<String, u32>>>,
 }
 
 impl ReplicaSet {
-    /// A primary and a replica for each lag.
+    /// Starts a primary, and a replica for each lag.
+    ///
+    /// # Errors
+    /// No loopback port can be bound.
     pub fn start(lags: &[Duration]) -> std::io::Result<Self> {
-        let ledger = Arc::<Mutex<BTreeMap<String, u32>>>::default();
+        let executions = Arc::<Mutex<BTreeMap<String, u32>>>::default();
         let primary = [(true, Duration::ZERO)].into_iter();
         let all = primary.chain(lags.iter().map(|lag| (false, *lag)));
-        let nodes = all.map(|(primary, lag)| Node::start(primary, lag, Arc::clone(&ledger)));
-        Ok(Self { nodes: nodes.collect::<Result<_, _>>()?, ledger })
+        let nodes = all.map(|(primary, lag)| Node::start(primary, lag, Arc::clone(&executions)));
+        Ok(Self { nodes: nodes.collect::<Result<_, _>>()?, executions })
     }
 
-    /// How many writes ran, and how many of them more than once.
+    /// Returns how many writes were executed, and how many of them more than once.
     pub fn write_counts(&self) -> (usize, usize) {
-        let ledger = held(&self.ledger);
-        (ledger.len(), ledger.values().filter(|runs| **runs > 1).count())
+        let executions = lock(&self.executions);
+        (executions.len(), executions.values().filter(|runs| **runs > 1).count())
     }
 
-    /// Whether the write under this id has run.
+    /// Returns whether the write with this id has been executed.
     pub fn has_executed(&self, id: &str) -> bool {
-        held(&self.ledger).contains_key(id)
+        lock(&self.executions).contains_key(id)
     }
 }
 
@@ -83,38 +95,40 @@
     fn start(
         primary: bool,
         lag: Duration,
-        ledger: Arc<Mutex<BTreeMap<String, u32>>>,
+        executions: Arc<Mutex<BTreeMap<String, u32>>>,
     ) -> std::io::Result<Self> {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0))?;
         let inner = Arc::new(Inner {
             observations: Mutex::default(),
             up: AtomicBool::new(true),
-            slow_ms: AtomicU64::new(0),
-            boast_ms: AtomicU64::new(0),
+            probe_delay_ms: AtomicU64::new(0),
+            overstatement_ms: AtomicU64::new(0),
         });
-        let node = Self { address: listener.local_addr()?, primary, lag, inner, ledger };
-        let served = node.clone();
+        let node = Self { address: listener.local_addr()?, primary, lag, inner, executions };
+        let shared = node.clone();
         thread::spawn(move || {
             for stream in listener.incoming().filter_map(Result::ok) {
-                let node = served.clone();
+                let node = shared.clone();
                 thread::spawn(move || node.serve(stream));
             }
         });
         Ok(node)
     }
 
+    /// Makes the node answer, or close its connections without an answer.
     pub fn set_available(&self, up: bool) {
         self.inner.up.store(up, Ordering::SeqCst);
     }
 
-    /// From now on probes are answered so much later, as beyond a slow link.
-    pub fn delay_probes(&self, by: Duration) {
-        self.inner.slow_ms.store(by.as_millis() as u64, Ordering::SeqCst);
+    /// Delays the answers to probes from now on, as a slow link does.
+    pub fn delay_probes(&self, extra: Duration) {
+        self.inner.probe_delay_ms.store(extra.as_millis() as u64, Ordering::SeqCst);
     }
 
-    /// From now on what probes are told of the log is so much further than it is; other answers tell the truth.
-    pub fn overstate_log_position(&self, by: Duration) {
-        self.inner.boast_ms.store(by.as_millis() as u64, Ordering::SeqCst);
+    /// Adds this to the log position in the answers to probes from now on. Answers to statements keep the
+    /// real position.
+    pub fn overstate_log_position(&self, extra: Duration) {
+        self.inner.overstatement_ms.store(extra.as_millis() as u64, Ordering::SeqCst);
     }
 
     fn is_up(&self) -> bool {
@@ -122,49 +136,52 @@
     }
 
     fn observations(&self) -> MutexGuard<'_, Observations> {
-        held(&self.inner.observations)
+        lock(&self.inner.observations)
     }
 
-    /// The probes that came from then on.
+    /// Returns the number of probes that arrived at or after `from`.
     pub fn probes_since(&self, from: Duration) -> usize {
-        self.observations().probes.iter().filter(|at| **at >= from).count()
+        self.observations().probes.iter().filter(|arrived| **arrived >= from).count()
     }
 
-    /// The RPCs that came within a span.
+    /// Returns the number of RPCs that arrived from `from` until before `to`.
     pub fn rpcs_between(&self, from: Duration, to: Duration) -> usize {
-        self.observations().rpcs.iter().filter(|at| (from..to).contains(at)).count()
+        self.observations().rpcs.iter().filter(|arrived| (from..to).contains(arrived)).count()
     }
 
+    /// Returns the number of bounded reads that arrived although the node lagged by more than the bound.
     pub fn stale_reads(&self) -> u64 {
         self.observations().stale
     }
 
-    /// The longest time within the span in which nothing reached the node that tells a router of it.
+    /// Returns the longest time within the span during which neither a probe nor an RPC arrived, ends of the
+    /// span included.
     pub fn longest_contact_gap(&self, from: Duration, to: Duration) -> Duration {
         let observations = self.observations();
-        let within = observations.contacts.iter().copied().filter(|at| (from..=to).contains(at));
+        let within = observations.contacts.iter().copied().filter(|arrived| (from..=to).contains(arrived));
         let mut times: Vec<Duration> = within.chain([from, to]).collect();
         times.sort();
         times.windows(2).map(|pair| pair[1] - pair[0]).max().unwrap_or_default()
     }
 
-    /// The times from one contact to the next within the span.
+    /// Returns the times between consecutive arrivals of probes and RPCs within the span.
     pub fn contact_gaps(&self, from: Duration, to: Duration) -> Vec<Duration> {
         let observations = self.observations();
         let mut times: Vec<Duration> =
-            observations.contacts.iter().copied().filter(|at| (from..=to).contains(at)).collect();
+            observations.contacts.iter().copied().filter(|arrived| (from..=to).contains(arrived)).collect();
         times.sort();
         times.windows(2).map(|pair| pair[1] - pair[0]).collect()
     }
 
+    /// Returns the log position, which is the time up to which the node has applied the log.
     fn position(&self) -> Duration {
         now() - self.lag
     }
 
     fn serve(&self, mut stream: TcpStream) {
         _ = stream.set_nodelay(true);
-        let mut unread = Vec::new();
-        if read_message(&mut stream, &mut unread, pg::decode_startup_packet) != Some(StartupPacket::Startup)
+        let mut buffer = Vec::new();
+        if read_message(&mut stream, &mut buffer, pg::decode_startup_packet) != Some(StartupPacket::Startup)
             || !self.is_up()
         {
             return;
@@ -174,54 +191,57 @@
         if stream.write_all(&out).is_err() {
             return;
         }
-        while let Some(FrontendMessage::Query(text)) =
-            read_message(&mut stream, &mut unread, pg::decode_frontend_message)
+        while let Some(FrontendMessage::Query(query)) =
+            read_message(&mut stream, &mut buffer, pg::decode_frontend_message)
         {
             if !self.is_up() {
                 return;
             }
-            let text = String::from_utf8_lossy(&text);
-            if text == "SHOW load" {
-                thread::sleep(Duration::from_millis(self.inner.slow_ms.load(Ordering::SeqCst)));
+            let query = String::from_utf8_lossy(&query);
+            if query == "SHOW load" {
+                thread::sleep(Duration::from_millis(self.inner.probe_delay_ms.load(Ordering::SeqCst)));
             }
-            let out = self.answer(&text);
+            let out = self.answer(&query);
             if stream.write_all(&out).is_err() {
                 return;
             }
         }
     }
 
-    /// The whole answer to a query, which is entered in the observations.
-    fn answer(&self, text: &str) -> Vec<u8> {
-        let (at, mut out) = (now(), Vec::new());
+    /// Records a query and returns the whole answer to it.
+    fn answer(&self, query: &str) -> Vec<u8> {
+        let (arrived, mut out) = (now(), Vec::new());
         let load =
             |position: Duration| format!("x0={:.6},x1={}", position.as_secs_f64(), u8::from(self.primary));
         let mut observations = self.observations();
-        if text == "SHOW load" {
-            observations.probes.push(at);
-            observations.contacts.push(at);
-            let boast = Duration::from_millis(self.inner.boast_ms.load(Ordering::SeqCst));
-            pg::encode_result(&mut out, &single_value_result(load(self.position() + boast).as_bytes()));
+        if query == "SHOW load" {
+            observations.probes.push(arrived);
+            observations.contacts.push(arrived);
+            let overstatement = Duration::from_millis(self.inner.overstatement_ms.load(Ordering::SeqCst));
+            pg::encode_result(
+                &mut out,
+                &single_value_result(load(self.position() + overstatement).as_bytes()),
+            );
             pg::encode_ready_for_query(&mut out);
             return out;
         }
-        observations.rpcs.push(at);
-        observations.contacts.push(at);
-        if text.contains("INSERT") && !self.primary {
+        observations.rpcs.push(arrived);
+        observations.contacts.push(arrived);
+        if query.contains("INSERT") && !self.primary {
             drop(observations);
             pg::encode_error(&mut out, false, "25006", "this is a replica", None);
         } else {
-            // A read that no bound allows here counts against the router that sent it.
-            let bounded = text.contains("c=recent,");
-            let stale = bounded && self.position() + STALENESS_BOUND + ALLOWED < at;
+            // A router that sends a bounded read to a node with this lag has broken the bound.
+            let bounded = query.contains("c=recent,");
+            let stale = bounded && self.position() + STALENESS_BOUND + STALENESS_TOLERANCE < arrived;
             observations.stale += u64::from(stale);
             drop(observations);
-            if text.contains("INSERT")
-                && let Some(id) = word(text, "id=")
+            if query.contains("INSERT")
+                && let Some(id) = comment_value(query, "id=")
             {
-                *held(&self.ledger).entry(id.to_string()).or_default() += 1;
+                *lock(&self.executions).entry(id.to_string()).or_default() += 1;
             }
-            // Whoever gets it can tell.
+            // The client can recognize a stale read by its value.
             pg::encode_result(&mut out, &single_value_result(if stale { b"stale" } else { b"v" }));
         }
         encode_parameter_status(&mut out, "role", if self.primary { "primary" } else { "replica" });
@@ -232,39 +252,40 @@
     }
 }
 
-/// What stands behind the name, up to the next comma or blank.
-fn word<'a>(text: &'a str, name: &str) -> Option<&'a str> {
-    text.split(name).nth(1)?.split([',', ' ']).next()
+/// Returns what follows `name`, up to the next comma or space.
+fn comment_value<'a>(query: &'a str, name: &str) -> Option<&'a str> {
+    query.split(name).nth(1)?.split([',', ' ']).next()
 }
 
-/// An answer of one row with this value.
+/// Returns a result of one row and one column.
 pub fn single_value_result(value: &[u8]) -> QueryResult {
     let column = Column { name: b"data".to_vec(), type_oid: 17, type_size: u16::MAX, binary: true };
     QueryResult { column, value: Some(value.to_vec()), tag: b"SELECT 1".to_vec() }
 }
 
-/// What a node says beside an answer.
+/// Appends a `ParameterStatus` message, by which a node reports its state with an answer.
 pub fn encode_parameter_status(out: &mut Vec<u8>, name: &str, value: &str) {
     out.push(b'S');
     out.extend((name.len() as u32 + value.len() as u32 + 6).to_be_bytes());
     out.extend([name.as_bytes(), &[0], value.as_bytes(), &[0]].concat());
 }
 
-/// The next whole message; `None` at the end, and for what is none.
+/// Reads and decodes the next message. Returns `None` at the end of the stream, on an error and for an
+/// invalid message.
 pub fn read_message<T>(
     stream: &mut TcpStream,
-    unread: &mut Vec<u8>,
+    buffer: &mut Vec<u8>,
     decode: impl Fn(&[u8]) -> Result<Option<(T, usize)>, pg::ProtocolViolation>,
 ) -> Option<T> {
     loop {
-        if let Some((message, taken)) = decode(unread).ok()? {
-            unread.drain(..taken);
+        if let Some((message, consumed)) = decode(buffer).ok()? {
+            buffer.drain(..consumed);
             return Some(message);
         }
-        let mut piece = [0; 4096];
-        match stream.read(&mut piece) {
+        let mut chunk = [0; 4096];
+        match stream.read(&mut chunk) {
             Ok(0) | Err(_) => return None,
-            Ok(count) => unread.extend(&piece[..count]),
+            Ok(count) => buffer.extend(&chunk[..count]),
         }
     }
 }
--- a/crates/testbed/src/simulated.rs
+++ b/crates/testbed/src/simulated.rs
@@ -1,4 +1,5 @@
-//! Runs of `quillpoint-simulator` as lines of a record: simulated, which a record shows by runs without any process.
+//! Converts the records of `quillpoint-simulator` to scale records. Simulated runs are recognized in a record
+//! by having neither real routers nor hollow processes.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -6,7 +7,7 @@
 
 use crate::record::{Line, Mode, Sizes};
 
-/// Whether a file's lines are the simulator's.
+/// Returns whether a file is a record of the simulator.
 ///
 /// # Errors
 /// The file cannot be read.
@@ -19,11 +20,12 @@
     Ok(first.is_some())
 }
 
-/// Runs with loss or kills are none of a calm fleet, and left out. Period and span stand in the experiment's file
-/// alone, and are zero here.
+/// Reads a record of the simulator. Runs with loss or kills are left out, because they do not show a calm
+/// fleet. The probe period and the length of a run are zero here, because only the experiment file contains
+/// them.
 ///
 /// # Errors
-/// The file cannot be read, or a line is no run; it is named.
+/// The file cannot be read, or a line is not a run; the error names the line.
 pub fn read(path: &Path) -> io::Result<Vec<Line>> {
     let runs = quillpoint_simulator::record::read(path)?;
     let line = |run: quillpoint_simulator::record::Run| Line::Run {
@@ -53,7 +55,7 @@
                 ("age_p99_s", run.age_p99_s),
                 ("database_probes_s", run.probes_per_node_s),
             ]
-            .map(|(name, is)| (name.to_string(), is)),
+            .map(|(name, value)| (name.to_string(), value)),
         ),
         bounds: Vec::new(),
     };
