--- a/crates/testbed/src/bin/fit.rs
+++ b/crates/testbed/src/bin/fit.rs
@@ -1,4 +1,5 @@
-//! `measure/fit`: what the runs of a record say of other sizes. Writes the fits into the record, in place of older ones.
+//! `measure/fit`: fits the figures of the runs in a record, to predict them at other sizes. Writes the fits into the
+//! record in place of older ones.
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -14,28 +15,28 @@
 Usage: measure/fit RECORD... [--to FILE]
        measure/fit RECORD... --plot FILE --figure NAME --axis AXIS
 
-  --to FILE      the runs and their fits go there; without it, into the record itself, of which there is then one
-  --plot FILE    nothing is written but an SVG: what was played, and the fits, a pair of lines for each mode
-  --figure NAME  as records name it, or several with + between them
-  --axis AXIS    routers, databases, connections, statements or changes
+  --to FILE      where to write the runs and their fits (default: the record itself, if there is only one)
+  --plot FILE    write only an SVG with the measured points and the fits, a pair of lines for each mode
+  --figure NAME  the figure to plot, by its name in records, or a sum of several joined by +
+  --axis AXIS    the axis to plot over: routers, databases, connections, statements or changes
 
-Records are those of measure/scale, and those of quillpoint-simulator, whose runs are then entered as simulated.
+RECORD is a record of measure/scale, or of quillpoint-simulator, whose runs are then written as simulated ones.
 ";
 
-/// What is wrong with the command line, or with a record.
+/// An error in the command line or in a record.
 #[derive(Debug, thiserror::Error)]
 enum CommandError {
     #[error(transparent)]
     Option(#[from] lexopt::Error),
     #[error("--axis: expected routers, databases, connections, statements or changes, found {0:?}")]
     UnknownAxis(String),
-    #[error("expected a record, found none")]
+    #[error("expected at least one record file, found none")]
     NoRecord,
-    #[error("--to: expected a file for what is made of {0} records, found none")]
-    NoTarget(usize),
-    #[error("--plot: expected --figure and --axis beside it, found {0}")]
+    #[error("--to: expected an output file for the fits of {0} records, found none")]
+    MissingOutput(usize),
+    #[error("--plot: expected both --figure and --axis, found {0}")]
     IncompletePlot(&'static str),
-    #[error("expected a figure at {MIN_SIZES} sizes of an axis with all else held, found none")]
+    #[error("expected a figure at {MIN_SIZES} or more sizes of an axis with all other sizes held, found none")]
     NothingToFit,
     #[error(transparent)]
     Plot(#[from] PlotError),
@@ -43,7 +44,7 @@
     Record(#[from] io::Error),
 }
 
-struct Wanted {
+struct Options {
     records: Vec<PathBuf>,
     to: Option<PathBuf>,
     plot: Option<PathBuf>,
@@ -51,31 +52,31 @@
     axis: Option<Axis>,
 }
 
-fn wanted() -> Result<Option<Wanted>, CommandError> {
-    let mut wanted = Wanted { records: Vec::new(), to: None, plot: None, figure: None, axis: None };
-    let mut words = lexopt::Parser::from_env();
-    while let Some(word) = words.next()? {
-        match word {
-            Long("to") => wanted.to = Some(words.value()?.into()),
-            Long("plot") => wanted.plot = Some(words.value()?.into()),
-            Long("figure") => wanted.figure = Some(words.value()?.string()?),
+fn parse_options() -> Result<Option<Options>, CommandError> {
+    let mut options = Options { records: Vec::new(), to: None, plot: None, figure: None, axis: None };
+    let mut arguments = lexopt::Parser::from_env();
+    while let Some(argument) = arguments.next()? {
+        match argument {
+            Long("to") => options.to = Some(arguments.value()?.into()),
+            Long("plot") => options.plot = Some(arguments.value()?.into()),
+            Long("figure") => options.figure = Some(arguments.value()?.string()?),
             Long("axis") => {
-                let name = words.value()?.string()?;
+                let name = arguments.value()?.string()?;
                 let axis = Axis::ALL.into_iter().find(|axis| axis.name() == name);
-                wanted.axis = Some(axis.ok_or(CommandError::UnknownAxis(name))?);
+                options.axis = Some(axis.ok_or(CommandError::UnknownAxis(name))?);
             }
             Long("help") => return Ok(None),
-            Value(record) => wanted.records.push(record.into()),
+            Value(record) => options.records.push(record.into()),
             other => return Err(other.unexpected().into()),
         }
     }
-    if wanted.records.is_empty() {
+    if options.records.is_empty() {
         return Err(CommandError::NoRecord);
     }
-    if wanted.plot.is_none() && wanted.to.is_none() && wanted.records.len() > 1 {
-        return Err(CommandError::NoTarget(wanted.records.len()));
+    if options.plot.is_none() && options.to.is_none() && options.records.len() > 1 {
+        return Err(CommandError::MissingOutput(options.records.len()));
     }
-    Ok(Some(wanted))
+    Ok(Some(options))
 }
 
 fn read(path: &Path) -> Result<Vec<Line>, CommandError> {
@@ -83,14 +84,14 @@
 }
 
 fn main() -> ExitCode {
-    let done = wanted().and_then(|wanted| match wanted {
-        Some(wanted) => obey(&wanted),
+    let result = parse_options().and_then(|options| match options {
+        Some(options) => run(&options),
         None => {
             print!("{HELP}");
             Ok(())
         }
     });
-    match done {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("measure/fit: {error}; see measure/fit --help");
@@ -99,14 +100,14 @@
     }
 }
 
-fn obey(wanted: &Wanted) -> Result<(), CommandError> {
+fn run(options: &Options) -> Result<(), CommandError> {
     let mut lines = Vec::new();
-    for record in &wanted.records {
+    for record in &options.records {
         lines.extend(read(record)?);
     }
     lines.retain(|line| matches!(line, Line::Run { .. }));
-    if let Some(path) = &wanted.plot {
-        return match (&wanted.figure, wanted.axis) {
+    if let Some(path) = &options.plot {
+        return match (&options.figure, options.axis) {
             (Some(figure), Some(axis)) => Ok(chart::draw(path, &lines, axis, figure)?),
             (Some(_), None) => Err(CommandError::IncompletePlot("--figure")),
             (None, Some(_)) => Err(CommandError::IncompletePlot("--axis")),
@@ -117,14 +118,14 @@
     if fits.is_empty() {
         return Err(CommandError::NothingToFit);
     }
-    fits.iter().for_each(print);
+    fits.iter().for_each(print_fit);
     lines.extend(fits.into_iter().map(Line::Fit));
-    let to = wanted.to.as_ref().unwrap_or(&wanted.records[0]);
+    let to = options.to.as_ref().unwrap_or(&options.records[0]);
     record::write(to, &lines)?;
     Ok(())
 }
 
-fn print(fit: &Fit) {
+fn print_fit(fit: &Fit) {
     println!(
         "{} over {}, {}: {}, {} sizes, residual {:.3}, spread {:.3}; {} at {} predicted as {}, error {:.3}{}",
         fit.figure,
--- a/crates/testbed/src/capacity.rs
+++ b/crates/testbed/src/capacity.rs
@@ -1,8 +1,9 @@
-//! The tables of `docs/CAPACITY.md`: what the target's size asks of each role, from the records of runs.
+//! Generates the tables of `docs/CAPACITY.md`, which list the cost of each role at the target size, from the records of
+//! runs.
 //!
-//! [`asks`] says which figure stands beside which budget. A row is made from a record's runs and says how: played at
-//! that size, predicted by a fit that held, computed, or not measured. Every number is rounded up where it is shown, and
-//! what follows is computed from what is shown. `measure/capacity` writes the page.
+//! [`asks`] lists the figures and their budgets. A row is computed from the runs of a record and names its basis:
+//! measured at that size, predicted by a usable fit, computed, or not measured. Every number is rounded up where it is
+//! shown, and further numbers are computed from the rounded ones. `measure/capacity` writes the page.
 
 pub mod asks;
 pub mod numbers;
@@ -20,24 +21,30 @@
 use crate::fit;
 use crate::record::{self, Fit, Line};
 
-/// Why the page cannot be made.
+/// Why the page cannot be generated.
 #[derive(Debug, thiserror::Error)]
 pub enum PageError {
+    /// A record cannot be read.
     #[error("{0}")]
     Record(#[from] std::io::Error),
-    #[error("{0}: its fits are not those of its runs; run measure/fit on it first")]
+    /// A record lacks the fits of its runs.
+    #[error("{0}: the fits in the record differ from those of its runs; run measure/fit on it first")]
     StaleFits(&'static str),
+    /// A section has no begin marker in the page.
     #[error("the page has no marker {0}")]
     MissingMarker(String),
-    #[error("the page's marker {0} has no end")]
+    /// A begin marker has no end marker.
+    #[error("the page's marker {0} has no end marker after it")]
     UnterminatedMarker(String),
+    /// A begin marker names no section.
     #[error("the page's marker {0} is not known")]
     UnknownMarker(String),
+    /// A plot cannot be written.
     #[error(transparent)]
     Plot(#[from] PlotError),
 }
 
-/// The records that the rows rest on, by name. One that is not there holds nothing.
+/// The records that the rows are computed from, by name. A missing file counts as an empty record.
 struct Records(BTreeMap<&'static str, Vec<Line>>);
 
 impl Records {
@@ -59,24 +66,25 @@
     }
 }
 
-/// Whether the fits of a record are those that its runs give.
+/// Returns whether the fits in a record are those that its runs give.
 pub fn fits_are_current(lines: &[Line]) -> bool {
     let written: Vec<&Fit> =
         lines.iter().filter_map(|line| if let Line::Fit(fit) = line { Some(fit) } else { None }).collect();
-    let due = fit::fit_all(lines);
-    let near = |one: f64, other: f64| (one - other).abs() <= 1e-9 * one.abs().max(other.abs()).max(1e-9);
-    written.len() == due.len()
-        && written.iter().zip(&due).all(|(one, other)| {
+    let expected = fit::fit_all(lines);
+    let is_near = |one: f64, other: f64| (one - other).abs() <= 1e-9 * one.abs().max(other.abs()).max(1e-9);
+    written.len() == expected.len()
+        && written.iter().zip(&expected).all(|(one, other)| {
             one.program == other.program
                 && (one.axis, one.mode, &one.figure, one.form)
                     == (other.axis, other.mode, &other.figure, other.form)
-                && near(one.slope, other.slope)
-                && near(one.offset, other.offset)
-                && near(one.relative_error, other.relative_error)
+                && is_near(one.slope, other.slope)
+                && is_near(one.offset, other.offset)
+                && is_near(one.relative_error, other.relative_error)
         })
 }
 
-fn block(name: &str, records: &Records) -> Option<String> {
+/// Generates the part of the page with this marker, or `None` for an unknown marker.
+fn section_content(name: &str, records: &Records) -> Option<String> {
     match name {
         "missing-today" => Some(tables::missing(&[Sharing::Shared, Sharing::Any], records)),
         "missing-feed" => Some(tables::missing(&[Sharing::Feed, Sharing::Any], records)),
@@ -91,22 +99,22 @@
 const BEGIN: &str = "<!-- begin ";
 const END: &str = "<!-- end -->";
 
-/// The page with each of its marked parts made anew from the records in the folder. The prose stays.
+/// Returns the page with each part between markers regenerated from the records in the folder. Other text stays as it is.
 ///
 /// # Errors
-/// A record cannot be read or has not been fitted, or the page's markers are at fault.
+/// A record cannot be read or lacks its fits, or a marker of the page is missing, unknown or without an end.
 pub fn fill_page(page: &str, folder: &Path) -> Result<String, PageError> {
     let records = Records::read(folder)?;
-    let (mut made, mut rest, mut seen) = (String::new(), page, BTreeSet::new());
-    while let Some(at) = rest.find(BEGIN) {
-        let name = rest[at + BEGIN.len()..].split(" -->").next().unwrap_or_default();
-        let filled = block(name, &records).ok_or_else(|| PageError::UnknownMarker(name.to_string()))?;
-        let end = rest[at..].find(END).ok_or_else(|| PageError::UnterminatedMarker(name.to_string()))?;
-        _ = write!(made, "{}{BEGIN}{name} -->\n{filled}{END}", &rest[..at]);
+    let (mut output, mut rest, mut seen) = (String::new(), page, BTreeSet::new());
+    while let Some(begin) = rest.find(BEGIN) {
+        let name = rest[begin + BEGIN.len()..].split(" -->").next().unwrap_or_default();
+        let content = section_content(name, &records).ok_or_else(|| PageError::UnknownMarker(name.to_string()))?;
+        let end = rest[begin..].find(END).ok_or_else(|| PageError::UnterminatedMarker(name.to_string()))?;
+        _ = write!(output, "{}{BEGIN}{name} -->\n{content}{END}", &rest[..begin]);
         seen.insert(name);
-        rest = &rest[at + end + END.len()..];
+        rest = &rest[begin + end + END.len()..];
     }
-    made += rest;
+    output += rest;
     let all = SECTIONS.iter().map(|(name, _)| *name).chain([
         "missing-today",
         "missing-feed",
@@ -116,20 +124,20 @@
     ]);
     match all.into_iter().find(|name| !seen.contains(name)) {
         Some(name) => Err(PageError::MissingMarker(name.to_string())),
-        None => Ok(made),
+        None => Ok(output),
     }
 }
 
-/// Draws what the page links to, into the folder of the records. The files drawn.
+/// Writes the plots that the page links to into the folder of the records. Returns their file names.
 ///
 /// # Errors
-/// A record cannot be read or has not been fitted, or a file cannot be written.
+/// A record cannot be read or lacks its fits, or a file cannot be written.
 pub fn draw_plots(folder: &Path) -> Result<Vec<String>, PageError> {
     let records = Records::read(folder)?;
-    let mut drawn = Vec::new();
+    let mut plotted = Vec::new();
     for (file, figure, axis) in tables::drawings(&records) {
         crate::chart::draw(&folder.join(&file), records.lines(MEASURED_RECORD), axis, figure)?;
-        drawn.push(file);
+        plotted.push(file);
     }
-    Ok(drawn)
+    Ok(plotted)
 }
--- a/crates/testbed/src/capacity/numbers.rs
+++ b/crates/testbed/src/capacity/numbers.rs
@@ -1,37 +1,38 @@
-//! Numbers as the page shows them: rounded toward more, in full.
+//! Rounding and formatting of the numbers on the page: rounded up, and written out without an exponent.
 
-/// Rounded up to so many digits, toward more. What a number's binary form adds in the tenth digit is none of it.
-pub fn round_up(is: f64, digits: i32) -> f64 {
-    if is == 0.0 || !is.is_finite() {
-        return is;
+/// Rounds up to this many significant digits. An excess in the tenth digit is a rounding error of floating-point numbers and
+/// is ignored.
+pub fn round_up(value: f64, digits: i32) -> f64 {
+    if value == 0.0 || !value.is_finite() {
+        return value;
     }
-    let places = digits - 1 - is.abs().log10().floor() as i32;
-    let scaled = is * 10_f64.powi(places);
+    let decimals = digits - 1 - value.abs().log10().floor() as i32;
+    let scaled = value * 10_f64.powi(decimals);
     let whole = (scaled - scaled.abs() * 1e-10).ceil();
-    if places >= 0 { whole / 10_f64.powi(places) } else { whole * 10_f64.powi(-places) }
+    if decimals >= 0 { whole / 10_f64.powi(decimals) } else { whole * 10_f64.powi(-decimals) }
 }
 
-/// Rounded toward less.
-pub fn round_down(is: f64, digits: i32) -> f64 {
-    -round_up(-is, digits)
+/// Rounds down to this many significant digits.
+pub fn round_down(value: f64, digits: i32) -> f64 {
+    -round_up(-value, digits)
 }
 
-/// An error, up to the next thousandth.
-pub fn round_up_to_thousandth(is: f64) -> f64 {
-    ((is - 1e-9).max(0.0) * 1000.0).ceil() / 1000.0
+/// Rounds a relative error up to the next thousandth.
+pub fn round_up_to_thousandth(value: f64) -> f64 {
+    ((value - 1e-9).max(0.0) * 1000.0).ceil() / 1000.0
 }
 
-/// In full, with commas between thousands.
-pub fn format_number(is: f64) -> String {
-    let plain = is.abs().to_string();
-    let (whole, part) = plain.split_once('.').unwrap_or((&plain, ""));
-    let mut told = String::new();
-    for (place, digit) in whole.chars().enumerate() {
-        if place > 0 && (whole.len() - place) % 3 == 0 {
-            told.push(',');
+/// Formats a number without an exponent, with commas between thousands.
+pub fn format_number(value: f64) -> String {
+    let digits = value.abs().to_string();
+    let (whole, fraction) = digits.split_once('.').unwrap_or((&digits, ""));
+    let mut grouped = String::new();
+    for (index, digit) in whole.chars().enumerate() {
+        if index > 0 && (whole.len() - index) % 3 == 0 {
+            grouped.push(',');
         }
-        told.push(digit);
+        grouped.push(digit);
     }
-    let sign = if is < 0.0 { "−" } else { "" };
-    if part.is_empty() { format!("{sign}{told}") } else { format!("{sign}{told}.{part}") }
+    let sign = if value < 0.0 { "−" } else { "" };
+    if fraction.is_empty() { format!("{sign}{grouped}") } else { format!("{sign}{grouped}.{fraction}") }
 }
--- a/crates/testbed/src/capacity/rows/single.rs
+++ b/crates/testbed/src/capacity/rows/single.rs
@@ -89,7 +89,7 @@
 fn no_fit(unfit: &fit::FitError) -> String {
     match unfit {
         fit::FitError::TooFew { sizes, .. } => format!("sizes played: {sizes}, needed: {}", fit::MIN_SIZES),
-        fit::FitError::Numbers { .. } => "no fit".to_string(),
+        fit::FitError::Regression { .. } => "no fit".to_string(),
     }
 }
 
--- a/crates/testbed/src/fit.rs
+++ b/crates/testbed/src/fit.rs
@@ -1,15 +1,18 @@
-//! How a figure grows with a size: fitted on the sizes played but the largest, which tells whether the form holds.
+//! Fits how a figure grows with a size. The largest measured size is left out of the fit, and its measurement
+//! is compared with the prediction, which shows whether the form of the curve holds.
 //!
-//! A point is one size; several runs of it (seeds) are averaged. Each form is an offset and one slope by least squares,
-//! a constant an offset alone. A form is chosen by the fitted points alone: each of them is left out in turn and
-//! predicted from the others, and the form with the least error is taken. A slope must earn its place: it is dropped
-//! for a constant unless it takes a fifth off the constant's error.
+//! A point is one size; runs of the same size with different seeds are averaged. Each form is an offset and
+//! one slope, found by least squares; the constant form is an offset alone. The form is selected by
+//! leave-one-out cross-validation on the fitted points: each point in turn is left out and predicted from the
+//! others, and the form with the smallest error is used. A form with a slope replaces the constant only if
+//! its error is at least a fifth smaller.
 //!
-//! Runs of different programs are never in one fit: what a newer one costs is not what an older one did. Of several the
-//! newest counts whose runs are at enough sizes.
+//! A fit never mixes runs of different program versions, because their costs differ. Where a caller names no
+//! version, the newest one that was run at enough sizes is used.
 //!
-//! Runs along the axes cannot tell routers times databases from a sum of both. Where the points of both axes lie on one
-//! product as well as on a sum, with its further slope, it is taken for the product, which asks for more.
+//! Runs along one axis at a time cannot distinguish a product of routers and databases from a sum of both.
+//! Where the points of both axes fit a product as well as they fit a sum, which has one slope more, the
+//! product is used, because it predicts the larger figure.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -17,14 +20,16 @@
 
 use crate::record::{Axis, Bound, Fit, Form, Line, Mode, Sizes};
 
-/// One is left out, two decide a slope, and one is left to say that a line is none.
+/// Fewest sizes for a fit: the largest is left out, two determine a slope, and one more can show that the
+/// points are not on the curve.
 pub const MIN_SIZES: usize = 4;
-/// A prediction that is off by more speaks for another form.
+/// A fit is not used if its prediction at the largest size is off by more than this part of the measurement.
 pub const MAX_RELATIVE_ERROR: f64 = 0.20;
-/// A slope must bring the error of left-out points down to this part of a constant's.
-const WORTH_A_SLOPE: f64 = 0.8;
+/// A form with one slope more is used only if its cross-validation error is below this part of the simpler
+/// form's.
+const EXTRA_SLOPE_ERROR_RATIO: f64 = 0.8;
 
-/// What is fitted beside the figures themselves: budgets are for both ways together.
+/// Sums that are fitted beside the single figures, because budgets apply to both directions together.
 pub const SUMMED_FIGURES: [&str; 4] = [
     "router_bytes_in_s+router_bytes_out_s",
     "router_messages_in_s+router_messages_out_s",
@@ -32,44 +37,55 @@
     "control_messages_in_s+control_messages_out_s",
 ];
 
-/// What is left of an error by the binary form of numbers.
-const EXACT: f64 = 1e-9;
+/// Relative errors below this are rounding errors of floating-point numbers.
+const ROUNDING_ERROR: f64 = 1e-9;
 
-/// Why nothing is fitted.
+/// Why a figure cannot be fitted.
 #[derive(Debug, PartialEq, thiserror::Error)]
 pub enum FitError {
-    #[error("{figure} over {}, {}: {sizes} sizes were played with all else held, and {MIN_SIZES} are needed", axis.name(), mode.name())]
+    /// There are runs at fewer than [`MIN_SIZES`] sizes of the axis with all other sizes the same.
+    #[error("{figure} over {}, {}: {sizes} sizes were measured with all other sizes held, and {MIN_SIZES} are needed", axis.name(), mode.name())]
     TooFew { figure: String, axis: Axis, mode: Mode, sizes: usize },
-    #[error("{figure} over {}, {}: {cause}", axis.name(), mode.name())]
-    Numbers { figure: String, axis: Axis, mode: Mode, cause: String },
+    /// The regression fails on the values.
+    #[error("{figure} over {}, {}: the regression failed: {cause}", axis.name(), mode.name())]
+    Regression { figure: String, axis: Axis, mode: Mode, cause: String },
 }
 
-/// What was played at one size.
+/// The runs at one size.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Point {
+    /// The size on the axis.
     pub size: f64,
+    /// Number of routers.
     pub routers: f64,
+    /// Number of databases.
     pub databases: f64,
-    /// Of its runs.
+    /// Mean of the figure over the runs.
     pub mean: f64,
+    /// Largest figure of a run.
     pub max: f64,
-    /// Half the distance between the least and the most, as a part of the mean.
+    /// Half the distance between the smallest and the largest run, relative to the mean.
     pub spread: f64,
+    /// Number of runs.
     pub runs: usize,
 }
 
-/// The points of a figure over an axis, by size, and what was held: the sizes of the first run there.
+/// The points of a figure over an axis.
 #[derive(Clone, Debug)]
 pub struct Points {
+    /// The program version of the runs.
     pub program: Option<String>,
+    /// The sizes that are the same for all points, as in the first run at the smallest size.
     pub fixed_sizes: Sizes,
+    /// The points in increasing order of size.
     pub points: Vec<Point>,
-    /// Sizes at which there were runs, but none whose calibration held on the figure.
+    /// Sizes that were run, but where calibration failed on the figure in every run.
     pub uncalibrated: Vec<f64>,
 }
 
 impl Points {
-    /// The least size beyond all points at which calibration failed: of what is there and beyond nothing is known.
+    /// Returns the smallest size beyond all points at which calibration failed. The figure is unknown from
+    /// there on.
     pub fn first_uncalibrated_beyond(&self) -> Option<f64> {
         let largest = self.points.last().map_or(0.0, |point| point.size);
         self.uncalibrated.iter().copied().filter(|size| *size > largest).reduce(f64::min)
@@ -77,18 +93,18 @@
 }
 
 impl Fit {
-    /// The figure at a size; of a product, at routers times databases.
+    /// Returns the figure at a size. For [`Form::Product`], `size` is routers times databases.
     pub fn predict(&self, size: f64) -> f64 {
         self.offset + self.slope * regressor(self.form, size)
     }
 
-    /// Whether the form predicted the largest size well enough for other sizes to be predicted by it.
+    /// Returns whether the curve predicted the largest size well enough to be used for other sizes.
     pub fn is_usable(&self) -> bool {
         self.relative_error <= MAX_RELATIVE_ERROR
     }
 }
 
-/// What the slope is multiplied by.
+/// Returns the value by which the slope is multiplied.
 pub fn regressor(form: Form, size: f64) -> f64 {
     match form {
         Form::Constant => 0.0,
@@ -98,7 +114,7 @@
     }
 }
 
-/// The place of a run on an axis.
+/// Returns the size of a run on an axis.
 pub fn size_on_axis(sizes: &Sizes, axis: Axis) -> f64 {
     match axis {
         Axis::Routers => sizes.routers as f64,
@@ -109,60 +125,64 @@
     }
 }
 
-/// Whether calibration did not fail on a figure.
-fn stands(bounds: &[Bound], name: &str) -> bool {
-    let of_routers = name.strip_prefix("router_");
-    // Nor is there a calibration where what it rests on is lost in its error.
-    let of_bound = |bound: &Bound| {
+/// Returns whether a figure can be used: calibration compares hollow routers with real ones, so it can fail
+/// on figures of routers only.
+fn is_calibrated(bounds: &[Bound], name: &str) -> bool {
+    let router_figure = name.strip_prefix("router_");
+    // A bound on the measurement error of a calibration counts as one of its bounds: if the error is too
+    // large, there is no calibration.
+    let calibrated_name = |bound: &Bound| {
         let name = bound.figure.strip_prefix("calibration_")?;
         Some(name.strip_suffix("_error").unwrap_or(name).to_string())
     };
-    let is_broken = |bound: &Bound| !bound.held && of_bound(bound).as_deref() == of_routers;
-    of_routers.is_none() || !bounds.iter().any(is_broken)
+    let has_failed = |bound: &Bound| !bound.held && calibrated_name(bound).as_deref() == router_figure;
+    router_figure.is_none() || !bounds.iter().any(has_failed)
 }
 
-/// A figure by its name, or a sum of several by their names with `+` between them. What hollow routers showed in a run
-/// whose calibration failed on it counts for nothing.
+/// Returns a figure by its name, or the sum of several whose names are joined by `+`. Returns `None` if one
+/// of them is missing or failed calibration.
 pub fn calibrated_figure(figures: &BTreeMap<String, f64>, bounds: &[Bound], name: &str) -> Option<f64> {
-    name.split('+').map(|name| figures.get(name.trim()).filter(|_| stands(bounds, name.trim()))).sum()
+    name.split('+').map(|name| figures.get(name.trim()).filter(|_| is_calibrated(bounds, name.trim()))).sum()
 }
 
-/// The same of a run whose calibration failed on it: what the costlier kind of routers showed.
-fn uncalibrated(figures: &BTreeMap<String, f64>, bounds: &[Bound], name: &str) -> Option<f64> {
+/// Returns a figure or sum that failed calibration, with the larger of the figures of hollow and real
+/// routers. Returns `None` if none of its parts failed.
+fn uncalibrated_figure(figures: &BTreeMap<String, f64>, bounds: &[Bound], name: &str) -> Option<f64> {
     let part = |name: &str| {
-        let is = *figures.get(name)?;
-        let kind = |kind: &str| figures.get(&name.replacen("router_", kind, 1)).copied().unwrap_or(is);
-        Some(if stands(bounds, name) { is } else { is.max(kind("hollow_")).max(kind("real_")) })
+        let value = *figures.get(name)?;
+        let kind = |kind: &str| figures.get(&name.replacen("router_", kind, 1)).copied().unwrap_or(value);
+        Some(if is_calibrated(bounds, name) { value } else { value.max(kind("hollow_")).max(kind("real_")) })
     };
-    if name.split('+').all(|name| stands(bounds, name.trim())) {
+    if name.split('+').all(|name| is_calibrated(bounds, name.trim())) {
         return None;
     }
     name.split('+').map(|name| part(name.trim())).sum()
 }
 
-/// All that must be the same in two runs for them to be points of one axis.
-fn held(sizes: &Sizes, axis: Axis) -> [u64; 7] {
-    let but = |other: Axis| if axis == other { 0.0 } else { size_on_axis(sizes, other) };
+/// Returns the sizes that must be the same in two runs for both to be points of one axis.
+fn fixed_key(sizes: &Sizes, axis: Axis) -> [u64; 7] {
+    let size_unless = |other: Axis| if axis == other { 0.0 } else { size_on_axis(sizes, other) };
     let all = [
-        but(Axis::Routers),
-        but(Axis::Databases),
-        but(Axis::Connections),
-        but(Axis::Statements),
-        but(Axis::Changes),
+        size_unless(Axis::Routers),
+        size_unless(Axis::Databases),
+        size_unless(Axis::Connections),
+        size_unless(Axis::Statements),
+        size_unless(Axis::Changes),
         sizes.control as f64,
         sizes.period_s,
     ];
-    // The bits of numbers that are not negative are in their order.
+    // The bit patterns of non-negative numbers have the same order as the numbers.
     all.map(f64::to_bits)
 }
 
-/// Whether nothing but routers and databases differs.
+/// Returns whether the sizes of two runs differ in nothing but routers and databases.
 pub fn differ_only_in_routers_and_databases(one: &Sizes, other: &Sizes) -> bool {
-    let but_both = |sizes: &Sizes| held(&Sizes { routers: 0, ..sizes.clone() }, Axis::Databases);
-    but_both(one) == but_both(other)
+    let other_sizes_key = |sizes: &Sizes| fixed_key(&Sizes { routers: 0, ..sizes.clone() }, Axis::Databases);
+    other_sizes_key(one) == other_sizes_key(other)
 }
 
-/// The programs whose runs a record has, the newest first: of two the one whose runs begin later in the record.
+/// Returns the program versions in a record, the newest first. The version whose first run is later in the
+/// record is the newer one.
 pub fn programs(lines: &[Line]) -> Vec<Option<&str>> {
     let mut programs = Vec::new();
     for line in lines {
@@ -175,37 +195,41 @@
     programs
 }
 
-/// The calm runs of one program that differ in the axis alone. Where runs were held at several places, those with the
-/// most sizes count, and of as many those held at the larger ones.
+/// Returns the points of one program version: its calm runs that differ in the axis alone. If there are
+/// several such series, the one with the most sizes is used, and among those with equally many the one whose
+/// other sizes are larger.
 pub fn points_of_program(
     lines: &[Line],
-    of: Option<&str>,
+    wanted_program: Option<&str>,
     axis: Axis,
     mode: Mode,
     name: &str,
 ) -> Option<Points> {
-    let mut places = BTreeMap::<[u64; 7], BTreeMap<u64, Runs<'_>>>::new();
+    let mut series = BTreeMap::<[u64; 7], BTreeMap<u64, Runs<'_>>>::new();
     for line in lines {
         let Line::Run { fault: None, program, sizes, figures, bounds, .. } = line else { continue };
-        if sizes.mode != mode || program.as_deref() != of {
+        if sizes.mode != mode || program.as_deref() != wanted_program {
             continue;
         }
-        let place = places.entry(held(sizes, axis)).or_default();
-        let runs = place.entry(size_on_axis(sizes, axis).to_bits()).or_default();
-        runs.stand.extend(calibrated_figure(figures, bounds, name).map(|is| (sizes, is)));
-        runs.fail.extend(uncalibrated(figures, bounds, name).map(|is| (sizes, is)));
+        let runs_by_size = series.entry(fixed_key(sizes, axis)).or_default();
+        let runs = runs_by_size.entry(size_on_axis(sizes, axis).to_bits()).or_default();
+        runs.calibrated.extend(calibrated_figure(figures, bounds, name).map(|value| (sizes, value)));
+        runs.uncalibrated.extend(uncalibrated_figure(figures, bounds, name).map(|value| (sizes, value)));
     }
-    let count =
-        |of_size: &BTreeMap<u64, Runs<'_>>| of_size.values().filter(|runs| !runs.stand.is_empty()).count();
-    let (_, mut of_size) = places.into_iter().max_by_key(|(held, of_size)| (count(of_size), *held))?;
-    let failed = of_size.iter().filter(|(_, runs)| runs.stand.is_empty() && !runs.fail.is_empty());
+    let count = |runs_by_size: &BTreeMap<u64, Runs<'_>>| {
+        runs_by_size.values().filter(|runs| !runs.calibrated.is_empty()).count()
+    };
+    let (_, mut runs_by_size) = series.into_iter().max_by_key(|(key, runs_by_size)| (count(runs_by_size), *key))?;
+    let failed =
+        runs_by_size.iter().filter(|(_, runs)| runs.calibrated.is_empty() && !runs.uncalibrated.is_empty());
     let uncalibrated = failed.map(|(size, _)| f64::from_bits(*size)).collect();
-    of_size.retain(|_, runs| !runs.stand.is_empty());
+    runs_by_size.retain(|_, runs| !runs.calibrated.is_empty());
     let point = |runs: &Runs<'_>| {
-        let runs = runs.that_count();
-        let (least, max) =
-            runs.iter().fold((f64::MAX, f64::MIN), |(low, high), (_, is)| (low.min(*is), high.max(*is)));
-        let mean = runs.iter().map(|(_, is)| is).sum::<f64>() / runs.len() as f64;
+        let runs = runs.counted();
+        let (min, max) = runs
+            .iter()
+            .fold((f64::MAX, f64::MIN), |(low, high), (_, value)| (low.min(*value), high.max(*value)));
+        let mean = runs.iter().map(|(_, value)| value).sum::<f64>() / runs.len() as f64;
         let sizes = runs[0].0;
         Point {
             size: size_on_axis(sizes, axis),
@@ -213,111 +237,125 @@
             databases: sizes.databases as f64,
             mean,
             max,
-            spread: off((max - least) / 2.0, mean),
+            spread: relative_deviation((max - min) / 2.0, mean),
             runs: runs.len(),
         }
     };
-    let fixed_sizes = of_size.values().next()?.stand.first()?.0.clone();
-    let points = of_size.values().map(point).collect();
-    Some(Points { program: of.map(str::to_string), fixed_sizes, points, uncalibrated })
+    let fixed_sizes = runs_by_size.values().next()?.calibrated.first()?.0.clone();
+    let points = runs_by_size.values().map(point).collect();
+    Some(Points { program: wanted_program.map(str::to_string), fixed_sizes, points, uncalibrated })
 }
 
-/// As [`points_of_program`] the newest program with enough sizes; where none has, of that with the most.
+/// Returns the [`points_of_program`] of the newest version that was run at enough sizes, or else of the
+/// version with the most sizes.
 pub fn newest_points(lines: &[Line], axis: Axis, mode: Mode, name: &str) -> Option<Points> {
-    let all =
-        programs(lines).into_iter().rev().filter_map(|of| points_of_program(lines, of, axis, mode, name));
+    let all = programs(lines)
+        .into_iter()
+        .rev()
+        .filter_map(|program| points_of_program(lines, program, axis, mode, name));
     all.max_by_key(|points| points.points.len().min(MIN_SIZES))
 }
 
-/// What the runs of one size showed.
+/// The figure in the runs of one size.
 #[derive(Default)]
 struct Runs<'a> {
-    stand: Vec<(&'a Sizes, f64)>,
-    /// Those whose calibration failed.
-    fail: Vec<(&'a Sizes, f64)>,
+    /// Runs whose calibration held.
+    calibrated: Vec<(&'a Sizes, f64)>,
+    /// Runs whose calibration failed.
+    uncalibrated: Vec<(&'a Sizes, f64)>,
 }
 
 impl<'a> Runs<'a> {
-    /// Those whose calibration held, and of the others each that showed more than these in the mean: a size that is
-    /// played again until calibration holds must not come out cheaper for it.
-    fn that_count(&self) -> Vec<(&'a Sizes, f64)> {
-        let mean = self.stand.iter().map(|(_, is)| is).sum::<f64>() / self.stand.len().max(1) as f64;
-        self.stand.iter().chain(self.fail.iter().filter(|(_, is)| *is > mean)).copied().collect()
+    /// Returns the runs whose calibration held, and of the others those with a figure above the mean of
+    /// these: repeating a size until calibration holds must not make it look cheaper.
+    fn counted(&self) -> Vec<(&'a Sizes, f64)> {
+        let mean =
+            self.calibrated.iter().map(|(_, value)| value).sum::<f64>() / self.calibrated.len().max(1) as f64;
+        self.calibrated
+            .iter()
+            .chain(self.uncalibrated.iter().filter(|(_, value)| *value > mean))
+            .copied()
+            .collect()
     }
 }
 
-/// A deviation as a part of what was played; of nothing, all of it.
-fn off(by: f64, played: f64) -> f64 {
-    match (by.abs(), played.abs()) {
+/// Returns a deviation relative to the measured value. Relative to zero, any deviation counts as 1.
+fn relative_deviation(deviation: f64, measured: f64) -> f64 {
+    match (deviation.abs(), measured.abs()) {
         (0.0, _) => 0.0,
         (_, 0.0) => 1.0,
-        (by, played) => by / played,
+        (deviation, measured) => deviation / measured,
     }
 }
 
 /// Offset and slope.
 type Curve = (f64, f64);
 
-/// Least squares, which for a constant is the mean. The form's values are brought to one at the most, so that no square
-/// of a size drowns the offset.
-fn curve(form: Form, points: &[(f64, f64)]) -> Result<Curve, linregress::Error> {
+/// Fits a form by least squares; for a constant that is the mean. The values of the form are scaled to at
+/// most one, because with the squares of large sizes the offset would be lost to rounding.
+fn fit_curve(form: Form, points: &[(f64, f64)]) -> Result<Curve, linregress::Error> {
     if form == Form::Constant {
-        return Ok((points.iter().map(|(_, is)| is).sum::<f64>() / points.len() as f64, 0.0));
+        return Ok((points.iter().map(|(_, value)| value).sum::<f64>() / points.len() as f64, 0.0));
     }
-    let scale =
-        points.iter().map(|(at, _)| regressor(form, *at).abs()).fold(0.0, f64::max).max(f64::MIN_POSITIVE);
-    let row = |(at, is): &(f64, f64)| [*is, 1.0, regressor(form, *at) / scale];
+    let scale = points
+        .iter()
+        .map(|(size, _)| regressor(form, *size).abs())
+        .fold(0.0, f64::max)
+        .max(f64::MIN_POSITIVE);
+    let row = |(size, value): &(f64, f64)| [*value, 1.0, regressor(form, *size) / scale];
     let rows: Vec<f64> = points.iter().flat_map(row).collect();
-    let found = least_squares(&rows, points.len(), 3)?;
-    Ok((found[0], found[1] / scale))
+    let coefficients = least_squares(&rows, points.len(), 3)?;
+    Ok((coefficients[0], coefficients[1] / scale))
 }
 
-/// The error of points that are left out in turn, as a part of the mean figure.
-fn left_out(form: Form, points: &[(f64, f64)]) -> Result<f64, linregress::Error> {
+/// Returns the leave-one-out cross-validation error of a form: the root mean square of the deviations,
+/// relative to the mean figure.
+fn cross_validation_error(form: Form, points: &[(f64, f64)]) -> Result<f64, linregress::Error> {
     let mut squares = 0.0;
-    for place in 0..points.len() {
+    for index in 0..points.len() {
         let mut others = points.to_vec();
-        let (at, is) = others.remove(place);
-        let (offset, slope) = curve(form, &others)?;
-        squares += (offset + slope * regressor(form, at) - is).powi(2);
+        let (size, value) = others.remove(index);
+        let (offset, slope) = fit_curve(form, &others)?;
+        squares += (offset + slope * regressor(form, size) - value).powi(2);
     }
-    let mean = points.iter().map(|(_, is)| is.abs()).sum::<f64>() / points.len() as f64;
-    Ok(off((squares / points.len() as f64).sqrt(), mean))
+    let mean = points.iter().map(|(_, value)| value.abs()).sum::<f64>() / points.len() as f64;
+    Ok(relative_deviation((squares / points.len() as f64).sqrt(), mean))
 }
 
-/// As [`left_out`], of a sum of a line over routers and one over databases.
-fn left_out_of_sum(points: &[Point]) -> Result<f64, linregress::Error> {
-    let most = |size: fn(&Point) -> f64| points.iter().map(size).fold(f64::MIN_POSITIVE, f64::max);
-    let (routers, databases) = (most(|point| point.routers), most(|point| point.databases));
+/// Returns the [`cross_validation_error`] of the sum of a line over routers and a line over databases.
+fn sum_cross_validation_error(points: &[Point]) -> Result<f64, linregress::Error> {
+    let max_of = |size: fn(&Point) -> f64| points.iter().map(size).fold(f64::MIN_POSITIVE, f64::max);
+    let (routers, databases) = (max_of(|point| point.routers), max_of(|point| point.databases));
     let row = |point: &Point| [1.0, point.routers / routers, point.databases / databases];
     let mut squares = 0.0;
-    for (place, point) in points.iter().enumerate() {
-        let others = points.iter().enumerate().filter(|(other, _)| *other != place);
+    for (index, point) in points.iter().enumerate() {
+        let others = points.iter().enumerate().filter(|(other, _)| *other != index);
         let rows: Vec<f64> =
             others.flat_map(|(_, other)| std::iter::once(other.mean).chain(row(other))).collect();
-        let found = least_squares(&rows, points.len() - 1, 4)?;
-        let is: f64 = found.iter().zip(row(point)).map(|(slope, size)| slope * size).sum();
-        squares += (is - point.mean).powi(2);
+        let coefficients = least_squares(&rows, points.len() - 1, 4)?;
+        let value: f64 = coefficients.iter().zip(row(point)).map(|(slope, size)| slope * size).sum();
+        squares += (value - point.mean).powi(2);
     }
     let mean = points.iter().map(|point| point.mean.abs()).sum::<f64>() / points.len() as f64;
-    Ok(off((squares / points.len() as f64).sqrt(), mean))
+    Ok(relative_deviation((squares / points.len() as f64).sqrt(), mean))
 }
 
-/// Whether a product does as well as a sum, whose second slope must earn its place too.
+/// Returns whether a product is used instead of a sum. The sum has one slope more, so it is used only if its error is below
+/// [`EXTRA_SLOPE_ERROR_RATIO`] of the product's.
 fn is_product(product: &[(f64, f64)], points: &[Point]) -> Result<bool, linregress::Error> {
-    let error = left_out(Form::Product, product)?;
-    Ok(error < EXACT || left_out_of_sum(points)? >= error * WORTH_A_SLOPE)
+    let error = cross_validation_error(Form::Product, product)?;
+    Ok(error < ROUNDING_ERROR || sum_cross_validation_error(points)? >= error * EXTRA_SLOPE_ERROR_RATIO)
 }
 
-/// The form that predicts best what is left out.
-fn best(points: &[(f64, f64)]) -> Result<Form, linregress::Error> {
-    let constant = left_out(Form::Constant, points)?;
-    let mut best = (Form::Constant, constant * WORTH_A_SLOPE);
+/// Returns the form with the smallest cross-validation error.
+fn best_form(points: &[(f64, f64)]) -> Result<Form, linregress::Error> {
+    let constant = cross_validation_error(Form::Constant, points)?;
+    let mut best = (Form::Constant, constant * EXTRA_SLOPE_ERROR_RATIO);
     for form in [Form::Log, Form::Linear, Form::Square] {
-        if form == Form::Log && points.iter().any(|(at, _)| *at <= 0.0) {
+        if form == Form::Log && points.iter().any(|(size, _)| *size <= 0.0) {
             continue;
         }
-        let error = left_out(form, points)?;
+        let error = cross_validation_error(form, points)?;
         if error < best.1 {
             best = (form, error);
         }
@@ -325,61 +363,61 @@
     Ok(best.0)
 }
 
-/// The newest program's that was played at enough sizes.
+/// Fits a figure over an axis, in the runs of the newest program version that was run at enough sizes.
 ///
 /// # Errors
-/// Fewer than four sizes were played, or the numbers are none that can be fitted.
+/// There are fewer than four sizes, or the regression fails on the values.
 pub fn fit_newest(lines: &[Line], axis: Axis, mode: Mode, name: &str) -> Result<Fit, FitError> {
     let program = newest_points(lines, axis, mode, name).and_then(|points| points.program);
     fit_program(lines, program.as_deref(), axis, mode, name)
 }
 
-/// One program's.
+/// Fits a figure over an axis, in the runs of one program version.
 ///
 /// # Errors
 /// As [`fit_newest`].
 pub fn fit_program(
     lines: &[Line],
-    of: Option<&str>,
+    wanted_program: Option<&str>,
     axis: Axis,
     mode: Mode,
     name: &str,
 ) -> Result<Fit, FitError> {
     let too_few = |sizes| FitError::TooFew { figure: name.to_string(), axis, mode, sizes };
-    let played = points_of_program(lines, of, axis, mode, name).ok_or_else(|| too_few(0))?;
-    let Points { program, fixed_sizes: held_at, points: all, .. } = played;
+    let measured_points = points_of_program(lines, wanted_program, axis, mode, name).ok_or_else(|| too_few(0))?;
+    let Points { program, fixed_sizes: held_sizes, points: all, .. } = measured_points;
     if all.len() < MIN_SIZES {
         return Err(too_few(all.len()));
     }
-    let numbers = |error: linregress::Error| FitError::Numbers {
+    let regression_failed = |error: linregress::Error| FitError::Regression {
         figure: name.to_string(),
         axis,
         mode,
         cause: error.to_string(),
     };
     let (largest, fitted) = all.split_last().ok_or_else(|| too_few(0))?;
-    let by_size: Vec<_> = fitted.iter().map(|point| (point.size, point.mean)).collect();
-    let mut form = best(&by_size).map_err(numbers)?;
-    let (mut chosen, mut at) = (by_size, largest.size);
+    let points_by_size: Vec<_> = fitted.iter().map(|point| (point.size, point.mean)).collect();
+    let mut form = best_form(&points_by_size).map_err(regression_failed)?;
+    let (mut fitted_points, mut input) = (points_by_size, largest.size);
     let other = match axis {
         Axis::Routers => Some(Axis::Databases),
         Axis::Databases => Some(Axis::Routers),
         _ => None,
     };
     if let (Form::Linear, Some(other)) = (form, other) {
-        let others = points_of_program(lines, of, other, mode, name)
-            .filter(|others| differ_only_in_routers_and_databases(&others.fixed_sizes, &held_at))
+        let others = points_of_program(lines, wanted_program, other, mode, name)
+            .filter(|others| differ_only_in_routers_and_databases(&others.fixed_sizes, &held_sizes))
             .map_or(Vec::new(), |points| points.points);
         let mut both = fitted.to_vec();
         both.extend_from_slice(&others[..others.len().saturating_sub(1)]);
         let product: Vec<_> =
             both.iter().map(|point| (point.routers * point.databases, point.mean)).collect();
-        // Without sizes of the other axis there is nothing that could tell.
-        if others.len() >= MIN_SIZES && is_product(&product, &both).map_err(numbers)? {
-            (form, chosen, at) = (Form::Product, product, largest.routers * largest.databases);
+        // Without enough sizes on the other axis, a product cannot be distinguished from a line.
+        if others.len() >= MIN_SIZES && is_product(&product, &both).map_err(regression_failed)? {
+            (form, fitted_points, input) = (Form::Product, product, largest.routers * largest.databases);
         }
     }
-    let (offset, slope) = curve(form, &chosen).map_err(numbers)?;
+    let (offset, slope) = fit_curve(form, &fitted_points).map_err(regression_failed)?;
     let mut fit = Fit {
         program,
         axis,
@@ -390,31 +428,35 @@
         offset,
         residual: 0.0,
         spread: all.iter().map(|point| point.spread).fold(0.0, f64::max),
-        points: chosen.len(),
+        points: fitted_points.len(),
         largest_size: largest.size,
         predicted: 0.0,
         measured: largest.mean,
         relative_error: 0.0,
     };
-    fit.residual = chosen.iter().map(|(at, is)| off(fit.predict(*at) - is, *is)).fold(0.0, f64::max);
-    fit.predicted = fit.predict(at);
-    fit.relative_error = off(fit.predicted - fit.measured, fit.measured);
+    fit.residual = fitted_points
+        .iter()
+        .map(|(size, value)| relative_deviation(fit.predict(*size) - value, *value))
+        .fold(0.0, f64::max);
+    fit.predicted = fit.predict(input);
+    fit.relative_error = relative_deviation(fit.predicted - fit.measured, fit.measured);
     Ok(fit)
 }
 
-/// Every figure, and each of [`SUMMED_FIGURES`], over every axis in every mode that a program was played in at enough sizes, in
-/// this order, the oldest program first.
+/// Fits every figure and each of [`SUMMED_FIGURES`] over every axis in every mode, for each program version
+/// that was run at enough sizes. The oldest version comes first, then the order is by mode, figure and axis.
 pub fn fit_all(lines: &[Line]) -> Vec<Fit> {
-    let mut wanted = BTreeSet::new();
+    let mut figures_by_mode = BTreeSet::new();
     for line in lines {
         if let Line::Run { sizes, figures, .. } = line {
             let names = figures.keys().map(String::as_str).chain(SUMMED_FIGURES);
-            wanted.extend(names.map(|name| (sizes.mode, name)));
+            figures_by_mode.extend(names.map(|name| (sizes.mode, name)));
         }
     }
-    let of_program = |of| {
-        let all = wanted.iter().flat_map(move |(mode, name)| Axis::ALL.map(|axis| (axis, *mode, *name)));
-        all.filter_map(move |(axis, mode, name)| fit_program(lines, of, axis, mode, name).ok())
+    let of_program = |program| {
+        let all =
+            figures_by_mode.iter().flat_map(move |(mode, name)| Axis::ALL.map(|axis| (axis, *mode, *name)));
+        all.filter_map(move |(axis, mode, name)| fit_program(lines, program, axis, mode, name).ok())
     };
     programs(lines).into_iter().rev().flat_map(of_program).collect()
 }
--- a/crates/testbed/src/load.rs
+++ b/crates/testbed/src/load.rs
@@ -25,9 +25,9 @@
     pub rejected: AtomicU64,
     /// RPCs that returned any other error.
     pub failed: AtomicU64,
-    /// RPCs whose connection broke and whose router had an outage since the connection was opened.
+    /// RPCs that got no answer, where the router had an outage since the connection was opened.
     pub interrupted: AtomicU64,
-    /// RPCs without an answer in time, or whose connection broke without an outage of the router.
+    /// RPCs that got no answer in time although the router had no outage.
     pub lost: AtomicU64,
     /// Ids of the writes that returned a row.
     pub committed_ids: Mutex<Vec<String>>,
@@ -65,6 +65,7 @@
         }
     }
 
+    /// Returns whether a router had an outage at any time within the span.
     fn overlap(&self, router: usize, from: Duration, to: Duration) -> bool {
         let outages = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         outages
--- a/crates/testbed/src/replica_set.rs
+++ b/crates/testbed/src/replica_set.rs
@@ -15,7 +15,7 @@
 
 /// Staleness bound of bounded reads in the settings of [`crate::routers::platform_json`].
 pub const STALENESS_BOUND: Duration = Duration::from_millis(300);
-/// Tolerance of the staleness check, for the time on the sockets.
+/// Tolerance of the staleness check: routers are allowed this much time on sockets.
 const STALENESS_TOLERANCE: Duration = Duration::from_millis(50);
 
 /// What has reached a node, by arrival in Unix time.
