--- a/crates/testbed/src/bin/capacity.rs
+++ b/crates/testbed/src/bin/capacity.rs
@@ -1,5 +1,5 @@
-//! `measure/capacity`: writes the tables of `docs/CAPACITY.md` from the records under `docs/measurements`, and the plots
-//! that the page links to.
+//! `measure/capacity`: writes the tables of `docs/CAPACITY.md` from the records under `docs/measurements`,
+//! and the plots that the page links to.
 
 use std::io;
 use std::path::PathBuf;
--- a/crates/testbed/src/bin/fit.rs
+++ b/crates/testbed/src/bin/fit.rs
@@ -1,5 +1,5 @@
-//! `measure/fit`: fits the figures of the runs in a record, to predict them at other sizes. Writes the fits into the
-//! record in place of older ones.
+//! `measure/fit`: fits the figures of the runs in a record, to predict them at other sizes. Writes the fits
+//! into the record in place of older ones.
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -36,7 +36,9 @@
     MissingOutput(usize),
     #[error("--plot: expected both --figure and --axis, found {0}")]
     IncompletePlot(&'static str),
-    #[error("expected a figure at {MIN_SIZES} or more sizes of an axis with all other sizes held, found none")]
+    #[error(
+        "expected a figure at {MIN_SIZES} or more sizes of an axis with all other sizes held, found none"
+    )]
     NothingToFit,
     #[error(transparent)]
     Plot(#[from] PlotError),
--- a/crates/testbed/src/capacity.rs
+++ b/crates/testbed/src/capacity.rs
@@ -1,9 +1,10 @@
-//! Generates the tables of `docs/CAPACITY.md`, which list the cost of each role at the target size, from the records of
-//! runs.
+//! Generates the tables of `docs/CAPACITY.md`, which list the cost of each role at the target size, from the
+//! records of runs.
 //!
-//! [`asks`] lists the figures and their budgets. A row is computed from the runs of a record and names its basis:
-//! measured at that size, predicted by a usable fit, computed, or not measured. Every number is rounded up where it is
-//! shown, and further numbers are computed from the rounded ones. `measure/capacity` writes the page.
+//! [`asks`] lists the figures and their budgets. A row is computed from the runs of a record and names its
+//! basis: measured at that size, predicted by a usable fit, computed, or not measured. Every number is
+//! rounded up where it is shown, and further numbers are computed from the rounded ones. `measure/capacity`
+//! writes the page.
 
 pub mod asks;
 pub mod numbers;
@@ -99,7 +100,8 @@
 const BEGIN: &str = "<!-- begin ";
 const END: &str = "<!-- end -->";
 
-/// Returns the page with each part between markers regenerated from the records in the folder. Other text stays as it is.
+/// Returns the page with each part between markers regenerated from the records in the folder. Other text
+/// stays as it is.
 ///
 /// # Errors
 /// A record cannot be read or lacks its fits, or a marker of the page is missing, unknown or without an end.
@@ -108,7 +110,8 @@
     let (mut output, mut rest, mut seen) = (String::new(), page, BTreeSet::new());
     while let Some(begin) = rest.find(BEGIN) {
         let name = rest[begin + BEGIN.len()..].split(" -->").next().unwrap_or_default();
-        let content = section_content(name, &records).ok_or_else(|| PageError::UnknownMarker(name.to_string()))?;
+        let content =
+            section_content(name, &records).ok_or_else(|| PageError::UnknownMarker(name.to_string()))?;
         let end = rest[begin..].find(END).ok_or_else(|| PageError::UnterminatedMarker(name.to_string()))?;
         _ = write!(output, "{}{BEGIN}{name} -->\n{content}{END}", &rest[..begin]);
         seen.insert(name);
@@ -135,7 +138,7 @@
 pub fn draw_plots(folder: &Path) -> Result<Vec<String>, PageError> {
     let records = Records::read(folder)?;
     let mut plotted = Vec::new();
-    for (file, figure, axis) in tables::drawings(&records) {
+    for (file, figure, axis) in tables::plot_files(&records) {
         crate::chart::draw(&folder.join(&file), records.lines(MEASURED_RECORD), axis, figure)?;
         plotted.push(file);
     }
--- a/crates/testbed/src/capacity/numbers.rs
+++ b/crates/testbed/src/capacity/numbers.rs
@@ -1,7 +1,7 @@
 //! Rounding and formatting of the numbers on the page: rounded up, and written out without an exponent.
 
-/// Rounds up to this many significant digits. An excess in the tenth digit is a rounding error of floating-point numbers and
-/// is ignored.
+/// Rounds up to this many significant digits. An excess in the tenth digit is a rounding error of
+/// floating-point numbers and is ignored.
 pub fn round_up(value: f64, digits: i32) -> f64 {
     if value == 0.0 || !value.is_finite() {
         return value;
--- a/crates/testbed/src/capacity/rows/single.rs
+++ b/crates/testbed/src/capacity/rows/single.rs
@@ -1,124 +1,145 @@
 //! The row of a calm figure at one size of one axis: measured there, or predicted by the fit over the axis.
 
 use super::{
-    AT_ANOTHER, About, Curve, NO_FIGURE, Row, Single, cite, empty, held, held_with_both, is_beside,
-    is_held_below, prefix,
+    AxisRow, Curve, NO_VALUE, OTHER_PERIOD_SUFFIX, Row, RunSelection, basis_prefix, citation, held_text,
+    is_held_below, is_other_period, sizes_besides_axes, unmeasured_row,
 };
 use crate::capacity::asks::{Requirement, TargetSize};
 use crate::capacity::numbers::{format_number, round_up, round_up_to_thousandth};
 use crate::fit;
 use crate::record::{Axis, Fit, Form, Sizes};
 
-/// The figure of a question at one size of one axis. `others` are the sizes that the question asks of all axes.
-pub(super) fn single(ask: &Requirement, about: About<'_>, over: TargetSize, others: &[TargetSize]) -> Single {
-    let axis = over.axis();
-    let wanted = match over {
+/// Returns the row of a requirement at one size of one axis. `others` are the sizes of the requirement on all
+/// axes.
+pub(super) fn axis_row(
+    requirement: &Requirement,
+    selection: RunSelection<'_>,
+    target_size: TargetSize,
+    all_sizes: &[TargetSize],
+) -> AxisRow {
+    let axis = target_size.axis();
+    let requested_size = match target_size {
         TargetSize::OnAxis(_, size) => size,
         TargetSize::PerInstance { followers, .. } => followers,
     };
-    let mut row = empty(ask);
-    row.record =
-        cite(about.record, about.figure, about.mode, &format!("over {}", axis.name()), about.program);
-    let Some(played) = about.points(axis) else {
-        row.at = format!("{} {}", format_number(round_up(wanted, 6)), axis.name());
+    let mut row = unmeasured_row(requirement);
+    row.record = citation(
+        selection.record,
+        selection.figure,
+        selection.mode,
+        &format!("over {}", axis.name()),
+        selection.program,
+    );
+    let Some(points) = selection.points(axis) else {
+        row.at = format!("{} {}", format_number(round_up(requested_size, 6)), axis.name());
         row.error = "no run".to_string();
-        return Single { row, curve: None, held: None, size: wanted };
+        return AxisRow { row, curve: None, held: None, size: requested_size };
     };
-    let held_at = played.fixed_sizes.clone();
-    let size = over.size(held_at.control);
-    place_row(&mut row, over, others, &held_at, about.figure);
-    let fit = match about.fit(axis) {
+    let held_sizes = points.fixed_sizes.clone();
+    let size = target_size.size(held_sizes.control);
+    set_place(&mut row, target_size, all_sizes, &held_sizes, selection.figure);
+    let fit = match selection.fit(axis) {
         Ok(fit) => Some(fit),
-        Err(unfit) => {
-            row.error = no_fit(&unfit);
+        Err(error) => {
+            row.error = missing_fit_text(&error);
             None
         }
     };
     let is_product = fit.as_ref().is_some_and(|fit| fit.form == Form::Product);
-    let other = is_product.then(|| other_factor(axis, others, &held_at));
-    let target = Target { axis, size, other, played: &played };
+    let other = is_product.then(|| other_factor(axis, all_sizes, &held_sizes));
+    let target = Target { axis, size, other, points: &points };
     let usable = fit.as_ref().filter(|fit| fit.is_usable());
-    let curve = usable.map(|fit| Curve::of(fit, &played.points, size, target.place()));
-    let curve = if let Some(point) = played.points.iter().find(|point| point.size == size) {
-        measure_row(&mut row, point, &held_at);
+    let curve = usable.map(|fit| Curve::new(fit, &points.points, size, target.form_input()));
+    let curve = if let Some(point) = points.points.iter().find(|point| point.size == size) {
+        set_measured(&mut row, point, &held_sizes);
         curve
     } else if let Some(fit) = fit {
-        predict_row(&mut row, &fit, curve, &target)
+        set_predicted(&mut row, &fit, curve, &target)
     } else {
         None
     };
-    Single { row, curve, held: Some(held_at), size }
+    AxisRow { row, curve, held: Some(held_sizes), size }
 }
 
-/// The size that a row is asked for.
+/// The size that a row is for.
 struct Target<'a> {
     axis: Axis,
     size: f64,
-    /// Of a product, the other axis and its size.
+    /// For a product, the other axis and its size.
     other: Option<(Axis, f64)>,
-    played: &'a fit::Points,
+    points: &'a fit::Points,
 }
 
 impl Target<'_> {
-    /// What the form of a fit takes.
-    fn place(&self) -> f64 {
+    /// Returns the argument for the form of the fit.
+    fn form_input(&self) -> f64 {
         self.size * self.other.map_or(1.0, |(_, factor)| factor)
     }
 }
 
-/// Enters at what size the row is, what was held beside it, and how far that is from the target.
-fn place_row(row: &mut Row, over: TargetSize, others: &[TargetSize], held_at: &Sizes, figure: &str) {
-    let axis = over.axis();
-    let size = over.size(held_at.control);
-    let at = match over {
+/// Sets the size of the row, the sizes held, and the flags that say how these differ from the target.
+fn set_place(
+    row: &mut Row,
+    target_size: TargetSize,
+    all_sizes: &[TargetSize],
+    held_sizes: &Sizes,
+    figure: &str,
+) {
+    let axis = target_size.axis();
+    let size = target_size.size(held_sizes.control);
+    let at = match target_size {
         TargetSize::PerInstance { followers, .. } => {
-            let (each, instances) = (format_number(round_up(followers, 6)), held_at.control);
+            let (each, instances) = (format_number(round_up(followers, 6)), held_sizes.control);
             format!("{each} routers an instance, {} before {instances}", format_number(size))
         }
         TargetSize::OnAxis(..) => format!("{} {}", format_number(size), axis.name()),
     };
-    row.at = format!("{at}; {} held", held(held_at, axis));
-    row.is_beside = is_beside(held_at, figure);
-    row.is_below = is_held_below(held_at, axis, others);
-    row.is_of_others = others
+    row.at = format!("{at}; {} held", held_text(held_sizes, axis));
+    row.is_other_period = is_other_period(held_sizes, figure);
+    row.is_below_target = is_held_below(held_sizes, axis, all_sizes);
+    row.has_other_instances = all_sizes
         .iter()
-        .any(|over| matches!(over, TargetSize::PerInstance { machines, .. } if *machines != held_at.control as f64));
+        .any(|target_size| matches!(target_size, TargetSize::PerInstance { machines, .. } if *machines != held_sizes.control as f64));
 }
 
-/// Why there is no fit, as the row says it.
-fn no_fit(unfit: &fit::FitError) -> String {
-    match unfit {
+/// Returns the reason for a missing fit, as the row shows it.
+fn missing_fit_text(error: &fit::FitError) -> String {
+    match error {
         fit::FitError::TooFew { sizes, .. } => format!("sizes played: {sizes}, needed: {}", fit::MIN_SIZES),
         fit::FitError::Regression { .. } => "no fit".to_string(),
     }
 }
 
-/// The other axis of a product, and its size: the one that is asked for, or else the one that was held.
-fn other_factor(axis: Axis, others: &[TargetSize], held_at: &Sizes) -> (Axis, f64) {
+/// Returns the other axis of a product and its size: the one that the requirement names, or else the one that
+/// was held.
+fn other_factor(axis: Axis, all_sizes: &[TargetSize], held_sizes: &Sizes) -> (Axis, f64) {
     let other = if axis == Axis::Routers { Axis::Databases } else { Axis::Routers };
-    let wanted = others.iter().find(|over| over.axis() == other).map(|over| over.size(held_at.control));
-    (other, wanted.unwrap_or_else(|| fit::size_on_axis(held_at, other)))
+    let requested_size = all_sizes
+        .iter()
+        .find(|target_size| target_size.axis() == other)
+        .map(|target_size| target_size.size(held_sizes.control));
+    (other, requested_size.unwrap_or_else(|| fit::size_on_axis(held_sizes, other)))
 }
 
-/// What a basis says behind its name.
+/// Returns the suffix of the basis, which marks runs with another probe period.
 fn basis_suffix(row: &Row) -> &'static str {
-    if row.is_beside { AT_ANOTHER } else { "" }
+    if row.is_other_period { OTHER_PERIOD_SUFFIX } else { "" }
 }
 
-/// Enters the most that was played at this very size.
-fn measure_row(row: &mut Row, point: &fit::Point, held_at: &Sizes) {
+/// Sets the largest figure that was measured at exactly this size.
+fn set_measured(row: &mut Row, point: &fit::Point, held_sizes: &Sizes) {
     row.sum = "played".to_string();
     row.figure = Some(round_up(point.max, 3));
-    let basis = format!("{}measured", prefix(held_at)).replace("simulated: measured", "simulated");
+    let basis = format!("{}measured", basis_prefix(held_sizes)).replace("simulated: measured", "simulated");
     row.basis = format!("{basis}{}", basis_suffix(row));
-    row.error = NO_FIGURE.to_string();
+    row.error = NO_VALUE.to_string();
 }
 
-/// Enters what the curve says of the size, if it may be said. Returns the curve then.
-fn predict_row(row: &mut Row, fit: &Fit, curve: Option<Curve>, target: &Target<'_>) -> Option<Curve> {
-    let missed = if fit.predicted < fit.measured { "under" } else { "over" };
+/// Sets the figure that the curve predicts. Without a usable prediction, sets the reason and returns `None`.
+fn set_predicted(row: &mut Row, fit: &Fit, curve: Option<Curve>, target: &Target<'_>) -> Option<Curve> {
+    let direction = if fit.predicted < fit.measured { "under" } else { "over" };
     row.error = format!(
-        "{missed} by {} at {}",
+        "{direction} by {} at {}",
         format_number(round_up_to_thousandth(fit.relative_error)),
         format_number(fit.largest_size)
     );
@@ -126,7 +147,7 @@
         row.error += ": the form is wrong";
         return None;
     };
-    if let Some(failed) = target.played.first_uncalibrated_beyond().filter(|_| target.size > fit.largest_size)
+    if let Some(failed) = target.points.first_uncalibrated_beyond().filter(|_| target.size > fit.largest_size)
     {
         row.error +=
             &format!("; calibration failed at {}, and nothing is known beyond", format_number(failed));
@@ -135,16 +156,16 @@
     if curve.held.is_some() {
         row.error += "; held at the most played";
     } else if let (Form::Product, Some(other)) = (curve.form, target.other) {
-        place_product(row, target, other);
+        set_product_place(row, target, other);
     }
     row.sum = predicted_sum(&curve, target);
-    row.figure = Some(round_up(curve.at(target.place()), 3));
-    row.basis = format!("{}predicted{}", prefix(&target.played.fixed_sizes), basis_suffix(row));
+    row.figure = Some(round_up(curve.at(target.form_input()), 3));
+    row.basis = format!("{}predicted{}", basis_prefix(&target.points.fixed_sizes), basis_suffix(row));
     Some(curve)
 }
 
-/// Enters both sizes of a product, neither of which was held.
-fn place_product(row: &mut Row, target: &Target<'_>, (other, factor): (Axis, f64)) {
+/// Sets both sizes of a product. Neither of them was held.
+fn set_product_place(row: &mut Row, target: &Target<'_>, (other, factor): (Axis, f64)) {
     row.at = format!(
         "{} {}, {} {}",
         format_number(target.size),
@@ -152,15 +173,15 @@
         format_number(factor),
         other.name()
     );
-    let rest = held_with_both(&target.played.fixed_sizes).join(", ");
-    row.at += &if rest.is_empty() { rest } else { format!("; {rest} held") };
-    row.is_below = false;
+    let other_sizes = sizes_besides_axes(&target.points.fixed_sizes).join(", ");
+    row.at += &if other_sizes.is_empty() { other_sizes } else { format!("; {other_sizes} held") };
+    row.is_below_target = false;
 }
 
-/// The sum of which a predicted figure is the result.
+/// Returns the sum that gives a predicted figure.
 fn predicted_sum(curve: &Curve, target: &Target<'_>) -> String {
     if curve.held.is_some() {
-        return format_number(curve.at(target.place()));
+        return format_number(curve.at(target.form_input()));
     }
     let size = format_number(target.size);
     let offset = format_number(curve.offset);
--- a/crates/testbed/src/capacity/tables.rs
+++ b/crates/testbed/src/capacity/tables.rs
@@ -1,4 +1,4 @@
-//! The page's tables, in Markdown.
+//! The tables of the capacity page in Markdown.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write as _;
@@ -6,88 +6,97 @@
 use super::Records;
 use super::asks::{MEASURED_RECORD, PLOTS, SECTIONS, Sharing, Source, requirements};
 use super::numbers::{format_number, round_up, round_up_to_thousandth};
-use super::rows::{HEAD, Ratio, Row, rows};
+use super::rows::{Ratio, Row, TABLE_HEAD, rows};
 use crate::fit::{self, MAX_RELATIVE_ERROR};
 use crate::record::{self, Axis, Form, Line, Mode, Sizes};
 
-/// What stands for a program without a name.
-const FIRST: &str = "–";
+/// Shown in place of the name of the first program version, which has none.
+const UNNAMED_PROGRAM: &str = "–";
 
-/// The rows of a section.
+/// Returns the table of a section.
 pub fn table(section: &str, records: &Records) -> String {
-    let lines = requirements(section).into_iter().flat_map(|ask| rows(&ask, records)).map(|row| row.line());
-    HEAD.to_string() + &lines.collect::<String>()
+    let lines = requirements(section)
+        .into_iter()
+        .flat_map(|requirement| rows(&requirement, records))
+        .map(|row| row.to_markdown());
+    TABLE_HEAD.to_string() + &lines.collect::<String>()
 }
 
-/// What is over its budget, the worst first, and what nobody knows.
-pub fn missing(sides: &[Sharing], records: &Records) -> String {
-    let mut over = Vec::<(Ratio, &str, Row)>::new();
-    let (mut unknown, mut unjudged) = (Vec::new(), Vec::new());
+/// Lists the requirements over their budgets, the largest ratio first, then those without a ratio and those
+/// not measured.
+pub fn missing(sharing: &[Sharing], records: &Records) -> String {
+    let mut over_budget = Vec::<(Ratio, &str, Row)>::new();
+    let (mut not_measured, mut without_ratio) = (Vec::new(), Vec::new());
     for (section, when) in SECTIONS {
-        for ask in requirements(section).iter().filter(|ask| sides.contains(&ask.sharing)) {
-            let rows = rows(ask, records);
+        for requirement in
+            requirements(section).iter().filter(|requirement| sharing.contains(&requirement.sharing))
+        {
+            let rows = rows(requirement, records);
             let worst = rows.iter().filter_map(|row| Some((row.ratio()?, row)));
-            match worst.max_by(|one, other| one.0.is.total_cmp(&other.0.is)) {
-                Some((ratio, row)) if ratio.is > 1.0 => over.push((ratio, when, row.clone())),
+            match worst.max_by(|one, other| one.0.value.total_cmp(&other.0.value)) {
+                Some((ratio, row)) if ratio.value > 1.0 => over_budget.push((ratio, when, row.clone())),
                 Some(_) => {}
                 None if rows.iter().all(|row| row.figure.is_none()) => {
-                    unknown.push(format!("{}: {} ({when})", ask.role, ask.quantity));
+                    not_measured.push(format!("{}: {} ({when})", requirement.role, requirement.quantity));
                 }
-                None if rows.iter().any(Row::is_unjudged) => {
-                    unjudged.push(format!("{}: {} ({when})", ask.role, ask.quantity));
+                None if rows.iter().any(Row::lacks_ratio) => {
+                    without_ratio.push(format!("{}: {} ({when})", requirement.role, requirement.quantity));
                 }
                 None => {}
             }
         }
     }
-    over.sort_by(|one, other| other.0.is.total_cmp(&one.0.is));
-    let mut told =
+    over_budget.sort_by(|one, other| other.0.value.total_cmp(&one.0.value));
+    let mut text =
         "| ratio | role | what | when | basis | mechanism |\n| --- | --- | --- | --- | --- | --- |\n"
             .to_string();
-    for (ratio, when, row) in &over {
-        let ratio = ratio.told();
+    for (ratio, when, row) in &over_budget {
+        let ratio = ratio.to_text();
         _ = writeln!(
-            told,
+            text,
             "| {ratio} | {} | {} | {when} | {} | {} |",
-            row.role, row.what, row.basis, row.mechanism
+            row.role, row.quantity, row.basis, row.mechanism
         );
     }
-    match over.first() {
+    match over_budget.first() {
         Some((ratio, when, row)) => {
-            let (ratio, by) = (ratio.told(), &row.record);
+            let (ratio, by) = (ratio.to_text(), &row.record);
             _ = writeln!(
-                told,
+                text,
                 "\nFirst: {}, {} ({when}): {ratio} times its budget ({}; {by}).",
-                row.role, row.what, row.basis
+                row.role, row.quantity, row.basis
             );
         }
-        None => told += "\nNothing that is known is over its budget.\n",
+        None => text += "\nNothing that is known is over its budget.\n",
     }
-    if !unjudged.is_empty() {
+    if !without_ratio.is_empty() {
         _ = writeln!(
-            told,
+            text,
             "\nKnown below the target, before other instances or at another period alone, so that the budget judges nothing: {}.",
-            unjudged.join("; ")
+            without_ratio.join("; ")
         );
     }
-    if !unknown.is_empty() {
-        _ = writeln!(told, "\nNot measured: {}.", unknown.join("; "));
+    if !not_measured.is_empty() {
+        _ = writeln!(text, "\nNot measured: {}.", not_measured.join("; "));
     }
-    told
+    text
 }
 
-/// The fits that the rows look at, each once.
+/// Returns the table of the fits that the rows use, each once.
 pub fn slopes(records: &Records) -> String {
-    let mut told = "| record | program | figure | mode | over | form | slope | offset | fitted | residual | spread | largest | predicted | played | error | used |\n\
+    let mut text = "| record | program | figure | mode | over | form | slope | offset | fitted | residual | spread | largest | predicted | played | error | used |\n\
          | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n"
         .to_string();
     let mut seen = BTreeSet::new();
     for (section, _) in SECTIONS {
-        for ask in requirements(section) {
-            let Source::CalmRuns { record, mode, figure, over } = ask.source else { continue };
+        for requirement in requirements(section) {
+            let Source::CalmRuns { record, mode, figure, target_sizes } = requirement.source else {
+                continue;
+            };
             let lines = records.lines(record);
-            let all =
-                over.iter().flat_map(|over| fit::programs(lines).into_iter().map(|of| (over.axis(), of)));
+            let all = target_sizes.iter().flat_map(|target_size| {
+                fit::programs(lines).into_iter().map(|program| (target_size.axis(), program))
+            });
             for (axis, program) in all {
                 let Ok(fit) = fit::fit_program(lines, program, axis, mode, figure) else { continue };
                 if !seen.insert((record, program, figure, mode, axis)) {
@@ -100,13 +109,13 @@
                     Form::Square => "n²",
                     Form::Product => "n·m",
                 };
-                // What an offset's binary form leaves of nothing is nothing.
+                // An offset this small beside the figure is a floating-point rounding error of zero.
                 let offset = if fit.offset.abs() < fit.measured.abs() * 1e-9 { 0.0 } else { fit.offset };
-                let [slope, offset] = [fit.slope, offset].map(|is| format_number(round_up(is, 6)));
+                let [slope, offset] = [fit.slope, offset].map(|value| format_number(round_up(value, 6)));
                 let [residual, spread, error] = [fit.residual, fit.spread, fit.relative_error]
-                    .map(|is| format_number(round_up_to_thousandth(is)));
+                    .map(|value| format_number(round_up_to_thousandth(value)));
                 let [predicted, played] =
-                    [fit.predicted, fit.measured].map(|is| format_number(round_up(is, 4)));
+                    [fit.predicted, fit.measured].map(|value| format_number(round_up(value, 4)));
                 let failed = fit::points_of_program(lines, program, axis, mode, figure);
                 let failed = failed.and_then(|points| points.first_uncalibrated_beyond());
                 let used = match failed {
@@ -114,9 +123,9 @@
                     Some(failed) => format!("not beyond: calibration failed at {}", format_number(failed)),
                     None => "yes".to_string(),
                 };
-                let program = program.unwrap_or(FIRST);
+                let program = program.unwrap_or(UNNAMED_PROGRAM);
                 _ = writeln!(
-                    told,
+                    text,
                     "| {record} | {program} | {figure} | {} | {} | {form} | {slope} | {offset} | {} | {residual} | {spread} | {} | {predicted} | {played} | {error} | {used} |",
                     mode.name(),
                     axis.name(),
@@ -126,42 +135,42 @@
             }
         }
     }
-    told
+    text
 }
 
-/// The drawings that there are points for, by their files' names.
-pub fn drawings(records: &Records) -> Vec<(String, &'static str, Axis)> {
-    let is_played = |figure: &str, axis: Axis| {
+/// Returns the plots for which there are enough points: file name, figure and axis.
+pub fn plot_files(records: &Records) -> Vec<(String, &'static str, Axis)> {
+    let has_enough_points = |figure: &str, axis: Axis| {
         let sizes = |mode| {
             fit::newest_points(records.lines(MEASURED_RECORD), axis, mode, figure)
-                .map_or(0, |of| of.points.len())
+                .map_or(0, |points| points.points.len())
         };
         Mode::ALL.into_iter().any(|mode| sizes(mode) >= fit::MIN_SIZES)
     };
     let name =
         |figure: &str| figure.split('+').next().unwrap_or_default().replace("_in_s", "").replace('_', "-");
-    let drawn = PLOTS.into_iter().filter(|(figure, axis)| is_played(figure, *axis));
-    drawn
+    let available = PLOTS.into_iter().filter(|(figure, axis)| has_enough_points(figure, *axis));
+    available
         .map(|(figure, axis)| (format!("scale-{}-{}.svg", name(figure), axis.name()), figure, axis))
         .collect()
 }
 
-/// Links to the drawings.
+/// Returns links to the plots.
 pub fn plots(records: &Records) -> String {
-    let drawn = drawings(records);
+    let available = plot_files(records);
     let link = |(file, figure, axis): &(String, &str, Axis)| {
         format!("![{figure} over {}](measurements/{file})\n", axis.name())
     };
-    if drawn.is_empty() {
+    if available.is_empty() {
         "Nothing was played at enough sizes.\n".to_string()
     } else {
-        drawn.iter().map(link).collect()
+        available.iter().map(link).collect()
     }
 }
 
-/// What was played, and which bounds of a run were broken.
+/// Returns the table of the runs, with the bounds that they broke.
 pub fn runs(records: &Records) -> String {
-    let mut told =
+    let mut text =
         "| record | program | mode | fault | runs | routers | databases | instances | bounds broken |\n\
          | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n"
             .to_string();
@@ -169,7 +178,7 @@
         let mut groups = BTreeMap::<(&str, Mode, &str), Vec<(&Sizes, &[record::Bound])>>::new();
         for line in lines {
             if let Line::Run { fault, program, sizes, bounds, .. } = line {
-                let program = program.as_deref().unwrap_or(FIRST);
+                let program = program.as_deref().unwrap_or(UNNAMED_PROGRAM);
                 groups
                     .entry((program, sizes.mode, fault.as_deref().unwrap_or("calm")))
                     .or_default()
@@ -177,9 +186,9 @@
             }
         }
         for ((program, mode, fault), runs) in groups {
-            let span = |of: fn(&Sizes) -> usize| {
+            let span = |size: fn(&Sizes) -> usize| {
                 let (least, most) = runs.iter().fold((usize::MAX, 0), |(low, high), (sizes, _)| {
-                    (low.min(of(sizes)), high.max(of(sizes)))
+                    (low.min(size(sizes)), high.max(size(sizes)))
                 });
                 if least == most {
                     format_number(most as f64)
@@ -191,14 +200,15 @@
                 bounds.iter().filter(|bound| !bound.held).map(|bound| {
                     let (routers, databases) =
                         (format_number(sizes.routers as f64), format_number(sizes.databases as f64));
-                    let [is, most] = [bound.value, bound.limit].map(|is| format_number(round_up(is, 4)));
-                    format!("{} {is} for {most} at {routers} × {databases}", bound.figure)
+                    let [value, limit] =
+                        [bound.value, bound.limit].map(|value| format_number(round_up(value, 4)));
+                    format!("{} {value} for {limit} at {routers} × {databases}", bound.figure)
                 })
             });
             let broken: Vec<String> = broken.collect();
             let broken = if broken.is_empty() { "none".to_string() } else { broken.join("; ") };
             _ = writeln!(
-                told,
+                text,
                 "| {record} | {program} | {} | {fault} | {} | {} | {} | {} | {broken} |",
                 mode.name(),
                 runs.len(),
@@ -208,5 +218,5 @@
             );
         }
     }
-    told
+    text
 }
--- a/crates/testbed/src/fit.rs
+++ b/crates/testbed/src/fit.rs
@@ -219,7 +219,8 @@
     let count = |runs_by_size: &BTreeMap<u64, Runs<'_>>| {
         runs_by_size.values().filter(|runs| !runs.calibrated.is_empty()).count()
     };
-    let (_, mut runs_by_size) = series.into_iter().max_by_key(|(key, runs_by_size)| (count(runs_by_size), *key))?;
+    let (_, mut runs_by_size) =
+        series.into_iter().max_by_key(|(key, runs_by_size)| (count(runs_by_size), *key))?;
     let failed =
         runs_by_size.iter().filter(|(_, runs)| runs.calibrated.is_empty() && !runs.uncalibrated.is_empty());
     let uncalibrated = failed.map(|(size, _)| f64::from_bits(*size)).collect();
@@ -340,8 +341,8 @@
     Ok(relative_deviation((squares / points.len() as f64).sqrt(), mean))
 }
 
-/// Returns whether a product is used instead of a sum. The sum has one slope more, so it is used only if its error is below
-/// [`EXTRA_SLOPE_ERROR_RATIO`] of the product's.
+/// Returns whether a product is used instead of a sum. The sum has one slope more, so it is used only if its
+/// error is below [`EXTRA_SLOPE_ERROR_RATIO`] of the product's.
 fn is_product(product: &[(f64, f64)], points: &[Point]) -> Result<bool, linregress::Error> {
     let error = cross_validation_error(Form::Product, product)?;
     Ok(error < ROUNDING_ERROR || sum_cross_validation_error(points)? >= error * EXTRA_SLOPE_ERROR_RATIO)
@@ -384,7 +385,8 @@
     name: &str,
 ) -> Result<Fit, FitError> {
     let too_few = |sizes| FitError::TooFew { figure: name.to_string(), axis, mode, sizes };
-    let measured_points = points_of_program(lines, wanted_program, axis, mode, name).ok_or_else(|| too_few(0))?;
+    let measured_points =
+        points_of_program(lines, wanted_program, axis, mode, name).ok_or_else(|| too_few(0))?;
     let Points { program, fixed_sizes: held_sizes, points: all, .. } = measured_points;
     if all.len() < MIN_SIZES {
         return Err(too_few(all.len()));
