--- a/crates/testbed/tests/capacity/made_up_records.rs
+++ b/crates/testbed/tests/capacity/made_up_records.rs
@@ -1,4 +1,4 @@
-//! Records that are made up for a test, and pages made of them.
+//! Made-up records for tests, and pages generated from them.
 
 use std::collections::BTreeMap;
 use std::path::PathBuf;
@@ -8,25 +8,26 @@
 use quillpoint_testbed::fit::fit_all;
 use quillpoint_testbed::record::{Line, Mode, Sizes, write};
 
-use crate::page_checker::{page, rows};
+use crate::page_checker::{page, parse_rows};
 
-/// A folder of its own, gone with its owner.
-pub struct Folder(pub PathBuf);
+/// A temporary folder that is removed when the value is dropped.
+pub struct TempFolder(pub PathBuf);
 
-impl Folder {
+impl TempFolder {
     pub fn new(name: &str) -> Self {
         let path = std::env::temp_dir().join(format!("quillpoint-capacity-{name}-{}", std::process::id()));
-        std::fs::create_dir_all(&path).expect("a folder");
+        std::fs::create_dir_all(&path).expect("the folder can be created");
         Self(path)
     }
 }
 
-impl Drop for Folder {
+impl Drop for TempFolder {
     fn drop(&mut self) {
         _ = std::fs::remove_dir_all(&self.0);
     }
 }
 
+/// Returns one run with these sizes and figures.
 pub fn run(
     mode: Mode,
     routers: usize,
@@ -52,16 +53,18 @@
             seed: 1,
             seconds: 10.0,
         },
-        figures: figures.iter().map(|(name, is)| ((*name).to_string(), *is)).collect(),
+        figures: figures.iter().map(|(name, value)| ((*name).to_string(), *value)).collect(),
         bounds: Vec::new(),
     }
 }
 
+/// The sizes of the runs on either axis.
 pub const SIZES: [usize; 5] = [250, 500, 1000, 2000, 4000];
 
-/// Runs in which bytes grow with databases under all-to-all sharing and hardly under the feed, in which one control
-/// instance's bytes grow with routers times databases, and whose memory was played at the target.
-pub fn made_up() -> Vec<Line> {
+/// Returns runs in which the bytes of a router grow with databases under all-to-all sharing but hardly with
+/// the feed, the bytes of a control instance grow with routers times databases, and the memory of a router
+/// was measured at the target number of databases.
+pub fn made_up_lines() -> Vec<Line> {
     let mut lines = Vec::new();
     let mut add = |routers: usize, databases: usize| {
         let (n, m) = (routers as f64, databases as f64);
@@ -96,27 +99,31 @@
     lines
 }
 
+/// Appends the fits of the runs.
 pub fn with_fits(mut lines: Vec<Line>) -> Vec<Line> {
     lines.extend(fit_all(&lines).into_iter().map(Line::Fit));
     lines
 }
 
-/// A page made of these records, and where they are.
-pub fn made(name: &str, lines: Vec<Line>) -> (Folder, String) {
-    let folder = Folder::new(name);
-    write(&folder.0.join(MEASURED_RECORD), &with_fits(lines)).expect("written");
-    let page = fill_page(&page(), &folder.0).expect("made");
+/// Generates a page from these runs. Returns the folder of the record and the page.
+pub fn generated_page(name: &str, lines: Vec<Line>) -> (TempFolder, String) {
+    let folder = TempFolder::new(name);
+    write(&folder.0.join(MEASURED_RECORD), &with_fits(lines)).expect("the record can be written");
+    let page = fill_page(&page(), &folder.0).expect("the page can be generated");
     (folder, page)
 }
 
-pub fn row(page: &str, role: &str, what: &str, record: &str) -> BTreeMap<String, String> {
-    let mut rows = rows(page).into_iter();
+/// Returns the row with this role and quantity whose citation ends with `record`.
+pub fn find_row(page: &str, role: &str, what: &str, record: &str) -> BTreeMap<String, String> {
+    let mut rows = parse_rows(page).into_iter();
     let found =
         rows.find(|row| row["role"] == role && row["what"] == what && row["record"].ends_with(record));
-    found.unwrap_or_else(|| panic!("no row {role}, {what}, {record}"))
+    found.unwrap_or_else(|| {
+        panic!("the page has no row with role {role}, quantity {what} and record {record}")
+    })
 }
 
-/// Runs by a program of this name.
+/// Returns the runs as those of a program version with this name.
 pub fn by_program(name: &str, mut lines: Vec<Line>) -> Vec<Line> {
     for line in &mut lines {
         if let Line::Run { program, .. } = line {
@@ -126,14 +133,14 @@
     lines
 }
 
-/// A cell of one row changed, and all else left.
-pub fn changed(page: &str, row: &BTreeMap<String, String>, cell: &str, to: &str) -> String {
+/// Returns the page with one cell of a row replaced.
+pub fn with_cell(page: &str, row: &BTreeMap<String, String>, cell: &str, to: &str) -> String {
     let columns =
         ["role", "what", "at", "sum", "figure", "budget", "ratio", "basis", "error", "record", "mechanism"];
     let line =
         |row: &BTreeMap<String, String>| format!("| {} |", columns.map(|name| row[name].clone()).join(" | "));
     let old = line(row);
-    assert!(page.contains(&old), "{old}");
+    assert!(page.contains(&old), "the page lacks the row {old}");
     let mut row = row.clone();
     row.insert(cell.to_string(), to.to_string());
     page.replace(&old, &line(&row))
--- a/crates/testbed/tests/capacity/main.rs
+++ b/crates/testbed/tests/capacity/main.rs
@@ -1,6 +1,6 @@
-//! docs/CAPACITY.md is what its records say: made anew it is the same, and each row, read as a reader would, holds by
-//! itself. The checks of rows share nothing with the generator but the fit; that they can fail is shown on records made
-//! up for it.
+//! Tests that docs/CAPACITY.md agrees with its records: generating it again changes nothing, and each row is
+//! correct by itself, as a reader would check it. The checks of rows share no code with the generator but the
+//! fits. Tests on made-up records show that the checks can fail.
 
 mod faults_found;
 mod made_up_records;
--- a/crates/testbed/tests/report.rs
+++ b/crates/testbed/tests/report.rs
@@ -1,4 +1,4 @@
-//! A run is held against its bounds and those before it, and its record says so.
+//! A run is checked against its bounds and against earlier runs, and the record contains the results.
 
 use std::collections::BTreeMap;
 
@@ -25,7 +25,7 @@
             seed: 1,
             seconds: 8.0,
         },
-        figures: figures.map(|(name, is)| (name.to_string(), is)).into(),
+        figures: figures.map(|(name, value)| (name.to_string(), value)).into(),
         bounds: Vec::new(),
     }
 }
@@ -37,23 +37,24 @@
     }
 }
 
+/// Guards against a bound between two runs, or a tightened bound, that is checked but missing in the record.
 #[test]
-fn what_holds_between_two_runs_stands_in_the_record_of_the_later() {
+fn a_bound_between_two_runs_is_recorded_with_the_later_run() {
     let path = std::env::temp_dir().join(format!("quillpoint-report-{}.jsonl", std::process::id()));
     _ = std::fs::remove_file(&path);
     let tighter = [("router_bytes_in_s".to_string(), 3500.0)];
     let mut played = Played { lines: Vec::new(), tighter: &tighter, record: Some(&path), quiet: true };
     for line in [run(250, 3400.0), run(500, 4800.0), run(2000, 9000.0)] {
-        played.enter(line).expect("written");
+        played.enter(line).expect("the record can be written");
     }
-    let written = read(&path).expect("a record");
+    let written = read(&path).expect("the record can be read");
     _ = std::fs::remove_file(&path);
     assert_eq!(written, played.lines);
     let name = "bytes_at_twice_the_databases";
-    let told: Vec<Option<(f64, bool)>> =
+    let growth: Vec<Option<(f64, bool)>> =
         written.iter().map(|line| Some((bounds(line).get(name)?.value, bounds(line)[name].held))).collect();
-    // 4,900 beside 3,500 bytes; nothing was played at half of 2,000.
-    assert_eq!(told, [None, Some((1.4, false)), None]);
+    // 4,900 bytes compared with 3,500; there is no run at half of 2,000 databases.
+    assert_eq!(growth, [None, Some((1.4, false)), None]);
     assert!(written.iter().all(|line| bounds(line).contains_key("router_bytes_in_s")));
     assert!(bounds(&written[0])["router_bytes_in_s"].held && !bounds(&written[1])["router_bytes_in_s"].held);
 }
