--- a/crates/testbed/src/chart.rs
+++ b/crates/testbed/src/chart.rs
@@ -39,5 +39,5 @@
         plotted.push(plot::Line { name: format!("{}, {}{suffix}", mode.name(), formula(&fit)), points });
     }
     let title = format!("{figure} over {}", axis.name());
-    plot::lines(path, &Axes { title: &title, x: axis.name(), y: figure }, &plotted)
+    plot::write_svg(path, &Axes { title: &title, x: axis.name(), y: figure }, &plotted)
 }
