--- a/crates/testbed/src/capacity/rows.rs
+++ b/crates/testbed/src/capacity/rows.rs
@@ -263,11 +263,11 @@
 /// Numbers of routers and databases.
 type Place = (f64, f64);
 
-/// Combines the fits over routers and over databases to a figure at target sizes of both. The figure is `one
-/// + other + both - base`, where `base` is the figure at the sizes at which both axes were held. `both` is
-/// the largest part that can grow with routers and databases together, which no run along a single axis
-/// shows. If that part is `c` times one form times the other, the slope over either axis includes its share
-/// of it, so the smaller of the two growths limits it.
+/// The fits over routers and over databases, combined to predict a figure at target sizes of both axes as
+/// `first + second + both - base`. Here `base` is the figure at the sizes at which both axes were held, and
+/// `both` is the largest part that can grow with routers and databases together, which no run along a single
+/// axis shows. If that part is `c` times one form times the other, the slope over either axis includes its
+/// share of it, so the smaller of the two growths limits it.
 struct CombinedAxes {
     both: f64,
     base: f64,
