--- a/crates/router/src/command.rs
+++ b/crates/router/src/command.rs
@@ -88,7 +88,7 @@
     // The log format is set in quillpoint.conf. Logging starts before the rest is read, which may log
     // warnings.
     let conf = runtime_config::read_conf(files)?;
-    let format = match conf.as_ref().and_then(|conf| conf.word("", "", "log")) {
+    let format = match conf.as_ref().and_then(|conf| conf.text("", "", "log")) {
         Some("json") => LogFormat::Json,
         _ => LogFormat::Text,
     };
--- a/crates/testbed/src/bin/databases.rs
+++ b/crates/testbed/src/bin/databases.rs
@@ -1,16 +1,16 @@
-//! A process of stand-in databases: the plan as the first line of the standard input, then orders; reports on the
-//! output.
+//! `scale-databases`: a process of stand-in databases. Reads its plan as the first line of standard input and
+//! commands from the following lines; writes reports to standard output.
 
 use std::process::ExitCode;
 use std::rc::Rc;
 
 use async_executor::LocalExecutor;
-use quillpoint_testbed::scale::{databases, orders};
+use quillpoint_testbed::scale::{commands, databases};
 
 fn main() -> ExitCode {
     let executor = Rc::new(LocalExecutor::new());
-    orders::main_of("databases", |plan, orders| {
-        let serving = databases::serve(plan, orders, orders::say, Rc::clone(&executor));
-        async_io::block_on(executor.run(serving))
+    commands::run_stand_in("databases", |plan, commands| {
+        let serve = databases::serve(plan, commands, commands::write_report, Rc::clone(&executor));
+        async_io::block_on(executor.run(serve))
     })
 }
--- a/crates/testbed/src/bin/duties.rs
+++ b/crates/testbed/src/bin/duties.rs
@@ -1,5 +1,6 @@
-//! `measure/duties`: three router processes share probing among stand-ins while they are killed, stopped, cut off one
-//! way, restarted all at once and told to stop. Prints one JSON line last, and fails where a bound is broken.
+//! `measure/duties`: three router processes share health checks among stand-ins while they are killed,
+//! paused, cut off in one direction, all restarted at once, and terminated. Prints one JSON line at the end,
+//! and fails if a bound is broken.
 
 use std::io::Write;
 use std::net::SocketAddr;
@@ -11,10 +12,10 @@
 
 use lexopt::prelude::{Long, ValueExt};
 use quillpoint_testbed::duties::ROUTERS;
-use quillpoint_testbed::duties::bench::{Bench, used};
-use quillpoint_testbed::duties::figures::{Figures, Found};
+use quillpoint_testbed::duties::bench::{Bench, cpu_used};
+use quillpoint_testbed::duties::figures::{Figures, Findings};
 use quillpoint_testbed::duties::gap_plot::plot;
-use quillpoint_testbed::duties::rpc_costs::{contrast, first_reads};
+use quillpoint_testbed::duties::rpc_costs::{measure_first_reads, measure_rpc_costs};
 use quillpoint_testbed::listing::{DiscoveryServer, Endpoint, endpoint_list_json};
 use quillpoint_testbed::load::{LoadGenerator, Outages, RpcResults};
 use quillpoint_testbed::now;
@@ -24,19 +25,19 @@
 use rand_chacha::ChaCha8Rng;
 use serde_json::Value as Json;
 
-/// A fleet has settled by then.
-const SETTLED: Duration = Duration::from_millis(1500);
+/// How long a fleet takes to settle.
+const SETTLE_TIME: Duration = Duration::from_millis(1500);
 
 const HELP: &str = "\
 Usage: measure/duties [--long] [--seed N] [--record FILE]
 
-  --long          fifty kills, and longer spans between faults
-  --seed N        what is drawn by chance: whom to kill, and when (1)
-  --record FILE   one JSON line for each phase
-  --plot FILE     the longest gap of each second through the kills, as SVG
+  --long          fifty kills and longer phases
+  --seed N        seed of random choices: which router to kill, and when (1)
+  --record FILE   write one JSON line per phase to this file
+  --plot FILE     plot the longest gap of each second during the kills, as SVG
 ";
 
-struct Wanted {
+struct Options {
     long: bool,
     seed: u64,
     program: PathBuf,
@@ -45,8 +46,8 @@
     plot: Option<PathBuf>,
 }
 
-fn wanted() -> Result<Option<Wanted>, lexopt::Error> {
-    let mut wanted = Wanted {
+fn options() -> Result<Option<Options>, lexopt::Error> {
+    let mut options = Options {
         long: false,
         seed: 1,
         program: PathBuf::from("target/release/quillpoint"),
@@ -54,46 +55,46 @@
         record: None,
         plot: None,
     };
-    let mut words = lexopt::Parser::from_env();
-    while let Some(word) = words.next()? {
-        match word {
-            Long("long") => wanted.long = true,
-            Long("seed") => wanted.seed = words.value()?.parse()?,
-            Long("program") => wanted.program = words.value()?.into(),
-            Long("folder") => wanted.folder = words.value()?.into(),
-            Long("record") => wanted.record = Some(words.value()?.into()),
-            Long("plot") => wanted.plot = Some(words.value()?.into()),
+    let mut parser = lexopt::Parser::from_env();
+    while let Some(option) = parser.next()? {
+        match option {
+            Long("long") => options.long = true,
+            Long("seed") => options.seed = parser.value()?.parse()?,
+            Long("program") => options.program = parser.value()?.into(),
+            Long("folder") => options.folder = parser.value()?.into(),
+            Long("record") => options.record = Some(parser.value()?.into()),
+            Long("plot") => options.plot = Some(parser.value()?.into()),
             Long("help") => return Ok(None),
             other => return Err(other.unexpected()),
         }
     }
-    wanted.program = std::fs::canonicalize(&wanted.program).unwrap_or(wanted.program);
-    wanted.folder = std::path::absolute(&wanted.folder).unwrap_or(wanted.folder);
-    Ok(Some(wanted))
+    options.program = std::fs::canonicalize(&options.program).unwrap_or(options.program);
+    options.folder = std::path::absolute(&options.folder).unwrap_or(options.folder);
+    Ok(Some(options))
 }
 
 fn entries<'a>(busy: &'a ReplicaSet, quiet: &'a ReplicaSet, cold: Option<Duration>) -> Vec<Endpoint<'a>> {
-    let entry = |(group, place, node): (u64, usize, &'a Node)| Endpoint {
+    let entry = |(group, index, node): (u64, usize, &'a Node)| Endpoint {
         node,
         group,
-        started: cold.filter(|_| (group, place) == (0, 1)).unwrap_or_default(),
+        started: cold.filter(|_| (group, index) == (0, 1)).unwrap_or_default(),
     };
-    let busy = busy.nodes.iter().enumerate().map(|(place, node)| (0, place, node));
-    let quiet = quiet.nodes.iter().enumerate().map(|(place, node)| (1, place, node));
+    let busy = busy.nodes.iter().enumerate().map(|(index, node)| (0, index, node));
+    let quiet = quiet.nodes.iter().enumerate().map(|(index, node)| (1, index, node));
     busy.chain(quiet).map(entry).collect()
 }
 
 fn kill_and_restart(
     routers: &mut Routers,
     outages: &Outages,
-    place: usize,
+    index: usize,
     down: Duration,
 ) -> std::io::Result<()> {
-    outages.begin(place);
-    routers.kill(place);
+    outages.begin(index);
+    routers.kill(index);
     sleep(down);
-    routers.start(place)?;
-    outages.end(place);
+    routers.start(index)?;
+    outages.end(index);
     Ok(())
 }
 
@@ -101,17 +102,17 @@
     Duration::from_millis(count)
 }
 
-/// A run: its nodes, the list of them, and what was found so far.
+/// A run: its nodes, its endpoint list, and its results so far.
 struct Trial<'a> {
-    wanted: &'a Wanted,
-    chance: ChaCha8Rng,
+    options: &'a Options,
+    rng: ChaCha8Rng,
     bench: Bench,
     listing: DiscoveryServer,
     targets: Json,
-    found: Found,
+    findings: Findings,
 }
 
-/// Routers that share probing, under load.
+/// Running routers, under load.
 struct Fleet {
     routers: Routers,
     addresses: Vec<SocketAddr>,
@@ -120,25 +121,25 @@
 }
 
 impl<'a> Trial<'a> {
-    fn start(wanted: &'a Wanted) -> std::io::Result<Self> {
+    fn start(options: &'a Options) -> std::io::Result<Self> {
         let busy = ReplicaSet::start(&[ms(20), ms(20), ms(5000)])?;
         let quiet = ReplicaSet::start(&[ms(20), ms(20)])?;
         let targets = endpoint_list_json(&entries(&busy, &quiet, None));
         let listing = DiscoveryServer::start(targets.clone())?;
-        let chance = ChaCha8Rng::seed_from_u64(wanted.seed);
+        let rng = ChaCha8Rng::seed_from_u64(options.seed);
         let bench = Bench { busy, quiet, phases: Vec::new() };
-        Ok(Self { wanted, chance, bench, listing, targets, found: Found::default() })
+        Ok(Self { options, rng, bench, listing, targets, findings: Findings::default() })
     }
 
-    /// Starts routers and their load, and lets them settle.
+    /// Starts routers and their load, and waits until they have settled.
     fn fleet(&self, fleet_mode: FleetMode) -> std::io::Result<Fleet> {
         let setting = RoutersConfig {
-            program: &self.wanted.program,
-            directory: &self.wanted.folder,
+            program: &self.options.program,
+            directory: &self.options.folder,
             discovery: &self.listing,
             endpoints: &self.targets,
             fleet_mode,
-            seed: self.wanted.seed,
+            seed: self.options.seed,
             extra_directives: "",
         };
         let mut routers = Routers::new(ROUTERS, &setting)?;
@@ -146,48 +147,49 @@
         let addresses: Vec<_> = routers.all.iter().map(|router| router.address).collect();
         let load = LoadGenerator::start(&addresses, 8, ms(100));
         let outages = Arc::clone(&load.outages);
-        sleep(SETTLED);
+        sleep(SETTLE_TIME);
         Ok(Fleet { routers, addresses, load, outages })
     }
 
-    /// How long a span lasts, in milliseconds: in a short run, and in a long one.
+    /// The duration of a phase, from milliseconds in a short and in a long run.
     fn span(&self, short: u64, long: u64) -> Duration {
-        ms(if self.wanted.long { long } else { short })
+        ms(if self.options.long { long } else { short })
     }
 
     fn calm(&mut self, name: &'static str, routers: &Routers) {
-        let (from, before) = (now(), used(routers));
+        let (from, before) = (now(), cpu_used(routers));
         sleep(self.span(3000, 30_000));
         self.bench.phase(name, from, routers, &before);
     }
 
-    /// Routers die and return, one at a time.
+    /// Kills and restarts routers, one at a time.
     fn kills(&mut self, fleet: &mut Fleet) -> std::io::Result<()> {
-        self.found.kills = if self.wanted.long { 50 } else { 8 };
-        let (from, before) = (now(), used(&fleet.routers));
+        self.findings.kills = if self.options.long { 50 } else { 8 };
+        let (from, before) = (now(), cpu_used(&fleet.routers));
         let mut killed: Vec<Duration> = Vec::new();
-        for _ in 0..self.found.kills {
-            let (place, at) = (self.chance.random_range(0..ROUTERS), now());
+        for _ in 0..self.findings.kills {
+            let (index, at) = (self.rng.random_range(0..ROUTERS), now());
             killed.push(at);
-            let down = ms(self.chance.random_range(50..600));
-            kill_and_restart(&mut fleet.routers, &fleet.outages, place, down)?;
-            sleep(ms(self.chance.random_range(300..900)));
-            // What the killed one owned must have been probed again by others: no gap that begins around the kill.
+            let down = ms(self.rng.random_range(50..600));
+            kill_and_restart(&mut fleet.routers, &fleet.outages, index, down)?;
+            sleep(ms(self.rng.random_range(300..900)));
+            // Other routers must have taken over the health checks of the killed one: no long gap around the
+            // kill.
             let gaps = self.bench.quiet.nodes.iter().map(|node| node.longest_contact_gap(at, now()));
             let longest = gaps.max().unwrap_or_default().as_secs_f64();
-            self.found.take_over_max_s = self.found.take_over_max_s.max(longest);
+            self.findings.take_over_max_s = self.findings.take_over_max_s.max(longest);
         }
         self.bench.phase("kills", from, &fleet.routers, &before);
-        if let Some(path) = &self.wanted.plot {
+        if let Some(path) = &self.options.plot {
             plot(path, &self.bench, from, &killed).map_err(std::io::Error::other)?;
         }
-        sleep(SETTLED);
+        sleep(SETTLE_TIME);
         Ok(())
     }
 
-    /// A router stands still for longer than its peers wait for it.
+    /// Pauses a router for longer than its peers wait for its heartbeats.
     fn stop_and_continue(&mut self, fleet: &Fleet) {
-        let (from, before) = (now(), used(&fleet.routers));
+        let (from, before) = (now(), cpu_used(&fleet.routers));
         fleet.outages.begin(1);
         fleet.routers.signal(1, "-STOP");
         sleep(ms(3000));
@@ -197,23 +199,24 @@
         sleep(ms(500));
         self.bench.phase("stop and continue", from, &fleet.routers, &before);
         let lines = fleet.routers.log_lines(1);
-        self.found.noticed_pause = lines.iter().any(|line| line.contains("\"fleet_process_paused\""));
-        sleep(SETTLED);
+        self.findings.logged_pause = lines.iter().any(|line| line.contains("\"fleet_process_paused\""));
+        sleep(SETTLE_TIME);
     }
 
-    /// All datagrams from one router to another are lost.
+    /// Loses all datagrams from one router to another, in one direction only.
     fn lose_one_way(&mut self, fleet: &Fleet) {
         let from = now();
-        let before = used(&fleet.routers);
+        let before = cpu_used(&fleet.routers);
         let dead = deaths(&fleet.routers);
         fleet.routers.set_loss(0, 2, 1.0);
         sleep(self.span(3000, 20_000));
-        self.found.false_deaths = deaths(&fleet.routers) - dead;
+        self.findings.false_deaths = deaths(&fleet.routers) - dead;
         self.bench.phase("one way lost", from, &fleet.routers, &before);
         fleet.routers.clear_losses();
     }
 
-    /// A node is listed as just started: what reaches it in its first second or so, against its warm sister.
+    /// Lists a node as just started, and compares the RPCs that reach it in its first second or so with those
+    /// of a warm node of its group.
     fn cold_node(&mut self) {
         let from = now();
         self.listing.set_endpoints(endpoint_list_json(&entries(
@@ -223,16 +226,16 @@
         )));
         sleep(ms(1500));
         let (cold, warm) = (&self.bench.busy.nodes[1], &self.bench.busy.nodes[2]);
-        self.found.cold_part =
+        self.findings.cold_part =
             cold.rpcs_between(from, now()) as f64 / warm.rpcs_between(from, now()).max(1) as f64;
     }
 
-    /// A router is told to stop, and started again.
+    /// Terminates a router by SIGTERM and restarts it.
     fn planned_leave(&mut self, fleet: &mut Fleet) -> std::io::Result<()> {
-        let (from, before) = (now(), used(&fleet.routers));
+        let (from, before) = (now(), cpu_used(&fleet.routers));
         fleet.outages.begin(0);
         fleet.routers.signal(0, "-TERM");
-        self.found.drained = fleet.routers.wait_for_exit(0);
+        self.findings.drained = fleet.routers.wait_for_exit(0);
         fleet.routers.start(0)?;
         fleet.outages.end(0);
         self.bench.phase("planned leave", from, &fleet.routers, &before);
@@ -240,29 +243,29 @@
     }
 
     fn restart_all(&mut self, fleet: &mut Fleet) -> std::io::Result<()> {
-        (0..ROUTERS).for_each(|place| fleet.outages.begin(place));
-        (0..ROUTERS).for_each(|place| fleet.routers.kill(place));
+        (0..ROUTERS).for_each(|index| fleet.outages.begin(index));
+        (0..ROUTERS).for_each(|index| fleet.routers.kill(index));
         let from = now();
         fleet.routers.start_all()?;
-        (0..ROUTERS).for_each(|place| fleet.outages.end(place));
-        sleep(SETTLED);
+        (0..ROUTERS).for_each(|index| fleet.outages.end(index));
+        sleep(SETTLE_TIME);
         self.bench.phase("all restarted", from, &fleet.routers, &[Duration::ZERO; ROUTERS]);
         Ok(())
     }
 
-    /// What sharing changes for RPCs, which takes long.
+    /// Measures what sharing health checks changes for RPCs, which takes long.
     fn rpc_costs(
         &mut self,
         name: &'static str,
         routers: &mut Routers,
         addresses: &[SocketAddr],
     ) -> std::io::Result<()> {
-        self.found.contrasts.push(contrast(name, &self.bench.busy, addresses, 40));
-        self.found.firsts.push(first_reads(name, &self.bench.busy, routers, 20)?);
+        self.findings.rpc_costs.push(measure_rpc_costs(name, &self.bench.busy, addresses, 40));
+        self.findings.first_reads.push(measure_first_reads(name, &self.bench.busy, routers, 20)?);
         Ok(())
     }
 
-    /// All phases of routers that share probing. Returns what became of the RPCs.
+    /// Runs all phases with routers that share health checks. Returns the results of the RPCs.
     fn shared(&mut self) -> std::io::Result<Arc<RpcResults>> {
         let mut fleet = self.fleet(FleetMode::Shared)?;
         let begun = now();
@@ -272,21 +275,21 @@
         self.lose_one_way(&fleet);
         self.cold_node();
         self.planned_leave(&mut fleet)?;
-        self.found.gap_max_s = self.bench.gap(begun, now());
+        self.findings.gap_max_s = self.bench.gap(begun, now());
         self.restart_all(&mut fleet)?;
         let tally = fleet.load.finish();
-        if self.wanted.long {
+        if self.options.long {
             self.rpc_costs("shared", &mut fleet.routers, &fleet.addresses)?;
         }
         Ok(tally)
     }
 
-    /// Routers that each probe for themselves, or not at all but for their RPCs.
+    /// Runs a phase with routers that make health checks each by itself, or none but for their RPCs.
     fn unshared(&mut self, bond: FleetMode, name: &'static str) -> std::io::Result<()> {
         let mut fleet = self.fleet(bond)?;
         self.calm(name, &fleet.routers);
         fleet.load.finish();
-        if self.wanted.long && bond == FleetMode::Disabled {
+        if self.options.long && bond == FleetMode::Disabled {
             self.rpc_costs(name, &mut fleet.routers, &fleet.addresses)?;
         }
         Ok(())
@@ -296,11 +299,11 @@
         for phase in &self.bench.phases {
             writeln!(file, "{}", serde_json::to_string(phase)?)?;
         }
-        for first in &self.found.firsts {
+        for first in &self.findings.first_reads {
             writeln!(file, "{}", serde_json::to_string(first)?)?;
         }
-        for contrast in &self.found.contrasts {
-            writeln!(file, "{}", serde_json::to_string(contrast)?)?;
+        for costs in &self.findings.rpc_costs {
+            writeln!(file, "{}", serde_json::to_string(costs)?)?;
         }
         writeln!(file, "{}", serde_json::to_string(figures)?)
     }
@@ -308,31 +311,31 @@
 
 fn deaths(routers: &Routers) -> usize {
     let dead = |line: &&String| line.contains("\"fleet_peer\"") && line.contains("\"state\":\"Dead\"");
-    (0..ROUTERS).map(|place| routers.log_lines(place).iter().filter(dead).count()).sum::<usize>()
+    (0..ROUTERS).map(|index| routers.log_lines(index).iter().filter(dead).count()).sum::<usize>()
 }
 
-fn measure(wanted: &Wanted) -> std::io::Result<Figures> {
-    let mut trial = Trial::start(wanted)?;
+fn measure(options: &Options) -> std::io::Result<Figures> {
+    let mut trial = Trial::start(options)?;
     let tally = trial.shared()?;
     trial.unshared(FleetMode::Separate, "alone")?;
     trial.unshared(FleetMode::Disabled, "off")?;
-    let mut figures = Figures::new(&trial.bench, &trial.found, &tally, wanted.seed);
-    for first in &trial.found.firsts {
+    let mut figures = Figures::new(&trial.bench, &trial.findings, &tally, options.seed);
+    for first in &trial.findings.first_reads {
         println!("{}", serde_json::to_string(first)?);
     }
-    for contrast in &trial.found.contrasts {
-        println!("{}", serde_json::to_string(contrast)?);
+    for costs in &trial.findings.rpc_costs {
+        println!("{}", serde_json::to_string(costs)?);
     }
-    figures.broken = figures.broken(&trial.bench, &trial.found);
-    if let Some(path) = &wanted.record {
+    figures.broken = figures.broken(&trial.bench, &trial.findings);
+    if let Some(path) = &options.record {
         trial.write(std::fs::File::create(path)?, &figures)?;
     }
     Ok(figures)
 }
 
 fn main() -> ExitCode {
-    let wanted = match wanted() {
-        Ok(Some(wanted)) => wanted,
+    let options = match options() {
+        Ok(Some(options)) => options,
         Ok(None) => {
             print!("{HELP}");
             return ExitCode::SUCCESS;
@@ -342,10 +345,13 @@
             return ExitCode::from(2);
         }
     };
-    match measure(&wanted) {
+    match measure(&options) {
         Ok(figures) => {
             figures.broken.iter().for_each(|bound| eprintln!("broken: {bound}"));
-            println!("{}", serde_json::to_string(&figures).expect("plain figures"));
+            println!(
+                "{}",
+                serde_json::to_string(&figures).expect("figures without maps or errors serialize")
+            );
             if figures.broken.is_empty() { ExitCode::SUCCESS } else { ExitCode::FAILURE }
         }
         Err(error) => {
--- a/crates/testbed/src/capacity/asks.rs
+++ b/crates/testbed/src/capacity/asks.rs
@@ -12,7 +12,9 @@
 
 use crate::listing;
 use crate::record::{Axis, Mode};
-use crate::scale::bounds::{CONTROL_MEMORY, ROUTER_BYTES_S, ROUTER_CPU, ROUTER_MEMORY};
+use crate::scale::bounds::{
+    CONTROL_MEMORY_BYTES, ROUTER_BYTES_PER_SECOND, ROUTER_CPU_PART, ROUTER_MEMORY_BYTES,
+};
 
 /// Number of routers at the target size.
 pub const TARGET_ROUTERS: f64 = 7_900.0;
@@ -32,7 +34,7 @@
 const RESTART_EVERY_S: f64 = 13.5;
 
 /// Budget of control traffic for all routers together, in bytes per second.
-const ALL_BYTES_S: f64 = ROUTER_BYTES_S * TARGET_ROUTERS;
+const ALL_BYTES_S: f64 = ROUTER_BYTES_PER_SECOND * TARGET_ROUTERS;
 /// The share of this budget for one control machine.
 const CONTROL_BYTES_S: f64 = ALL_BYTES_S / TARGET_CONTROL_MACHINES;
 /// Budget for the age of observations.
@@ -240,7 +242,7 @@
                 router,
                 "processor time of control, cores",
                 alone,
-                Budget::Max(ROUTER_CPU),
+                Budget::Max(ROUTER_CPU_PART),
                 calm(MEASURED_RECORD, Mode::Off, "router_cpu_part", both_axes()),
                 "none: each router probes for itself",
             ),
@@ -251,7 +253,7 @@
                     router,
                     "bytes sent a second",
                     shared,
-                    Budget::Max(ROUTER_BYTES_S),
+                    Budget::Max(ROUTER_BYTES_PER_SECOND),
                     calm(SIMULATED_RECORD, Mode::Shared, "router_bytes_out_s", fleet_sizes()),
                     "membership",
                 ),
@@ -267,7 +269,7 @@
                     router,
                     "processor time of decisions, cores",
                     shared,
-                    Budget::Max(ROUTER_CPU),
+                    Budget::Max(ROUTER_CPU_PART),
                     calm(SIMULATED_RECORD, Mode::Shared, "router_cpu_part", fleet_sizes()),
                     "membership",
                 ),
@@ -329,8 +331,8 @@
                 ("bytes in and out a second", CONTROL_BYTES, Budget::Max(CONTROL_BYTES_S)),
                 ("messages in and out a second", CONTROL_MESSAGES, Budget::None),
                 ("processor time, cores", "control_cpu_part", Budget::Max(1.0)),
-                ("memory, bytes", "control_memory_bytes", Budget::Max(CONTROL_MEMORY)),
-                ("state, bytes", "control_state_bytes", Budget::Max(CONTROL_MEMORY)),
+                ("memory, bytes", "control_memory_bytes", Budget::Max(CONTROL_MEMORY_BYTES)),
+                ("state, bytes", "control_state_bytes", Budget::Max(CONTROL_MEMORY_BYTES)),
             ];
             rows.extend(control_figures.map(|(quantity, figure, budget)| {
                 let source = calm(MEASURED_RECORD, Mode::Feed, figure, all_machines());
@@ -445,7 +447,7 @@
                 router,
                 "memory of control, the most through a restart of a sixth, bytes",
                 feed,
-                Budget::Max(ROUTER_MEMORY),
+                Budget::Max(ROUTER_MEMORY_BYTES),
                 fault(RESTART_FAULT, "peak_router_memory_bytes"),
                 "observation-feed, control-plane",
             ),
@@ -453,7 +455,7 @@
                 router,
                 "state of control, the most through a restart of a sixth, bytes",
                 feed,
-                Budget::Max(ROUTER_MEMORY),
+                Budget::Max(ROUTER_MEMORY_BYTES),
                 fault(RESTART_FAULT, "peak_router_state_bytes"),
                 "observation-feed, control-plane",
             ),
@@ -838,7 +840,7 @@
                 router,
                 "bytes sent a second, no control instance left",
                 feed,
-                Budget::Max(ROUTER_BYTES_S),
+                Budget::Max(ROUTER_BYTES_PER_SECOND),
                 fault(ALL_CONTROL_KILL_FAULT, "alone_router_bytes_out_s"),
                 "observation-feed",
             ),
@@ -854,7 +856,7 @@
                         router,
                         "bytes in and out a second at 10 changes a second",
                         sharing,
-                        Budget::Max(ROUTER_BYTES_S),
+                        Budget::Max(ROUTER_BYTES_PER_SECOND),
                         calm(MEASURED_RECORD, mode, ROUTER_BYTES, burst()),
                         by,
                     ),
@@ -964,11 +966,11 @@
 /// Returns the requirements of a router in calm operation with this kind of sharing.
 fn router_requirements(mode: Mode, sharing: Sharing, mechanism: &'static str) -> Vec<Requirement> {
     let figures = [
-        ("bytes in and out a second", ROUTER_BYTES, Budget::Max(ROUTER_BYTES_S)),
+        ("bytes in and out a second", ROUTER_BYTES, Budget::Max(ROUTER_BYTES_PER_SECOND)),
         ("messages in and out a second", ROUTER_MESSAGES, Budget::None),
-        ("processor time of control, cores", "router_cpu_part", Budget::Max(ROUTER_CPU)),
-        ("memory of control, bytes", "router_memory_bytes", Budget::Max(ROUTER_MEMORY)),
-        ("state of control, bytes", "router_state_bytes", Budget::Max(ROUTER_MEMORY)),
+        ("processor time of control, cores", "router_cpu_part", Budget::Max(ROUTER_CPU_PART)),
+        ("memory of control, bytes", "router_memory_bytes", Budget::Max(ROUTER_MEMORY_BYTES)),
+        ("state of control, bytes", "router_state_bytes", Budget::Max(ROUTER_MEMORY_BYTES)),
         ("age of what is known, p99, s", "age_p99_s", Budget::Max(MAX_AGE_S)),
         ("time until a change is known to all, s", "change_known_max_s", Budget::Max(MAX_CHANGE_S)),
     ];
--- a/crates/testbed/src/scale/member.rs
+++ b/crates/testbed/src/scale/member.rs
@@ -1,4 +1,5 @@
-//! Real processes of a run, the program as it ships: routers and control instances, each with its files.
+//! The real processes of a run, which run the program as it ships: routers and control instances, each with
+//! its configuration files.
 
 use std::fs;
 use std::net::SocketAddr;
@@ -12,58 +13,71 @@
 use crate::process::{CapturedStream, Process};
 use crate::record::{Mode, Sizes};
 use crate::routers::{PlatformConfig, platform_json};
-use crate::scale::border::Border;
-use crate::scale::counters::Sums;
+use crate::scale::counters::Counters;
 use crate::scale::hollow::region;
+use crate::scale::partition::PartitionRelays;
 
-/// What is awaited for so long never comes.
-const NEVER: Duration = Duration::from_secs(30);
-/// Addresses of so many routers stand in each router's file: who has any of them finds all.
-const SEEDS: usize = 5;
+/// How long to wait for a log line before giving up.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
+/// Peers listed in each router's file: one that answers is enough to discover the others.
+const SEED_PEERS: usize = 5;
 
-/// Whether a process is a router, one without a control side, or a control instance.
+/// The kind of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
+    /// A router with a control side.
     Router,
-    /// It is told nothing of quillpoint.conf: what the same load costs without control.
-    Untied,
+    /// A router without quillpoint.conf and so without a control side: the baseline cost of the same load.
+    Baseline,
+    /// A control instance.
     Control,
 }
 
-/// Where a process is: for clients, for its fleet's datagrams, and for the feed's.
+/// The addresses of a process.
 #[derive(Clone, Copy, Debug)]
 pub struct Address {
+    /// Where it accepts clients.
     pub clients: SocketAddr,
+    /// Where it listens for the datagrams of its fleet, or as a subscriber.
     pub datagrams: SocketAddr,
+    /// Where a control instance serves its feed.
     pub feed: SocketAddr,
 }
 
-/// The files of a run and what all of them say.
+/// What the configuration files of a run are written from.
 pub struct Files<'a> {
+    /// Where the files are written.
     pub folder: &'a Path,
+    /// The sizes of the run.
     pub sizes: &'a Sizes,
+    /// Where discovery listens.
     pub discovery: SocketAddr,
-    /// All routers' addresses, the real ones' first, and all control instances'.
+    /// The datagram addresses of all routers.
     pub routers: &'a [SocketAddr],
+    /// The addresses of all control instances.
     pub control: &'a [Address],
-    /// Between the halves of a fleet that are to be cut from each other.
-    pub border: Option<&'a Border>,
+    /// The relays of a run with a partition.
+    pub partition: Option<&'a PartitionRelays>,
 }
 
+/// A real process of a run.
 pub struct Member {
+    /// Its kind.
     pub kind: Kind,
+    /// Its name in the fleet, and that of its files.
     pub name: String,
+    /// Its addresses.
     pub address: Address,
     files: [PathBuf; 2],
-    /// Whether it is told of quillpoint.conf.
+    /// Whether it is started with its quillpoint.conf.
     with_conf: bool,
     program: PathBuf,
     process: Option<Process>,
-    stands_still: bool,
+    paused: bool,
 }
 
 impl Files<'_> {
-    /// The keys of the fleet and of the feed.
+    /// Writes the keys of the fleet and of the feed.
     ///
     /// # Errors
     /// A file cannot be written.
@@ -71,13 +85,13 @@
         fs::create_dir_all(self.folder)?;
         for (name, byte) in [("fleet.keys", "5c"), ("feed.keys", "a3")] {
             let path = self.folder.join(name);
-            fs::write(&path, format!("# of this run alone\n{}\n", byte.repeat(32)))?;
+            fs::write(&path, format!("# generated for this run\n{}\n", byte.repeat(32)))?;
             fs::set_permissions(&path, fs::Permissions::from_mode(0o600))?;
         }
         Ok(())
     }
 
-    /// A process's platform and quillpoint.conf, in that order.
+    /// Writes the platform file and quillpoint.conf of a process, and returns their paths in that order.
     ///
     /// # Errors
     /// A file cannot be written.
@@ -86,30 +100,31 @@
         kind: Kind,
         name: &str,
         address: Address,
-        place: usize,
+        index: usize,
     ) -> std::io::Result<[PathBuf; 2]> {
         let sizes = self.sizes;
         let of_clients = if kind == Kind::Control { 0 } else { sizes.connections };
-        let tree = platform_json(&PlatformConfig {
+        let json = platform_json(&PlatformConfig {
             name: name.to_string(),
             listen: address.clients,
             discovery: self.discovery,
-            seed: sizes.seed.wrapping_mul(1000).wrapping_add(place as u64),
+            seed: sizes.seed.wrapping_mul(1000).wrapping_add(index as u64),
             sockets: 256 + sizes.databases + of_clients,
             memory_mb: 192 + of_clients / 10,
-            // Without control it would probe by itself what control spares it: that is no part of the same load.
-            may_probe: kind != Kind::Untied,
+            // Without a control side it would make the health checks that others make for a router with one,
+            // which is not part of the same load.
+            may_probe: kind != Kind::Baseline,
             known_endpoints: Json::Null,
         });
         let files = [self.folder.join(format!("{name}.json")), self.folder.join(format!("{name}.conf"))];
-        fs::write(&files[0], tree.to_string())?;
+        fs::write(&files[0], json.to_string())?;
         fs::write(&files[1], self.conf(kind, address))?;
         Ok(files)
     }
 
-    /// Where a member's fleet reaches it.
-    fn of_fleet(&self, listens: SocketAddr) -> SocketAddr {
-        self.border.map_or(listens, |border| border.of_fleet(listens))
+    /// The address at which the fleet reaches the member that listens at `address`.
+    fn fleet_address(&self, address: SocketAddr) -> SocketAddr {
+        self.partition.map_or(address, |partition| partition.fleet_address(address))
     }
 
     fn conf(&self, kind: Kind, address: Address) -> String {
@@ -117,35 +132,39 @@
         let fleet = self.sizes.mode == Mode::Shared || kind == Kind::Control;
         if fleet {
             let (listen, every) = (address.datagrams, (self.sizes.period_s * 1000.0).round());
-            let advertise = self.of_fleet(listen);
-            // All of them twice over, should the others be gone, as a control instance reckons by itself: a budget
-            // that is short would be measured instead.
+            let advertise = self.fleet_address(listen);
+            // Twice the probe rate of all databases, in case all other members are gone, as a control
+            // instance computes it by default. A smaller budget would limit the probes, and the run would
+            // measure the budget.
             let work = (2.0 * self.sizes.databases as f64 / self.sizes.period_s).ceil().clamp(2000.0, 1e6);
             let budget = match kind {
                 Kind::Control => String::new(),
-                Kind::Router | Kind::Untied => format!("    work-budget {work}\n"),
+                Kind::Router | Kind::Baseline => format!("    work-budget {work}\n"),
             };
             text += &format!(
                 "fleet {{\n    listen {listen}\n    advertise {advertise}\n    keys fleet.keys\n{budget}}}\n"
             );
             text += &format!("duty probe {{\n    every {every}ms\n}}\n");
-            let of_fleet = |address: &Address| self.of_fleet(address.datagrams);
-            let control: Vec<SocketAddr> = self.control.iter().map(of_fleet).collect();
+            let fleet_address = |address: &Address| self.fleet_address(address.datagrams);
+            let control: Vec<SocketAddr> = self.control.iter().map(fleet_address).collect();
             let peers = if kind == Kind::Control { &control[..] } else { self.routers };
-            for (place, peer) in peers.iter().take(SEEDS).enumerate() {
-                text += &format!("peer p{place} {{\n    address {peer}\n}}\n");
+            for (index, peer) in peers.iter().take(SEED_PEERS).enumerate() {
+                text += &format!("peer p{index} {{\n    address {peer}\n}}\n");
             }
         }
         if kind == Kind::Control {
             text += &format!("publish {{\n    listen {}\n    keys feed.keys\n}}\n", address.feed);
         } else if self.sizes.mode == Mode::Feed {
-            let (listen, near) = (address.datagrams, region(address.datagrams));
-            text +=
-                &format!("subscribe {{\n    listen {listen}\n    keys feed.keys\n    region {near}\n}}\n");
-            for (place, control) in self.control.iter().enumerate() {
-                let at = self.border.map_or(control.feed, |border| border.of_feed(listen, control.feed));
+            let (listen, own_region) = (address.datagrams, region(address.datagrams));
+            text += &format!(
+                "subscribe {{\n    listen {listen}\n    keys feed.keys\n    region {own_region}\n}}\n"
+            );
+            for (index, control) in self.control.iter().enumerate() {
+                let at = self
+                    .partition
+                    .map_or(control.feed, |partition| partition.feed_address(listen, control.feed));
                 let region = region(control.feed);
-                text += &format!("control c{place} {{\n    address {at}\n    region {region}\n}}\n");
+                text += &format!("control c{index} {{\n    address {at}\n    region {region}\n}}\n");
             }
         }
         text
@@ -153,37 +172,28 @@
 }
 
 impl Member {
-    /// Not yet started.
+    /// Writes the files of a process without starting it.
     ///
     /// # Errors
     /// A file cannot be written.
     pub fn new(
-        (kind, place): (Kind, usize),
+        (kind, index): (Kind, usize),
         address: Address,
         files: &Files<'_>,
         program: &Path,
     ) -> std::io::Result<Self> {
         let name = match kind {
-            Kind::Router => format!("r{place}"),
-            Kind::Untied => format!("u{place}"),
-            Kind::Control => format!("c{place}"),
+            Kind::Router => format!("r{index}"),
+            Kind::Baseline => format!("u{index}"),
+            Kind::Control => format!("c{index}"),
         };
-        let written = files.write(kind, &name, address, place)?;
+        let paths = files.write(kind, &name, address, index)?;
         let with_conf = kind == Kind::Control || (kind == Kind::Router && files.sizes.mode != Mode::Off);
         let program = program.to_path_buf();
-        Ok(Self {
-            kind,
-            name,
-            address,
-            files: written,
-            with_conf,
-            program,
-            process: None,
-            stands_still: false,
-        })
+        Ok(Self { kind, name, address, files: paths, with_conf, program, process: None, paused: false })
     }
 
-    /// Starts it, which takes a while.
+    /// Starts the process without waiting until it serves.
     ///
     /// # Errors
     /// The program cannot be started.
@@ -198,83 +208,96 @@
         Ok(())
     }
 
+    /// Waits until the process serves clients.
+    ///
     /// # Errors
     /// It does not serve in time.
     pub fn await_serving(&self) -> std::io::Result<()> {
-        let serves = self.process.as_ref().is_some_and(|process| process.wait_for_line("serves at", NEVER));
+        let serves =
+            self.process.as_ref().is_some_and(|process| process.wait_for_line("serves at", WAIT_TIMEOUT));
         let lines = || self.process.as_ref().map(Process::lines).unwrap_or_default();
-        if serves { Ok(()) } else { Err(self.fault(&format!("does not serve: {:?}", lines()))) }
+        if serves {
+            Ok(())
+        } else {
+            Err(self.error(&format!("did not start serving in time; its log: {:?}", lines())))
+        }
     }
 
-    fn fault(&self, what: &str) -> std::io::Error {
+    fn error(&self, what: &str) -> std::io::Error {
         std::io::Error::other(format!("{} {what}", self.name))
     }
 
+    /// Kills the process.
     pub fn kill(&mut self) {
         self.process = None;
     }
 
+    /// Sends a signal, named as for `kill`, such as `-HUP`.
     pub fn signal(&self, name: &str) {
         if let Some(process) = &self.process {
             process.signal(name);
         }
     }
 
-    /// Stopped as it is, or continued.
-    pub fn stand_still(&mut self, stands_still: bool) {
-        self.signal(if stands_still { "-STOP" } else { "-CONT" });
-        self.stands_still = stands_still;
+    /// Pauses the process by SIGSTOP, or continues it.
+    pub fn set_paused(&mut self, paused: bool) {
+        self.signal(if paused { "-STOP" } else { "-CONT" });
+        self.paused = paused;
     }
 
-    pub fn runs(&self) -> bool {
+    /// Whether the process has been started and not killed; it may be paused.
+    pub fn is_running(&self) -> bool {
         self.process.is_some()
     }
 
-    /// Whether it tells its counts when it is asked: one that starts does not take the signal yet.
-    pub fn answers(&self) -> bool {
+    /// Whether it can report its counters: a process that is starting does not handle the signal yet.
+    pub fn is_answering(&self) -> bool {
         let serves = |process: &Process| process.wait_for_line("serves at", Duration::ZERO);
-        !self.stands_still && self.process.as_ref().is_some_and(serves)
+        !self.paused && self.process.as_ref().is_some_and(serves)
     }
 
-    /// The resident memory in bytes, and the processor time so far.
+    /// Resident memory in bytes, and processor time since the start.
     pub fn usage(&self) -> Option<(u64, Duration)> {
         self.process.as_ref()?.usage()
     }
 
-    /// Asks for the counts, of which each event is one; where they will stand in its log.
-    pub fn ask(&self) -> usize {
-        let place = self.process.as_ref().map_or(0, Process::line_count);
+    /// Requests a report of the counters in the log. Returns the index of the log line from which to look for
+    /// it.
+    pub fn request_counters(&self) -> usize {
+        let index = self.process.as_ref().map_or(0, Process::line_count);
         self.signal("-HUP");
-        place
+        index
     }
 
-    /// What was asked for: the sums of all its sockets.
+    /// Waits for the requested counters, from the log line at `index` on, and sums them over all sockets.
     ///
     /// # Errors
-    /// Nothing is told in time.
-    pub fn told(&self, place: usize, mode: Mode) -> std::io::Result<Sums> {
+    /// The process does not report them in time.
+    pub fn counters(&self, index: usize, mode: Mode) -> std::io::Result<Counters> {
         let events: &[&str] = match (self.kind, mode) {
             (Kind::Control, _) => &["fleet_counts", "feed_counts"],
             (Kind::Router, Mode::Shared) => &["fleet_counts"],
             (Kind::Router, Mode::Feed) => &["feed_counts"],
-            (Kind::Router, Mode::Off) | (Kind::Untied, _) => &[],
+            (Kind::Router, Mode::Off) | (Kind::Baseline, _) => &[],
         };
-        let mut all = Sums::default();
+        let mut all = Counters::default();
         for event in events {
-            let find = |line: &str| Sums::of(line, event);
-            let found = self.process.as_ref().and_then(|process| process.wait_for_match(place, NEVER, find));
-            all = all.plus(found.ok_or_else(|| self.fault(&format!("tells no {event}")))?);
+            let find = |line: &str| Counters::from_log_line(line, event);
+            let found =
+                self.process.as_ref().and_then(|process| process.wait_for_match(index, WAIT_TIMEOUT, find));
+            all = all.plus(found.ok_or_else(|| self.error(&format!("logged no {event} event in time")))?);
         }
         Ok(all)
     }
 
-    /// Among how many it has said that it shares duties, and when: microseconds of Unix time, and their number.
-    pub fn duties(&self) -> Vec<(u64, u64)> {
+    /// The times, in microseconds of Unix time, at which the process logged how its fleet shares tasks, and
+    /// the number of routers that share them.
+    pub fn task_shares(&self) -> Vec<(u64, u64)> {
         let lines = self.process.as_ref().map(Process::lines).unwrap_or_default();
-        let told = |line: &String| {
+        let share = |line: &String| {
             let line: Json = line.contains("fleet_tasks").then(|| serde_json::from_str(line).ok())??;
             Some((line["time_us"].as_u64()?, line["routers"].as_u64()?))
         };
-        lines.iter().filter_map(told).collect()
+        lines.iter().filter_map(share).collect()
     }
 }
