--- a/crates/testbed/src/duties/figures.rs
+++ b/crates/testbed/src/duties/figures.rs
@@ -36,7 +36,7 @@
     pub first_reads: Vec<FirstReads>,
 }
 
-/// The last line of the output. The counts of RPCs are those of the load in the shared phases; see [`Tally`].
+/// The last line of the output. The counts of RPCs are those of the load in the shared phases; see [`RpcResults`].
 #[derive(Serialize)]
 pub struct Figures {
     /// See [`Findings::gap_max_s`].
