--- a/crates/router/tests/standin/client.rs
+++ b/crates/router/tests/standin/client.rs
@@ -5,7 +5,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 
 use quillpoint_router::pg::{self, BackendMessage};
-use quillpoint_testbed::store::next;
+use quillpoint_testbed::replica_set::read_message;
 
 use super::WAIT_TIMEOUT;
 
@@ -65,7 +65,7 @@
 
     /// Waits for the router's next message; `None` if the connection is closed.
     pub fn next_message(&mut self) -> Option<BackendMessage> {
-        next(&mut self.stream, &mut self.undecoded, pg::decode_backend_message)
+        read_message(&mut self.stream, &mut self.undecoded, pg::decode_backend_message)
     }
 
     /// Shuts down sending and waits until the router has closed the connection.
--- a/crates/testbed/src/bin/duties.rs
+++ b/crates/testbed/src/bin/duties.rs
@@ -16,11 +16,11 @@
 use quillpoint_testbed::duties::figures::{Figures, Findings};
 use quillpoint_testbed::duties::gap_plot::plot;
 use quillpoint_testbed::duties::rpc_costs::{measure_first_reads, measure_rpc_costs};
-use quillpoint_testbed::listing::{Entry, Listing, targets};
-use quillpoint_testbed::load::{Load, Outages, Tally};
+use quillpoint_testbed::listing::{DiscoveryServer, Endpoint, endpoint_list_json};
+use quillpoint_testbed::load::{LoadGenerator, Outages, RpcResults};
 use quillpoint_testbed::now;
-use quillpoint_testbed::routers::{Bond, Routers, Setting};
-use quillpoint_testbed::store::{Node, Store};
+use quillpoint_testbed::replica_set::{Node, ReplicaSet};
+use quillpoint_testbed::routers::{FleetMode, Routers, RoutersConfig};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use serde_json::Value as Json;
@@ -73,8 +73,8 @@
     Ok(Some(options))
 }
 
-fn entries<'a>(busy: &'a Store, quiet: &'a Store, cold: Option<Duration>) -> Vec<Entry<'a>> {
-    let entry = |(group, index, node): (u64, usize, &'a Node)| Entry {
+fn entries<'a>(busy: &'a ReplicaSet, quiet: &'a ReplicaSet, cold: Option<Duration>) -> Vec<Endpoint<'a>> {
+    let entry = |(group, index, node): (u64, usize, &'a Node)| Endpoint {
         node,
         group,
         started: cold.filter(|_| (group, index) == (0, 1)).unwrap_or_default(),
@@ -107,7 +107,7 @@
     options: &'a Options,
     rng: ChaCha8Rng,
     bench: Bench,
-    listing: Listing,
+    listing: DiscoveryServer,
     targets: Json,
     findings: Findings,
 }
@@ -116,36 +116,36 @@
 struct Fleet {
     routers: Routers,
     addresses: Vec<SocketAddr>,
-    load: Load,
+    load: LoadGenerator,
     outages: Arc<Outages>,
 }
 
 impl<'a> Trial<'a> {
     fn start(options: &'a Options) -> std::io::Result<Self> {
-        let busy = Store::start(&[ms(20), ms(20), ms(5000)])?;
-        let quiet = Store::start(&[ms(20), ms(20)])?;
-        let targets = targets(&entries(&busy, &quiet, None));
-        let listing = Listing::start(targets.clone())?;
+        let busy = ReplicaSet::start(&[ms(20), ms(20), ms(5000)])?;
+        let quiet = ReplicaSet::start(&[ms(20), ms(20)])?;
+        let targets = endpoint_list_json(&entries(&busy, &quiet, None));
+        let listing = DiscoveryServer::start(targets.clone())?;
         let rng = ChaCha8Rng::seed_from_u64(options.seed);
         let bench = Bench { busy, quiet, phases: Vec::new() };
         Ok(Self { options, rng, bench, listing, targets, findings: Findings::default() })
     }
 
     /// Starts routers and their load, and waits until they have settled.
-    fn fleet(&self, bond: Bond) -> std::io::Result<Fleet> {
-        let setting = Setting {
+    fn fleet(&self, fleet_mode: FleetMode) -> std::io::Result<Fleet> {
+        let setting = RoutersConfig {
             program: &self.options.program,
-            folder: &self.options.folder,
-            listing: &self.listing,
-            targets: &self.targets,
-            bond,
+            directory: &self.options.folder,
+            discovery: &self.listing,
+            endpoints: &self.targets,
+            fleet_mode,
             seed: self.options.seed,
-            conf: "",
+            extra_directives: "",
         };
         let mut routers = Routers::new(ROUTERS, &setting)?;
         routers.start_all()?;
         let addresses: Vec<_> = routers.all.iter().map(|router| router.address).collect();
-        let load = Load::start(&addresses, 8, ms(100));
+        let load = LoadGenerator::start(&addresses, 8, ms(100));
         let outages = Arc::clone(&load.outages);
         sleep(SETTLE_TIME);
         Ok(Fleet { routers, addresses, load, outages })
@@ -175,7 +175,7 @@
             sleep(ms(self.rng.random_range(300..900)));
             // Other routers must have taken over the health checks of the killed one: no long gap around the
             // kill.
-            let gaps = self.bench.quiet.nodes.iter().map(|node| node.longest_gap(at, now()));
+            let gaps = self.bench.quiet.nodes.iter().map(|node| node.longest_contact_gap(at, now()));
             let longest = gaps.max().unwrap_or_default().as_secs_f64();
             self.findings.take_over_max_s = self.findings.take_over_max_s.max(longest);
         }
@@ -198,7 +198,7 @@
         fleet.outages.end(1);
         sleep(ms(500));
         self.bench.phase("stop and continue", from, &fleet.routers, &before);
-        let lines = fleet.routers.lines(1);
+        let lines = fleet.routers.log_lines(1);
         self.findings.logged_pause = lines.iter().any(|line| line.contains("\"fleet_process_paused\""));
         sleep(SETTLE_TIME);
     }
@@ -208,21 +208,26 @@
         let from = now();
         let before = cpu_used(&fleet.routers);
         let dead = deaths(&fleet.routers);
-        fleet.routers.lose(0, 2, 1.0);
+        fleet.routers.set_loss(0, 2, 1.0);
         sleep(self.span(3000, 20_000));
         self.findings.false_deaths = deaths(&fleet.routers) - dead;
         self.bench.phase("one way lost", from, &fleet.routers, &before);
-        fleet.routers.heal();
+        fleet.routers.clear_losses();
     }
 
     /// Lists a node as just started, and compares the RPCs that reach it in its first second or so with those
     /// of a warm node of its group.
     fn cold_node(&mut self) {
         let from = now();
-        self.listing.change(targets(&entries(&self.bench.busy, &self.bench.quiet, Some(from))));
+        self.listing.set_endpoints(endpoint_list_json(&entries(
+            &self.bench.busy,
+            &self.bench.quiet,
+            Some(from),
+        )));
         sleep(ms(1500));
         let (cold, warm) = (&self.bench.busy.nodes[1], &self.bench.busy.nodes[2]);
-        self.findings.cold_part = cold.rpcs(from, now()) as f64 / warm.rpcs(from, now()).max(1) as f64;
+        self.findings.cold_part =
+            cold.rpcs_between(from, now()) as f64 / warm.rpcs_between(from, now()).max(1) as f64;
     }
 
     /// Terminates a router by SIGTERM and restarts it.
@@ -230,7 +235,7 @@
         let (from, before) = (now(), cpu_used(&fleet.routers));
         fleet.outages.begin(0);
         fleet.routers.signal(0, "-TERM");
-        self.findings.drained = fleet.routers.ended(0);
+        self.findings.drained = fleet.routers.wait_for_exit(0);
         fleet.routers.start(0)?;
         fleet.outages.end(0);
         self.bench.phase("planned leave", from, &fleet.routers, &before);
@@ -261,8 +266,8 @@
     }
 
     /// Runs all phases with routers that share health checks. Returns the results of the RPCs.
-    fn shared(&mut self) -> std::io::Result<Arc<Tally>> {
-        let mut fleet = self.fleet(Bond::Fleet)?;
+    fn shared(&mut self) -> std::io::Result<Arc<RpcResults>> {
+        let mut fleet = self.fleet(FleetMode::Shared)?;
         let begun = now();
         self.calm("shared", &fleet.routers);
         self.kills(&mut fleet)?;
@@ -272,7 +277,7 @@
         self.planned_leave(&mut fleet)?;
         self.findings.gap_max_s = self.bench.gap(begun, now());
         self.restart_all(&mut fleet)?;
-        let tally = fleet.load.end();
+        let tally = fleet.load.finish();
         if self.options.long {
             self.rpc_costs("shared", &mut fleet.routers, &fleet.addresses)?;
         }
@@ -280,11 +285,11 @@
     }
 
     /// Runs a phase with routers that make health checks each by itself, or none but for their RPCs.
-    fn unshared(&mut self, bond: Bond, name: &'static str) -> std::io::Result<()> {
+    fn unshared(&mut self, bond: FleetMode, name: &'static str) -> std::io::Result<()> {
         let mut fleet = self.fleet(bond)?;
         self.calm(name, &fleet.routers);
-        fleet.load.end();
-        if self.options.long && bond == Bond::Off {
+        fleet.load.finish();
+        if self.options.long && bond == FleetMode::Disabled {
             self.rpc_costs(name, &mut fleet.routers, &fleet.addresses)?;
         }
         Ok(())
@@ -306,14 +311,14 @@
 
 fn deaths(routers: &Routers) -> usize {
     let dead = |line: &&String| line.contains("\"fleet_peer\"") && line.contains("\"state\":\"Dead\"");
-    (0..ROUTERS).map(|index| routers.lines(index).iter().filter(dead).count()).sum::<usize>()
+    (0..ROUTERS).map(|index| routers.log_lines(index).iter().filter(dead).count()).sum::<usize>()
 }
 
 fn measure(options: &Options) -> std::io::Result<Figures> {
     let mut trial = Trial::start(options)?;
     let tally = trial.shared()?;
-    trial.unshared(Bond::Alone, "alone")?;
-    trial.unshared(Bond::Off, "off")?;
+    trial.unshared(FleetMode::Separate, "alone")?;
+    trial.unshared(FleetMode::Disabled, "off")?;
     let mut figures = Figures::new(&trial.bench, &trial.findings, &tally, options.seed);
     for first in &trial.findings.first_reads {
         println!("{}", serde_json::to_string(first)?);
--- a/crates/testbed/src/duties/bench.rs
+++ b/crates/testbed/src/duties/bench.rs
@@ -7,8 +7,8 @@
 
 use super::ROUTERS;
 use crate::now;
+use crate::replica_set::{Node, ReplicaSet};
 use crate::routers::Routers;
-use crate::store::{Node, Store};
 
 /// The figures of a phase.
 #[derive(Default, Serialize)]
@@ -36,9 +36,9 @@
 /// The stand-in nodes of a run and its phases so far.
 pub struct Bench {
     /// Nodes with load.
-    pub busy: Store,
+    pub busy: ReplicaSet,
     /// Nodes without load.
-    pub quiet: Store,
+    pub quiet: ReplicaSet,
     /// The phases so far.
     pub phases: Vec<Phase>,
 }
@@ -51,7 +51,7 @@
 
     /// The longest gap of any node between these two times, in seconds.
     pub fn gap(&self, from: Duration, to: Duration) -> f64 {
-        self.nodes().map(|node| node.longest_gap(from, to)).max().unwrap_or_default().as_secs_f64()
+        self.nodes().map(|node| node.longest_contact_gap(from, to)).max().unwrap_or_default().as_secs_f64()
     }
 
     /// Adds a phase that lasted from `from` until now. `cpu_used` is the processor time of each router at its
@@ -59,10 +59,10 @@
     pub fn phase(&mut self, name: &'static str, from: Duration, routers: &Routers, cpu_used: &[Duration]) {
         let (to, seconds) = (now(), (now() - from).as_secs_f64());
         let mut times = Histogram::<u64>::new(3).expect("3 significant digits are a valid precision");
-        for gap in self.nodes().flat_map(|node| node.gaps(from, to)) {
+        for gap in self.nodes().flat_map(|node| node.contact_gaps(from, to)) {
             record_micros(&mut times, gap.as_micros() as u64);
         }
-        let rate = |node: &Node| node.probes(from) as f64 / seconds;
+        let rate = |node: &Node| node.probes_since(from) as f64 / seconds;
         let quiet = self.quiet.nodes.iter().map(rate).sum::<f64>() / self.quiet.nodes.len() as f64;
         let usage: Vec<_> =
             (0..ROUTERS).filter_map(|index| routers.usage(index).map(|usage| (index, usage))).collect();
--- a/crates/testbed/src/duties/figures.rs
+++ b/crates/testbed/src/duties/figures.rs
@@ -6,8 +6,8 @@
 use super::bench::{Bench, record_micros};
 use super::rpc_costs::{FirstReads, RpcCosts};
 use super::{MAX_GAP_S, ROUTERS};
-use crate::load::Tally;
-use crate::store::Node;
+use crate::load::RpcResults;
+use crate::replica_set::Node;
 
 /// Shared health checks may be at most this fraction of those that three routers make when each checks all
 /// nodes alone.
@@ -36,7 +36,7 @@
     pub first_reads: Vec<FirstReads>,
 }
 
-/// The last line of the output. The counts of RPCs are those of the load in the shared phases; see [`Tally`].
+/// The last line of the output. The counts of RPCs are those of the load in the shared phases; see [`RpcResults`].
 #[derive(Serialize)]
 pub struct Figures {
     /// See [`Findings::gap_max_s`].
@@ -87,16 +87,16 @@
 
 impl Figures {
     /// Computes the figures of a run; `broken` stays empty.
-    pub fn new(bench: &Bench, findings: &Findings, tally: &Tally, seed: u64) -> Self {
+    pub fn new(bench: &Bench, findings: &Findings, tally: &RpcResults, seed: u64) -> Self {
         let count = |count: &std::sync::atomic::AtomicU64| count.load(std::sync::atomic::Ordering::SeqCst);
         let ids = |ids: &std::sync::Mutex<Vec<String>>| ids.lock().map(|ids| ids.clone()).unwrap_or_default();
         let mut times = Histogram::<u64>::new(3).expect("3 significant digits are a valid precision");
         tally
-            .times
+            .latencies_us
             .lock()
             .map(|all| all.iter().for_each(|time| record_micros(&mut times, *time)))
             .unwrap_or_default();
-        let (_, doubled) = bench.busy.writes();
+        let (_, doubled) = bench.busy.write_counts();
         Figures {
             probe_gap_max_s: findings.gap_max_s,
             probes_per_node_s_shared: bench.last("shared").probes_per_quiet_node_s,
@@ -104,16 +104,19 @@
             probes_per_node_s_off: bench.last("off").probes_per_node_s_max,
             take_over_max_s: findings.take_over_max_s,
             kills: findings.kills,
-            rpcs: tally.rpcs(),
+            rpcs: tally.total(),
             ok: count(&tally.ok),
-            pushed_back: count(&tally.pushed_back),
-            aborted: count(&tally.aborted),
-            cut: count(&tally.cut),
+            pushed_back: count(&tally.rejected),
+            aborted: count(&tally.failed),
+            cut: count(&tally.interrupted),
             lost: count(&tally.lost),
             doubled: doubled as u64,
-            stale: bench.nodes().map(Node::stale).sum(),
-            entered_missing: ids(&tally.entered).iter().filter(|id| !bench.busy.has_run(id)).count(),
-            refused_but_ran: ids(&tally.refused).iter().filter(|id| bench.busy.has_run(id)).count(),
+            stale: bench.nodes().map(Node::stale_reads).sum(),
+            entered_missing: ids(&tally.committed_ids)
+                .iter()
+                .filter(|id| !bench.busy.has_executed(id))
+                .count(),
+            refused_but_ran: ids(&tally.rejected_ids).iter().filter(|id| bench.busy.has_executed(id)).count(),
             cold_part: findings.cold_part,
             false_deaths: findings.false_deaths,
             p50_ms: times.value_at_quantile(0.5) as f64 / 1000.0,
--- a/crates/testbed/src/scale/bounds.rs
+++ b/crates/testbed/src/scale/bounds.rs
@@ -35,8 +35,8 @@
 /// Maximum bytes of a router at twice the databases, as a multiple of its bytes at the original number.
 pub const MAX_TWICE_THE_DATABASES_TIMES: f64 = 1.3;
 
-fn bound(figure: &str, is: f64, most: f64) -> Bound {
-    Bound { figure: figure.to_string(), is, most, held: is <= most }
+fn bound(figure: &str, value: f64, limit: f64) -> Bound {
+    Bound { figure: figure.to_string(), value, limit, held: value <= limit }
 }
 
 /// The bounds of a run. A bound whose figure the run does not have is left out.
--- a/crates/testbed/src/scale/calibration.rs
+++ b/crates/testbed/src/scale/calibration.rs
@@ -29,16 +29,17 @@
             return None;
         }
         // If both are zero there is no deviation.
-        let is = if real == hollow { 0.0 } else { (hollow - real).abs() / real.abs().max(f64::MIN_POSITIVE) };
-        Some(Bound { figure: format!("calibration_{name}"), is, most: *most, held: is <= *most })
+        let value =
+            if real == hollow { 0.0 } else { (hollow - real).abs() / real.abs().max(f64::MIN_POSITIVE) };
+        Some(Bound { figure: format!("calibration_{name}"), value, limit: *most, held: value <= *most })
     };
     let mut bounds: Vec<Bound> = MAX_DEVIATIONS.iter().filter_map(bound_of).collect();
     let cpu = figures.get("real_cpu_part").zip(figures.get("real_cpu_error_part"));
     if let Some((cpu, error)) = cpu.filter(|_| with_cpu) {
         // A measured cost of zero or less is nothing but error.
-        let is = if *cpu > 0.0 { error / cpu } else { (error / cpu.abs()).max(1.0) };
+        let value = if *cpu > 0.0 { error / cpu } else { (error / cpu.abs()).max(1.0) };
         let figure = "calibration_cpu_part_error".to_string();
-        bounds.push(Bound { figure, is, most: MAX_CPU_ERROR_PART, held: is <= MAX_CPU_ERROR_PART });
+        bounds.push(Bound { figure, value, limit: MAX_CPU_ERROR_PART, held: value <= MAX_CPU_ERROR_PART });
     }
     bounds
 }
--- a/crates/testbed/src/scale/clients.rs
+++ b/crates/testbed/src/scale/clients.rs
@@ -6,8 +6,8 @@
 
 use quillpoint_router::pg::{self, BackendMessage};
 
-use crate::load::Load;
-use crate::store::next;
+use crate::load::LoadGenerator;
+use crate::replica_set::read_message;
 
 /// Active clients of each router; they share its statement rate.
 const ACTIVE_CLIENTS: usize = 10;
@@ -15,7 +15,7 @@
 
 /// The clients of a set of real routers.
 pub struct Clients {
-    load: Option<Load>,
+    load: Option<LoadGenerator>,
     _idle: Vec<TcpStream>,
 }
 
@@ -38,21 +38,21 @@
             }
         }
         let interval = Duration::from_secs_f64(ACTIVE_CLIENTS as f64 / statements.clamp(1e-3, 1e6));
-        let load =
-            (statements > 0.0).then(|| Load::of_groups(routers, ACTIVE_CLIENTS, interval, &["look"], groups));
+        let load = (statements > 0.0)
+            .then(|| LoadGenerator::with_replica_sets(routers, ACTIVE_CLIENTS, interval, &["look"], groups));
         Ok(Self { load, _idle: idle })
     }
 
     /// The number of statements answered so far, and how many of them succeeded.
     pub fn answered(&self) -> (u64, u64) {
         let Some(load) = &self.load else { return (0, 0) };
-        (load.tally.rpcs(), load.tally.ok.load(std::sync::atomic::Ordering::SeqCst))
+        (load.results.total(), load.results.ok.load(std::sync::atomic::Ordering::SeqCst))
     }
 
     /// Stops the active clients and waits for their last answers.
     pub fn end(self) {
         if let Some(load) = self.load {
-            load.end();
+            load.finish();
         }
     }
 }
@@ -64,7 +64,7 @@
     pg::encode_startup(&mut out, "portal", "crm");
     stream.write_all(&out)?;
     loop {
-        match next(&mut stream, &mut unread, pg::decode_backend_message) {
+        match read_message(&mut stream, &mut unread, pg::decode_backend_message) {
             Some(BackendMessage::ReadyForQuery) => return Ok(stream),
             Some(BackendMessage::ErrorResponse { message, .. }) => {
                 return Err(std::io::Error::other(message));
--- a/crates/testbed/src/scale/hollow_process.rs
+++ b/crates/testbed/src/scale/hollow_process.rs
@@ -17,7 +17,7 @@
 use quillpoint_router::runtime_config::{ConfigFiles, RuntimeConfig};
 
 use crate::now;
-use crate::process::resident;
+use crate::process::resident_bytes;
 use crate::scale::commands::{HollowPlan, HollowReport, PromotionReport, StandInCommand};
 use crate::scale::faults::is_affected;
 use crate::scale::hollow::{ControlRole, HollowRouter, ProcessContext};
@@ -166,7 +166,7 @@
             routers,
             first_index: plan.first_index,
             scheduled: Vec::new(),
-            base_bytes: resident(std::process::id()).unwrap_or(0),
+            base_bytes: resident_bytes(std::process::id()).unwrap_or(0),
             ages: [histogram(), histogram()],
             peak_quarter: 0,
             quarters: Vec::new(),
@@ -259,7 +259,7 @@
             at_us: now().as_micros() as u64,
             routers: self.routers.len(),
             base_bytes: self.base_bytes,
-            resident_bytes: resident(std::process::id()).unwrap_or(0),
+            resident_bytes: resident_bytes(std::process::id()).unwrap_or(0),
             caught_up: self.caught_up,
             last_behind_us: self.last_behind_us,
             ages: self.ages.iter().flat_map(value_counts).collect(),
--- a/crates/testbed/src/scale/member.rs
+++ b/crates/testbed/src/scale/member.rs
@@ -10,9 +10,9 @@
 
 use serde_json::Value as Json;
 
-use crate::process::{Kept, Process};
+use crate::process::{CapturedStream, Process};
 use crate::record::{Mode, Sizes};
-use crate::routers::{Platform, platform};
+use crate::routers::{PlatformConfig, platform_json};
 use crate::scale::counters::Counters;
 use crate::scale::hollow::region;
 use crate::scale::partition::PartitionRelays;
@@ -104,7 +104,7 @@
     ) -> std::io::Result<[PathBuf; 2]> {
         let sizes = self.sizes;
         let of_clients = if kind == Kind::Control { 0 } else { sizes.connections };
-        let json = platform(&Platform {
+        let json = platform_json(&PlatformConfig {
             name: name.to_string(),
             listen: address.clients,
             discovery: self.discovery,
@@ -113,8 +113,8 @@
             memory_mb: 192 + of_clients / 10,
             // Without a control side it would make the health checks that others make for a router with one,
             // which is not part of the same load.
-            probes: kind != Kind::Baseline,
-            known: Json::Null,
+            may_probe: kind != Kind::Baseline,
+            known_endpoints: Json::Null,
         });
         let files = [self.folder.join(format!("{name}.json")), self.folder.join(format!("{name}.conf"))];
         fs::write(&files[0], json.to_string())?;
@@ -204,7 +204,7 @@
         if self.with_conf {
             command.arg("--conf").arg(&self.files[1]);
         }
-        self.process = Some(Process::start(command, Kept::Errors)?);
+        self.process = Some(Process::start(command, CapturedStream::Stderr)?);
         Ok(())
     }
 
@@ -214,7 +214,7 @@
     /// It does not serve in time.
     pub fn await_serving(&self) -> std::io::Result<()> {
         let serves =
-            self.process.as_ref().is_some_and(|process| process.await_line("serves at", WAIT_TIMEOUT));
+            self.process.as_ref().is_some_and(|process| process.wait_for_line("serves at", WAIT_TIMEOUT));
         let lines = || self.process.as_ref().map(Process::lines).unwrap_or_default();
         if serves {
             Ok(())
@@ -252,7 +252,7 @@
 
     /// Whether it can report its counters: a process that is starting does not handle the signal yet.
     pub fn is_answering(&self) -> bool {
-        let serves = |process: &Process| process.await_line("serves at", Duration::ZERO);
+        let serves = |process: &Process| process.wait_for_line("serves at", Duration::ZERO);
         !self.paused && self.process.as_ref().is_some_and(serves)
     }
 
@@ -264,7 +264,7 @@
     /// Requests a report of the counters in the log. Returns the index of the log line from which to look for
     /// it.
     pub fn request_counters(&self) -> usize {
-        let index = self.process.as_ref().map_or(0, Process::count);
+        let index = self.process.as_ref().map_or(0, Process::line_count);
         self.signal("-HUP");
         index
     }
@@ -284,7 +284,7 @@
         for event in events {
             let find = |line: &str| Counters::from_log_line(line, event);
             let found =
-                self.process.as_ref().and_then(|process| process.await_from(index, WAIT_TIMEOUT, find));
+                self.process.as_ref().and_then(|process| process.wait_for_match(index, WAIT_TIMEOUT, find));
             all = all.plus(found.ok_or_else(|| self.error(&format!("logged no {event} event in time")))?);
         }
         Ok(all)
--- a/crates/testbed/src/scale/partition.rs
+++ b/crates/testbed/src/scale/partition.rs
@@ -11,7 +11,7 @@
 use std::io;
 use std::net::SocketAddr;
 
-use crate::relay::{Passage, Relay};
+use crate::relay::{Relay, TwoWayRelay};
 use crate::scale::hollow::side;
 use crate::scale::member::Address;
 
@@ -22,7 +22,7 @@
     fleet: BTreeMap<SocketAddr, Relay>,
     /// One relay for each pair of a real router and a control instance on the other side, by the listen
     /// addresses of both.
-    feed: BTreeMap<(SocketAddr, SocketAddr), Passage>,
+    feed: BTreeMap<(SocketAddr, SocketAddr), TwoWayRelay>,
 }
 
 impl PartitionRelays {
@@ -38,7 +38,7 @@
             for remote in
                 control.iter().map(|address| address.feed).filter(|feed| side(*feed) != side(router))
             {
-                feed.insert((router, remote), Passage::between(router, remote)?);
+                feed.insert((router, remote), TwoWayRelay::start(router, remote)?);
             }
         }
         Ok(Self { fleet, feed })
@@ -58,15 +58,15 @@
     pub fn close(&self) {
         for (to, relay) in &self.fleet {
             for from in self.fleet.keys().filter(|from| side(**from) != side(*to)) {
-                relay.lose(*from, 1.0);
+                relay.set_loss(*from, 1.0);
             }
         }
-        self.feed.values().for_each(|passage| passage.close(true));
+        self.feed.values().for_each(|passage| passage.set_blocked(true));
     }
 
     /// Forwards all datagrams again.
     pub fn open(&self) {
-        self.fleet.values().for_each(Relay::heal);
-        self.feed.values().for_each(|passage| passage.close(false));
+        self.fleet.values().for_each(Relay::clear_losses);
+        self.feed.values().for_each(|passage| passage.set_blocked(false));
     }
 }
--- a/crates/testbed/src/scale/run.rs
+++ b/crates/testbed/src/scale/run.rs
@@ -18,7 +18,7 @@
 use rand_chacha::ChaCha8Rng;
 
 use self::stand_in::StandIn;
-use crate::listing::Listing;
+use crate::listing::DiscoveryServer;
 use crate::record::{Axis, Line, Mode, Sizes};
 use crate::scale::clients::Clients;
 use crate::scale::commands::{DatabasesReport, HollowReport, StandInCommand};
@@ -119,7 +119,7 @@
     control: Vec<Member>,
     /// Relays that partition the real processes, in a run with a partition.
     partition: Option<PartitionRelays>,
-    listing: Listing,
+    listing: DiscoveryServer,
     /// Promotions still to be made as pairs of the indexes of the new and the old primary, in reverse order.
     promotions: Vec<(usize, usize)>,
     promoted: usize,
--- a/crates/testbed/src/scale/run/fault_injection.rs
+++ b/crates/testbed/src/scale/run/fault_injection.rs
@@ -8,7 +8,7 @@
 use super::member_watch::MemberWatch;
 use super::window::Window;
 use super::{RunError, TestFleet};
-use crate::listing::Counts;
+use crate::listing::DiscoveryCounts;
 use crate::now;
 use crate::record::{Bound, Mode};
 use crate::scale::commands::{HollowReport, StandInCommand};
@@ -145,8 +145,12 @@
 /// Bounds of zero: no router may be left behind, the traffic must be back to normal, and every control
 /// instance must have been partitioned and have rejoined.
 fn bounds(missing: f64, calm_after_s: Option<f64>, figures: &BTreeMap<String, f64>) -> Vec<Bound> {
-    let zero_bound =
-        |figure: &str, is: f64| Bound { figure: figure.to_string(), is, most: 0.0, held: is <= 0.0 };
+    let zero_bound = |figure: &str, value: f64| Bound {
+        figure: figure.to_string(),
+        value,
+        limit: 0.0,
+        held: value <= 0.0,
+    };
     let calm_missing = f64::from(u8::from(calm_after_s.is_none()));
     let mut bounds = vec![zero_bound("follow_missing", missing), zero_bound("calm_missing", calm_missing)];
     let partition_figures = ["cut_missing", "agree_missing"];
@@ -178,9 +182,9 @@
 }
 
 /// The requests to discovery since the fault began.
-fn put_discovery(put: &mut impl FnMut(&str, f64), discovery: &Counts) {
-    put("fault_discovery_calls", discovery.calls as f64);
-    put("fault_discovery_lists", discovery.lists as f64);
+fn put_discovery(put: &mut impl FnMut(&str, f64), discovery: &DiscoveryCounts) {
+    put("fault_discovery_calls", discovery.requests as f64);
+    put("fault_discovery_lists", discovery.full_lists as f64);
     put("fault_discovery_bytes_in", discovery.bytes_in as f64);
     put("fault_discovery_bytes_out", discovery.bytes_out as f64);
 }
--- a/crates/testbed/src/scale/run/stand_in.rs
+++ b/crates/testbed/src/scale/run/stand_in.rs
@@ -7,7 +7,7 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-use crate::process::{Kept, Process};
+use crate::process::{CapturedStream, Process};
 use crate::scale::commands::StandInCommand;
 
 /// How long to wait for a report.
@@ -22,8 +22,8 @@
 impl StandIn {
     /// Starts the program and sends it its plan.
     pub(super) fn start(program: &Path, name: &'static str, plan: &impl Serialize) -> std::io::Result<Self> {
-        let mut process = Process::start(Command::new(program), Kept::Output)?;
-        process.order(&serde_json::to_string(plan)?)?;
+        let mut process = Process::start(Command::new(program), CapturedStream::Stdout)?;
+        process.send_line(&serde_json::to_string(plan)?)?;
         Ok(Self { process, name })
     }
 
@@ -34,14 +34,15 @@
 
     /// Waits for a report in the output, from the line at `index` on.
     pub(super) fn report<R: DeserializeOwned>(&self, index: usize) -> std::io::Result<R> {
-        let found = self.process.await_from(index, REPORT_TIMEOUT, |line| serde_json::from_str(line).ok());
+        let found =
+            self.process.wait_for_match(index, REPORT_TIMEOUT, |line| serde_json::from_str(line).ok());
         found.ok_or_else(|| std::io::Error::other(format!("no report in time from {}", self.name)))
     }
 
     /// Sends a command and returns the index of the output line from which to look for its report.
     pub(super) fn send(&mut self, command: &StandInCommand) -> std::io::Result<usize> {
-        let index = self.process.count();
-        self.process.order(&serde_json::to_string(command)?)?;
+        let index = self.process.line_count();
+        self.process.send_line(&serde_json::to_string(command)?)?;
         Ok(index)
     }
 }
--- a/crates/testbed/src/scale/run/start.rs
+++ b/crates/testbed/src/scale/run/start.rs
@@ -11,7 +11,7 @@
 
 use super::stand_in::StandIn;
 use super::{GROUP_SIZE, Programs, RunError, RunSpec, TestFleet, promotions};
-use crate::listing::Listing;
+use crate::listing::DiscoveryServer;
 use crate::record::{Mode, Sizes};
 use crate::scale::commands::{DatabasesPlan, DatabasesReport, HollowPlan, HollowReport, HollowRouterPlan};
 use crate::scale::faults::Fault;
@@ -116,7 +116,7 @@
 }
 
 /// Starts discovery with an endpoint list of these databases.
-fn start_listing(databases: &[SocketAddr]) -> std::io::Result<Listing> {
+fn start_listing(databases: &[SocketAddr]) -> std::io::Result<DiscoveryServer> {
     let entry = |(index, database): (usize, &SocketAddr)| {
         let role = if index.is_multiple_of(GROUP_SIZE) { "primary" } else { "replica" };
         json!({
@@ -124,7 +124,7 @@
             "pod_group": index / GROUP_SIZE, "state": "in_service", "capacity_hint": 1.0, "boot_ms": 0, "role": role,
         })
     };
-    Listing::start(databases.iter().enumerate().map(entry).collect())
+    DiscoveryServer::start(databases.iter().enumerate().map(entry).collect())
 }
 
 /// The real processes of a run, by kind.
--- a/crates/testbed/src/scale/run/window.rs
+++ b/crates/testbed/src/scale/run/window.rs
@@ -25,7 +25,7 @@
     real: Vec<Counters>,
     control: Vec<Counters>,
     database_processes: Vec<DatabasesReport>,
-    discovery: listing::Counts,
+    discovery: listing::DiscoveryCounts,
     cpu: Cpu,
 }
 
@@ -230,7 +230,7 @@
         // plan.
         let callers = (self.real.len() + self.control.len()).max(1) as f64;
         let discovery = after.discovery.since(before.discovery);
-        put("discovery_calls_s", discovery.calls as f64 / seconds / callers);
+        put("discovery_calls_s", discovery.requests as f64 / seconds / callers);
         put("discovery_bytes_s", (discovery.bytes_in + discovery.bytes_out) as f64 / seconds / callers);
     }
 }
--- a/crates/testbed/tests/faults.rs
+++ b/crates/testbed/tests/faults.rs
@@ -4,7 +4,7 @@
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 
-use quillpoint_testbed::listing::Listing;
+use quillpoint_testbed::listing::DiscoveryServer;
 use quillpoint_testbed::record::Mode;
 use quillpoint_testbed::scale::counters::Counters;
 use quillpoint_testbed::scale::faults::{AFFECTED_ONE_IN, calm_after_s, has_caught_up, is_affected};
@@ -84,15 +84,19 @@
 
 #[test]
 fn discovery_counts_its_calls_and_their_bytes() {
-    let listing = Listing::start(json!([{"uid": "s-1"}])).expect("discovery starts");
+    let listing = DiscoveryServer::start(json!([{"uid": "s-1"}])).expect("discovery starts");
     let before = listing.counts();
     let (first, second) = (call(listing.address, 0), call(listing.address, 1));
     // Discovery counts a call just after it has written the answer.
-    while listing.counts().since(before).calls < 2 {
+    while listing.counts().since(before).requests < 2 {
         std::thread::yield_now();
     }
     let counts = listing.counts().since(before);
-    assert_eq!((counts.calls, counts.lists), (2, 1), "a caller that knows the current revision gets no list");
+    assert_eq!(
+        (counts.requests, counts.full_lists),
+        (2, 1),
+        "a caller that knows the current revision gets no list"
+    );
     assert_eq!(counts.bytes_in as usize, first.0 + second.0);
     assert_eq!(counts.bytes_out as usize, first.1 + second.1);
     assert!(second.1 < first.1);
