--- a/crates/datagram/src/lib.rs
+++ b/crates/datagram/src/lib.rs
@@ -1,5 +1,5 @@
-//! The datagrams that the processes of an installation exchange. They are versioned, authenticated, limited
-//! in length and protected against replay.
+//! The datagrams that control instances exchange with each other and with routers. They are versioned,
+//! authenticated, limited in length and protected against replay.
 //!
 //! A datagram consists of a header, the [`Payload`] encoded by postcard, and a keyed BLAKE3 hash over both:
 //!
@@ -14,10 +14,11 @@
 //! | .. | the payload |
 //! | 32 | the hash |
 //!
-//! Numbers are in network byte order. The header names the incarnation of the receiving process, and other
-//! processes reject the datagram; so datagrams recorded before a restart of the receiver cannot be replayed
-//! after it. Only a join or subscribe request, which does nothing but ask for a reply, may leave the
-//! incarnation open. Each sequence number of one incarnation of a sender is accepted once.
+//! Numbers are in network byte order. The header names the incarnation of the receiving process, which is new
+//! with each start, and a process of another incarnation rejects the datagram; so datagrams recorded before a
+//! restart of the receiver cannot be replayed after it. Only a join or subscribe request may leave the
+//! incarnation open: it asks for a reply, and carries nothing but what its sender states about itself. From
+//! one incarnation of a sender, each sequence number is accepted at most once.
 
 #![warn(missing_docs)]
 
--- a/crates/membership/src/membership/failure_detector.rs
+++ b/crates/membership/src/membership/failure_detector.rs
@@ -20,20 +20,20 @@
 /// How many peers are asked for an indirect ping of the same target.
 const INDIRECT_PINGS: usize = 3;
 /// How long a suspect has to refute the suspicion, per doubling of the number of routers: the timeout is this
-/// times the floor of log2 of that number, where the factor is at least 1.
+/// times the base-2 logarithm of that number, rounded down, but at least this.
 const SUSPICION_TIMEOUT_PER_DOUBLING: Duration = Duration::from_millis(750);
 /// The interval at which suspects are pinged, with the record that they have to refute. With only one ping
 /// per protocol period, running routers would be declared dead when a fifth of all datagrams are lost.
 const SUSPECT_PING_INTERVAL: Duration = Duration::from_millis(100);
-/// How many routers ping a suspect in each interval, on average.
+/// How many routers ping a suspect in each such interval, on average; in a smaller fleet all of them do.
 const ROUTERS_PINGING_A_SUSPECT: f64 = 5.0;
 
 /// A ping without an ack so far.
 struct OutstandingPing {
     peer: PeerName,
     sent_at: Duration,
-    /// Whether no indirect pings are to be requested any more: they have been, or the peer is suspect
-    /// already.
+    /// Set once indirect pings of the peer have been requested, so that they are requested only once. Set
+    /// from the start in the extra pings of a suspect, for which none are requested.
     is_escalated: bool,
 }
 
@@ -45,10 +45,10 @@
     expires_at: Duration,
 }
 
-/// The pings that this router sends.
+/// The pings that this router has sent, and which peer it pings next.
 pub(super) struct FailureDetector {
-    /// The peers that are still to be pinged in this round, in reverse order. Refilled in random order when
-    /// it is empty.
+    /// The peers that are still to be pinged in this round; the last element is pinged next. Refilled in
+    /// random order when it is empty.
     ping_order: Vec<PeerName>,
     next_ping: Duration,
     outstanding: BTreeMap<PingNumber, OutstandingPing>,
@@ -67,7 +67,8 @@
         }
     }
 
-    /// Drops all outstanding pings: their acks may have arrived while the process was not running.
+    /// Starts again after the process was not running for a while. Drops all outstanding pings: their acks
+    /// may have arrived during that time.
     pub(super) fn restart(&mut self, now: Duration) {
         self.next_ping = now + PING_INTERVAL;
         self.outstanding.clear();
@@ -239,9 +240,10 @@
         }
     }
 
-    /// Handles the case that other routers have an older record of a peer with a worse state. Either they
-    /// have missed the newer record, which is then disseminated again, or the peer has died since. Then it is
-    /// pinged next: with a hundred routers it would otherwise be pinged up to 25 s later.
+    /// Handles the case that another router has an older record of a peer with a worse state. If the peer was
+    /// heard from recently, the other router has missed the newer record, which is disseminated again. If
+    /// not, the peer may have died since, so it is pinged next: with a hundred routers it would otherwise be
+    /// pinged up to 25 s later.
     pub(super) fn recheck(&mut self, now: Duration, name: &PeerName) {
         let transmissions = self.peers.transmissions();
         let Some(peer) = self.peers.get_mut(name) else { return };
--- a/crates/membership/src/message.rs
+++ b/crates/membership/src/message.rs
@@ -16,12 +16,13 @@
 /// This many observations fit in a datagram whatever their values are, together with piggybacked records of
 /// members with the longest names.
 pub const OBSERVATION_BATCH_SIZE: usize = 10;
-/// A message carries more observations as long as their encoded size does not exceed this. The rest of a
-/// datagram is reserved for the records of the sender and of other members, with the longest names.
+/// A message with new observations carries more than [`OBSERVATION_BATCH_SIZE`] of them as long as their
+/// encoded size does not exceed this. The rest of a datagram is reserved for the records of the sender and of
+/// other members, with the longest names.
 pub const MAX_OBSERVATION_BATCH_BYTES: usize = 680;
 
-/// The state of a member, in ascending order. Of two records with the same version, the one with the higher
-/// state takes precedence.
+/// The state of a member. The variants are in ascending order; a higher state is called worse. Of two records
+/// with the same version, the one with the higher state takes precedence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum MemberState {
     /// It has started, or resumed after a pause, and has no current view of the fleet yet.
@@ -37,14 +38,15 @@
 }
 
 impl MemberState {
-    /// Whether the member may be running. Messages are sent only to active members, and only they count as
-    /// routers of the fleet.
+    /// Whether the member may be running. Only active members count as members of the fleet and are chosen as
+    /// receivers of pings and observations. Inactive ones may still get join requests and join replies, so
+    /// that they can return.
     pub fn is_active(self) -> bool {
         self <= Self::Suspect
     }
 }
 
-/// What a router knows about a member.
+/// What one member knows about another, or states about itself.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberRecord {
     /// Its name.
@@ -55,13 +57,13 @@
     pub address: SocketAddr,
     /// The index of its zone in the deployment's settings.
     pub zone: u16,
-    /// Its share of the tasks, relative to those of the other members. With zero it owns none.
+    /// Its share of the tasks, relative to the weights of the other members. With zero it owns none.
     pub weight: u8,
     /// Its state.
     pub state: MemberState,
 }
 
-/// A router's observation of a node. The time of the observation is sent as an age, so that the routers'
+/// A member's observation of a node. The time of the observation is sent as an age, so that the members'
 /// clocks need not be synchronized; the log position and the start time are reported by the node, on the
 /// deployment's clock.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -88,13 +90,15 @@
     /// Requests a join reply and the recent observations. A member that leaves announces it by a join
     /// request, in which its own record has the state [`MemberState::Left`].
     JoinRequest,
-    /// Carries a part of the sender's member records to a router that has sent a join request.
+    /// Carries a part of the sender's member records. Sent to a member that has sent a join request, or any
+    /// message while the sender has it recorded as dead or left.
     JoinReply,
     /// Requests an ack with this number.
     Ping(PingNumber),
     /// Acknowledges the ping with this number.
     Ack(PingNumber),
-    /// Requests that the receiver pings this peer, and forwards the ack with this number.
+    /// Requests that the receiver pings this peer, and answers with an ack of this number when the peer has
+    /// acknowledged.
     IndirectPing(PingNumber, PeerName),
     /// Observations of nodes.
     Observations(Vec<Observation>),
--- a/crates/router/src/client/request.rs
+++ b/crates/router/src/client/request.rs
@@ -22,13 +22,13 @@
     pub(super) statement: Rc<InFlightStatement>,
     /// When the last byte of the statement arrived: the RPC's deadline counts from then.
     pub(super) arrived: Instant,
-    /// The commits of earlier RPCs on the same connection.
+    /// The commits of earlier RPCs on the same connection; a commit of this one is added.
     pub(super) commits: Rc<RefCell<SessionCommits>>,
 }
 
 impl ClientSessions {
-    /// Runs an RPC and returns its response. Called when the statements on the connection that it must wait
-    /// for have ended.
+    /// Runs an RPC and returns its response. Called once those earlier statements of the connection that it
+    /// must wait for have ended.
     pub(super) async fn run_rpc(self: Rc<Self>, request: RpcRequest) -> EncodedResponse {
         let RpcRequest { method, statement: in_flight, arrived, commits } = request;
         let mut out = Vec::new();
@@ -69,8 +69,8 @@
                 }
                 Some(RpcCommand::Reject { retry_after }) => encode_rejection(&mut out, retry_after),
                 Some(RpcCommand::Abort { last_outcome }) => encode_abort(&mut out, last_outcome),
-                // The channel closes only after the final response, so this is not reached while the RPC is
-                // pending.
+                // Not reached: the channel closes only after the final response, on which this function has
+                // returned.
                 None => return future::pending().await,
             }
             return self.encoded_with_ready(out);
--- a/crates/router/src/client/response_writer.rs
+++ b/crates/router/src/client/response_writer.rs
@@ -17,17 +17,19 @@
 use crate::request_pipeline::EncodedResponse;
 use crate::socket;
 
-/// The mean rate at which a client must read a response; low enough for clients on slow connections.
+/// The minimum mean rate at which a client must read a response; low enough for clients on slow connections.
 const MIN_READ_BYTES_PER_SECOND: u64 = 16 * 1024;
 
-/// The Retry-After for a client that was rejected for lack of capacity in the router.
+/// The Retry-After for a client that was rejected for lack of capacity in the router. A Retry-After is the
+/// time after which the client should retry; it is sent in milliseconds, as the detail of the error.
 const NO_CAPACITY_RETRY_AFTER: Duration = Duration::from_millis(50);
 
 /// The error message when the router has no memory left or too many pending RPCs.
 pub(super) const TOO_MANY_RPCS: &str = "this router holds all the RPCs it may";
 
 impl ClientSessions {
-    /// Whether memory is so short that clients which read slowly are disconnected.
+    /// Whether memory is so short that clients which read slowly are disconnected sooner than usual, and that
+    /// each client's requests are taken one at a time.
     pub(super) fn is_memory_critical(&self) -> bool {
         self.budget.read(|budget| budget.is_active(ReclaimAction::DisconnectSlowReaders))
     }
@@ -38,8 +40,8 @@
         self.encoded(bytes)
     }
 
-    /// Charges a response's memory. The charge never fails, even beyond the budget: new RPCs are rejected
-    /// instead.
+    /// Charges a response's memory beyond the first [`READ_CHUNK_BYTES`]. The charge never fails, even beyond
+    /// the budget: new RPCs are rejected instead.
     pub(super) fn encoded(&self, bytes: Vec<u8>) -> EncodedResponse {
         let bytes_beyond_chunk = bytes.len().saturating_sub(READ_CHUNK_BYTES);
         let memory = self.budget.charge(Category::ResponseWrites, bytes_beyond_chunk);
@@ -47,8 +49,8 @@
     }
 }
 
-/// Writes a response. Times out if the client stops reading, or reads too slowly while memory is short; a
-/// client that keeps reading fast enough gets the whole response, however long it is.
+/// Writes a response. Times out if the client stops reading or reads too slowly, and sooner while memory is
+/// short; a client that keeps reading fast enough gets the whole response, however long it is.
 ///
 /// # Errors
 /// The connection is broken, or the client reads too slowly.
--- a/crates/router/src/client/session_end.rs
+++ b/crates/router/src/client/session_end.rs
@@ -6,10 +6,12 @@
 use crate::pg::ProtocolViolation;
 use crate::receive_buffer::ReceiveError;
 
-/// `Ok` if the client ended its session in the regular way, or else the reason for its end.
+/// The result of a step of a session, or of the whole session: `Ok` if the step succeeded or the session
+/// ended in the regular way, or else the reason for which the session ends.
 pub(super) type SessionResult = Result<(), SessionEnd>;
 
-/// Why a session ended. The text of a reason with a SQLSTATE is sent to the client.
+/// Why a session ended. The text is logged, and is sent to the client if [`Self::code`] gives the reason a
+/// SQLSTATE.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum SessionEnd {
     #[error("{0}")]
@@ -18,10 +20,13 @@
     ProtocolViolation(#[from] ProtocolViolation),
     #[error("the client disconnected")]
     ClientDisconnected,
+    /// By the router: it is draining, or the connection's descriptor is needed elsewhere.
     #[error("closed while idle")]
     ClosedWhileIdle,
+    /// In the regular way: the client has ended the session, or has only sent a cancel request.
     #[error("finished")]
     Finished,
+    /// A message did not arrive in time, or the client did not read a response in time.
     #[error("a message did not arrive whole in time")]
     TimedOut,
     #[error("{0}")]
@@ -31,7 +36,7 @@
 }
 
 impl SessionEnd {
-    /// The SQLSTATE of the error to send, or `None` if no error is sent to the client.
+    /// The SQLSTATE of the error that is sent to the client, or `None` if none is sent.
     pub(super) fn code(&self) -> Option<&'static str> {
         match self {
             Self::ProtocolViolation(violation) => Some(violation.sqlstate()),
--- a/crates/router/tests/standin/router_process.rs
+++ b/crates/router/tests/standin/router_process.rs
@@ -1,4 +1,4 @@
-//! A router in its own process, and its configuration.
+//! Starts routers as separate processes, writes their configuration files and reads their logs.
 
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
@@ -14,11 +14,14 @@
 pub struct RouterProcess {
     pub child: Child,
     pub address: SocketAddr,
+    /// The configuration file.
     pub path: PathBuf,
+    /// The lines logged after the one with the address; the condition variable signals each new line.
     log: Arc<(Mutex<Vec<String>>, Condvar)>,
 }
 
-/// The configuration of a router that polls the endpoint list at `discovery`. `targets` is its cached list.
+/// The configuration of a router that polls the endpoint list at `discovery`. Until the first poll it uses
+/// `targets`, the list cached in the configuration. `sockets` is its limit of file descriptors.
 pub fn configuration(discovery: SocketAddr, targets: &str, sockets: usize) -> String {
     let method = |name: &str, semantics: &str| {
         format!(
@@ -84,12 +87,12 @@
         Self { child, address, path, log }
     }
 
-    /// Waits until a line that contains `part` has been logged since the start.
+    /// Waits until a line that contains `part` has been logged; one that was logged earlier counts.
     pub fn await_log_line(&self, part: &str) {
         self.log_line(part);
     }
 
-    /// Waits for a line that contains `part`, and returns the first one since the start.
+    /// Waits for a line that contains `part`, and returns the first one since the router logged its address.
     pub fn log_line(&self, part: &str) -> String {
         let lines = self.log.0.lock().unwrap();
         let missing = |lines: &mut Vec<String>| !lines.iter().any(|line| line.contains(part));
@@ -98,13 +101,13 @@
         lines.iter().find(|line| line.contains(part)).unwrap().clone()
     }
 
-    /// All lines logged since the start.
+    /// All lines logged so far, from the one after the address on.
     pub fn log_lines(&self) -> Vec<String> {
         self.log.0.lock().unwrap().clone()
     }
 
-    /// Starts a router that knows these nodes, given as `(node, role)`, and a discovery service that lists
-    /// them.
+    /// Starts a discovery service that lists these nodes, given as `(node, role)`, and a router that has them
+    /// in its cached list and polls that service.
     pub fn start_with_nodes(nodes: &[(&Node, &str)]) -> (Self, Discovery) {
         let all: Vec<_> = nodes.iter().map(|(node, role)| (*node, *role, "in_service")).collect();
         let discovery = Discovery::start(targets(&all));
@@ -120,7 +123,7 @@
     }
 
     /// # Errors
-    /// The process has exited.
+    /// The signal cannot be sent: the process has exited and its exit status has been collected.
     pub fn try_signal(&self, name: &str) -> std::io::Result<()> {
         use rustix::process::{Pid, Signal, kill_process};
         let signal = match name {
--- a/crates/simulator/src/feed_world.rs
+++ b/crates/simulator/src/feed_world.rs
@@ -26,7 +26,8 @@
 use crate::queue::EventQueue;
 use crate::world::{START_TIME, index_of, node_address};
 
-/// Bytes that sealing adds to a message: header, incarnation of the receiver, sequence number and hash.
+/// Bytes that sealing adds to a message: a header of 23 bytes, which includes the incarnation of the receiver
+/// and the sequence number, and a hash of 32 bytes.
 const DATAGRAM_OVERHEAD_BYTES: usize = 55;
 /// A probe of a node that does not answer ends with this timeout.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(250);
@@ -59,7 +60,7 @@
 /// Calls that a process made to its host while it handled one event.
 #[derive(Default)]
 struct HostCalls {
-    /// Messages between control instances: receiver, its incarnation if known, and the message.
+    /// Messages between control instances: the receiver's address, its incarnation if known, and the message.
     gossip_messages: Vec<(SocketAddr, Option<Incarnation>, GossipMessage)>,
     /// Messages of the observation feed, likewise.
     feed_messages: Vec<(SocketAddr, Option<Incarnation>, Message)>,
@@ -80,8 +81,8 @@
 struct SimulatedHost(Rc<RefCell<HostCalls>>);
 
 impl Host for SimulatedHost {
-    fn send(&mut self, to: SocketAddr, session: Option<Incarnation>, message: GossipMessage) {
-        self.0.borrow_mut().gossip_messages.push((to, session, message));
+    fn send(&mut self, to: SocketAddr, receiver: Option<Incarnation>, message: GossipMessage) {
+        self.0.borrow_mut().gossip_messages.push((to, receiver, message));
     }
     fn set_timer(&mut self, delay: Duration) {
         self.0.borrow_mut().fleet_timer = Some(delay);
@@ -100,8 +101,8 @@
 }
 
 impl quillpoint_observation_feed::Host for SimulatedHost {
-    fn send(&mut self, to: SocketAddr, session: Option<Incarnation>, message: Message) {
-        self.0.borrow_mut().feed_messages.push((to, session, message));
+    fn send(&mut self, to: SocketAddr, receiver: Option<Incarnation>, message: Message) {
+        self.0.borrow_mut().feed_messages.push((to, receiver, message));
     }
     fn set_timer(&mut self, delay: Duration) {
         self.0.borrow_mut().feed_timer = Some(delay);
@@ -117,7 +118,8 @@
     pub sent: u64,
     /// Bytes of the datagrams sent.
     pub sent_bytes: u64,
-    /// Datagrams received.
+    /// Datagrams received. A control instance also counts those addressed to a process that was killed before
+    /// they arrived; a paused router counts those it buffered when it resumes.
     pub received: u64,
     /// Bytes of the datagrams received.
     pub received_bytes: u64,
@@ -153,14 +155,14 @@
     fleet: Fleet<SimulatedHost>,
     publisher: Publisher<SimulatedHost>,
     host: SimulatedHost,
-    start: Incarnation,
+    incarnation: Incarnation,
 }
 
 /// A running or paused process of a router.
 struct Router {
     subscriber: Subscriber<SimulatedHost>,
     host: SimulatedHost,
-    start: Incarnation,
+    incarnation: Incarnation,
     paused: bool,
     /// Datagrams that arrived while the process was paused.
     buffered: VecDeque<FeedDatagram>,
@@ -186,7 +188,8 @@
     up: bool,
     primary: bool,
     probes: u64,
-    /// When a probe first reported its current role, counted when the answer arrives.
+    /// When the answer to the first successful probe since its role was last set arrives. Computed when that
+    /// probe is sent, so it can lie in the future.
     role_seen_at: Option<Duration>,
 }
 
@@ -195,7 +198,7 @@
 struct FeedDatagram {
     from: PeerName,
     address: SocketAddr,
-    start: Incarnation,
+    incarnation: Incarnation,
     message: Rc<Message>,
     bytes: usize,
 }
@@ -221,6 +224,7 @@
         generation: u64,
         task: TaskId,
         probed_at: Duration,
+        /// Log position and whether the node is a primary; `None` if the probe failed.
         result: Option<(Duration, bool)>,
     },
     MessageToControl {
@@ -297,17 +301,17 @@
         index % self.params.regions
     }
 
-    fn partitioned_from(&self, left: usize, right: usize) -> bool {
+    fn are_partitioned(&self, left: usize, right: usize) -> bool {
         self.partitioned && self.region(left) != self.region(right)
     }
 
     /// Starts a process of a control instance.
     pub fn start_control(&mut self, index: usize) {
         let (now, host) = (self.now, SimulatedHost::default());
-        let start = Incarnation(now.as_micros() as u64);
+        let incarnation = Incarnation(now.as_micros() as u64);
         let own_record = MemberRecord {
             name: control_name(index),
-            version: MemberVersion { incarnation: start, revision: 0 },
+            version: MemberVersion { incarnation, revision: 0 },
             address: control_address(index),
             zone: self.region(index) as u16,
             weight: 1,
@@ -328,8 +332,8 @@
         let mut publisher = Publisher::new(host.clone(), params, seed ^ 1, now);
         publisher.nodes_changed(now, &zones.into_keys().collect());
         self.control[index].generation += 1;
-        self.control[index].process = Some(Instance { fleet, publisher, host, start });
-        self.process_control_calls(index);
+        self.control[index].process = Some(Instance { fleet, publisher, host, incarnation });
+        self.carry_out_control_calls(index);
     }
 
     /// Starts a process of a router.
@@ -357,12 +361,12 @@
         self.routers[index].process = Some(Router {
             subscriber,
             host,
-            start: Incarnation(now.as_micros() as u64),
+            incarnation: Incarnation(now.as_micros() as u64),
             paused: false,
             buffered: VecDeque::new(),
             timer_due: false,
         });
-        self.process_router_calls(index);
+        self.carry_out_router_calls(index);
     }
 
     /// Kills a control instance, as by SIGKILL.
@@ -406,7 +410,8 @@
         (self.nodes[node].primary, self.nodes[node].role_seen_at) = (primary, None);
     }
 
-    /// When a probe first reported the current role of a node.
+    /// When a probe first reports the current role of a node: the arrival of its answer, which can lie in the
+    /// future. `None` if no such probe has been sent.
     pub fn role_seen_at(&self, node: usize) -> Option<Duration> {
         self.nodes[node].role_seen_at
     }
@@ -463,7 +468,7 @@
         self.routers.iter().flat_map(|slot| &slot.process).all(|process| process.subscriber.is_complete())
     }
 
-    /// Runs all events that are due until then, and advances virtual time to it.
+    /// Runs all events that are due at or before `until`, and advances virtual time to it.
     pub fn run_until(&mut self, until: Duration) {
         while self.queue.next_time().is_some_and(|at| at <= until) {
             let Some((at, scheduled)) = self.queue.pop() else { break };
@@ -496,10 +501,10 @@
             }
             ScheduledEvent::MessageToControl { index, generation, datagram } => {
                 self.control[index].stats.count(now, datagram.bytes, false);
-                let FeedDatagram { from, address, start, message, .. } = datagram;
+                let FeedDatagram { from, address, incarnation, message, .. } = datagram;
                 let message = Rc::unwrap_or_clone(message);
                 self.with_instance(index, generation, |instance| {
-                    instance.publisher.message_arrived(now, address, &from, start, message);
+                    instance.publisher.message_arrived(now, address, &from, incarnation, message);
                 });
             }
             ScheduledEvent::MessageToRouter { index, generation, datagram }
@@ -518,7 +523,7 @@
                 let started_at = Instant::now();
                 process.subscriber.timer_fired(now);
                 self.routers[index].stats.cpu_time += started_at.elapsed();
-                self.process_router_calls(index);
+                self.carry_out_router_calls(index);
             }
             ScheduledEvent::MessageToRouter { .. } | ScheduledEvent::RouterTimer { .. } => {}
         }
@@ -532,7 +537,7 @@
         let started_at = Instant::now();
         handler(process);
         slot.stats.cpu_time += started_at.elapsed();
-        self.process_control_calls(index);
+        self.carry_out_control_calls(index);
     }
 
     fn deliver_to_router(&mut self, index: usize, datagram: FeedDatagram) {
@@ -545,21 +550,21 @@
             return;
         }
         slot.stats.count(self.now, datagram.bytes, false);
-        let FeedDatagram { from, start, message, .. } = datagram;
+        let FeedDatagram { from, incarnation, message, .. } = datagram;
         // Real receivers each decode their own copy. Decoding is not part of the measured CPU time, so the
-        // message is copied before the timer starts.
+        // message is copied before the measurement starts.
         let message = Rc::unwrap_or_clone(message);
         let started_at = Instant::now();
-        process.subscriber.message_arrived(self.now, &from, start, message);
+        process.subscriber.message_arrived(self.now, &from, incarnation, message);
         slot.stats.cpu_time += started_at.elapsed();
-        self.process_router_calls(index);
+        self.carry_out_router_calls(index);
     }
 
     /// Carries out the calls that a control instance made to its host.
-    fn process_control_calls(&mut self, index: usize) {
+    fn carry_out_control_calls(&mut self, index: usize) {
         let (now, slot) = (self.now, &mut self.control[index]);
         let Some(process) = &mut slot.process else { return };
-        let (calls, start) = (std::mem::take(&mut *process.host.0.borrow_mut()), process.start);
+        let (calls, incarnation) = (std::mem::take(&mut *process.host.0.borrow_mut()), process.incarnation);
         let generation = slot.generation;
         let started_at = Instant::now();
         for observation in calls.received_observations {
@@ -575,26 +580,26 @@
         if let Some(delay) = calls.feed_timer {
             self.queue.schedule(now + delay, ScheduledEvent::FeedTimer { index, generation });
         }
-        for (to, session, message) in calls.gossip_messages {
-            self.send_gossip(index, to, session, message);
+        for (to, receiver, message) in calls.gossip_messages {
+            self.send_gossip(index, to, receiver, message);
         }
         // The same digest goes to many subscribers: its message is stored, and its size computed, only once.
         let mut last: Option<(Rc<Message>, usize)> = None;
-        for (to, session, message) in calls.feed_messages {
+        for (to, receiver, message) in calls.feed_messages {
             let reused = last.take().filter(|(previous, _)| **previous == message);
             let (message, bytes) = reused.unwrap_or_else(|| {
-                let bytes = datagram_bytes(&control_name(index), start, &message);
+                let bytes = datagram_bytes(&control_name(index), incarnation, &message);
                 (Rc::new(message), bytes)
             });
             last = Some((Rc::clone(&message), bytes));
             let datagram = FeedDatagram {
                 from: control_name(index),
                 address: control_address(index),
-                start,
+                incarnation,
                 message,
                 bytes,
             };
-            self.send_to_router(index, to, session, datagram);
+            self.send_to_router(index, to, receiver, datagram);
         }
         for task in calls.tasks_to_run {
             self.probe(index, task);
@@ -605,12 +610,12 @@
         &mut self,
         index: usize,
         to: SocketAddr,
-        session: Option<Incarnation>,
+        receiver: Option<Incarnation>,
         message: GossipMessage,
     ) {
         let bytes = self
             .sealer
-            .seal(&self.keys, session, &message)
+            .seal(&self.keys, receiver, &message)
             .expect("a gossip message fits into a datagram")
             .len();
         self.control[index].stats.count(self.now, bytes, true);
@@ -619,11 +624,12 @@
         let Some(process) = &self.control[other].process else { return };
         let current = process.fleet.members().own_record().version.incarnation;
         // As the datagram package does, rejects a message that is sealed for another incarnation of the
-        // receiver. A message without a session must be a join request.
-        let accepted = session.map_or(message.body == GossipBody::JoinRequest, |session| {
-            session == process.start || session == current
+        // receiver. Accepted are the incarnation that the process started with and the one that its fleet has
+        // now, which may be later. A message that names no incarnation must be a join request.
+        let accepted = receiver.map_or(message.body == GossipBody::JoinRequest, |receiver| {
+            receiver == process.incarnation || receiver == current
         });
-        if !accepted || self.partitioned_from(index, other) {
+        if !accepted || self.are_partitioned(index, other) {
             return;
         }
         let generation = self.control[other].generation;
@@ -640,7 +646,7 @@
         &mut self,
         index: usize,
         to: SocketAddr,
-        session: Option<Incarnation>,
+        receiver: Option<Incarnation>,
         datagram: FeedDatagram,
     ) {
         self.control[index].stats.count(self.now, datagram.bytes, true);
@@ -648,7 +654,7 @@
         let [_, _, high, low] = address.ip().octets();
         let router = usize::from(high) * 250 + usize::from(low);
         let Some(process) = &self.routers[router].process else { return };
-        if session != Some(process.start) || self.partitioned_from(index, router) {
+        if receiver != Some(process.incarnation) || self.are_partitioned(index, router) {
             return;
         }
         let generation = self.routers[router].generation;
@@ -663,42 +669,42 @@
     }
 
     /// Carries out the calls that a router made to its host.
-    fn process_router_calls(&mut self, index: usize) {
+    fn carry_out_router_calls(&mut self, index: usize) {
         let Some(process) = &self.routers[index].process else { return };
-        let (calls, start) = (std::mem::take(&mut *process.host.0.borrow_mut()), process.start);
+        let (calls, incarnation) = (std::mem::take(&mut *process.host.0.borrow_mut()), process.incarnation);
         let generation = self.routers[index].generation;
         if let Some(delay) = calls.feed_timer {
             self.queue.schedule(self.now + delay, ScheduledEvent::RouterTimer { index, generation });
         }
-        for (to, session, message) in calls.feed_messages {
+        for (to, receiver, message) in calls.feed_messages {
             let from = router_name(index);
-            let bytes = datagram_bytes(&from, start, &message);
+            let bytes = datagram_bytes(&from, incarnation, &message);
             self.routers[index].stats.count(self.now, bytes, true);
             let is_subscribe = message == Message::Subscribe;
-            let Some(receiver) = (0..self.control.len()).find(|receiver| control_address(*receiver) == to)
-            else {
+            let Some(other) = (0..self.control.len()).find(|other| control_address(*other) == to) else {
                 continue;
             };
-            let Some(process) = &self.control[receiver].process else { continue };
-            // Subscribe requests carry no session; other messages must be for the current process.
-            let accepted = if is_subscribe { session.is_none() } else { session == Some(process.start) };
-            if !accepted || self.partitioned_from(receiver, index) {
+            let Some(process) = &self.control[other].process else { continue };
+            // Subscribe requests name no incarnation; other messages must be for the current process.
+            let accepted =
+                if is_subscribe { receiver.is_none() } else { receiver == Some(process.incarnation) };
+            if !accepted || self.are_partitioned(other, index) {
                 continue;
             }
-            let generation = self.control[receiver].generation;
+            let generation = self.control[other].generation;
             let datagram = FeedDatagram {
                 from,
                 address: router_address(index),
-                start,
+                incarnation,
                 message: Rc::new(message),
                 bytes,
             };
             let sender_host = HostId(self.control.len() + index);
-            for delay in self.network.delivery_delays(&mut self.rng, sender_host, HostId(receiver)) {
+            for delay in self.network.delivery_delays(&mut self.rng, sender_host, HostId(other)) {
                 let datagram = datagram.clone();
                 self.queue.schedule(
                     self.now + delay,
-                    ScheduledEvent::MessageToControl { index: receiver, generation, datagram },
+                    ScheduledEvent::MessageToControl { index: other, generation, datagram },
                 );
             }
         }
@@ -709,7 +715,7 @@
         let (node, probed_at, generation) = (index_of(address), self.now, self.control[index].generation);
         let delay_to_node = self.network.random_delay(&mut self.rng);
         let delay_to_prober = self.network.random_delay(&mut self.rng);
-        let partitioned = self.partitioned_from(index, node);
+        let partitioned = self.are_partitioned(index, node);
         let state = &mut self.nodes[node];
         if !state.up || partitioned {
             let scheduled = ScheduledEvent::ProbeEnded { index, generation, task, probed_at, result: None };
@@ -755,7 +761,7 @@
 }
 
 /// Size in bytes of the datagram that carries a message.
-fn datagram_bytes(from: &PeerName, start: Incarnation, message: &Message) -> usize {
-    let envelope = Envelope { from: from.clone(), incarnation: start, message: message.clone() };
+fn datagram_bytes(from: &PeerName, incarnation: Incarnation, message: &Message) -> usize {
+    let envelope = Envelope { from: from.clone(), incarnation, message: message.clone() };
     postcard::to_stdvec(&envelope).expect("every feed message can be encoded").len() + DATAGRAM_OVERHEAD_BYTES
 }
--- a/tests/decisions/main.rs
+++ b/tests/decisions/main.rs
@@ -1,5 +1,6 @@
-//! Tests of the decisions, one module for each concern. They cover the claims of docs/design.md and, as
-//! single cases, the failures found so far; `rules` makes random runs.
+//! Tests of the router's decisions, in virtual time and without I/O, one module for each concern. They cover
+//! the claims of docs/design.md and have one test case for each failure found so far; `rules` makes random
+//! runs. `simulation` and `support` are helpers of the tests.
 
 mod admission;
 mod attempt_check;
--- a/tests/decisions/slow_start.rs
+++ b/tests/decisions/slow_start.rs
@@ -1,4 +1,4 @@
-//! What a recently started node is sent.
+//! How many RPCs are sent to a node that has recently started.
 
 use quillpoint::host::*;
 
@@ -19,14 +19,16 @@
     }
 }
 
-/// Simulates `routers` routers; a router gets an RPC every `every` steps of 100 ms. After 20 s node 4
-/// restarts, and from then on only node 4 is fresh. The load is checked for each second that begins before
-/// the step `until`.
-fn check_fleet_load_on_restarted_node(routers: usize, every: &[usize], until: usize) {
+/// Simulates 400 steps of 100 ms, with `routers` routers. The elements of `steps_per_rpc` are assigned to the
+/// routers in turn: a router gets an RPC every so many steps. After 20 s (step 200) node 4 restarts, and from
+/// then on only node 4 is fresh. The load is checked for each second that begins at a step from 200 to before
+/// `until`.
+fn check_fleet_load_on_restarted_node(routers: usize, steps_per_rpc: &[usize], until: usize) {
     let bounded = ("replication.consistency.1", Value::Text("bounded".into()));
     let overrides = [("routers", Value::Number(routers as f64)), bounded];
     let mut simulations: Vec<Simulation> =
         (0..routers as u64).map(|seed| Simulation::new(4, seed, &overrides)).collect();
+    // For each RPC sent to node 4 after its restart, the step; and the number of those sent to it before.
     let (mut sends, mut carried) = (Vec::new(), 0);
     for step in 0..400 {
         for (number, simulation) in simulations.iter_mut().enumerate() {
@@ -40,7 +42,7 @@
                 simulation.update_endpoints(EndpointUpdate::Delta, &[entry]);
             }
             simulation.end_health_checks(|_| true);
-            if (step + number).is_multiple_of(every[number % every.len()]) {
+            if (step + number).is_multiple_of(steps_per_rpc[number % steps_per_rpc.len()]) {
                 let id = simulation.arrive(number % 2, ms(150), None);
                 simulation.advance(ms(0));
                 simulation.end_health_checks(|_| true);
@@ -54,8 +56,8 @@
     }
     // The limit for all routers together. While warm, the node carried `carried` RPCs in 20 s. After the
     // restart it has a quarter of that capacity, growing with time, and may be sent three times as much, plus
-    // a margin for chance. After ten seconds it is warm and may be sent every RPC that no other node is fresh
-    // enough for.
+    // a margin for chance. The check ends after about ten seconds: by then the node is warm and may be sent
+    // every RPC that no other node is fresh enough for.
     for start in 200..until {
         let sent = sends.iter().filter(|at| (start..start + 10).contains(*at)).count() as f64;
         let progress = 0.25 + 0.75 * (start - 200) as f64 / 100.0;
@@ -63,16 +65,20 @@
         let limit = budget + f64::min(5.0, 2.0 * budget.sqrt() + 2.0);
         assert!(
             sent <= limit,
-            "{sent} sent in the second from step {start}, at most {limit} allowed, {routers} routers"
+            "{sent} RPCs sent in the second from step {start}, at most {limit} allowed, {routers} routers"
         );
     }
-    assert!(sends.len() > routers, "the warming node gets some requests: {}", sends.len());
+    assert!(
+        sends.len() > routers,
+        "expected more than {routers} RPCs to node 4 after its restart, found {}",
+        sends.len()
+    );
 }
 
 #[test]
 fn assigned_health_checks_are_charged_to_a_warming_node() {
     let reads = |checks: usize| {
-        // Only the endpoint list is known.
+        // So far the router knows the nodes only from the endpoint list.
         let mut simulation = Simulation::new(3, 1, &[]);
         let mut entry = simulation.endpoint(2, EndpointStatus::InService);
         entry.started = Some(simulation.now());
